--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -20,20 +20,20 @@
 // Content is equal for equal sets of upstreams, whatever their order.
 type Content uint64
 
-// empty is the content of an empty list; zero stands for no list.
-const empty Content = 1
+// emptyHash is the content of an empty list; zero stands for no list.
+const emptyHash Content = 1
 
 // Of is the content of a list.
 func Of(us []route.Upstream) Content {
-	c := empty
+	c := emptyHash
 	for i := range us {
-		c += of(&us[i])
+		c += hashUpstream(&us[i])
 	}
 	return c
 }
 
-// of is the hash of one upstream with all its fields.
-func of(u *route.Upstream) Content {
+// hashUpstream is the hash of one upstream with all its fields.
+func hashUpstream(u *route.Upstream) Content {
 	var d xxhash.Digest
 	d.Reset()
 	for _, field := range [...]string{
@@ -45,77 +45,77 @@
 	return Content(d.Sum64())
 }
 
-// contentsKept bounds the earlier lists of which it is known what changed since. News comes four times a second at most, so whoever asked within
+// maxHashes bounds the earlier lists of which it is known what changed since. News comes four times a second at most, so whoever asked within
 // the last eight seconds is sent changes.
-const contentsKept = 32
+const maxHashes = 32
 
 // Log notes what changes in one list.
 type Log struct {
 	// version counts the changes, and changed holds the last one of each upstream that changed or went.
 	version uint64
 	changed map[decide.UpstreamID]uint64
-	// settled holds the version at which the list last had a content, order the contents from the oldest one on.
-	settled map[Content]uint64
-	order   []Content
-	// now is the content of the list, and open is set while it changes.
-	now  Content
-	open bool
+	// versions holds the version at which the list last had a content, order the contents from the oldest one on.
+	versions map[Content]uint64
+	order    []Content
+	// hash is the content of the list, and open is set while it changes.
+	hash     Content
+	changing bool
 }
 
 // NewLog returns the log of an empty list.
 func NewLog() *Log {
-	return &Log{changed: map[decide.UpstreamID]uint64{}, settled: map[Content]uint64{}, now: empty}
+	return &Log{changed: map[decide.UpstreamID]uint64{}, versions: map[Content]uint64{}, hash: emptyHash}
 }
 
 // Put notes that an upstream came, or took the place of an older entry of its own; nil for none.
 func (l *Log) Put(u route.Upstream, old *route.Upstream) {
 	if old != nil {
-		l.now -= of(old)
+		l.hash -= hashUpstream(old)
 	}
-	l.now += of(&u)
-	l.note(u.ID)
+	l.hash += hashUpstream(&u)
+	l.record(u.ID)
 }
 
 // Take notes that an upstream went.
 func (l *Log) Take(u route.Upstream) {
-	l.now -= of(&u)
-	l.note(u.ID)
+	l.hash -= hashUpstream(&u)
+	l.record(u.ID)
 }
 
-func (l *Log) note(id decide.UpstreamID) {
+func (l *Log) record(id decide.UpstreamID) {
 	l.version++
 	l.changed[id] = l.version
-	l.open = true
+	l.changing = true
 }
 
 // Settle notes that the list is whole as it is now: peers may have it.
 func (l *Log) Settle() {
-	if !l.open {
+	if !l.changing {
 		return
 	}
-	l.open = false
-	l.order = append(slices.DeleteFunc(l.order, func(c Content) bool { return c == l.now }), l.now)
-	l.settled[l.now] = l.version
-	if len(l.order) > contentsKept {
-		delete(l.settled, l.order[0])
+	l.changing = false
+	l.order = append(slices.DeleteFunc(l.order, func(c Content) bool { return c == l.hash }), l.hash)
+	l.versions[l.hash] = l.version
+	if len(l.order) > maxHashes {
+		delete(l.versions, l.order[0])
 		l.order = l.order[1:]
-		l.forget()
+		l.prune()
 	}
 }
 
-// forget drops the changes that all lists have that are known.
-func (l *Log) forget() {
-	least := l.settled[l.order[0]]
+// prune drops the changes that all lists have that are known.
+func (l *Log) prune() {
+	least := l.versions[l.order[0]]
 	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= least })
 }
 
 // Content is that of the list; false while it changes.
-func (l *Log) Content() (Content, bool) { return l.now, !l.open }
+func (l *Log) Content() (Content, bool) { return l.hash, !l.changing }
 
 // Since lists what changed since the list had a content; false if that is not known.
 func (l *Log) Since(c Content) ([]decide.UpstreamID, bool) {
-	version, ok := l.settled[c]
-	if !ok || l.open {
+	version, ok := l.versions[c]
+	if !ok || l.changing {
 		return nil, false
 	}
 	var ids []decide.UpstreamID
@@ -129,16 +129,16 @@
 
 // Apply returns a list with upstreams changed or added, and others taken out.
 func Apply(list, changed []route.Upstream, without []decide.UpstreamID) []route.Upstream {
-	left := make(map[decide.UpstreamID]bool, len(changed)+len(without))
+	replaced := make(map[decide.UpstreamID]bool, len(changed)+len(without))
 	for i := range changed {
-		left[changed[i].ID] = true
+		replaced[changed[i].ID] = true
 	}
 	for _, id := range without {
-		left[id] = true
+		replaced[id] = true
 	}
 	out := make([]route.Upstream, 0, len(list)+len(changed))
 	for i := range list {
-		if !left[list[i].ID] {
+		if !replaced[list[i].ID] {
 			out = append(out, list[i])
 		}
 	}
--- a/daemon/changes/changes_test.go
+++ b/daemon/changes/changes_test.go
@@ -13,41 +13,43 @@
 	"snipeshift.example/lib/route"
 )
 
-// list is one VM's list with its log.
-type list struct {
+// loggedList is one VM's list with its log.
+type loggedList struct {
 	*Log
-	all map[decide.UpstreamID]route.Upstream
+	upstreams map[decide.UpstreamID]route.Upstream
 }
 
-func newList() *list { return &list{NewLog(), map[decide.UpstreamID]route.Upstream{}} }
+func newLoggedList() *loggedList {
+	return &loggedList{NewLog(), map[decide.UpstreamID]route.Upstream{}}
+}
 
-func (l *list) put(us ...route.Upstream) {
+func (l *loggedList) put(us ...route.Upstream) {
 	for _, u := range us {
-		if old, ok := l.all[u.ID]; ok {
+		if old, ok := l.upstreams[u.ID]; ok {
 			l.Put(u, &old)
 		} else {
 			l.Put(u, nil)
 		}
-		l.all[u.ID] = u
+		l.upstreams[u.ID] = u
 	}
 	l.Settle()
 }
 
-func (l *list) take(ids ...decide.UpstreamID) {
+func (l *loggedList) remove(ids ...decide.UpstreamID) {
 	for _, id := range ids {
-		if old, ok := l.all[id]; ok {
+		if old, ok := l.upstreams[id]; ok {
 			l.Take(old)
 		}
-		delete(l.all, id)
+		delete(l.upstreams, id)
 	}
 	l.Settle()
 }
 
 // since is what a peer with a content is sent.
-func (l *list) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
+func (l *loggedList) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
 	ids, ok := l.Since(c)
 	for _, id := range ids {
-		if u, there := l.all[id]; there {
+		if u, there := l.upstreams[id]; there {
 			changed = append(changed, u)
 		} else {
 			without = append(without, id)
@@ -56,12 +58,12 @@
 	return changed, without, ok
 }
 
-func values(l *list) []route.Upstream { return slices.Collect(maps.Values(l.all)) }
+func values(l *loggedList) []route.Upstream { return slices.Collect(maps.Values(l.upstreams)) }
 
 // A peer that applied changes to a list that it did not have would send to upstreams that left, and leave others out.
-func TestChangesMakeTheListThatTheyWereMadeFor(t *testing.T) {
+func TestChangesReproduceTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := newList()
+		l := newLoggedList()
 		var base []route.Upstream
 		var content Content
 		copied := false
@@ -70,7 +72,7 @@
 			id := decide.UpstreamID(rapid.StringMatching("[a-f]").Draw(t, "id"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				l.take(id)
+				l.remove(id)
 			case 1:
 				base, copied = values(l), true
 				content, _ = l.Content()
@@ -89,7 +91,7 @@
 	})
 }
 
-func TestAnotherListHasAnotherContent(t *testing.T) {
+func TestDifferentListsHaveDifferentHashes(t *testing.T) {
 	u := route.Upstream{ID: "a", Service: "s", Address: "1", Domain: "d", Slots: 2}
 	seen := map[Content]bool{Of(nil): true, Of([]route.Upstream{u}): true}
 	for _, change := range []func(*route.Upstream){
@@ -111,29 +113,29 @@
 }
 
 // A VM that was cut off asks again with a list of long ago. What changed since is not remembered for ever, and it must be sent everything.
-func TestAListOfLongAgoIsNotKnown(t *testing.T) {
-	l := newList()
+func TestOldHashesAreForgotten(t *testing.T) {
+	l := newLoggedList()
 	l.put(route.Upstream{ID: "first"})
 	old, _ := l.Content()
-	for i := range 10 * contentsKept {
+	for i := range 10 * maxHashes {
 		l.put(route.Upstream{ID: decide.UpstreamID(fmt.Sprint(i))})
 		if i > 0 {
-			l.take(decide.UpstreamID(fmt.Sprint(i - 1)))
+			l.remove(decide.UpstreamID(fmt.Sprint(i - 1)))
 		}
 	}
 	_, known := l.Since(old)
 	require.False(t, known)
-	require.LessOrEqual(t, len(l.settled), contentsKept)
-	require.LessOrEqual(t, len(l.changed), 2*contentsKept)
+	require.LessOrEqual(t, len(l.versions), maxHashes)
+	require.LessOrEqual(t, len(l.changed), 2*maxHashes)
 }
 
 // A list is asked for in the middle of a change.
-func TestAListThatIsBeingChangedIsNotPassedOn(t *testing.T) {
-	l := newList()
+func TestNoHashOrChangesBeforeSettle(t *testing.T) {
+	l := newLoggedList()
 	l.put(route.Upstream{ID: "a"})
 	c, settled := l.Content()
 	require.True(t, settled)
-	l.Take(l.all["a"])
+	l.Take(l.upstreams["a"])
 	_, settled = l.Content()
 	require.False(t, settled)
 	_, known := l.Since(c)
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -86,29 +86,29 @@
 	clock  Clock
 	rules  Rules
 	take   Take
-	// hints wakes the fetching from peers.
-	hints chan struct{}
+	// wake wakes the fetching from peers.
+	wake chan struct{}
 
 	mu sync.Mutex
 	// revision and text are the document in force; revision never falls.
 	revision peer.Revision
 	text     []byte
-	// refused is the highest revision that did not parse, so that it is
+	// rejected is the highest revision that did not parse, so that it is
 	// neither tried again and again nor fetched.
-	refused peer.Revision
-	// problem is what was wrong with it.
-	problem error
-	// stored is when the store answered last.
-	stored clock.Milli
-	// ahead is the highest revision that a peer told, and where it is to be had.
-	ahead   peer.Revision
-	address string
-	peers   Peers
+	rejected peer.Revision
+	// rejectError is what was wrong with it.
+	rejectError error
+	// storeContact is when the store answered last.
+	storeContact clock.Milli
+	// peerRevision is the highest revision that a peer told, and where it is to be had.
+	peerRevision peer.Revision
+	peerAddress  string
+	peers        Peers
 }
 
 // New returns a follower without a document.
 func New(s Store, c Caller, k Clock, r Rules, take Take) *Follower {
-	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, hints: make(chan struct{}, 1)}
+	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, wake: make(chan struct{}, 1)}
 }
 
 // Newest is the document in force; revision zero means that there is none.
@@ -123,17 +123,17 @@
 func (f *Follower) Refused() (peer.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refused <= f.revision {
+	if f.rejected <= f.revision {
 		return 0, nil
 	}
-	return f.refused, f.problem
+	return f.rejected, f.rejectError
 }
 
 // Offer takes a document if its revision is above every one seen and it
 // parses. It tells whether the document is now in force.
 func (f *Follower) Offer(r peer.Revision, text []byte) bool {
 	f.mu.Lock()
-	if r <= f.revision || r <= f.refused {
+	if r <= f.revision || r <= f.rejected {
 		f.mu.Unlock()
 		return false
 	}
@@ -141,7 +141,7 @@
 	// force in the order of their revisions.
 	err := f.take(r, text)
 	if err != nil {
-		f.refused, f.problem = r, err
+		f.rejected, f.rejectError = r, err
 	} else {
 		f.revision, f.text = r, append([]byte(nil), text...)
 	}
@@ -162,12 +162,12 @@
 func (f *Follower) Learn(b *peer.BeatArgs, _ bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if b.Revision <= f.revision || b.Revision <= f.refused || b.Revision < f.ahead {
+	if b.Revision <= f.revision || b.Revision <= f.rejected || b.Revision < f.peerRevision {
 		return
 	}
-	f.ahead, f.address = b.Revision, b.From.Address
+	f.peerRevision, f.peerAddress = b.Revision, b.From.Address
 	select {
-	case f.hints <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
@@ -177,7 +177,7 @@
 // that is no longer in force anywhere else, so it must get no callers.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
-	revision, contact, peers := f.revision, f.stored, f.peers
+	revision, contact, peers := f.revision, f.storeContact, f.peers
 	f.mu.Unlock()
 	if peers != nil {
 		contact = max(contact, peers.Reached())
@@ -185,8 +185,8 @@
 	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.Contact
 }
 
-func (f *Follower) reachedStore() {
+func (f *Follower) noteStoreContact() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stored = f.clock.Now()
+	f.storeContact = f.clock.Now()
 }
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -17,66 +17,66 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// quick are the rules of tests: the same decisions at a faster pace.
-var quick = Rules{Watchers: 2, Wait: 50, Poll: 10, Slow: clock.Minute, Contact: 200, Fetch: 100}
+// testRules are the rules of tests: the same decisions at a faster pace.
+var testRules = Rules{Watchers: 2, Wait: 50, Poll: 10, Slow: clock.Minute, Contact: 200, Fetch: 100}
 
-// wire calls followers of one process by address.
-type wire struct {
+// fakeNetwork calls followers of one process by address.
+type fakeNetwork struct {
 	mu        sync.Mutex
 	followers map[string]*Follower
 }
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
-func (w *wire) Call(_ context.Context, address, _ string, args, reply any) error {
+func (w *fakeNetwork) Call(_ context.Context, address, _ string, args, reply any) error {
 	w.mu.Lock()
 	f := w.followers[address]
 	w.mu.Unlock()
 	if f == nil {
-		return errCut
+		return errUnreachable
 	}
 	return member.NewReceiver(nil, f).Document(args.(*peer.DocumentArgs), reply.(*peer.DocumentReply))
 }
 
-// peers is a membership set by hand.
-type peers struct {
+// fakePeers is a membership set by hand.
+type fakePeers struct {
 	mu      sync.Mutex
 	self    peer.Member
 	live    []peer.Member
 	reached clock.Milli
 }
 
-func (p *peers) Self() peer.Member    { return p.self }
-func (p *peers) Live() []peer.Member  { return p.live }
-func (p *peers) Kick()                {}
-func (p *peers) Reached() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
+func (p *fakePeers) Self() peer.Member    { return p.self }
+func (p *fakePeers) Live() []peer.Member  { return p.live }
+func (p *fakePeers) Kick()                {}
+func (p *fakePeers) Reached() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
 
-var errBroken = errors.New("does not parse")
+var errParse = errors.New("does not parse")
 
-func take(_ peer.Revision, text []byte) error {
+func applyText(_ peer.Revision, text []byte) error {
 	if string(text) == "broken" {
-		return errBroken
+		return errParse
 	}
 	return nil
 }
 
 type fixture struct {
-	store *platformtest.Store
-	wire  *wire
-	clock *clock.Clock
+	store   *platformtest.Store
+	network *fakeNetwork
+	clock   *clock.Clock
 }
 
 func newFixture() *fixture {
-	return &fixture{store: platformtest.New(), wire: &wire{followers: map[string]*Follower{}}, clock: clock.New()}
+	return &fixture{store: platformtest.New(), network: &fakeNetwork{followers: map[string]*Follower{}}, clock: clock.New()}
 }
 
-func (x *fixture) start(t *testing.T, vm peer.VM) (*Follower, *peers) {
-	f := New(x.store, x.wire, x.clock, quick, take)
-	x.wire.mu.Lock()
-	x.wire.followers[string(vm)] = f
-	x.wire.mu.Unlock()
+func (x *fixture) start(t *testing.T, vm peer.VM) (*Follower, *fakePeers) {
+	f := New(x.store, x.network, x.clock, testRules, applyText)
+	x.network.mu.Lock()
+	x.network.followers[string(vm)] = f
+	x.network.mu.Unlock()
 	m := peer.Member{VM: vm, Address: string(vm), Domain: "d"}
-	p := &peers{self: m, live: []peer.Member{m}}
+	p := &fakePeers{self: m, live: []peer.Member{m}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = f.Run(ctx, p) }()
@@ -90,34 +90,34 @@
 	return peer.Revision(v)
 }
 
-func inForce(t *testing.T, f *Follower, r peer.Revision) {
+func requireInForce(t *testing.T, f *Follower, r peer.Revision) {
 	require.Eventually(t, func() bool { got, _ := f.Newest(); return got == r }, 5*time.Second, time.Millisecond)
 }
 
-// beat lets one follower hear the other's heartbeat.
-func beat(from, to *Follower, address string) {
+// sendHeartbeat lets one follower hear the other's heartbeat.
+func sendHeartbeat(from, to *Follower, address string) {
 	b := peer.BeatArgs{From: peer.Member{VM: peer.VM(address), Address: address}}
 	from.Fill("", &b)
 	to.Learn(&b, false)
 }
 
-func TestWatchBringsADocument(t *testing.T) {
+func TestWatchDeliversDocument(t *testing.T) {
 	x := newFixture()
 	f, _ := x.start(t, "a")
 	require.False(t, f.Ready())
-	inForce(t, f, x.put(t, "one"))
+	requireInForce(t, f, x.put(t, "one"))
 	require.True(t, f.Ready())
-	inForce(t, f, x.put(t, "two"))
+	requireInForce(t, f, x.put(t, "two"))
 }
 
 // The watch is open and silent for good, which looks like a store without
 // news. Operators would see their change never come into force.
-func TestDeadWatchDoesNotHoldADocumentBack(t *testing.T) {
+func TestPollFindsDocumentWhenWatchHangs(t *testing.T) {
 	x := newFixture()
 	x.store.DeadWatch(true)
 	f, _ := x.start(t, "a")
-	inForce(t, f, x.put(t, "one"))
-	inForce(t, f, x.put(t, "two"))
+	requireInForce(t, f, x.put(t, "one"))
+	requireInForce(t, f, x.put(t, "two"))
 }
 
 // The store goes out right after it accepted a document that one VM saw. The
@@ -126,12 +126,12 @@
 	x := newFixture()
 	a, _ := x.start(t, "a")
 	r := x.put(t, "one")
-	inForce(t, a, r)
+	requireInForce(t, a, r)
 	x.store.Outage(true)
 	b, p := x.start(t, "b")
 	require.False(t, b.Ready())
-	beat(a, b, "a")
-	inForce(t, b, r)
+	sendHeartbeat(a, b, "a")
+	requireInForce(t, b, r)
 	p.mu.Lock()
 	p.reached = x.clock.Now()
 	p.mu.Unlock()
@@ -140,40 +140,40 @@
 
 // A VM loses store and peers at once. It can't know what is in force any more
 // and must say that it is not ready.
-func TestVMCutOffFromAllIsNotReady(t *testing.T) {
+func TestVMWithoutStoreAndPeersIsNotReady(t *testing.T) {
 	x := newFixture()
 	f, _ := x.start(t, "a")
-	inForce(t, f, x.put(t, "one"))
+	requireInForce(t, f, x.put(t, "one"))
 	x.store.Outage(true)
 	require.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, time.Millisecond)
 	x.store.Outage(false)
 	require.Eventually(t, f.Ready, 5*time.Second, time.Millisecond)
 }
 
-func TestDocumentThatDoesNotParseIsNotTaken(t *testing.T) {
+func TestDocumentThatDoesNotParseIsRejected(t *testing.T) {
 	x := newFixture()
 	f, _ := x.start(t, "a")
 	good := x.put(t, "one")
-	inForce(t, f, good)
+	requireInForce(t, f, good)
 	bad := x.put(t, "broken")
 	require.Eventually(t, func() bool { r, _ := f.Refused(); return r == bad }, 5*time.Second, time.Millisecond)
 	r, text := f.Newest()
 	require.Equal(t, good, r)
 	require.Equal(t, "one", string(text))
 	_, err := f.Refused()
-	require.ErrorIs(t, err, errBroken)
-	inForce(t, f, x.put(t, "two"))
+	require.ErrorIs(t, err, errParse)
+	requireInForce(t, f, x.put(t, "two"))
 	r, _ = f.Refused()
 	require.Zero(t, r)
 }
 
 // Stale reads, peers that lag and documents that cross each other arrive in
 // any order. A user must never see an older configuration after a newer one.
-func TestRevisionNeverFalls(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var taken []peer.Revision
-		f := New(nil, nil, nil, quick, func(r peer.Revision, text []byte) error {
-			if err := take(r, text); err != nil {
+		f := New(nil, nil, nil, testRules, func(r peer.Revision, text []byte) error {
+			if err := applyText(r, text); err != nil {
 				return err
 			}
 			taken = append(taken, r)
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -44,9 +44,9 @@
 	return false
 }
 
-// watching tells whether this VM asks the store often: as a watcher, and also
+// pollsAsWatcher tells whether this VM asks the store often: as a watcher, and also
 // while it has no document or no peer, since then nobody else tells it.
-func (f *Follower) watching() bool {
+func (f *Follower) pollsAsWatcher() bool {
 	revision, _ := f.Newest()
 	alone := f.clock.Now()-f.peers.Reached() > f.rules.Contact
 	return revision == 0 || alone || Watches(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
@@ -55,19 +55,19 @@
 // watch learns of a change within milliseconds while watches work.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.watching() {
+		if !f.pollsAsWatcher() {
 			pause(ctx, f.rules.Poll)
 			continue
 		}
-		revision := f.highest()
-		o, news, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
+		revision := f.highestSeen()
+		o, changed, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
 		switch {
 		case err != nil:
 			pause(ctx, f.rules.Poll)
-		case news:
-			f.reachedStore()
+		case changed:
+			f.noteStoreContact()
 			f.Offer(peer.Revision(o.Version), o.Value)
-			if f.highest() == revision {
+			if f.highestSeen() == revision {
 				// An answer without news, against the protocol: do not spin.
 				pause(ctx, f.rules.Poll)
 			}
@@ -75,45 +75,45 @@
 	}
 }
 
-// highest is the highest revision seen, in force or not.
-func (f *Follower) highest() peer.Revision {
+// highestSeen is the highest revision seen, in force or not.
+func (f *Follower) highestSeen() peer.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.revision, f.refused)
+	return max(f.revision, f.rejected)
 }
 
 // poll backs the watch up: a watch can die without a sign, and then it looks
 // just like one that has nothing to tell.
 func (f *Follower) poll(ctx context.Context) {
-	last := f.clock.Now() - f.slow()
+	last := f.clock.Now() - f.pollInterval()
 	for ctx.Err() == nil {
-		if f.watching() || f.clock.Now()-last >= f.slow() {
+		if f.pollsAsWatcher() || f.clock.Now()-last >= f.pollInterval() {
 			last = f.clock.Now()
-			f.read(ctx)
+			f.readStore(ctx)
 		}
 		pause(ctx, f.rules.Poll)
 	}
 }
 
-// slow is the time between two polls of a member that is no watcher.
+// pollInterval is the time between two polls of a member that is no watcher.
 //
 // When the watchers are cut off from the store while others reach it, only these
 // polls find a change. All of them together cost the store the same few reads a
 // second at any size, so in a small fleet each can poll as often as a watcher,
 // and a change is in force in time although both watchers are blind.
-func (f *Follower) slow() clock.Milli {
+func (f *Follower) pollInterval() clock.Milli {
 	return max(f.rules.Poll, f.rules.Slow*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
 
-func (f *Follower) read(ctx context.Context) {
+func (f *Follower) readStore(ctx context.Context) {
 	o, err := f.store.Get(ctx, Kind, Name)
 	if errors.Is(err, platform.ErrNotFound) {
-		f.reachedStore()
+		f.noteStoreContact()
 	}
 	if err != nil {
 		return
 	}
-	f.reachedStore()
+	f.noteStoreContact()
 	f.Offer(peer.Revision(o.Version), o.Value)
 }
 
@@ -123,17 +123,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.hints:
-			f.ask(ctx)
+		case <-f.wake:
+			f.fetchOnce(ctx)
 		}
 	}
 }
 
-func (f *Follower) ask(ctx context.Context) {
+func (f *Follower) fetchOnce(ctx context.Context) {
 	f.mu.Lock()
-	above, address := max(f.revision, f.refused), f.address
+	above, address := max(f.revision, f.rejected), f.peerAddress
 	// The next heartbeat names a peer again if this one fails.
-	f.ahead = 0
+	f.peerRevision = 0
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, f.rules.Fetch.Duration())
 	defer cancel()
--- a/daemon/readers/readers_test.go
+++ b/daemon/readers/readers_test.go
@@ -9,7 +9,7 @@
 	"snipeshift.example/lib/peer"
 )
 
-func fleetOf(n int) []peer.Member {
+func newMembers(n int) []peer.Member {
 	ms := make([]peer.Member, n)
 	for i := range ms {
 		ms[i] = peer.Member{VM: peer.VM(fmt.Sprintf("vm-%03d", i)), Domain: peer.Domain(fmt.Sprintf("d%d", i%5)), Cores: 192, Link: 20}
@@ -18,12 +18,12 @@
 }
 
 // The readers of a fleet die together if they stand in one failure domain, and are slow if they are its smallest VMs.
-func TestReadersAreStrongAndInTwoFailureDomains(t *testing.T) {
-	live := fleetOf(295)
+func TestReadersAreHighCapacityAndInTwoFailureDomains(t *testing.T) {
+	live := newMembers(295)
 	for i := range 15 {
 		live[i*7].Cores, live[i*7].Link = 800, 200
 	}
-	ranked := readingOrder(live)
+	ranked := rankReaders(live)
 	for _, m := range ranked[:15] {
 		require.Equal(t, 800, m.Cores)
 	}
@@ -33,10 +33,10 @@
 
 // What is asked of one VM grows with the fleet if all ask the same few; and a VM that nobody's question leads to a
 // reader knows nothing new.
-func TestEachVMReachesAReaderByTwoQuestions(t *testing.T) {
+func TestEveryVMReachesReaderInTwoHops(t *testing.T) {
 	for _, n := range []int{1, 3, 6, 12, 13, 30, 100, 300, 450, 1000} {
-		live := fleetOf(n)
-		ranked := readingOrder(live)
+		live := newMembers(n)
+		ranked := rankReaders(live)
 		rank := map[peer.VM]int{}
 		for i, m := range ranked {
 			rank[m.VM] = i
@@ -52,7 +52,7 @@
 			for _, o := range r.Others {
 				require.NotEqual(t, m.VM, o.VM)
 				askers[o.VM]++
-				if r.Rank >= watchers+relayers && n > watchersMost {
+				if r.Rank >= watchers+relayers && n > maxWatchingFleet {
 					require.Less(t, rank[o.VM], watchers+relayers, "n %d", n)
 					require.GreaterOrEqual(t, rank[o.VM], watchers)
 				}
@@ -67,9 +67,9 @@
 }
 
 // A VM that stops takes no duty, and must still learn what is new until its last answer is out.
-func TestAStoppingVMReadsForNobody(t *testing.T) {
-	live := fleetOf(6)
-	stopping := readingOrder(live)[0].VM
+func TestStoppingVMIsNoReader(t *testing.T) {
+	live := newMembers(6)
+	stopping := rankReaders(live)[0].VM
 	for i := range live {
 		live[i].Stopping = live[i].VM == stopping
 	}
--- a/daemon/registry/calls.go
+++ b/daemon/registry/calls.go
@@ -70,12 +70,12 @@
 // noteRole writes a line if this VM's part in reading the store has changed, and returns its present part.
 func (r *Registry) noteRole(rs Roster, before Role) Role {
 	now := r.role()
-	if r.rests(r.documents()) {
+	if r.delegates(r.documentFeed()) {
 		now = Follower
 	}
 	if now != before {
 		r.log.Info().Str(logline.Key, logline.Reader).Str("role", string(now)).Str("before", string(before)).Int("rank", rs.Rank).
-			Int("open", r.ahead(rs)).Int64("age", int64(r.age())).Msg("this VM has another part in reading the store")
+			Int("open", r.connectedAhead(rs)).Int64("age", int64(r.documentAge())).Msg("this VM has another part in reading the store")
 	}
 	return now
 }
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -16,10 +16,10 @@
 // Run follows the store until ctx ends.
 func (r *Registry) Run(ctx context.Context) error {
 	var g errgroup.Group
-	g.Go(func() error { r.follow(ctx, r.documents()); return nil })
-	g.Go(func() error { r.follow(ctx, r.entries()); return nil })
+	g.Go(func() error { r.follow(ctx, r.documentFeed()); return nil })
+	g.Go(func() error { r.follow(ctx, r.upstreamFeed()); return nil })
 	g.Go(func() error { r.sweep(ctx); return nil })
-	g.Go(func() error { r.confirm(ctx); return nil })
+	g.Go(func() error { r.pollReaders(ctx); return nil })
 	return g.Wait()
 }
 
@@ -30,16 +30,16 @@
 	watch func(context.Context, route.Position, clock.Milli) (route.Position, error)
 	// wait is how long a watch waits at a VM that reads for others.
 	wait clock.Milli
-	// leads is set for the feed whose calls find out whether the store is back.
-	leads bool
+	// lead is set for the feed whose calls find out whether the store is back.
+	lead bool
 }
 
-func (r *Registry) documents() feed {
-	return feed{name: "routes", list: r.listDocument, watch: r.watchDocument, wait: watchWait, leads: true}
+func (r *Registry) documentFeed() feed {
+	return feed{name: "routes", list: r.listDocument, watch: r.watchDocument, wait: watchWait, lead: true}
 }
 
-func (r *Registry) entries() feed {
-	return feed{name: "upstreams", list: r.listUpstreams, watch: r.watchUpstreams, wait: newsWait}
+func (r *Registry) upstreamFeed() feed {
+	return feed{name: "upstreams", list: r.listUpstreams, watch: r.watchUpstreams, wait: upstreamWatchWait}
 }
 
 // follow lists once and then watches from there; after an error, or once others have read
@@ -49,16 +49,16 @@
 	var at route.Position
 	failures, busy := 0, false
 	for ctx.Err() == nil {
-		if r.rests(f) {
+		if r.delegates(f) {
 			at, failures, busy = route.Position{}, 0, false
 			r.clearOutage()
-			if f.leads {
-				r.failing.Store(false)
+			if f.lead {
+				r.leadFeedFailing.Store(false)
 			}
-			pause(ctx, checkEvery)
+			pause(ctx, checkPeriod)
 			continue
 		}
-		r.yield(ctx, f)
+		r.awaitLeadFeed(ctx, f)
 		var err error
 		if at.Era != r.Era() {
 			at = route.Position{}
@@ -68,13 +68,13 @@
 		if listed {
 			at, err = f.list(ctx)
 		} else {
-			at, busy, err = r.next(ctx, f, at, busy)
+			at, busy, err = r.watchOnce(ctx, f, at, busy)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if f.leads {
-			r.failing.Store(err != nil)
+		if f.lead {
+			r.leadFeedFailing.Store(err != nil)
 		}
 		r.noteStore(f.name, err)
 		if err == nil {
@@ -90,14 +90,14 @@
 	}
 }
 
-// yieldLongest bounds how long a feed leaves it to the other one to find out whether the store is back.
-const yieldLongest = 5
+// maxLeadFeedWaits bounds how long a feed leaves it to the other one to find out whether the store is back.
+const maxLeadFeedWaits = 5
 
-// yield lets one of the two feeds ask whether the store is back: the calls of an outage are half as many.
+// awaitLeadFeed lets one of the two feeds ask whether the store is back: the calls of an outage are half as many.
 // A store that fails for that feed's objects alone must not stop the other.
-func (r *Registry) yield(ctx context.Context, f feed) {
-	for i := 0; i < yieldLongest && !f.leads && r.failing.Load() && ctx.Err() == nil; i++ {
-		pause(ctx, checkEvery)
+func (r *Registry) awaitLeadFeed(ctx context.Context, f feed) {
+	for i := 0; i < maxLeadFeedWaits && !f.lead && r.leadFeedFailing.Load() && ctx.Err() == nil; i++ {
+		pause(ctx, checkPeriod)
 	}
 }
 
@@ -106,7 +106,7 @@
 // A VM that starts alone, after a release or a crash, joins a fleet that knows all: it needs no call
 // of the store. Where all start at once nobody knows anything, and each lists after the wait.
 func (r *Registry) bootstrap(ctx context.Context) {
-	if r.readers == nil || r.readers().Seed || r.rests(r.documents()) {
+	if r.readers == nil || r.readers().Seed || r.delegates(r.documentFeed()) {
 		return
 	}
 	t := time.NewTimer(r.bootstrapWait)
@@ -124,39 +124,39 @@
 func (r *Registry) clearOutage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = false
+	r.storeDown = false
 }
 
 // awaitMembers waits after a list until this VM may know whether others read for it.
 // VMs that start together would each open two watches before they know that others read.
 func (r *Registry) awaitMembers(ctx context.Context) {
 	if r.readers != nil {
-		pause(ctx, joinTime)
+		pause(ctx, joinWait)
 	}
 }
 
-// next watches once from a position, and returns the one to go on from; zero asks for a list. Busy tells whether news ended the
+// watchOnce watches once from a position, and returns the one to go on from; zero asks for a list. Busy tells whether news ended the
 // watch, now and before.
-func (r *Registry) next(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
+func (r *Registry) watchOnce(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
 	began := r.clock.Now()
-	wait := r.wait(f)
-	watching, end := r.watching(ctx, f.name, wait)
-	next, err := f.watch(watching, at, wait)
-	ended := watching.Err() != nil
+	wait := r.watchWaitOf(f)
+	watchCtx, end := r.watchContext(ctx, f.name, wait)
+	next, err := f.watch(watchCtx, at, wait)
+	canceled := watchCtx.Err() != nil
 	end()
-	if err != nil && ended && ctx.Err() == nil {
+	if err != nil && canceled && ctx.Err() == nil {
 		// We ended it ourselves, for want of proof or in another era: a list proves at once.
 		return route.Position{}, false, nil
 	}
-	least := newsEvery
+	interval := watchInterval
 	if busy {
-		least = newsBusy
+		interval = busyWatchInterval
 	}
-	rest := least - (r.clock.Now() - began)
-	if err == nil && rest > 0 {
-		pause(ctx, rest.Duration())
+	remaining := interval - (r.clock.Now() - began)
+	if err == nil && remaining > 0 {
+		pause(ctx, remaining.Duration())
 	}
-	return next, rest > 0, err
+	return next, remaining > 0, err
 }
 
 // backOff waits before a failed call is made again: longer after each failure and, in a fleet that
@@ -164,26 +164,26 @@
 // Otherwise all VMs would call a store that is away many times a second. The readers go on asking often, so that its return is known to all
 // within a second; a VM that becomes a reader stops waiting.
 func (r *Registry) backOff(ctx context.Context, failures int) {
-	wait := retryWait << min(failures, retryDoublings)
+	wait := retryWait << min(failures, maxRetryDoublings)
 	if r.readers != nil {
-		wait = max(wait, min(time.Duration(r.readers().Rank)*retryRank, retryLongest))
+		wait = max(wait, min(time.Duration(r.readers().Rank)*retryWaitPerRank, maxRetryWait))
 	}
 	wait = wait/2 + rand.N(wait)
-	if r.leads() {
+	if r.isPrimary() {
 		wait = retryWait/2 + rand.N(retryWait)
 	}
 	for wait > 0 && ctx.Err() == nil {
-		step := min(wait, checkEvery)
+		step := min(wait, checkPeriod)
 		pause(ctx, step)
 		wait -= step
-		if r.leads() && wait > retryWait {
+		if r.isPrimary() && wait > retryWait {
 			wait = retryWait
 		}
 	}
 }
 
-// leads tells whether this VM stands before all others.
-func (r *Registry) leads() bool { return r.readers == nil || r.readers().Self }
+// isPrimary tells whether this VM stands before all others.
+func (r *Registry) isPrimary() bool { return r.readers == nil || r.readers().Self }
 
 func (r *Registry) listDocument(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
@@ -191,11 +191,11 @@
 	if err != nil && !errors.Is(err, route.ErrDocument) {
 		return route.Position{}, err
 	}
-	if era := r.enter(at.Era); era != nil {
+	if era := r.checkEra(at.Era); era != nil {
 		return route.Position{}, era
 	}
 	if err != nil {
-		r.reject(err)
+		r.noteUnreadable(err)
 		return at, nil
 	}
 	if r.awaitPeer(ctx, at.Era) {
@@ -212,10 +212,10 @@
 		return route.Position{}, err
 	}
 	if at.Era != after.Era {
-		return route.Position{}, r.enter(at.Era)
+		return route.Position{}, r.checkEra(at.Era)
 	}
 	if err != nil {
-		r.reject(err)
+		r.noteUnreadable(err)
 		return at, nil
 	}
 	if d != nil {
@@ -224,19 +224,19 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.behind {
-		r.confirmDocument(r.asOf(sent, wait))
+	if !r.storeBehind {
+		r.confirmDocument(r.provenUntil(sent, wait))
 	}
 	return at, nil
 }
 
-// reject notes that what stands in the place of the document cannot be read. The last one stays in force, but nothing
+// noteUnreadable notes that what stands in the place of the document cannot be read. The last one stays in force, but nothing
 // proves that it is still the newest: the operator may have taken a key away. So its age grows, and keys are refused
 // once it is too old.
-func (r *Registry) reject(err error) {
+func (r *Registry) noteUnreadable(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unread = true
+	r.unreadable = true
 	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableAt)).Err(err).Msg("document is not taken")
 }
 
@@ -246,7 +246,7 @@
 	if err != nil {
 		return route.Position{}, err
 	}
-	if err := r.enter(at.Era); err != nil {
+	if err := r.checkEra(at.Era); err != nil {
 		return route.Position{}, err
 	}
 	r.learnUpstreams(news, at, sent)
@@ -260,47 +260,49 @@
 		return route.Position{}, err
 	}
 	if at.Era != after.Era {
-		return route.Position{}, r.enter(at.Era)
+		return route.Position{}, r.checkEra(at.Era)
 	}
-	right := sent
+	proven := sent
 	if len(news.Upstreams) == 0 && len(news.Gone) == 0 && len(news.Unusable) == 0 {
-		right = r.asOf(sent, wait)
+		proven = r.provenUntil(sent, wait)
 	}
-	r.changeUpstreams(news, at, right)
+	r.changeUpstreams(news, at, proven)
 	return at, nil
 }
 
-// asOf is the instant that the end of a watch without news speaks of: the store
+// provenUntil is the instant that the end of a watch without news speaks of: the store
 // waited from the arrival of the question, which was after it was sent. The
 // answer itself may have been held up for any time.
-func (r *Registry) asOf(sent, wait clock.Milli) clock.Milli { return min(sent+wait, r.clock.Now()) }
+func (r *Registry) provenUntil(sent, wait clock.Milli) clock.Milli {
+	return min(sent+wait, r.clock.Now())
+}
 
 // noteStore notes whether the store answers.
 func (r *Registry) noteStore(what string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case err != nil && !r.lost:
-		r.lost = true
+	case err != nil && !r.storeDown:
+		r.storeDown = true
 		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("the store does not answer")
-	case err == nil && r.lost:
-		r.lost = false
-		r.back = r.clock.Now()
+	case err == nil && r.storeDown:
+		r.storeDown = false
+		r.storeBack = r.clock.Now()
 		r.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "store").Str("call", what).Msg("the store answers again")
 	}
 }
 
 // Lost tells whether the last call of the store failed.
-func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.lost }
+func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.storeDown }
 
 // sweep ends upstreams whose hold is over although no news comes.
 func (r *Registry) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, 200*time.Millisecond)
 		r.mu.Lock()
-		believed := r.believe()
-		if believed || len(r.gone) > 0 {
-			r.settle(route.Position{}, 0)
+		accepted := r.acceptUnverified()
+		if accepted || len(r.expiring) > 0 {
+			r.commit(route.Position{}, 0)
 		}
 		r.mu.Unlock()
 	}
--- a/daemon/registry/handover.go
+++ b/daemon/registry/handover.go
@@ -8,10 +8,10 @@
 
 // Limits of handing documents over to peers.
 const (
-	// handoverMost documents are handed over in handoverSpan. A document of 1,100 routes is 12 KB packed (65 KB
+	// handoverLimit documents are handed over in handoverWindow. A document of 1,100 routes is 12 KB packed (65 KB
 	// plain), so on the smallest link planned for, of 20 Mbit/s, they take 40 ms of the span.
-	handoverMost = 8
-	handoverSpan = 100 * clock.Milli(1)
+	handoverLimit  = 8
+	handoverWindow = 100 * clock.Milli(1)
 )
 
 // handover limits how many documents a VM hands over at a time.
@@ -27,11 +27,11 @@
 // admit tells whether one more document may be handed over now, and counts it.
 func (h *handover) admit() bool {
 	now := h.clock.Now()
-	if now-h.began >= handoverSpan {
+	if now-h.began >= handoverWindow {
 		h.began, h.count = now, 0
 	}
 	h.count++
-	return h.count <= handoverMost
+	return h.count <= handoverLimit
 }
 
 // packed is one document as it goes over the wire. Packing takes some milliseconds of a small VM's
@@ -41,8 +41,8 @@
 	bytes    []byte
 }
 
-// hand adds the document to a reply. The lock is held.
-func (r *Registry) hand(args *peer.RegistryWord, reply *peer.RegistryReply) error {
+// addDocument adds the document to a reply. The lock is held.
+func (r *Registry) addDocument(args *peer.RegistryWord, reply *peer.RegistryReply) error {
 	d := r.table.Document()
 	if !args.Packs {
 		reply.Document = d
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -18,50 +18,50 @@
 
 // Limits of what peers are trusted with.
 const (
-	// beatTime is the most by which a heartbeat may be older than it says: a
+	// heartbeatTimeout is the most by which a heartbeat may be older than it says: a
 	// beat that takes longer is given up by its sender.
-	beatTime = 500 * clock.Milli(1)
+	heartbeatTimeout = 500 * clock.Milli(1)
 	// fetchTimeout bounds the fetching from a peer, which is milliseconds away.
 	fetchTimeout = 400 * time.Millisecond
-	// askAfter is how old the proof of our document grows in a small fleet before a reader is asked, and
-	// checkEvery the time between two checks of its age.
-	askAfter   = watchWait
-	checkEvery = 200 * time.Millisecond
-	// pollEvery is the time between two questions of a VM that keeps no watch of its own, and
+	// askAge is how old the proof of our document grows in a small fleet before a reader is asked, and
+	// checkPeriod the time between two checks of its age.
+	askAge      = watchWait
+	checkPeriod = 200 * time.Millisecond
+	// pollInterval is the time between two questions of a VM that keeps no watch of its own, and
 	// pollExpiry how long it relies on the last answer. Members are asked in turn, so with one of them silent or shut
 	// off, news passes one layer after 0.8 s at the most, and two layers within the two seconds in which a leaving
 	// upstream and a new document must be obeyed.
-	pollEvery  = 300 * clock.Milli(1)
-	pollExpiry = 1200 * clock.Milli(1)
-	// readerAge is the most that the word of a reader is old whose way to the store is open: one
+	pollInterval = 300 * clock.Milli(1)
+	pollExpiry   = 1200 * clock.Milli(1)
+	// readerMaxAge is the most that the word of a reader is old whose way to the store is open: one
 	// watch and the pause after news, and a tenth of a second on the way.
-	readerAge = watchWait + newsBusy + 100
-	// restLimit is how old the proof grows before the first VM behind the readers reads for itself, if they answer and their
+	readerMaxAge = watchWait + busyWatchInterval + 100
+	// delegationLimit is how old the proof grows before the first VM behind the readers reads for itself, if they answer and their
 	// own ways to the store are shut: a reader's age, and two questions in each of two layers.
-	restLimit = readerAge + 2*(pollEvery+100)
-	// rankStep is added to it for each VM that stands before, or all VMs would call a store that is away. The first one that gets through
+	delegationLimit = readerMaxAge + 2*(pollInterval+100)
+	// rankDelay is added to it for each VM that stands before, or all VMs would call a store that is away. The first one that gets through
 	// is asked by all, since it stands before them.
-	rankStep = 300 * clock.Milli(1)
+	rankDelay = 300 * clock.Milli(1)
 	// proofLimit is how old the proof grows in a small fleet before a VM reads for itself.
-	proofLimit = readerAge + 650
+	proofLimit = readerMaxAge + 650
 )
 
 // Fill implements member.Part.
 func (r *Registry) Fill(_ peer.VM, b *peer.BeatArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b.Registry = r.word()
+	b.Registry = r.summary()
 }
 
-// word is how far our knowledge goes. What is kept on suspicion is no knowledge. The
+// summary is how far our knowledge goes. What is kept on suspicion is no knowledge. The
 // lock is held.
-func (r *Registry) word() peer.RegistryWord {
-	w := peer.RegistryWord{Shut: r.lost, Era: r.era}
+func (r *Registry) summary() peer.RegistryWord {
+	w := peer.RegistryWord{Shut: r.storeDown, Era: r.era}
 	now := r.clock.Now()
 	if r.table != nil {
 		w.Revision, w.RevisionAge = r.table.Revision(), now-r.tableAt
 	}
-	if r.upstreamsAt > 0 && len(r.gone) == 0 {
+	if r.upstreamsAt > 0 && len(r.expiring) == 0 {
 		w.Digest, w.DigestAge = r.digest, now-r.upstreamsAt
 		w.MarkEra, w.Mark = r.position.Era, r.position.Mark
 	}
@@ -71,7 +71,7 @@
 // Learn implements member.Part. A peer that knows the same as we do, and knows
 // it to be newer, proves ours as new; one that knows more is asked.
 func (r *Registry) Learn(b *peer.BeatArgs, _ bool) {
-	if r.learnWord(b.Registry, r.clock.Now()-beatTime) && r.fetching.CompareAndSwap(false, true) {
+	if r.learnSummary(b.Registry, r.clock.Now()-heartbeatTimeout) && r.fetching.CompareAndSwap(false, true) {
 		go func() {
 			defer r.fetching.Store(false)
 			r.fetch(context.Background(), b.From)
@@ -79,19 +79,19 @@
 	}
 }
 
-// learnWord takes how far a peer's knowledge went at an instant, and tells whether it
+// learnSummary takes how far a peer's knowledge went at an instant, and tells whether it
 // goes further than ours.
-func (r *Registry) learnWord(w peer.RegistryWord, now clock.Milli) bool {
+func (r *Registry) learnSummary(w peer.RegistryWord, now clock.Milli) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ask := false
 	if w.Era > r.era {
-		r.change(w.Era, fromPeer)
+		r.startEra(w.Era, fromPeer)
 	}
-	r.answered.Store(true)
+	r.peerAnswered.Store(true)
 	if w.Revision > 0 {
-		r.told = max(r.told, w.Revision)
-		r.heardOnce.Do(func() { close(r.heard) })
+		r.peerRevision = max(r.peerRevision, w.Revision)
+		r.peerDocumentOnce.Do(func() { close(r.peerDocument) })
 		switch {
 		case r.table == nil || w.Revision > r.table.Revision():
 			ask = true
@@ -103,7 +103,7 @@
 		at := now - w.DigestAge
 		switch {
 		case w.Digest == r.digest && at > r.upstreamsAt:
-			r.settle(w.Position(), at)
+			r.commit(w.Position(), at)
 		case w.Digest != r.digest && w.Position().After(r.position):
 			ask = true
 		}
@@ -122,7 +122,7 @@
 	}
 	args.Digest = r.digest
 	own := r.view.Load()
-	if c, ok := r.changes.Content(); ok && !r.askAll.Swap(false) {
+	if c, ok := r.changes.Content(); ok && !r.fetchWhole.Swap(false) {
 		args.Content = uint64(c)
 	}
 	r.mu.Unlock()
@@ -130,17 +130,17 @@
 	var reply peer.RegistryReply
 	err := r.peers.Call(ctx, from.Address, Name+".Tell", args, &reply)
 	r.mu.Lock()
-	r.noteShut(from.VM, err != nil || reply.Word.Shut)
+	r.noteCutOff(from.VM, err != nil || reply.Word.Shut)
 	r.mu.Unlock()
 	if err != nil {
 		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", string(from.VM)).Err(err).Msg("a peer that knows more does not tell")
 		return false
 	}
-	r.learnWord(reply.Word, sent)
+	r.learnSummary(reply.Word, sent)
 	if reply.Busy {
 		return false
 	}
-	if !r.takeDocument(&reply, sent, from.VM) {
+	if !r.learnReplyDocument(&reply, sent, from.VM) {
 		return false
 	}
 	r.mu.Lock()
@@ -149,21 +149,21 @@
 	if !newer {
 		return true
 	}
-	us, ok := listOf(&reply, args.Content, own)
+	us, ok := replyUpstreams(&reply, args.Content, own)
 	if !ok {
-		r.askAll.Store(true)
+		r.fetchWhole.Store(true)
 		r.log.Error().Str(logline.Key, logline.Rejected).Str("from", string(from.VM)).Msg("a peer's changes do not make its list")
 		return false
 	}
 	if len(us) > 0 {
-		r.learnPeers(route.News{Upstreams: us, Unusable: reply.Unusable, Doubted: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
+		r.learnPeerUpstreams(route.News{Upstreams: us, Unusable: reply.Unusable, Doubted: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
 	}
 	return true
 }
 
-// listOf is the whole list of upstreams that a reply tells of, made of the list that was known here when it was asked for; false if its changes
+// replyUpstreams is the whole list of upstreams that a reply tells of, made of the list that was known here when it was asked for; false if its changes
 // were made for another one.
-func listOf(reply *peer.RegistryReply, asked uint64, own *View) ([]route.Upstream, bool) {
+func replyUpstreams(reply *peer.RegistryReply, asked uint64, own *View) ([]route.Upstream, bool) {
 	if reply.Base == 0 {
 		return reply.Upstreams, true
 	}
@@ -174,8 +174,8 @@
 	return us, uint64(changes.Of(us)) == reply.Content
 }
 
-// takeDocument takes the document of a reply, and tells whether it could be read.
-func (r *Registry) takeDocument(reply *peer.RegistryReply, sent clock.Milli, from peer.VM) bool {
+// learnReplyDocument takes the document of a reply, and tells whether it could be read.
+func (r *Registry) learnReplyDocument(reply *peer.RegistryReply, sent clock.Milli, from peer.VM) bool {
 	d := reply.Document
 	if len(reply.Packed) > 0 {
 		var err error
@@ -207,17 +207,17 @@
 		reply.Busy = true
 		return nil
 	}
-	reply.Word = r.word()
+	reply.Word = r.summary()
 	if newer {
 		reply.DocumentAge = now - r.tableAt
-		if err := r.hand(args, reply); err != nil {
+		if err := r.addDocument(args, reply); err != nil {
 			return err
 		}
 	}
-	if r.upstreamsAt > 0 && len(r.gone) == 0 && r.digest != args.Digest {
+	if r.upstreamsAt > 0 && len(r.expiring) == 0 && r.digest != args.Digest {
 		reply.UpstreamsAge = now - r.upstreamsAt
 		r.addUpstreams(args, reply)
-		for _, u := range r.doubted {
+		for _, u := range r.unverified {
 			reply.Doubted = append(reply.Doubted, u)
 		}
 		for id, reason := range r.unusable {
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -20,26 +20,26 @@
 // whose readers' way is shut, reads for itself until that changes.
 func (r *Registry) ReadBy(rs Readers) { r.readers = rs }
 
-// reads tells whether this VM proves for all that what is known is new: it is the first of those whose
+// isProver tells whether this VM proves for all that what is known is new: it is the first of those whose
 // way to the store is open.
-func (r *Registry) reads() bool {
+func (r *Registry) isProver() bool {
 	if r.readers == nil {
 		return true
 	}
 	rs := r.readers()
-	return rs.Self || r.ahead(rs) == 0
+	return rs.Self || r.connectedAhead(rs) == 0
 }
 
-// keepers is how many VMs keep watches while all are well: one may be cut off from the store and bring no news.
-const keepers = 2
+// minWatchers is how many VMs keep watches while all are well: one may be cut off from the store and bring no news.
+const minWatchers = 2
 
 // stepsIn tells whether too few of those that stand before this VM have an open way to the store, so that it must keep watches.
 // VMs that the store turns away answer as ever; only the age of what they know tells of it, too late for an upstream that leaves.
-func (r *Registry) stepsIn(rs Roster) bool { return r.ahead(rs) < keepers }
+func (r *Registry) stepsIn(rs Roster) bool { return r.connectedAhead(rs) < minWatchers }
 
-// ahead counts those that stand before this VM and do not say that their way to the store is shut; many where
+// connectedAhead counts those that stand before this VM and do not say that their way to the store is shut; many where
 // it asks others than these.
-func (r *Registry) ahead(rs Roster) int {
+func (r *Registry) connectedAhead(rs Roster) int {
 	if rs.Rank > len(rs.Others) {
 		return rs.Rank
 	}
@@ -48,33 +48,33 @@
 	defer r.mu.Unlock()
 	open := 0
 	for _, m := range rs.Others[:rs.Rank] {
-		if now >= r.shut[m.VM] {
+		if now >= r.cutOff[m.VM] {
 			open++
 		}
 	}
 	return open
 }
 
-// noteShut remembers for a while whether a member said that its way to the store is shut, or was silent; VMs that were replaced
+// noteCutOff remembers for a while whether a member said that its way to the store is shut, or was silent; VMs that were replaced
 // must not stay. The lock is held.
-func (r *Registry) noteShut(m peer.VM, shut bool) {
+func (r *Registry) noteCutOff(m peer.VM, shut bool) {
 	now := r.clock.Now()
-	maps.DeleteFunc(r.shut, func(_ peer.VM, until clock.Milli) bool { return now >= until })
+	maps.DeleteFunc(r.cutOff, func(_ peer.VM, until clock.Milli) bool { return now >= until })
 	if shut {
-		r.shut[m] = now + shutFor
+		r.cutOff[m] = now + cutOffTTL
 		return
 	}
-	delete(r.shut, m)
+	delete(r.cutOff, m)
 }
 
-// open are the first members whose way to the store is not known to be shut; all if there is none.
-func (r *Registry) open(ms []peer.Member) []peer.Member {
+// connected are the first members whose way to the store is not known to be shut; all if there is none.
+func (r *Registry) connected(ms []peer.Member) []peer.Member {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var open []peer.Member
 	for _, m := range ms {
-		if now >= r.shut[m.VM] && len(open) < askedMost {
+		if now >= r.cutOff[m.VM] && len(open) < maxAsked {
 			open = append(open, m)
 		}
 	}
@@ -84,9 +84,9 @@
 	return open
 }
 
-// rests tells whether this VM leaves a feed to others: those it asks answer, and what they know is new, or it is the
+// delegates tells whether this VM leaves a feed to others: those it asks answer, and what they know is new, or it is the
 // part of VMs nearer to the readers to step in for them.
-func (r *Registry) rests(f feed) bool {
+func (r *Registry) delegates(f feed) bool {
 	if r.readers == nil {
 		return false
 	}
@@ -97,38 +97,38 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	later := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankStep
+	later := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankDelay
 	if r.tableAt == 0 {
-		return r.polled > 0 && now-r.bootstrapped <= bootstrapLimit+later
+		return r.lastAnswer > 0 && now-r.bootstrapped <= bootstrapGrace+later
 	}
-	at, limit := r.tableAt, restLimit
-	if !f.leads {
-		at, limit = r.upstreamsAt, restLimit+newsWait
+	at, limit := r.tableAt, delegationLimit
+	if !f.lead {
+		at, limit = r.upstreamsAt, delegationLimit+upstreamWatchWait
 	}
-	return now-at <= limit+later && now-r.polled <= pollExpiry
+	return now-at <= limit+later && now-r.lastAnswer <= pollExpiry
 }
 
-// wait is how long the next watch of a feed waits.
-func (r *Registry) wait(f feed) clock.Milli {
-	if r.reads() || r.age() > proofLimit {
+// watchWaitOf is how long the next watch of a feed waits.
+func (r *Registry) watchWaitOf(f feed) clock.Milli {
+	if r.isProver() || r.documentAge() > proofLimit {
 		return f.wait
 	}
-	return longWait
+	return longWatchWait
 }
 
-// age is that of the proof that the document known here is the newest.
-func (r *Registry) age() clock.Milli {
+// documentAge is that of the proof that the document known here is the newest.
+func (r *Registry) documentAge() clock.Milli {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clock.Now() - r.tableAt
 }
 
-// watching is the context of one watch. It is ended when the store's era changes, a long one when our knowledge is
+// watchContext is the context of one watch. It is ended when the store's era changes, a long one when our knowledge is
 // not proved new any more.
-func (r *Registry) watching(ctx context.Context, what string, wait clock.Milli) (context.Context, context.CancelFunc) {
+func (r *Registry) watchContext(ctx context.Context, what string, wait clock.Milli) (context.Context, context.CancelFunc) {
 	watching, cancel := context.WithCancel(ctx)
 	r.mu.Lock()
-	r.watches[what] = watch{cancel, wait >= longWait}
+	r.watches[what] = watch{cancel, wait >= longWatchWait}
 	r.mu.Unlock()
 	return watching, func() {
 		r.mu.Lock()
@@ -138,8 +138,8 @@
 	}
 }
 
-// confirm asks readers whether what is known here is new, and falls back to reading.
-func (r *Registry) confirm(ctx context.Context) {
+// pollReaders asks readers whether what is known here is new, and falls back to reading.
+func (r *Registry) pollReaders(ctx context.Context) {
 	if r.readers == nil {
 		return
 	}
@@ -150,12 +150,12 @@
 		pause(ctx, r.checkInterval())
 		rs := r.readers()
 		role = r.noteRole(rs, role)
-		if !r.due(rs) {
+		if !r.pollDue(rs) {
 			continue
 		}
 		next = r.askReaders(ctx, rs.Others, next)
-		if r.reads() || r.age() > proofLimit {
-			r.endLong()
+		if r.isProver() || r.documentAge() > proofLimit {
+			r.endLongWatches()
 		}
 	}
 }
@@ -165,38 +165,38 @@
 	select {
 	case <-r.known:
 	default:
-		return bootstrapPoll
+		return bootstrapInterval
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if left := (pollEvery - (r.clock.Now() - r.polled)).Duration(); left > 0 {
-		return min(checkEvery, left)
+	if left := (pollInterval - (r.clock.Now() - r.lastAnswer)).Duration(); left > 0 {
+		return min(checkPeriod, left)
 	}
-	return checkEvery
+	return checkPeriod
 }
 
-// due tells whether others should be asked now. In a large fleet the question also brings the
+// pollDue tells whether others should be asked now. In a large fleet the question also brings the
 // news, so it is put often; in a small one, and by a reader, only once our knowledge grows old.
-func (r *Registry) due(rs Roster) bool {
-	if r.reads() {
-		return r.age() > readerAge || r.askAhead(rs)
+func (r *Registry) pollDue(rs Roster) bool {
+	if r.isProver() {
+		return r.documentAge() > readerMaxAge || r.standInPollDue(rs)
 	}
 	if rs.Large {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.clock.Now()-r.polled >= pollEvery || r.tableAt == 0
+		return r.clock.Now()-r.lastAnswer >= pollInterval || r.tableAt == 0
 	}
-	return r.age() > askAfter
+	return r.documentAge() > askAge
 }
 
-// askAhead tells whether a VM that stands in for others should ask whether their way is open again.
-func (r *Registry) askAhead(rs Roster) bool {
+// standInPollDue tells whether a VM that stands in for others should ask whether their way is open again.
+func (r *Registry) standInPollDue(rs Roster) bool {
 	if rs.Self {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Now()-r.polled >= pollEvery
+	return r.clock.Now()-r.lastAnswer >= pollInterval
 }
 
 // askReaders asks readers one after the other, from the one at next on, until one answers that has new knowledge. It returns
@@ -204,7 +204,7 @@
 //
 // Whoever asked only one reader, whose own way to the store is shut, would learn of an upstream's leaving seconds late.
 func (r *Registry) askReaders(ctx context.Context, others []peer.Member, next int) int {
-	readers := r.open(others)
+	readers := r.connected(others)
 	for range readers {
 		sent := r.clock.Now()
 		answered := r.fetch(ctx, readers[next%len(readers)])
@@ -213,22 +213,22 @@
 			continue
 		}
 		r.mu.Lock()
-		r.polled = sent
+		r.lastAnswer = sent
 		r.mu.Unlock()
-		if r.age() <= readerAge {
+		if r.documentAge() <= readerMaxAge {
 			break
 		}
 	}
 	return next
 }
 
-// endLong ends the long watches under way: the next ones are short.
-func (r *Registry) endLong() {
+// endLongWatches ends the long watches under way: the next ones are short.
+func (r *Registry) endLongWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.watches {
 		if w.long {
-			w.end()
+			w.cancel()
 		}
 	}
 }
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -46,63 +46,63 @@
 	// old the proof of a key grows and how long a watch that went silent goes unnoticed. Until then nobody
 	// steps in, and an upstream that leaves must be known to all within three seconds.
 	watchWait = clock.Second
-	// newsWait is the same for upstreams. No request needs a proof of their age, so the wait only
+	// upstreamWatchWait is the same for upstreams. No request needs a proof of their age, so the wait only
 	// bounds how long a watch that went silent goes unnoticed; another reader brings the news meanwhile.
-	newsWait = 2500 * clock.Milli(1)
-	// shutFor is how long a member is passed over that said that its way to the store is shut.
-	shutFor = 2 * clock.Second
-	// askedMost is how many members are asked in turn.
-	askedMost = 3
-	// longWait is how long a watch waits at a VM to which others prove that its
+	upstreamWatchWait = 2500 * clock.Milli(1)
+	// cutOffTTL is how long a member is passed over that said that its way to the store is shut.
+	cutOffTTL = 2 * clock.Second
+	// maxAsked is how many members are asked in turn.
+	maxAsked = 3
+	// longWatchWait is how long a watch waits at a VM to which others prove that its
 	// knowledge is new. News ends it at once all the same.
-	longWait = 15 * clock.Second
-	// newsEvery is the least time between two watches, and newsBusy the same once one piece of news has followed
+	longWatchWait = 15 * clock.Second
+	// watchInterval is the least time between two watches, and busyWatchInterval the same once one piece of news has followed
 	// the other. When all upstreams register at once, each entry would else cost a call of every VM; now what comes within
 	// the time comes in one answer, and the first news still comes at once. The busy time and two layers of
 	// members that ask each other stay within the two seconds in which a leaving upstream must be known.
-	newsEvery = 250 * clock.Milli(1)
-	newsBusy  = 500 * clock.Milli(1)
+	watchInterval     = 250 * clock.Milli(1)
+	busyWatchInterval = 500 * clock.Milli(1)
 	// retryWait is the pause after a failed call. Members that read for all keep to it: the
 	// store's return is known to all by their word. Others double it up to
-	// retryDoublings times, to four seconds: as long as keys are served without proof.
-	retryWait      = 250 * time.Millisecond
-	retryDoublings = 4
-	// retryRank is the least pause for each VM that stands nearer to the readers, so that three hundred VMs make
+	// maxRetryDoublings times, to four seconds: as long as keys are served without proof.
+	retryWait         = 250 * time.Millisecond
+	maxRetryDoublings = 4
+	// retryWaitPerRank is the least pause for each VM that stands nearer to the readers, so that three hundred VMs make
 	// some ten calls a second together.
-	retryRank = 500 * time.Millisecond
-	// retryLongest bounds the pause of a VM far behind the readers. It may find itself cut off from its peers
+	retryWaitPerRank = 500 * time.Millisecond
+	// maxRetryWait bounds the pause of a VM far behind the readers. It may find itself cut off from its peers
 	// meanwhile, and must read for itself then.
-	retryLongest = 8 * time.Second
-	// joinTime is about how long VMs that start together need to meet and to ask a reader once.
-	joinTime = 400 * time.Millisecond
-	// bootstrapTime is how long a VM that starts waits for a peer to hand over what it knows before it lists the store.
+	maxRetryWait = 8 * time.Second
+	// joinWait is about how long VMs that start together need to meet and to ask a reader once.
+	joinWait = 400 * time.Millisecond
+	// defaultBootstrapWait is how long a VM that starts waits for a peer to hand over what it knows before it lists the store.
 	// A peer of the settings that is up answers within 12 ms. Where all start together nobody knows anything, and requests that
 	// come meanwhile are due 300 ms later: a longer wait would make them late.
-	bootstrapTime = 30 * time.Millisecond
+	defaultBootstrapWait = 30 * time.Millisecond
 	// FirstWait is the same wait at the first start of all VMs of a deployment: no caller is there yet, and it is time enough to
 	// meet and to be told. 295 VMs that each list both kinds of objects make 590 calls.
 	FirstWait = clock.Second
-	// bootstrapLimit is how long after this wait a VM without any document leaves it to the members that it asks to read
+	// bootstrapGrace is how long after this wait a VM without any document leaves it to the members that it asks to read
 	// the first one, if they answer.
-	bootstrapLimit = 600 * clock.Milli(1)
-	// bootstrapPoll is the time between two questions meanwhile.
-	bootstrapPoll = 50 * time.Millisecond
-	// holdGone is how long upstreams that are missing are kept after the store
+	bootstrapGrace = 600 * clock.Milli(1)
+	// bootstrapInterval is the time between two questions meanwhile.
+	bootstrapInterval = 50 * time.Millisecond
+	// outageHold is how long upstreams that are missing are kept after the store
 	// was away. Their entries lapse meanwhile though they live, and are back
 	// within two seconds of its return; all would be taken for gone at once.
-	holdGone = 2200 * clock.Milli(1)
-	// massHold is how long upstreams are kept that vanish together with half of their service. A VM that had nothing to ask
+	outageHold = 2200 * clock.Milli(1)
+	// massRemovalHold is how long upstreams are kept that vanish together with half of their service. A VM that had nothing to ask
 	// while the store was away, or only a watch that waited, knows nothing of the outage; the upstreams live, and
 	// register again within about a second. It is less than the two seconds after which one that left must get nothing.
-	massHold = 1800 * clock.Milli(1)
-	// massLeast is how many upstreams of a service make a mass.
-	massLeast = 2
-	// lapseLeast is how long upstreams must have been silent before their entries lapse: three
+	massRemovalHold = 1800 * clock.Milli(1)
+	// massRemovalMin is how many upstreams of a service make a mass.
+	massRemovalMin = 2
+	// entryTTL is how long upstreams must have been silent before their entries lapse: three
 	// heartbeats of 1.2 s. Knowledge that is younger has missed no lapse.
-	lapseLeast = 3600 * clock.Milli(1)
-	// leftKept is how long it is remembered that an upstream has left: longer than any
+	entryTTL = 3600 * clock.Milli(1)
+	// departureTTL is how long it is remembered that an upstream has left: longer than any
 	// peer's word may be on its way.
-	leftKept = 30 * clock.Second
+	departureTTL = 30 * clock.Second
 )
 
 // View is one state of knowledge. It never changes.
@@ -144,31 +144,31 @@
 	mu      sync.Mutex
 	table   *route.Table
 	tableAt clock.Milli
-	// unread is set while something that cannot be read stands in the place of the document, behind while the store
+	// unreadable is set while something that cannot be read stands in the place of the document, behind while the store
 	// has an earlier one than is in force here.
-	unread, behind bool
+	unreadable, storeBehind bool
 	// era is the latest one of the store that is known, and entered when it began as far as this VM knows; zero for the first one.
-	era     route.Era
-	entered clock.Milli
+	era      route.Era
+	eraStart clock.Milli
 	// heard is closed once a peer has told of a document that it knows, told is the latest one of these.
 	// answered is set once any peer has told anything, awaited once this VM has waited for one.
-	answered, awaited atomic.Bool
-	heard             chan struct{}
-	heardOnce         sync.Once
-	told              route.Revision
-	// doubted holds entries of the copy that the store came back from and that say less than was known, until they are believed.
-	doubted map[decide.UpstreamID]route.Upstream
-	// missed holds the upstreams that were missing already when the era began.
-	missed    map[decide.UpstreamID]bool
-	upstreams map[decide.UpstreamID]route.Upstream
-	// gone holds upstreams that the store no longer lists and that are kept for
+	peerAnswered, awaitedPeer atomic.Bool
+	peerDocument              chan struct{}
+	peerDocumentOnce          sync.Once
+	peerRevision              route.Revision
+	// unverified holds entries of the copy that the store came back from and that say less than was known, until they are believed.
+	unverified map[decide.UpstreamID]route.Upstream
+	// missingBefore holds the upstreams that were missing already when the era began.
+	missingBefore map[decide.UpstreamID]bool
+	upstreams     map[decide.UpstreamID]route.Upstream
+	// expiring holds upstreams that the store no longer lists and that are kept for
 	// a while, with the instant of their end.
-	gone map[decide.UpstreamID]clock.Milli
-	// mass holds those of the news being taken that vanish together with half of their service.
-	mass map[decide.UpstreamID]bool
-	// left holds upstreams that the store said are gone. A peer's word never brings one back
+	expiring map[decide.UpstreamID]clock.Milli
+	// massRemoved holds those of the news being taken that vanish together with half of their service.
+	massRemoved map[decide.UpstreamID]bool
+	// departed holds upstreams that the store said are gone. A peer's word never brings one back
 	// in the life that left: it may be older than it says.
-	left map[decide.UpstreamID]leaver
+	departed map[decide.UpstreamID]departure
 	// unusable holds entries that name no upstream, with what is wrong with each.
 	unusable    map[decide.UpstreamID]string
 	upstreamsAt clock.Milli
@@ -178,23 +178,23 @@
 	generation uint64
 	// changes tells what peers lack that have an earlier list of upstreams.
 	changes *changes.Log
-	// askAll is set once a peer's changes did not make its list: the next question is for all of it.
-	askAll atomic.Bool
-	barred uint64
-	// lost is set while the store fails, back is when it answered again.
-	lost bool
-	back clock.Milli
+	// fetchWhole is set once a peer's changes did not make its list: the next question is for all of it.
+	fetchWhole    atomic.Bool
+	unusableCount uint64
+	// storeDown is set while the store fails, back is when it answered again.
+	storeDown bool
+	storeBack clock.Milli
 	// known is closed once both a document and a list are known.
 	known     chan struct{}
 	knownOnce sync.Once
 	// readers names those who read for all; nil where each VM reads for itself.
 	readers Readers
-	// polled is when one of the members that this VM asks last answered.
-	polled clock.Milli
-	// failing is set while the last call for the document failed.
-	failing atomic.Bool
-	// shut holds members whose way to the store was shut, until an instant.
-	shut map[peer.VM]clock.Milli
+	// lastAnswer is when one of the members that this VM asks last answered.
+	lastAnswer clock.Milli
+	// leadFeedFailing is set while the last call for the document failed.
+	leadFeedFailing atomic.Bool
+	// cutOff holds members whose way to the store was shut, until an instant.
+	cutOff map[peer.VM]clock.Milli
 	// bootstrapWait is how long this VM waits at its start for a peer to hand over what it knows.
 	bootstrapWait time.Duration
 	// bootstrapped is when that wait ends.
@@ -211,12 +211,12 @@
 
 // watch is a watch under way.
 type watch struct {
-	end  context.CancelFunc
-	long bool
+	cancel context.CancelFunc
+	long   bool
 }
 
-// leaver is an upstream that left.
-type leaver struct {
+// departure is an upstream that left.
+type departure struct {
 	at   clock.Milli
 	born decide.Born
 }
@@ -242,14 +242,14 @@
 // New returns a registry that knows nothing yet; Run follows the store.
 func New(s Store, p Peers, k Clock, l *log.Logger) *Registry {
 	r := &Registry{
-		store: s, peers: p, clock: k, log: l, known: make(chan struct{}), heard: make(chan struct{}),
-		upstreams: map[decide.UpstreamID]route.Upstream{}, gone: map[decide.UpstreamID]clock.Milli{},
-		shut: map[peer.VM]clock.Milli{},
-		left: map[decide.UpstreamID]leaver{}, unusable: map[decide.UpstreamID]string{}, watches: map[string]watch{}, doubted: map[decide.UpstreamID]route.Upstream{},
+		store: s, peers: p, clock: k, log: l, known: make(chan struct{}), peerDocument: make(chan struct{}),
+		upstreams: map[decide.UpstreamID]route.Upstream{}, expiring: map[decide.UpstreamID]clock.Milli{},
+		cutOff:   map[peer.VM]clock.Milli{},
+		departed: map[decide.UpstreamID]departure{}, unusable: map[decide.UpstreamID]string{}, watches: map[string]watch{}, unverified: map[decide.UpstreamID]route.Upstream{},
 		changes: changes.NewLog(),
 	}
 	r.handover.clock = k
-	r.Await(clock.Of(bootstrapTime))
+	r.Await(clock.Of(defaultBootstrapWait))
 	r.view.Store(&View{})
 	return r
 }
@@ -295,14 +295,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if from == fromStore {
-		r.behind = d.Revision < r.told || r.table != nil && d.Revision < r.table.Revision()
-		if r.behind && r.table == nil {
+		r.storeBehind = d.Revision < r.peerRevision || r.table != nil && d.Revision < r.table.Revision()
+		if r.storeBehind && r.table == nil {
 			return // a peer's later one is on its way
 		}
 	}
 	if r.table != nil && d.Revision <= r.table.Revision() {
 		if d.Revision == r.table.Revision() {
-			r.unread = r.unread && from != fromStore
+			r.unreadable = r.unreadable && from != fromStore
 			r.confirmDocument(at)
 		}
 		return
@@ -315,7 +315,7 @@
 	r.log.Info().Str(logline.Key, logline.Applied).Uint64("revision", uint64(d.Revision)).Str("from", from).
 		Int64("age", int64(r.clock.Now()-at)).Int("routes", len(d.Routes)).Msg("document is in force")
 	r.logEngines(d)
-	r.table, r.tableAt, r.unread = t, max(at, r.tableAt), false
+	r.table, r.tableAt, r.unreadable = t, max(at, r.tableAt), false
 	r.generation++
 	r.publish()
 }
@@ -347,7 +347,7 @@
 
 // confirmDocument notes that the document was still the newest. The lock is held.
 func (r *Registry) confirmDocument(at clock.Milli) {
-	if at > r.tableAt && !r.unread {
+	if at > r.tableAt && !r.unreadable {
 		r.tableAt = at
 		r.publish()
 	}
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -20,9 +20,9 @@
 	if position.Era < r.era {
 		return // another answer or a peer told of a later era meanwhile
 	}
-	r.bar(news.Unusable)
-	r.mass = r.massOf(r.missing(news.Upstreams))
-	r.takeList(r.doubt(news.Upstreams), position, at, r.remove)
+	r.excludeUnusable(news.Unusable)
+	r.massRemoved = r.massRemoval(r.missing(news.Upstreams))
+	r.applyList(r.withoutUnverified(news.Upstreams), position, at, r.remove)
 }
 
 // missing are the upstreams known that a list lacks. The lock is held.
@@ -40,8 +40,8 @@
 	return ids
 }
 
-// takeList takes a whole list; remove is called for what it lacks. The lock is held.
-func (r *Registry) takeList(us []route.Upstream, position route.Position, at clock.Milli, remove func(decide.UpstreamID)) {
+// applyList takes a whole list; remove is called for what it lacks. The lock is held.
+func (r *Registry) applyList(us []route.Upstream, position route.Position, at clock.Milli, remove func(decide.UpstreamID)) {
 	listed := make(map[decide.UpstreamID]bool, len(us))
 	first := r.upstreamsAt == 0
 	if first {
@@ -49,28 +49,28 @@
 	}
 	for _, u := range us {
 		listed[u.ID] = true
-		r.put(u, !first)
+		r.putUpstream(u, !first)
 	}
 	for id := range r.upstreams {
 		if !listed[id] {
 			remove(id)
 		}
 	}
-	r.settle(position, at)
+	r.commit(position, at)
 }
 
-// learnPeers takes a whole list of a peer's that was right at an instant and a position. What the store
+// learnPeerUpstreams takes a whole list of a peer's that was right at an instant and a position. What the store
 // told us of an upstream's leaving stands against it. What it lacks is gone at once, also
 // while the store turns us away: peers that keep entries on suspicion tell no list. But if nobody
 // had new knowledge for long, the store was away for all, and a peer that has just started
 // does not know what lapsed meanwhile: then entries are kept as after our own first answer.
-func (r *Registry) learnPeers(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnPeerUpstreams(news route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.bar(news.Unusable)
+	r.excludeUnusable(news.Unusable)
 	kept := make([]route.Upstream, 0, len(news.Upstreams))
 	for _, u := range news.Upstreams {
-		if l, left := r.left[u.ID]; left && u.Born <= l.born {
+		if l, left := r.departed[u.ID]; left && u.Born <= l.born {
 			continue
 		}
 		if old := r.upstreams[u.ID]; u.Born <= old.Born {
@@ -78,32 +78,32 @@
 		}
 		kept = append(kept, u)
 	}
-	doubted := r.doubtToo(news.Doubted)
+	unverified := r.learnUnverified(news.Doubted)
 	until := r.clock.Now()
-	if until-max(r.tableAt, r.upstreamsAt) > lapseLeast {
-		until += holdGone
+	if until-max(r.tableAt, r.upstreamsAt) > entryTTL {
+		until += outageHold
 	}
-	if r.entered > 0 {
-		until = max(until, r.entered+holdGone)
+	if r.eraStart > 0 {
+		until = max(until, r.eraStart+outageHold)
 	}
-	r.takeList(kept, position, at, func(id decide.UpstreamID) {
-		if _, held := r.gone[id]; !held && !doubted[id] {
-			r.gone[id] = until
+	r.applyList(kept, position, at, func(id decide.UpstreamID) {
+		if _, held := r.expiring[id]; !held && !unverified[id] {
+			r.expiring[id] = until
 		}
 	})
 }
 
-// doubtToo takes entries that a peer doubts, and returns their names. What is known here stays; what is not is doubted here too, until it
+// learnUnverified takes entries that a peer doubts, and returns their names. What is known here stays; what is not is doubted here too, until it
 // is believed: the list of a peer that doubts them lacks them, and says nothing of them. The lock is held.
-func (r *Registry) doubtToo(us []route.Upstream) map[decide.UpstreamID]bool {
-	doubted := make(map[decide.UpstreamID]bool, len(us))
+func (r *Registry) learnUnverified(us []route.Upstream) map[decide.UpstreamID]bool {
+	unverified := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
-		doubted[u.ID] = true
+		unverified[u.ID] = true
 		if _, known := r.upstreams[u.ID]; !known {
-			r.doubted[u.ID] = u
+			r.unverified[u.ID] = u
 		}
 	}
-	return doubted
+	return unverified
 }
 
 // changeUpstreams takes changes that were right at an instant and a position.
@@ -113,24 +113,24 @@
 	if position.Era < r.era {
 		return
 	}
-	r.bar(news.Unusable)
+	r.excludeUnusable(news.Unusable)
 	for _, u := range news.Upstreams {
 		// It was written in this era.
-		delete(r.doubted, u.ID)
-		r.put(u, true)
+		delete(r.unverified, u.ID)
+		r.putUpstream(u, true)
 	}
-	r.mass = r.massOf(news.Gone)
+	r.massRemoved = r.massRemoval(news.Gone)
 	for _, id := range news.Gone {
 		delete(r.unusable, id)
-		delete(r.doubted, id)
+		delete(r.unverified, id)
 		r.remove(id)
 	}
-	r.settle(position, at)
+	r.commit(position, at)
 }
 
-// massOf lists those of some upstreams that vanish together with half of their service. The lock is held.
+// massRemoval lists those of some upstreams that vanish together with half of their service. The lock is held.
 // Such upstreams lapsed while the store was away, which a VM with long watches may not have noticed: they live, and register again.
-func (r *Registry) massOf(ids []decide.UpstreamID) map[decide.UpstreamID]bool {
+func (r *Registry) massRemoval(ids []decide.UpstreamID) map[decide.UpstreamID]bool {
 	gone := map[route.ServiceID]int{}
 	for _, id := range ids {
 		if u, ok := r.upstreams[id]; ok && !u.Leaving {
@@ -144,29 +144,29 @@
 	mass := map[decide.UpstreamID]bool{}
 	for _, id := range ids {
 		u := r.upstreams[id]
-		if n := gone[u.Service]; !u.Leaving && n >= massLeast && 2*n >= all[u.Service] {
+		if n := gone[u.Service]; !u.Leaving && n >= massRemovalMin && 2*n >= all[u.Service] {
 			mass[id] = true
 		}
 	}
 	return mass
 }
 
-// put enters an upstream, and writes a line of it if told. The lock is held.
+// putUpstream enters an upstream, and writes a line of it if told. The lock is held.
 //
 // An entry of an earlier life than is known changes nothing: it was written before that life
 // ended, and held up on its way.
-func (r *Registry) put(u route.Upstream, tell bool) {
+func (r *Registry) putUpstream(u route.Upstream, logged bool) {
 	old, ok := r.upstreams[u.ID]
 	if ok && u.Born < old.Born {
 		return
 	}
-	delete(r.gone, u.ID)
-	delete(r.left, u.ID)
+	delete(r.expiring, u.ID)
+	delete(r.departed, u.ID)
 	delete(r.unusable, u.ID)
 	if ok && old == u {
 		return
 	}
-	if tell {
+	if logged {
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(u.ID)).Str("service", string(u.Service)).
 			Str("address", u.Address).Bool("leaving", u.Leaving).Bool("new", !ok).Int64("born", int64(u.Born)).
 			Bool("reborn", ok && u.Born > old.Born).Msg("upstream changed")
@@ -180,39 +180,39 @@
 	r.generation++
 }
 
-// unusableKept bounds what is remembered and logged of entries that name no upstream, so that a writer that
+// maxUnusable bounds what is remembered and logged of entries that name no upstream, so that a writer that
 // fills the store costs neither memory here nor the log. Some thousand upstreams are the largest fleet planned for.
-const unusableKept = 1024
+const maxUnusable = 1024
 
-// bar takes upstreams out whose entries name none any more. The lock is held.
+// excludeUnusable takes upstreams out whose entries name none any more. The lock is held.
 //
 // The entry of an upstream that was there may be overwritten by somebody else. What it said before is
 // not true any more, so nothing is sent there until a sound entry stands in its place:
 // its own next heartbeat writes one. It has not left, so a peer may tell us that it is back. The line
 // for the log is written once for each reason.
-func (r *Registry) bar(us []route.Unusable) {
+func (r *Registry) excludeUnusable(us []route.Unusable) {
 	for _, u := range us {
 		if old, known := r.upstreams[u.ID]; known {
 			delete(r.upstreams, u.ID)
-			delete(r.gone, u.ID)
+			delete(r.expiring, u.ID)
 			r.changes.Take(old)
 			r.generation++
 		}
 		if r.unusable[u.ID] == u.Reason {
 			continue
 		}
-		if _, known := r.unusable[u.ID]; !known && len(r.unusable) >= unusableKept {
+		if _, known := r.unusable[u.ID]; !known && len(r.unusable) >= maxUnusable {
 			continue
 		}
 		r.unusable[u.ID] = u.Reason
-		r.barred++
+		r.unusableCount++
 		r.log.Warn().Str(logline.Key, logline.Unusable).Str("upstream", string(u.ID)).Str("reason", u.Reason).
 			Msg("an entry names no upstream to use")
 	}
 }
 
 // Barred counts the entries that named no upstream, each once for each reason.
-func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.barred }
+func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.unusableCount }
 
 // remove takes an upstream out, at once or, shortly after the store was away, a
 // while later. The lock is held.
@@ -220,50 +220,50 @@
 	if _, ok := r.upstreams[id]; !ok {
 		return
 	}
-	if _, held := r.gone[id]; held {
+	if _, held := r.expiring[id]; held {
 		return
 	}
-	now, back := r.clock.Now(), r.back
-	if r.lost {
+	now, back := r.clock.Now(), r.storeBack
+	if r.storeDown {
 		// This is the first answer after the store was away.
 		back = now
 	}
-	until := max(now, back+holdGone)
-	if r.mass[id] {
-		until = max(until, now+massHold)
+	until := max(now, back+outageHold)
+	if r.massRemoved[id] {
+		until = max(until, now+massRemovalHold)
 	}
-	r.gone[id] = until
+	r.expiring[id] = until
 }
 
-// settle ends those whose time is over and publishes. The lock is held.
-func (r *Registry) settle(position route.Position, at clock.Milli) {
+// commit ends those whose time is over and publishes. The lock is held.
+func (r *Registry) commit(position route.Position, at clock.Milli) {
 	now := r.clock.Now()
-	for id, until := range r.gone {
+	for id, until := range r.expiring {
 		if now < until {
 			continue
 		}
-		delete(r.gone, id)
+		delete(r.expiring, id)
 		u := r.upstreams[id]
-		r.left[id] = leaver{now, u.Born}
+		r.departed[id] = departure{now, u.Born}
 		r.changes.Take(u)
 		delete(r.upstreams, id)
 		r.generation++
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream is gone")
 	}
-	for id, l := range r.left {
-		if now-l.at > leftKept {
-			delete(r.left, id)
+	for id, l := range r.departed {
+		if now-l.at > departureTTL {
+			delete(r.departed, id)
 		}
 	}
 	r.position = route.Later(r.position, position)
 	r.upstreamsAt = max(r.upstreamsAt, at)
-	r.digest = digest(r.upstreams, r.doubted)
+	r.digest = digest(r.upstreams, r.unverified)
 	r.changes.Settle()
 	r.publish()
 }
 
 // digest is equal for equal sets of upstreams, and of those that are doubted.
-func digest(us, doubted map[decide.UpstreamID]route.Upstream) uint64 {
+func digest(us, unverified map[decide.UpstreamID]route.Upstream) uint64 {
 	ids := make([]decide.UpstreamID, 0, len(us))
 	for id := range us {
 		ids = append(ids, id)
@@ -279,7 +279,7 @@
 		_, _ = d.WriteString(strconv.FormatInt(int64(us[id].Born), 36))
 		_, _ = d.Write([]byte{0})
 	}
-	for _, id := range slices.Sorted(maps.Keys(doubted)) {
+	for _, id := range slices.Sorted(maps.Keys(unverified)) {
 		_, _ = d.WriteString("?" + string(id))
 	}
 	return d.Sum64()
