--- a/daemon/registry/calls.go
+++ b/daemon/registry/calls.go
@@ -6,26 +6,28 @@
 	"snipeshift.example/lib/logline"
 )
 
-// Role is why a VM called the store.
+// Role is the reason why a VM calls the store.
 type Role string
 
-// The roles of a caller of the store.
+// Roles of a caller of the store.
 const (
-	// Prover proves for all, by short watches, that what is known is new.
+	// Prover is a VM whose short watches verify for all VMs that their copies are current.
 	Prover Role = "prover"
-	// Watcher keeps long watches.
+	// Watcher is a VM of a small fleet that watches the store, with long waits while a prover
+	// verifies its copy.
 	Watcher Role = "watcher"
-	// StandIn steps in for VMs before it whose way to the store is shut.
+	// StandIn is a VM that watches because too few of the VMs of lower rank can reach the store.
 	StandIn Role = "standin"
-	// Starter has just started and knows nothing yet.
+	// Starter is a VM that has just started and knows no document yet.
 	Starter Role = "starter"
-	// Alone reads since those it asks are silent, or know nothing new.
+	// Alone is a VM that reads for itself because the members it asks do not answer or have no
+	// current copy.
 	Alone Role = "alone"
-	// Follower makes no calls: others tell it what is new.
+	// Follower is a VM that makes no calls because other members send it all updates.
 	Follower Role = "follower"
 )
 
-// Call is one kind of calls of the store.
+// Call identifies a kind of call of the store.
 type Call struct {
 	// Feed is "routes" or "upstreams".
 	Feed   string
@@ -41,7 +43,7 @@
 	return "watch"
 }
 
-// calls counts the calls of the store, which are priced. It is safe for concurrent use.
+// calls counts the calls of the store, which are billed. It is safe for concurrent use.
 type calls struct {
 	mu     sync.Mutex
 	counts map[Call]uint64
@@ -56,7 +58,7 @@
 	c.counts[k]++
 }
 
-// Calls returns how many calls of each kind were made.
+// Calls returns the number of calls of each kind since the start.
 func (r *Registry) Calls() map[Call]uint64 {
 	r.calls.mu.Lock()
 	defer r.calls.mu.Unlock()
@@ -67,7 +69,7 @@
 	return counts
 }
 
-// noteRole writes a line if this VM's part in reading the store has changed, and returns its present part.
+// noteRole logs a change of this VM's role in reading the store, and returns its current role.
 func (r *Registry) noteRole(rs Roster, before Role) Role {
 	now := r.role()
 	if r.delegates(r.documentFeed()) {
@@ -75,12 +77,12 @@
 	}
 	if now != before {
 		r.log.Info().Str(logline.Key, logline.Reader).Str("role", string(now)).Str("before", string(before)).Int("rank", rs.Rank).
-			Int("open", r.connectedAhead(rs)).Int64("age", int64(r.documentAge())).Msg("this VM has another part in reading the store")
+			Int("open", r.connectedAhead(rs)).Int64("age", int64(r.documentAge())).Msg("role of this VM in reading the store changed")
 	}
 	return now
 }
 
-// role is why this VM calls the store now.
+// role returns the role in which this VM would call the store now.
 func (r *Registry) role() Role {
 	if r.readers == nil {
 		return Prover
--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -13,38 +13,42 @@
 	"snipeshift.example/lib/route"
 )
 
-// The store may come back from a copy of itself that is seconds old. What was written since is missing for a moment: upstreams that had left
-// stand in it, some that live don't, the document is an earlier one. Each writer writes its own again, and the store's era tells
-// that it is another history, in which revisions are given out anew. Until the writers had their time, what was known before stands
-// against the copy.
-
-// errEra is an answer that was given before the store came back from a copy.
-var errEra = errs.New("the answer is of an earlier era of the store")
-
-// unverifiedTime is how long what a copy says of an upstream that had left, or was leaving, is not believed: writers write again within two
-// seconds, and the entry of an upstream that is silent lapses after three heartbeats.
+// The store may be restored from a copy that is seconds old. For a moment it then lacks the latest
+// writes: it lists upstreams that have left, lacks some that are alive, and has an earlier
+// document. Each writer writes its own entries again. The store's era shows that this is a
+// different history, in which revision numbers are used a second time. Until the writers have had
+// time to write again, the state known before the restore takes precedence over the copy.
+
+// errEra is returned for an answer that the store gave before it was restored from an older copy.
+var errEra = errs.New("answer belongs to an earlier era of the store")
+
+// unverifiedTime is how long the entry of a restored copy is not accepted for an upstream that had
+// left or was leaving. Writers write again within two seconds, and the entry of an upstream without
+// heartbeats expires after three of them.
 const unverifiedTime = entryTTL + outageHold
 
-// fromPeer is the cause of what a peer told.
+// fromPeer is the cause of an era that a peer reported.
 const fromPeer = "peer"
 
-// Era is the latest one of the store that is known.
+// Era returns the latest known era of the store.
 func (r *Registry) Era() route.Era { r.mu.Lock(); defer r.mu.Unlock(); return r.era }
 
-// Eras counts the changes of the store's era that this VM noticed.
+// Eras returns the number of changes of the store's era that this VM observed.
 func (r *Registry) Eras() uint64 { return r.eras.Load() }
 
 const (
-	// firstEra is that of a store that never came back from a copy.
+	// firstEra is the era of a store that was never restored from a copy.
 	firstEra route.Era = 1
-	// documentPeerWait is how long a VM that knows no document waits for a peer that knows one before it believes a store that came back from a
-	// copy once; aloneWait is the same while no peer has answered at all: the operator's time to write again.
+	// documentPeerWait is how long a VM without a document waits for a peer that has one before it
+	// accepts the document of a store that was restored from a copy. aloneWait is the same while no
+	// peer has answered at all: the time an operator needs to write the document again.
 	documentPeerWait = 400 * clock.Milli(1)
 	aloneWait        = 2 * clock.Second
 )
 
-// awaitPeer waits, at a VM that has just started, until a peer has told of the document that it knows. The store may just have come back from a
-// copy, with an earlier document in which a key that was taken away still opens. It waits once, and reports whether it did.
+// awaitPeer waits, at a VM that has just started, until a peer has reported the revision of its
+// document. The store may just have been restored from a copy with an earlier document that still
+// accepts a revoked API key. It waits at most once, and reports whether it did.
 func (r *Registry) awaitPeer(ctx context.Context, era route.Era) bool {
 	if era <= firstEra || r.readers == nil || r.View().Table != nil || r.awaitedPeer.Swap(true) {
 		return false
@@ -63,7 +67,8 @@
 	return true
 }
 
-// checkEra takes the era of an answer of the store. An answer of an earlier one is an error.
+// checkEra starts a new era if an answer of the store carries a later one. It returns errEra for an
+// answer of an earlier era.
 func (r *Registry) checkEra(era route.Era) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +81,8 @@
 	return nil
 }
 
-// startEra begins an era: both feeds list anew. The first one that a VM hears of changes nothing. The lock is held.
+// startEra sets the era and cancels all watches, so that both feeds list again. On a registry without
+// any state it only sets the era. The lock must be held.
 func (r *Registry) startEra(era route.Era, cause string) {
 	before := r.era
 	r.era = era
@@ -91,19 +97,20 @@
 	}
 	r.eras.Add(1)
 	r.log.Warn().Str(logline.Key, logline.Era).Uint64("era", uint64(era)).Uint64("before", uint64(before)).Uint64("position", uint64(r.position.Mark)).
-		Int64("age", int64(now-r.upstreamsAt)).Str("cause", cause).Msg("the store came back from an older copy")
+		Int64("age", int64(now-r.upstreamsAt)).Str("cause", cause).Msg("the store was restored from an older copy")
 	for _, w := range r.watches {
 		w.cancel()
 	}
 }
 
-// withoutUnverified leaves out what a list of the store's says against what was known before it came back from a copy. What the lists of this era
-// lacked themselves is no such knowledge: its writer has written it again since. The lock is held.
+// withoutUnverified returns a list of the store without the entries that contradict the state known
+// before the store was restored. An upstream that lists of this era have lacked is no such
+// contradiction: its writer has written it again since. The lock must be held.
 func (r *Registry) withoutUnverified(us []route.Upstream) []route.Upstream {
 	if !r.inVerification() {
 		return us
 	}
-	// All of a service that are missing at once lapsed, and live.
+	// Upstreams of a service that are missing together expired during an outage and are alive.
 	lapsed := r.massRemoval(slices.Collect(maps.Keys(r.expiring)))
 	verified := make([]route.Upstream, 0, len(us))
 	for _, u := range us {
@@ -126,12 +133,14 @@
 	return verified
 }
 
-// inVerification tells whether the store's writers may not have written everything again. The lock is held.
+// inVerification reports whether the writers of the store may not have written all their entries
+// again yet. The lock must be held.
 func (r *Registry) inVerification() bool {
 	return r.eraStart > 0 && r.clock.Now()-r.eraStart < unverifiedTime
 }
 
-// acceptUnverified takes what was doubted once its time is over, and tells whether there was any. The lock is held.
+// acceptUnverified adds the unverified entries once unverifiedTime has passed, and reports whether
+// there were any. The lock must be held.
 func (r *Registry) acceptUnverified() bool {
 	if len(r.unverified) == 0 || r.inVerification() {
 		return false
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -23,14 +23,14 @@
 	return g.Wait()
 }
 
-// feed is one kind of the store's objects that is followed.
+// feed is one kind of objects of the store that is followed.
 type feed struct {
 	name  string
 	list  func(context.Context) (route.Position, error)
 	watch func(context.Context, route.Position, clock.Milli) (route.Position, error)
-	// wait is how long a watch waits at a VM that reads for others.
+	// wait is how long a watch waits at a VM that verifies its copy itself.
 	wait clock.Milli
-	// lead is set for the feed whose calls find out whether the store is back.
+	// lead is set for the feed whose calls find out whether the store is back after an outage.
 	lead bool
 }
 
@@ -42,8 +42,9 @@
 	return feed{name: "upstreams", list: r.listUpstreams, watch: r.watchUpstreams, wait: upstreamWatchWait}
 }
 
-// follow lists once and then watches from there; after an error, or once others have read
-// for this VM, it lists anew, since events may have been missed.
+// follow lists once and then watches from the position of the list. It lists again after an error,
+// after a change of the era, and after other members have read for this VM, since it may have
+// missed changes.
 func (r *Registry) follow(ctx context.Context, f feed) {
 	r.bootstrap(ctx)
 	var at route.Position
@@ -90,21 +91,24 @@
 	}
 }
 
-// maxLeadFeedWaits bounds how long a feed leaves it to the other one to find out whether the store is back.
+// maxLeadFeedWaits is the maximum number of pauses for which a feed waits for the lead feed to
+// succeed.
 const maxLeadFeedWaits = 5
 
-// awaitLeadFeed lets one of the two feeds ask whether the store is back: the calls of an outage are half as many.
-// A store that fails for that feed's objects alone must not stop the other.
+// awaitLeadFeed delays a feed while the calls of the lead feed fail, which halves the calls during
+// an outage. The delay is bounded, so that a store that fails only for the lead feed's objects does
+// not stop the other feed.
 func (r *Registry) awaitLeadFeed(ctx context.Context, f feed) {
 	for i := 0; i < maxLeadFeedWaits && !f.lead && r.leadFeedFailing.Load() && ctx.Err() == nil; i++ {
 		pause(ctx, checkPeriod)
 	}
 }
 
-// bootstrap waits for a peer that hands over what it knows.
+// bootstrap waits for a peer to send its state.
 //
-// A VM that starts alone, after a release or a crash, joins a fleet that knows all: it needs no call
-// of the store. Where all start at once nobody knows anything, and each lists after the wait.
+// A VM that starts alone, after an upgrade or a crash, joins members that already have the state,
+// and needs no call of the store. When all VMs start at once no peer has any state, and each VM
+// lists the store after the wait.
 func (r *Registry) bootstrap(ctx context.Context) {
 	if r.readers == nil || r.readers().Seed || r.delegates(r.documentFeed()) {
 		return
@@ -119,24 +123,25 @@
 	}
 }
 
-// clearOutage notes that readers' word stands for ours. What we then read for ourselves is no first answer
-// after an outage, whatever became of our own calls before.
+// clearOutage clears storeDown once readers keep this VM's copy current. Otherwise its next own
+// call would count as the first answer after an outage, because of a failure before.
 func (r *Registry) clearOutage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeDown = false
 }
 
-// awaitMembers waits after a list until this VM may know whether others read for it.
-// VMs that start together would each open two watches before they know that others read.
+// awaitMembers waits after a list until this VM can know whether others read for it. VMs that start
+// together would otherwise each open two watches before they know.
 func (r *Registry) awaitMembers(ctx context.Context) {
 	if r.readers != nil {
 		pause(ctx, joinWait)
 	}
 }
 
-// watchOnce watches once from a position, and returns the one to go on from; zero asks for a list. Busy tells whether news ended the
-// watch, now and before.
+// watchOnce makes one watch from a position. It returns the position for the next watch, zero if a
+// list is needed, and whether the watch ended with an update soon. busy is that result of the
+// previous watch.
 func (r *Registry) watchOnce(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
 	began := r.clock.Now()
 	wait := r.watchWaitOf(f)
@@ -145,7 +150,8 @@
 	canceled := watchCtx.Err() != nil
 	end()
 	if err != nil && canceled && ctx.Err() == nil {
-		// We ended it ourselves, for want of proof or in another era: a list proves at once.
+		// This VM canceled the watch, for lack of a recent verification or because the era changed.
+		// A list verifies the copy at once.
 		return route.Position{}, false, nil
 	}
 	interval := watchInterval
@@ -159,10 +165,11 @@
 	return next, remaining > 0, err
 }
 
-// backOff waits before a failed call is made again: longer after each failure and, in a fleet that
-// leaves the store to a few, the longer the further behind the readers this VM stands.
-// Otherwise all VMs would call a store that is away many times a second. The readers go on asking often, so that its return is known to all
-// within a second; a VM that becomes a reader stops waiting.
+// backOff waits before a failed call is repeated: longer after each failure and, if few members
+// read for all, longer the further behind the readers this VM ranks. Otherwise all VMs would call
+// an unreachable store many times a second. The primary reader continues to call often, so that all
+// VMs learn of the store's return within a second. A VM that becomes the primary reader stops
+// waiting.
 func (r *Registry) backOff(ctx context.Context, failures int) {
 	wait := retryWait << min(failures, maxRetryDoublings)
 	if r.readers != nil {
@@ -182,7 +189,7 @@
 	}
 }
 
-// isPrimary tells whether this VM stands before all others.
+// isPrimary reports whether this VM is the first in the order of readers.
 func (r *Registry) isPrimary() bool { return r.readers == nil || r.readers().Self }
 
 func (r *Registry) listDocument(ctx context.Context) (route.Position, error) {
@@ -199,7 +206,7 @@
 		return at, nil
 	}
 	if r.awaitPeer(ctx, at.Era) {
-		return r.listDocument(ctx) // the operator may have written again meanwhile
+		return r.listDocument(ctx) // the operator may have written the document again during the wait
 	}
 	r.learnDocument(d, sent, fromStore)
 	return at, nil
@@ -230,14 +237,14 @@
 	return at, nil
 }
 
-// noteUnreadable notes that what stands in the place of the document cannot be read. The last one stays in force, but nothing
-// proves that it is still the newest: the operator may have taken a key away. So its age grows, and keys are refused
-// once it is too old.
+// noteUnreadable records that the store's document cannot be parsed. The last valid document stays
+// in force, but it cannot be verified as current, since the operator may have revoked an API key.
+// So its age grows, and requests with keys are refused once it is too old.
 func (r *Registry) noteUnreadable(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unreadable = true
-	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableAt)).Err(err).Msg("document is not taken")
+	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableAt)).Err(err).Msg("document rejected")
 }
 
 func (r *Registry) listUpstreams(ctx context.Context) (route.Position, error) {
@@ -270,21 +277,21 @@
 	return at, nil
 }
 
-// provenUntil is the instant that the end of a watch without news speaks of: the store
-// waited from the arrival of the question, which was after it was sent. The
-// answer itself may have been held up for any time.
+// provenUntil returns the instant up to which a watch that ended without a change proves that
+// nothing changed. The store waited from the arrival of the request, which was after it was sent.
+// The answer itself may have been delayed by any time.
 func (r *Registry) provenUntil(sent, wait clock.Milli) clock.Milli {
 	return min(sent+wait, r.clock.Now())
 }
 
-// noteStore notes whether the store answers.
+// noteStore records whether the store answered a call.
 func (r *Registry) noteStore(what string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case err != nil && !r.storeDown:
 		r.storeDown = true
-		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("the store does not answer")
+		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("call of the store failed")
 	case err == nil && r.storeDown:
 		r.storeDown = false
 		r.storeBack = r.clock.Now()
@@ -292,10 +299,11 @@
 	}
 }
 
-// Lost tells whether the last call of the store failed.
+// Lost reports whether the last call of the store failed.
 func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.storeDown }
 
-// sweep ends upstreams whose hold is over although no news comes.
+// sweep removes upstreams whose hold has ended, and accepts unverified entries, also while no
+// updates arrive.
 func (r *Registry) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, 200*time.Millisecond)
--- a/daemon/registry/handover.go
+++ b/daemon/registry/handover.go
@@ -6,25 +6,26 @@
 	"snipeshift.example/lib/route"
 )
 
-// Limits of handing documents over to peers.
+// Limits of sending documents to peers.
 const (
-	// handoverLimit documents are handed over in handoverWindow. A document of 1,100 routes is 12 KB packed (65 KB
-	// plain), so on the smallest link planned for, of 20 Mbit/s, they take 40 ms of the span.
+	// At most handoverLimit documents are sent in each handoverWindow. A document of 1,100 routes
+	// is 12 KB compressed (65 KB plain), so on the smallest supported link, of 20 Mbit/s, they take
+	// 40 ms of the window.
 	handoverLimit  = 8
 	handoverWindow = 100 * clock.Milli(1)
 )
 
-// handover limits how many documents a VM hands over at a time.
-// Answers to all VMs of a fleet at once would fill its link, and heartbeats wait behind them. Whoever is turned away asks the next peer that
-// knows, or the store.
+// handover limits the rate at which a VM sends documents to peers. Answers to all VMs of a fleet at
+// once would fill its link and delay heartbeats. A peer that is refused asks another peer that has
+// the document, or the store.
 type handover struct {
 	clock Clock
-	// began is the start of the present span, and count what was handed over in it.
+	// began is the start of the current window, count the number of documents requested in it.
 	began clock.Milli
 	count int
 }
 
-// admit tells whether one more document may be handed over now, and counts it.
+// admit counts a request for a document and reports whether the document may be sent now.
 func (h *handover) admit() bool {
 	now := h.clock.Now()
 	if now-h.began >= handoverWindow {
@@ -34,14 +35,15 @@
 	return h.count <= handoverLimit
 }
 
-// packed is one document as it goes over the wire. Packing takes some milliseconds of a small VM's
-// processor, and twenty VMs ask for the same one.
+// packed is the compressed document of one revision. Compression takes some milliseconds of
+// processor time on a small VM, and twenty VMs request the same document.
 type packed struct {
 	revision route.Revision
 	bytes    []byte
 }
 
-// addDocument adds the document to a reply. The lock is held.
+// addDocument adds the document to a reply, compressed if the peer supports that. The lock must be
+// held.
 func (r *Registry) addDocument(args *peer.RegistryWord, reply *peer.RegistryReply) error {
 	d := r.table.Document()
 	if !args.Packs {
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -16,45 +16,49 @@
 // Name is the name under which the receiver is registered with net/rpc.
 const Name = "Registry"
 
-// Limits of what peers are trusted with.
+// Limits on the use of peers' state, in time and age.
 const (
-	// heartbeatTimeout is the most by which a heartbeat may be older than it says: a
-	// beat that takes longer is given up by its sender.
+	// heartbeatTimeout is the most by which the ages in a heartbeat can be too low: its sender
+	// gives up a heartbeat that takes longer.
 	heartbeatTimeout = 500 * clock.Milli(1)
-	// fetchTimeout bounds the fetching from a peer, which is milliseconds away.
+	// fetchTimeout bounds one request to a peer, which normally takes milliseconds.
 	fetchTimeout = 400 * time.Millisecond
-	// askAge is how old the proof of our document grows in a small fleet before a reader is asked, and
-	// checkPeriod the time between two checks of its age.
+	// askAge is the age of the last verification of the document at which a VM of a small fleet
+	// asks a reader. checkPeriod is the maximum time between two checks of that age.
 	askAge      = watchWait
 	checkPeriod = 200 * time.Millisecond
-	// pollInterval is the time between two questions of a VM that keeps no watch of its own, and
-	// pollExpiry how long it relies on the last answer. Members are asked in turn, so with one of them silent or shut
-	// off, news passes one layer after 0.8 s at the most, and two layers within the two seconds in which a leaving
-	// upstream and a new document must be obeyed.
+	// pollInterval is the time between two polls of a VM that has no watch of its own, and
+	// pollExpiry how long that VM relies on the last answer. Members are asked in turn, so if one
+	// of them does not respond or is cut off from the store, an update passes one layer after at
+	// most 0.8 s, and two layers within the two seconds within which a leaving upstream and a new
+	// document must take effect.
 	pollInterval = 300 * clock.Milli(1)
 	pollExpiry   = 1200 * clock.Milli(1)
-	// readerMaxAge is the most that the word of a reader is old whose way to the store is open: one
-	// watch and the pause after news, and a tenth of a second on the way.
+	// readerMaxAge is the maximum age of the copy of a reader that can reach the store: one watch,
+	// the pause after an update, and 100 ms for the transfer.
 	readerMaxAge = watchWait + busyWatchInterval + 100
-	// delegationLimit is how old the proof grows before the first VM behind the readers reads for itself, if they answer and their
-	// own ways to the store are shut: a reader's age, and two questions in each of two layers.
+	// delegationLimit is the age of the last verification at which the first VM behind the readers
+	// reads for itself, if the readers answer but cannot reach the store: the maximum age at a
+	// reader, and two polls in each of two layers.
 	delegationLimit = readerMaxAge + 2*(pollInterval+100)
-	// rankDelay is added to it for each VM that stands before, or all VMs would call a store that is away. The first one that gets through
-	// is asked by all, since it stands before them.
+	// rankDelay is added to delegationLimit for each further rank, or all VMs would call a store
+	// that is unreachable. The first VM that gets through is asked by all others, since it ranks
+	// before them.
 	rankDelay = 300 * clock.Milli(1)
-	// proofLimit is how old the proof grows in a small fleet before a VM reads for itself.
+	// proofLimit is the age of the last verification at which a VM of a small fleet reads for
+	// itself.
 	proofLimit = readerMaxAge + 650
 )
 
-// Fill implements member.Part.
+// Fill implements member.Part. It adds the version summary to a heartbeat.
 func (r *Registry) Fill(_ peer.VM, b *peer.BeatArgs) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b.Registry = r.summary()
 }
 
-// summary is how far our knowledge goes. What is kept on suspicion is no knowledge. The
-// lock is held.
+// summary returns the versions and ages of this VM's state. A list with upstreams that are only
+// retained is omitted, since it proves nothing to others. The lock must be held.
 func (r *Registry) summary() peer.RegistryWord {
 	w := peer.RegistryWord{Shut: r.storeDown, Era: r.era}
 	now := r.clock.Now()
@@ -68,8 +72,8 @@
 	return w
 }
 
-// Learn implements member.Part. A peer that knows the same as we do, and knows
-// it to be newer, proves ours as new; one that knows more is asked.
+// Learn implements member.Part. A peer with the same state and a later verification verifies the
+// state of this VM. A peer with later state is asked for it.
 func (r *Registry) Learn(b *peer.BeatArgs, _ bool) {
 	if r.learnSummary(b.Registry, r.clock.Now()-heartbeatTimeout) && r.fetching.CompareAndSwap(false, true) {
 		go func() {
@@ -79,8 +83,8 @@
 	}
 }
 
-// learnSummary takes how far a peer's knowledge went at an instant, and tells whether it
-// goes further than ours.
+// learnSummary applies a peer's version summary that was written at an instant, and reports whether
+// the peer has later state than this VM.
 func (r *Registry) learnSummary(w peer.RegistryWord, now clock.Milli) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +115,8 @@
 	return ask
 }
 
-// fetch takes over what a peer knows, and tells whether it answered.
+// fetch requests the state of a peer and applies what is newer. It reports whether the peer gave a
+// usable answer.
 func (r *Registry) fetch(ctx context.Context, from peer.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -133,7 +138,7 @@
 	r.noteCutOff(from.VM, err != nil || reply.Word.Shut)
 	r.mu.Unlock()
 	if err != nil {
-		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", string(from.VM)).Err(err).Msg("a peer that knows more does not tell")
+		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", string(from.VM)).Err(err).Msg("request for a peer's registry state failed")
 		return false
 	}
 	r.learnSummary(reply.Word, sent)
@@ -152,7 +157,7 @@
 	us, ok := replyUpstreams(&reply, args.Content, own)
 	if !ok {
 		r.fetchWhole.Store(true)
-		r.log.Error().Str(logline.Key, logline.Rejected).Str("from", string(from.VM)).Msg("a peer's changes do not make its list")
+		r.log.Error().Str(logline.Key, logline.Rejected).Str("from", string(from.VM)).Msg("upstream changes from peer do not produce its list; the next request asks for the whole list")
 		return false
 	}
 	if len(us) > 0 {
@@ -161,8 +166,9 @@
 	return true
 }
 
-// replyUpstreams is the whole list of upstreams that a reply tells of, made of the list that was known here when it was asked for; false if its changes
-// were made for another one.
+// replyUpstreams returns the whole list of upstreams that a reply describes, if need be by applying
+// its changes to the list known here at the time of the request. It returns false if the changes
+// were made for another list or give the wrong content hash.
 func replyUpstreams(reply *peer.RegistryReply, asked uint64, own *View) ([]route.Upstream, bool) {
 	if reply.Base == 0 {
 		return reply.Upstreams, true
@@ -174,13 +180,14 @@
 	return us, uint64(changes.Of(us)) == reply.Content
 }
 
-// learnReplyDocument takes the document of a reply, and tells whether it could be read.
+// learnReplyDocument applies the document of a reply, if any, and reports whether it could be
+// unpacked.
 func (r *Registry) learnReplyDocument(reply *peer.RegistryReply, sent clock.Milli, from peer.VM) bool {
 	d := reply.Document
 	if len(reply.Packed) > 0 {
 		var err error
 		if d, err = peer.UnpackDocument(reply.Packed); err != nil {
-			r.log.Error().Str(logline.Key, logline.Rejected).Str("from", string(from)).Err(err).Msg("a peer's document cannot be read")
+			r.log.Error().Str(logline.Key, logline.Rejected).Str("from", string(from)).Err(err).Msg("document from peer cannot be unpacked")
 			return false
 		}
 	}
@@ -190,13 +197,14 @@
 	return true
 }
 
-// Receiver answers peers over net/rpc.
+// Receiver answers requests of peers over net/rpc.
 type Receiver struct{ registry *Registry }
 
 // NewReceiver returns the receiver to register under Name.
 func NewReceiver(r *Registry) *Receiver { return &Receiver{registry: r} }
 
-// Tell answers with what the asker does not have.
+// Tell replies with the document and the upstreams if they are newer than, or differ from, those in
+// the requester's summary.
 func (v *Receiver) Tell(args *peer.RegistryWord, reply *peer.RegistryReply) error {
 	r := v.registry
 	r.mu.Lock()
@@ -227,8 +235,8 @@
 	return nil
 }
 
-// addUpstreams adds the list of upstreams to a reply: what changed if the asker has an earlier one that is known here, or all of them. The lock
-// is held.
+// addUpstreams adds the upstreams to a reply: only the changes if the requester's list is an
+// earlier one that is known here and they are few, otherwise the whole list. The lock must be held.
 func (r *Registry) addUpstreams(args *peer.RegistryWord, reply *peer.RegistryReply) {
 	if ids, ok := r.changes.Since(changes.Content(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
 		c, _ := r.changes.Content()
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -10,18 +10,17 @@
 	"snipeshift.example/lib/peer"
 )
 
-// ReadBy lets a few members read the store for all. It is called before Run.
+// ReadBy lets a few members read the store for all VMs. It must be called before Run.
 //
-// Each VM that proves by short watches that its knowledge is new makes two calls a
-// second, so the store's load and price grow with the fleet. With readers a VM asks one of
-// them whether its knowledge is new. In a small fleet it keeps watches of its own
-// open beside, for long, which bring news at once; in a large one each piece of news would
-// cost a call of every VM, so it keeps none. A VM that finds no reader, or
-// whose readers' way is shut, reads for itself until that changes.
+// Each VM that verifies its copy with short watches makes two calls a second, so the load and the
+// cost of the store grow with the fleet. With readers, a VM asks one of them whether its copy is
+// current. In a small fleet it also keeps long watches of its own, which deliver updates at once.
+// In a large fleet each update would cost a call of every VM, so it keeps none. A VM that finds no
+// reader, or whose readers cannot reach the store, reads for itself until that changes.
 func (r *Registry) ReadBy(rs Readers) { r.readers = rs }
 
-// isProver tells whether this VM proves for all that what is known is new: it is the first of those whose
-// way to the store is open.
+// isProver reports whether this VM verifies for all VMs that their copies are current: it ranks
+// first among those that can reach the store.
 func (r *Registry) isProver() bool {
 	if r.readers == nil {
 		return true
@@ -30,15 +29,17 @@
 	return rs.Self || r.connectedAhead(rs) == 0
 }
 
-// minWatchers is how many VMs keep watches while all are well: one may be cut off from the store and bring no news.
+// minWatchers is how many VMs that can reach the store must keep watches. With two, updates arrive
+// even if one of them is cut off from the store and that is not known yet.
 const minWatchers = 2
 
-// stepsIn tells whether too few of those that stand before this VM have an open way to the store, so that it must keep watches.
-// VMs that the store turns away answer as ever; only the age of what they know tells of it, too late for an upstream that leaves.
+// stepsIn reports whether too few of the VMs that rank before this one can reach the store, so that
+// this VM must keep watches. VMs whose calls the store rejects still answer peers, and the growing
+// age of their copies would show the failure too late for an upstream that leaves.
 func (r *Registry) stepsIn(rs Roster) bool { return r.connectedAhead(rs) < minWatchers }
 
-// connectedAhead counts those that stand before this VM and do not say that their way to the store is shut; many where
-// it asks others than these.
+// connectedAhead counts the VMs that rank before this one and have not reported that they cannot
+// reach the store. If this VM asks members other than these, all of them are counted.
 func (r *Registry) connectedAhead(rs Roster) int {
 	if rs.Rank > len(rs.Others) {
 		return rs.Rank
@@ -55,8 +56,9 @@
 	return open
 }
 
-// noteCutOff remembers for a while whether a member said that its way to the store is shut, or was silent; VMs that were replaced
-// must not stay. The lock is held.
+// noteCutOff records for cutOffTTL that a member reported that it cannot reach the store, or did
+// not answer. Expired records are deleted, so that records of replaced VMs do not accumulate. The
+// lock must be held.
 func (r *Registry) noteCutOff(m peer.VM, shut bool) {
 	now := r.clock.Now()
 	maps.DeleteFunc(r.cutOff, func(_ peer.VM, until clock.Milli) bool { return now >= until })
@@ -67,7 +69,8 @@
 	delete(r.cutOff, m)
 }
 
-// connected are the first members whose way to the store is not known to be shut; all if there is none.
+// connected returns the first maxAsked members that are not recorded as cut off from the store, or
+// all members if there are none.
 func (r *Registry) connected(ms []peer.Member) []peer.Member {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -84,8 +87,8 @@
 	return open
 }
 
-// delegates tells whether this VM leaves a feed to others: those it asks answer, and what they know is new, or it is the
-// part of VMs nearer to the readers to step in for them.
+// delegates reports whether this VM leaves a feed to others: the members it asks answer and their
+// copies are current, or VMs of lower rank are first to read the store in their place.
 func (r *Registry) delegates(f feed) bool {
 	if r.readers == nil {
 		return false
@@ -108,7 +111,7 @@
 	return now-at <= limit+later && now-r.lastAnswer <= pollExpiry
 }
 
-// watchWaitOf is how long the next watch of a feed waits.
+// watchWaitOf returns the wait of the next watch of a feed.
 func (r *Registry) watchWaitOf(f feed) clock.Milli {
 	if r.isProver() || r.documentAge() > proofLimit {
 		return f.wait
@@ -116,15 +119,15 @@
 	return longWatchWait
 }
 
-// documentAge is that of the proof that the document known here is the newest.
+// documentAge returns the time since the document known here was last verified as current.
 func (r *Registry) documentAge() clock.Milli {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clock.Now() - r.tableAt
 }
 
-// watchContext is the context of one watch. It is ended when the store's era changes, a long one when our knowledge is
-// not proved new any more.
+// watchContext returns the context of one watch. It is canceled when the store's era changes and,
+// for a long watch, when the copy of this VM is no longer verified by others.
 func (r *Registry) watchContext(ctx context.Context, what string, wait clock.Milli) (context.Context, context.CancelFunc) {
 	watching, cancel := context.WithCancel(ctx)
 	r.mu.Lock()
@@ -138,12 +141,13 @@
 	}
 }
 
-// pollReaders asks readers whether what is known here is new, and falls back to reading.
+// pollReaders periodically asks readers for their state. It shortens the watches of this VM when no
+// reader verifies its copy.
 func (r *Registry) pollReaders(ctx context.Context) {
 	if r.readers == nil {
 		return
 	}
-	// VMs begin with different readers, so that each answers its share.
+	// VMs start with different readers to spread the requests.
 	next := rand.IntN(1 << 16)
 	role := Starter
 	for ctx.Err() == nil {
@@ -160,7 +164,8 @@
 	}
 }
 
-// checkInterval is the time until the age of our knowledge is checked again, or the next question is due if that is sooner.
+// checkInterval returns the time until pollReaders next checks whether to poll: checkPeriod, or
+// less if a poll is due sooner.
 func (r *Registry) checkInterval() time.Duration {
 	select {
 	case <-r.known:
@@ -175,8 +180,9 @@
 	return checkPeriod
 }
 
-// pollDue tells whether others should be asked now. In a large fleet the question also brings the
-// news, so it is put often; in a small one, and by a reader, only once our knowledge grows old.
+// pollDue reports whether to ask readers now. In a large fleet the answers also carry the updates,
+// so a VM asks at every pollInterval. In a small fleet, and on the prover, it asks only once the
+// copy is old.
 func (r *Registry) pollDue(rs Roster) bool {
 	if r.isProver() {
 		return r.documentAge() > readerMaxAge || r.standInPollDue(rs)
@@ -189,7 +195,8 @@
 	return r.documentAge() > askAge
 }
 
-// standInPollDue tells whether a VM that stands in for others should ask whether their way is open again.
+// standInPollDue reports whether a VM that stands in for readers should ask whether they can reach
+// the store again.
 func (r *Registry) standInPollDue(rs Roster) bool {
 	if rs.Self {
 		return false
@@ -199,10 +206,11 @@
 	return r.clock.Now()-r.lastAnswer >= pollInterval
 }
 
-// askReaders asks readers one after the other, from the one at next on, until one answers that has new knowledge. It returns
-// where the next question begins.
+// askReaders asks readers in turn, starting at index next, until one answers and the copy of this
+// VM is current. It returns the index for the next call.
 //
-// Whoever asked only one reader, whose own way to the store is shut, would learn of an upstream's leaving seconds late.
+// If only one reader were asked and that one could not reach the store, this VM would learn of a
+// leaving upstream seconds late.
 func (r *Registry) askReaders(ctx context.Context, others []peer.Member, next int) int {
 	readers := r.connected(others)
 	for range readers {
@@ -222,7 +230,7 @@
 	return next
 }
 
-// endLongWatches ends the long watches under way: the next ones are short.
+// endLongWatches cancels the long watches in progress, so that the next ones are short.
 func (r *Registry) endLongWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -1,10 +1,9 @@
-// Package registry follows what the platform's store says of routes and
-// upstreams, and knows how old that word is.
+// Package registry maintains this VM's copy of the routing document and of the list of upstreams in
+// the platform's store, and the age of that copy.
 //
-// The word of the store is in force within bounds that a VM must keep although the
-// way to the store may be silent, refused or slow. So each piece of knowledge
-// carries the instant at which it was certainly the newest. A VM whose own way
-// is shut takes the word of a peer whose way is open.
+// A VM must enforce limits on the age of its copy even while the store is unreachable, rejects
+// calls or answers slowly. So each part of the copy carries the latest instant at which it was
+// verified as current. A VM that cannot reach the store itself copies the state of a peer that can.
 package registry
 
 import (
@@ -23,7 +22,8 @@
 	"snipeshift.example/lib/route"
 )
 
-// Store is the platform's store.
+// Store is the platform's store. A watch returns at the first change after a position, or without
+// one when wait has passed.
 type Store interface {
 	Document(ctx context.Context) (*route.Document, route.Position, error)
 	WatchDocument(ctx context.Context, after route.Position, wait clock.Milli) (*route.Document, route.Position, error)
@@ -31,96 +31,108 @@
 	WatchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.News, route.Position, error)
 }
 
-// Peers calls methods of other daemons.
+// Peers calls net/rpc methods of other daemons.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Clock reads a clock that goes on while the VM is suspended.
+// Clock reads a clock that also advances while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Times of following.
+// Timing of reads of the store and of requests to peers.
 const (
-	// watchWait is how long a watch of the document waits at a VM that reads for others, or for itself
-	// alone. News ends it at once; its end without news proves that nothing has changed, so the wait bounds how
-	// old the proof of a key grows and how long a watch that went silent goes unnoticed. Until then nobody
-	// steps in, and an upstream that leaves must be known to all within three seconds.
+	// watchWait is how long a watch of the document waits at a VM that reads for others, or only
+	// for itself. A change ends the watch at once. If the watch ends without a change, the document
+	// is verified as current, so the wait bounds how old the verification of an API key can be, and
+	// how long a hanging watch goes unnoticed. No other VM takes over until then, and all VMs must
+	// learn of a leaving upstream within three seconds.
 	watchWait = clock.Second
-	// upstreamWatchWait is the same for upstreams. No request needs a proof of their age, so the wait only
-	// bounds how long a watch that went silent goes unnoticed; another reader brings the news meanwhile.
+	// upstreamWatchWait is the wait of a watch of upstreams. No request depends on the age of the
+	// list, so the wait only bounds how long a hanging watch goes unnoticed. Another reader
+	// delivers updates meanwhile.
 	upstreamWatchWait = 2500 * clock.Milli(1)
-	// cutOffTTL is how long a member is passed over that said that its way to the store is shut.
+	// cutOffTTL is how long a member is not asked after it reported that it cannot reach the store.
 	cutOffTTL = 2 * clock.Second
-	// maxAsked is how many members are asked in turn.
+	// maxAsked is the maximum number of members that are asked in turn.
 	maxAsked = 3
-	// longWatchWait is how long a watch waits at a VM to which others prove that its
-	// knowledge is new. News ends it at once all the same.
+	// longWatchWait is how long a watch waits at a VM whose copy other VMs verify as current. A
+	// change still ends it at once.
 	longWatchWait = 15 * clock.Second
-	// watchInterval is the least time between two watches, and busyWatchInterval the same once one piece of news has followed
-	// the other. When all upstreams register at once, each entry would else cost a call of every VM; now what comes within
-	// the time comes in one answer, and the first news still comes at once. The busy time and two layers of
-	// members that ask each other stay within the two seconds in which a leaving upstream must be known.
+	// watchInterval is the minimum time between the starts of two watches, and busyWatchInterval
+	// the same while consecutive watches end with updates. When all upstreams register at once,
+	// each entry would otherwise cost one call of every VM. With the interval one answer carries
+	// all updates that arrive within it, and the first update still arrives at once. The busy
+	// interval and two layers of members that ask each other fit into the two seconds within which
+	// a leaving upstream must be known.
 	watchInterval     = 250 * clock.Milli(1)
 	busyWatchInterval = 500 * clock.Milli(1)
-	// retryWait is the pause after a failed call. Members that read for all keep to it: the
-	// store's return is known to all by their word. Others double it up to
-	// maxRetryDoublings times, to four seconds: as long as keys are served without proof.
+	// retryWait is the pause after a failed call. The primary reader always uses it, since its
+	// answers inform all other VMs that the store is back. Others double it up to maxRetryDoublings
+	// times, to four seconds: API keys are accepted for that long without verification.
 	retryWait         = 250 * time.Millisecond
 	maxRetryDoublings = 4
-	// retryWaitPerRank is the least pause for each VM that stands nearer to the readers, so that three hundred VMs make
-	// some ten calls a second together.
+	// retryWaitPerRank is the minimum pause per rank behind the readers. With it 300 VMs together
+	// make about ten calls a second.
 	retryWaitPerRank = 500 * time.Millisecond
-	// maxRetryWait bounds the pause of a VM far behind the readers. It may find itself cut off from its peers
-	// meanwhile, and must read for itself then.
+	// maxRetryWait bounds the pause of a VM far behind the readers. That VM may lose its peers
+	// during the pause and then has to read the store itself.
 	maxRetryWait = 8 * time.Second
-	// joinWait is about how long VMs that start together need to meet and to ask a reader once.
+	// joinWait is about how long VMs that start together need to discover each other and to ask a
+	// reader once.
 	joinWait = 400 * time.Millisecond
-	// defaultBootstrapWait is how long a VM that starts waits for a peer to hand over what it knows before it lists the store.
-	// A peer of the settings that is up answers within 12 ms. Where all start together nobody knows anything, and requests that
-	// come meanwhile are due 300 ms later: a longer wait would make them late.
+	// defaultBootstrapWait is how long a starting VM waits for a peer to send its state before it
+	// lists the store. A running peer that is named in the settings answers within 12 ms. When all
+	// VMs start together no peer has any state, and requests that arrive meanwhile have a deadline
+	// 300 ms later, which a longer wait would make them miss.
 	defaultBootstrapWait = 30 * time.Millisecond
-	// FirstWait is the same wait at the first start of all VMs of a deployment: no caller is there yet, and it is time enough to
-	// meet and to be told. 295 VMs that each list both kinds of objects make 590 calls.
+	// FirstWait is the bootstrap wait for the first start of all VMs of a deployment. There are no
+	// callers yet, and the wait suffices to discover the peers and to receive their state. Without
+	// it 295 VMs that each list both kinds of objects make 590 calls.
 	FirstWait = clock.Second
-	// bootstrapGrace is how long after this wait a VM without any document leaves it to the members that it asks to read
-	// the first one, if they answer.
+	// bootstrapGrace is how long after the bootstrap wait a VM without a document still leaves
+	// reading the first one to the members that it asks, as long as they answer.
 	bootstrapGrace = 600 * clock.Milli(1)
-	// bootstrapInterval is the time between two questions meanwhile.
+	// bootstrapInterval is the time between two requests to peers until the document and the
+	// upstreams are known.
 	bootstrapInterval = 50 * time.Millisecond
-	// outageHold is how long upstreams that are missing are kept after the store
-	// was away. Their entries lapse meanwhile though they live, and are back
-	// within two seconds of its return; all would be taken for gone at once.
+	// outageHold is how long upstreams that the store no longer lists are retained after an outage
+	// of the store. Their entries expire during the outage although the upstreams are alive, and
+	// are written again within two seconds of its end. Without the hold all of them would be
+	// removed at once.
 	outageHold = 2200 * clock.Milli(1)
-	// massRemovalHold is how long upstreams are kept that vanish together with half of their service. A VM that had nothing to ask
-	// while the store was away, or only a watch that waited, knows nothing of the outage; the upstreams live, and
-	// register again within about a second. It is less than the two seconds after which one that left must get nothing.
+	// massRemovalHold is how long upstreams are retained if at least half of the upstreams of a
+	// service disappear together. A VM that made no calls during an outage of the store, or only
+	// had one long watch open, has not noticed the outage. The upstreams are alive and register
+	// again within about a second. The hold is shorter than the two seconds after which an upstream
+	// that left must receive no more requests.
 	massRemovalHold = 1800 * clock.Milli(1)
-	// massRemovalMin is how many upstreams of a service make a mass.
+	// massRemovalMin is the minimum number of upstreams of a service whose removal counts as a mass
+	// removal.
 	massRemovalMin = 2
-	// entryTTL is how long upstreams must have been silent before their entries lapse: three
-	// heartbeats of 1.2 s. Knowledge that is younger has missed no lapse.
+	// entryTTL is how long an upstream must have sent no heartbeat before its entry expires: three
+	// heartbeats of 1.2 s. A copy that is younger cannot have missed an expiry.
 	entryTTL = 3600 * clock.Milli(1)
-	// departureTTL is how long it is remembered that an upstream has left: longer than any
-	// peer's word may be on its way.
+	// departureTTL is how long the departure of an upstream is remembered: longer than any message
+	// of a peer can be in transit.
 	departureTTL = 30 * clock.Second
 )
 
-// View is one state of knowledge. It never changes.
+// View is an immutable snapshot of the document and the upstreams.
 type View struct {
 	// Table is nil until a document is known.
 	Table *route.Table
-	// TableAt is the instant at which Table was certainly the newest.
+	// TableAt is the latest instant at which Table was verified as current.
 	TableAt clock.Milli
-	// Upstreams are those that are there, by service.
+	// Upstreams are the present upstreams by service.
 	Upstreams map[route.ServiceID][]route.Upstream
-	// UpstreamsAt is the instant at which Upstreams were certainly right; zero
-	// until a list is known.
+	// UpstreamsAt is the latest instant at which Upstreams were verified as current; zero until a
+	// list is known.
 	UpstreamsAt clock.Milli
-	// Generation rises when Upstreams or Table change.
+	// Generation increases when Upstreams or Table change.
 	Generation uint64
 }
 
-// Upstream finds an upstream of a service by its address or id; nil if there is none.
+// Upstream returns the first upstream of a service that matches, or nil.
 func (v *View) Upstream(s route.ServiceID, match func(*route.Upstream) bool) *route.Upstream {
 	us := v.Upstreams[s]
 	for i := range us {
@@ -131,115 +143,126 @@
 	return nil
 }
 
-// Registry is safe for concurrent use.
+// Registry follows the store. It is safe for concurrent use.
 type Registry struct {
 	store Store
 	peers Peers
 	clock Clock
 	log   *log.Logger
 	view  atomic.Pointer[View]
-	// fetching is set while a peer's knowledge is being fetched.
+	// fetching is set while a fetch of a peer's state, triggered by a heartbeat, is in progress.
 	fetching atomic.Bool
 
 	mu      sync.Mutex
 	table   *route.Table
 	tableAt clock.Milli
-	// unreadable is set while something that cannot be read stands in the place of the document, behind while the store
-	// has an earlier one than is in force here.
+	// unreadable is set while the store's document cannot be parsed. storeBehind is set while the
+	// store has an earlier revision than the one in force here.
 	unreadable, storeBehind bool
-	// era is the latest one of the store that is known, and entered when it began as far as this VM knows; zero for the first one.
+	// era is the latest known era of the store. eraStart is when this VM learned of it; zero for
+	// the first era.
 	era      route.Era
 	eraStart clock.Milli
-	// heard is closed once a peer has told of a document that it knows, told is the latest one of these.
-	// answered is set once any peer has told anything, awaited once this VM has waited for one.
+	// peerDocument is closed once a peer has reported the revision of its document, and
+	// peerRevision is the highest one reported. peerAnswered is set once any peer has sent its
+	// version summary, awaitedPeer once awaitPeer was called.
 	peerAnswered, awaitedPeer atomic.Bool
 	peerDocument              chan struct{}
 	peerDocumentOnce          sync.Once
 	peerRevision              route.Revision
-	// unverified holds entries of the copy that the store came back from and that say less than was known, until they are believed.
+	// unverified holds entries of a store restored from an older copy that contradict what was
+	// known before the restore, until they are accepted.
 	unverified map[decide.UpstreamID]route.Upstream
-	// missingBefore holds the upstreams that were missing already when the era began.
+	// missingBefore holds the upstreams that the store no longer listed when the era began.
 	missingBefore map[decide.UpstreamID]bool
 	upstreams     map[decide.UpstreamID]route.Upstream
-	// expiring holds upstreams that the store no longer lists and that are kept for
-	// a while, with the instant of their end.
+	// expiring holds upstreams that the store no longer lists but that are retained for a while,
+	// with the instant of their removal.
 	expiring map[decide.UpstreamID]clock.Milli
-	// massRemoved holds those of the news being taken that vanish together with half of their service.
+	// massRemoved holds the upstreams of the update being applied that disappear together with at
+	// least half of their service.
 	massRemoved map[decide.UpstreamID]bool
-	// departed holds upstreams that the store said are gone. A peer's word never brings one back
-	// in the life that left: it may be older than it says.
+	// departed holds upstreams that were removed. A peer's list never restores the same
+	// incarnation, since it may be older than its stated age.
 	departed map[decide.UpstreamID]departure
-	// unusable holds entries that name no upstream, with what is wrong with each.
+	// unusable holds invalid entries, with the reason why each is unusable.
 	unusable    map[decide.UpstreamID]string
 	upstreamsAt clock.Milli
-	// position is the place in the store's history at which upstreams were right.
+	// position is the position in the store's history of which upstreams is the state.
 	position   route.Position
 	digest     uint64
 	generation uint64
-	// changes tells what peers lack that have an earlier list of upstreams.
+	// changes computes what changed since the earlier list that a peer has.
 	changes *changes.Log
-	// fetchWhole is set once a peer's changes did not make its list: the next question is for all of it.
+	// fetchWhole is set after a peer's changes did not produce its list: the next request asks for
+	// the whole list.
 	fetchWhole    atomic.Bool
 	unusableCount uint64
-	// storeDown is set while the store fails, back is when it answered again.
+	// storeDown is set while calls of the store fail. storeBack is when it last answered again.
 	storeDown bool
 	storeBack clock.Milli
-	// known is closed once both a document and a list are known.
+	// known is closed once both a document and a list of upstreams are known.
 	known     chan struct{}
 	knownOnce sync.Once
-	// readers names those who read for all; nil where each VM reads for itself.
+	// readers returns the members that read the store for all VMs; nil if each VM reads for itself.
 	readers Readers
-	// lastAnswer is when one of the members that this VM asks last answered.
+	// lastAnswer is when the last answered request to a member was sent.
 	lastAnswer clock.Milli
 	// leadFeedFailing is set while the last call for the document failed.
 	leadFeedFailing atomic.Bool
-	// cutOff holds members whose way to the store was shut, until an instant.
+	// cutOff holds the members that could not reach the store or did not answer, with the instant
+	// until which they are not asked.
 	cutOff map[peer.VM]clock.Milli
-	// bootstrapWait is how long this VM waits at its start for a peer to hand over what it knows.
+	// bootstrapWait is how long this VM waits at its start for a peer to send its state.
 	bootstrapWait time.Duration
-	// bootstrapped is when that wait ends.
+	// bootstrapped is when the bootstrap wait ends.
 	bootstrapped clock.Milli
 	calls        calls
-	// handover limits what this VM hands over whole, and packed is the document as it is handed over.
+	// handover limits how many documents are sent to peers; packed caches the compressed document.
 	handover handover
 	packed   packed
-	// watches holds the ends of the long watches under way.
+	// watches holds the watches in progress by the name of their feed.
 	watches map[string]watch
-	// eras counts the changes of the store's era that were noticed.
+	// eras counts the observed changes of the store's era.
 	eras atomic.Uint64
 }
 
-// watch is a watch under way.
+// watch is a watch in progress.
 type watch struct {
 	cancel context.CancelFunc
 	long   bool
 }
 
-// departure is an upstream that left.
+// departure is when an upstream was removed, and its incarnation.
 type departure struct {
 	at   clock.Milli
 	born decide.Born
 }
 
-// Readers names the members that read the store for all.
+// Readers returns the current roster.
 type Readers func() Roster
 
-// Roster is who reads the store.
+// Roster describes which members read the store and which of them this VM asks.
 type Roster struct {
-	// Others are the members that this VM asks: those that keep watches and those that step in for them, in
-	// this order, or in a large fleet some that ask these.
+	// Others are the members that this VM asks. They are the members that watch the store and those
+	// that stand in for them, in order of rank. In a large fleet they may be members that ask
+	// these.
 	Others []peer.Member
-	// Self is set if this VM proves for all, by short watches, that what is known is new.
+	// Self is set if this VM is the primary reader: its short watches verify for all VMs that their
+	// copies are current.
 	Self bool
-	// Rank is the place of this VM in the order in which VMs step in for readers whose way to the store is shut.
+	// Rank is the position of this VM in the order in which VMs stand in for readers that cannot
+	// reach the store.
 	Rank int
-	// Seed is set if the settings of others name this VM: they ask it at their start, so it lists the store at once.
+	// Seed is set if the settings of other VMs name this VM. They ask it at their start, so it
+	// lists the store at once.
 	Seed bool
-	// Large is set if the fleet is too large for a watch of this VM: news comes to it by those it asks.
+	// Large is set if the fleet is too large for each VM to watch the store. This VM then receives
+	// updates from the members that it asks.
 	Large bool
 }
 
-// New returns a registry that knows nothing yet; Run follows the store.
+// New returns an empty registry. Run fills it and follows the store.
 func New(s Store, p Peers, k Clock, l *log.Logger) *Registry {
 	r := &Registry{
 		store: s, peers: p, clock: k, log: l, known: make(chan struct{}), peerDocument: make(chan struct{}),
@@ -254,19 +277,20 @@
 	return r
 }
 
-// Await sets how long this VM waits for a peer to hand over what it knows before it lists the store. It is called before Run.
+// Await sets how long this VM waits at its start for a peer to send its state before it lists the
+// store. It must be called before Run.
 func (r *Registry) Await(d clock.Milli) {
 	r.bootstrapWait = d.Duration()
 	r.bootstrapped = r.clock.Now() + d
 }
 
-// View returns what is known now.
+// View returns the current view.
 func (r *Registry) View() *View { return r.view.Load() }
 
-// Known is closed once a document and a list of upstreams are known.
+// Known returns a channel that is closed once a document and a list of upstreams are known.
 func (r *Registry) Known() <-chan struct{} { return r.known }
 
-// publish makes a view of the state. The lock is held.
+// publish stores a new view of the state. The lock must be held.
 func (r *Registry) publish() {
 	v := &View{
 		Table: r.table, TableAt: r.tableAt, UpstreamsAt: r.upstreamsAt, Generation: r.generation,
@@ -285,19 +309,19 @@
 	}
 }
 
-// fromStore is the source of a document that the store gave to this VM itself.
+// fromStore is the source of a document that this VM read from the store itself, and the cause of
+// an era that an answer of the store revealed.
 const fromStore = "store"
 
-// learnDocument takes a document that was the newest at an instant. One below
-// what is known already is never taken: whoever saw a revision in force must not
-// see it taken back.
+// learnDocument applies a document that was current at an instant. A revision below the one in
+// force is never applied: the revision that callers observe must not decrease.
 func (r *Registry) learnDocument(d *route.Document, at clock.Milli, from string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if from == fromStore {
 		r.storeBehind = d.Revision < r.peerRevision || r.table != nil && d.Revision < r.table.Revision()
 		if r.storeBehind && r.table == nil {
-			return // a peer's later one is on its way
+			return // a peer has a later document, which is being fetched
 		}
 	}
 	if r.table != nil && d.Revision <= r.table.Revision() {
@@ -309,18 +333,19 @@
 	}
 	t, err := route.Index(d)
 	if err != nil {
-		r.log.Error().Str(logline.Key, logline.Rejected).Uint64("revision", uint64(d.Revision)).Err(err).Msg("document is not taken")
+		r.log.Error().Str(logline.Key, logline.Rejected).Uint64("revision", uint64(d.Revision)).Err(err).Msg("document rejected")
 		return
 	}
 	r.log.Info().Str(logline.Key, logline.Applied).Uint64("revision", uint64(d.Revision)).Str("from", from).
-		Int64("age", int64(r.clock.Now()-at)).Int("routes", len(d.Routes)).Msg("document is in force")
+		Int64("age", int64(r.clock.Now()-at)).Int("routes", len(d.Routes)).Msg("document applied")
 	r.logEngines(d)
 	r.table, r.tableAt, r.unreadable = t, max(at, r.tableAt), false
 	r.generation++
 	r.publish()
 }
 
-// logEngines writes the data of engines that are new or changed, so that a log tells by itself what the decisions went by. The lock is held.
+// logEngines logs the settings of engines that are new or changed, so that the log alone explains
+// the decisions based on them. The lock must be held.
 func (r *Registry) logEngines(d *route.Document) {
 	for i := range d.Services {
 		s := &d.Services[i]
@@ -333,11 +358,12 @@
 		e := s.Engine
 		r.log.Info().Str(logline.Key, logline.Engine).Str("service", string(s.ID)).Int("slots", e.Slots).Int64("memory", int64(e.Memory)).
 			Float64("step", e.Step).Float64("writer", e.Writer).Float64("context", e.Context).Float64("speed", e.Read).Float64("pairs", e.Pairs).
-			Int("stride", e.Stride).Float64("hop", e.Hop).Msg("engines of a service are described anew")
+			Int("stride", e.Stride).Float64("hop", e.Hop).Msg("engine settings of a service changed")
 	}
 }
 
-// service is what the document in force says of a service; nil for nothing. The lock is held.
+// service returns the definition of a service in the document in force, or nil. The lock must be
+// held.
 func (r *Registry) service(id route.ServiceID) *route.Service {
 	if r.table == nil {
 		return nil
@@ -345,7 +371,7 @@
 	return r.table.Service(id)
 }
 
-// confirmDocument notes that the document was still the newest. The lock is held.
+// confirmDocument records that the document was still current at an instant. The lock must be held.
 func (r *Registry) confirmDocument(at clock.Milli) {
 	if at > r.tableAt && !r.unreadable {
 		r.tableAt = at
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -13,19 +13,20 @@
 	"snipeshift.example/lib/route"
 )
 
-// learnUpstreams takes a whole list of the store's that was right at an instant and a position.
+// learnUpstreams applies a whole list of the store that was current at an instant and has a
+// position.
 func (r *Registry) learnUpstreams(news route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
-		return // another answer or a peer told of a later era meanwhile
+		return // a later era was learned from another answer or from a peer meanwhile
 	}
 	r.excludeUnusable(news.Unusable)
 	r.massRemoved = r.massRemoval(r.missing(news.Upstreams))
 	r.applyList(r.withoutUnverified(news.Upstreams), position, at, r.remove)
 }
 
-// missing are the upstreams known that a list lacks. The lock is held.
+// missing returns the known upstreams that a list lacks. The lock must be held.
 func (r *Registry) missing(us []route.Upstream) []decide.UpstreamID {
 	listed := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
@@ -40,12 +41,13 @@
 	return ids
 }
 
-// applyList takes a whole list; remove is called for what it lacks. The lock is held.
+// applyList applies a whole list and calls remove for each known upstream that it lacks. The lock
+// must be held.
 func (r *Registry) applyList(us []route.Upstream, position route.Position, at clock.Milli, remove func(decide.UpstreamID)) {
 	listed := make(map[decide.UpstreamID]bool, len(us))
 	first := r.upstreamsAt == 0
 	if first {
-		r.log.Info().Str(logline.Key, logline.Upstreams).Int("count", len(us)).Int64("age", int64(r.clock.Now()-at)).Msg("upstreams are known")
+		r.log.Info().Str(logline.Key, logline.Upstreams).Int("count", len(us)).Int64("age", int64(r.clock.Now()-at)).Msg("first list of upstreams applied")
 	}
 	for _, u := range us {
 		listed[u.ID] = true
@@ -59,11 +61,12 @@
 	r.commit(position, at)
 }
 
-// learnPeerUpstreams takes a whole list of a peer's that was right at an instant and a position. What the store
-// told us of an upstream's leaving stands against it. What it lacks is gone at once, also
-// while the store turns us away: peers that keep entries on suspicion tell no list. But if nobody
-// had new knowledge for long, the store was away for all, and a peer that has just started
-// does not know what lapsed meanwhile: then entries are kept as after our own first answer.
+// learnPeerUpstreams applies a whole list of a peer that was current at an instant and has a
+// position. It does not restore upstreams that the store has reported as removed. Upstreams that it
+// lacks are removed at once, even while this VM cannot reach the store, since peers that only
+// retain entries send no list. But if no VM had current state for long, the store was down for all,
+// and a peer that has just started does not know which entries expired meanwhile. Then upstreams
+// are retained as after the first answer of the store itself.
 func (r *Registry) learnPeerUpstreams(news route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,8 +96,9 @@
 	})
 }
 
-// learnUnverified takes entries that a peer doubts, and returns their names. What is known here stays; what is not is doubted here too, until it
-// is believed: the list of a peer that doubts them lacks them, and says nothing of them. The lock is held.
+// learnUnverified records the entries that are unverified at a peer, and returns their ids.
+// Upstreams known here stay. Unknown ones become unverified here too, until they are accepted: the
+// peer's list lacks them, but that does not mean that they are gone. The lock must be held.
 func (r *Registry) learnUnverified(us []route.Upstream) map[decide.UpstreamID]bool {
 	unverified := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
@@ -106,7 +110,7 @@
 	return unverified
 }
 
-// changeUpstreams takes changes that were right at an instant and a position.
+// changeUpstreams applies changes that were current at an instant and end at a position.
 func (r *Registry) changeUpstreams(news route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +119,7 @@
 	}
 	r.excludeUnusable(news.Unusable)
 	for _, u := range news.Upstreams {
-		// It was written in this era.
+		// This entry was written in the current era.
 		delete(r.unverified, u.ID)
 		r.putUpstream(u, true)
 	}
@@ -128,8 +132,9 @@
 	r.commit(position, at)
 }
 
-// massRemoval lists those of some upstreams that vanish together with half of their service. The lock is held.
-// Such upstreams lapsed while the store was away, which a VM with long watches may not have noticed: they live, and register again.
+// massRemoval returns those of the given upstreams that disappear together with at least half of
+// their service. Such entries expired while the store was down, which a VM with long watches may
+// not have noticed: the upstreams are alive and register again. The lock must be held.
 func (r *Registry) massRemoval(ids []decide.UpstreamID) map[decide.UpstreamID]bool {
 	gone := map[route.ServiceID]int{}
 	for _, id := range ids {
@@ -151,10 +156,11 @@
 	return mass
 }
 
-// putUpstream enters an upstream, and writes a line of it if told. The lock is held.
+// putUpstream adds or replaces an upstream, and logs the change if logged is set. The lock must be
+// held.
 //
-// An entry of an earlier life than is known changes nothing: it was written before that life
-// ended, and held up on its way.
+// An entry of an earlier incarnation than the known one is ignored: it was written before the later
+// one started, and arrived late.
 func (r *Registry) putUpstream(u route.Upstream, logged bool) {
 	old, ok := r.upstreams[u.ID]
 	if ok && u.Born < old.Born {
@@ -180,16 +186,17 @@
 	r.generation++
 }
 
-// maxUnusable bounds what is remembered and logged of entries that name no upstream, so that a writer that
-// fills the store costs neither memory here nor the log. Some thousand upstreams are the largest fleet planned for.
+// maxUnusable bounds the unusable entries that are remembered and logged, so that a writer that
+// floods the store exhausts neither memory nor the log. The largest supported fleet has some
+// thousand upstreams.
 const maxUnusable = 1024
 
-// excludeUnusable takes upstreams out whose entries name none any more. The lock is held.
+// excludeUnusable removes upstreams whose entries have become invalid. The lock must be held.
 //
-// The entry of an upstream that was there may be overwritten by somebody else. What it said before is
-// not true any more, so nothing is sent there until a sound entry stands in its place:
-// its own next heartbeat writes one. It has not left, so a peer may tell us that it is back. The line
-// for the log is written once for each reason.
+// Another writer may have overwritten the entry. Its earlier content no longer holds, so the
+// upstream gets no requests until a valid entry replaces it, which the upstream's next heartbeat
+// writes. The upstream has not left, so a peer's list may restore it. Each reason is logged once
+// per entry.
 func (r *Registry) excludeUnusable(us []route.Unusable) {
 	for _, u := range us {
 		if old, known := r.upstreams[u.ID]; known {
@@ -207,15 +214,15 @@
 		r.unusable[u.ID] = u.Reason
 		r.unusableCount++
 		r.log.Warn().Str(logline.Key, logline.Unusable).Str("upstream", string(u.ID)).Str("reason", u.Reason).
-			Msg("an entry names no upstream to use")
+			Msg("upstream entry is unusable; no requests are sent to it")
 	}
 }
 
-// Barred counts the entries that named no upstream, each once for each reason.
+// Barred returns the number of unusable entries, each counted once per reason.
 func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.unusableCount }
 
-// remove takes an upstream out, at once or, shortly after the store was away, a
-// while later. The lock is held.
+// remove removes an upstream, immediately or, shortly after an outage of the store or in a mass
+// removal, after a hold. The lock must be held.
 func (r *Registry) remove(id decide.UpstreamID) {
 	if _, ok := r.upstreams[id]; !ok {
 		return
@@ -225,7 +232,7 @@
 	}
 	now, back := r.clock.Now(), r.storeBack
 	if r.storeDown {
-		// This is the first answer after the store was away.
+		// This is the first answer after an outage of the store.
 		back = now
 	}
 	until := max(now, back+outageHold)
@@ -235,7 +242,8 @@
 	r.expiring[id] = until
 }
 
-// commit ends those whose time is over and publishes. The lock is held.
+// commit removes upstreams whose hold has ended, records the position and instant of the list, and
+// publishes a view. The lock must be held.
 func (r *Registry) commit(position route.Position, at clock.Milli) {
 	now := r.clock.Now()
 	for id, until := range r.expiring {
@@ -248,7 +256,7 @@
 		r.changes.Take(u)
 		delete(r.upstreams, id)
 		r.generation++
-		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream is gone")
+		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream removed")
 	}
 	for id, l := range r.departed {
 		if now-l.at > departureTTL {
@@ -262,7 +270,7 @@
 	r.publish()
 }
 
-// digest is equal for equal sets of upstreams, and of those that are doubted.
+// digest returns a hash that is equal for equal sets of upstreams and of unverified entries.
 func digest(us, unverified map[decide.UpstreamID]route.Upstream) uint64 {
 	ids := make([]decide.UpstreamID, 0, len(us))
 	for id := range us {
