--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -12,7 +12,8 @@
 	"snipeshift.example/lib/route"
 )
 
-// restoreStore has the store come back from a copy in which other things stand, at an earlier position.
+// restoreStore restores the store from an older copy with other contents, at an earlier position of
+// a later era.
 func (b *harness) restoreStore(d *route.Document, us []route.Upstream) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
@@ -20,7 +21,7 @@
 	b.store.at = route.Position{Era: b.store.at.Era + 1, Mark: b.store.at.Mark / 2}
 }
 
-// usedAndLeaving are the upstreams that are used, and those of them that leave.
+// usedAndLeaving returns the ids of the upstreams in the view, the leaving ones apart.
 func (b *harness) usedAndLeaving() (used, leaving []decide.UpstreamID) {
 	for _, u := range b.View().Upstreams["s"] {
 		if u.Leaving {
@@ -32,8 +33,8 @@
 	return used, leaving
 }
 
-// The store has counted past a position that it gave out before its return. What lies between is another history: a watch that goes on
-// from there misses what was written meanwhile.
+// After a restore the store has counted past a position that it issued before. A watch that resumes
+// from that position misses what was written in between, since it is a different history.
 func TestWatchDoesNotResumeFromPositionOfEarlierEra(t *testing.T) {
 	b := newHarness(t)
 	at, err := b.listUpstreams(b.ctx)
@@ -45,10 +46,10 @@
 	next, err = b.watchDocument(b.ctx, at, watchWait)
 	require.NoError(t, err)
 	require.Zero(t, next, "a list follows")
-	require.EqualValues(t, 1, b.Eras(), "one event")
+	require.EqualValues(t, 1, b.Eras(), "both feeds count one change")
 }
 
-// An answer was on its way when the store came back from a copy. What it says is of a history that is over.
+// An answer is in transit when the store is restored. Its contents belong to the history before.
 func TestAnswerOfEarlierEraIsRejected(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a", "b"))
@@ -64,7 +65,8 @@
 	require.EqualValues(t, 1, b.View().Table.Revision())
 }
 
-// Both feeds read at once: one hears of the next era while an answer of the earlier one, to the other, is being taken.
+// Both feeds read at once: one learns of the next era while the other one applies an answer of the
+// earlier era.
 func TestChangesOfEarlierEraAreIgnored(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a", "b"))
@@ -75,7 +77,8 @@
 	require.ElementsMatch(t, []decide.UpstreamID{"a", "b"}, used)
 }
 
-// In the copy stand an upstream that has left and one that leaves as if they were ready, and one is missing that came since.
+// The restored copy contains an upstream that has left, lists a leaving one as ready and lacks one
+// that is new.
 func TestKnownStateOverridesRestoredCopy(t *testing.T) {
 	b := newHarness(t)
 	b.changeUpstreams(listing(upstreams("c", "young")), mark(10), b.clock.Now())
@@ -91,11 +94,11 @@
 	b.clock.advance(outageHold)
 	b.commit(route.Position{}, 0)
 	used, _ = b.usedAndLeaving()
-	require.Equal(t, []decide.UpstreamID{"a"}, used, "nobody wrote it again")
+	require.Equal(t, []decide.UpstreamID{"a"}, used, "young was not written again")
 
 	b.changeUpstreams(listing(upstreams("b")), b.store.position(200), b.clock.Now())
 	used, _ = b.usedAndLeaving()
-	require.ElementsMatch(t, []decide.UpstreamID{"a", "b"}, used, "it was written in this era: it lives")
+	require.ElementsMatch(t, []decide.UpstreamID{"a", "b"}, used, "b was written in this era, so it is alive")
 
 	b.clock.advance(unverifiedTime)
 	require.True(t, b.acceptUnverified())
@@ -104,8 +107,8 @@
 	require.ElementsMatch(t, []decide.UpstreamID{"a", "b", "c"}, used, "its entry would have lapsed")
 }
 
-// The document in the copy is earlier than the one in force. That it does not change proves nothing: the operator may have written a later
-// one, and lost it, in which a key is taken away.
+// The restored document is earlier than the one in force. That it does not change proves nothing:
+// the operator may have written a later one, which the restore lost and which revokes an API key.
 func TestEarlierDocumentInRestoredCopyDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
 	b.store.document = document(5)
@@ -117,7 +120,7 @@
 		b.clock.advance(watchWait)
 		b.watch()
 	}
-	require.EqualValues(t, 5, b.View().Table.Revision(), "no document goes back")
+	require.EqualValues(t, 5, b.View().Table.Revision(), "the revision must not decrease")
 	require.Equal(t, at, b.View().TableAt)
 	b.store.document = document(5)
 	b.list()
@@ -126,7 +129,8 @@
 	require.Greater(t, b.View().TableAt, at)
 }
 
-// Readers of before and after the return answer beside each other. The later era counts, though its positions are lower.
+// Readers that have and that have not yet noticed a restore answer side by side. The later era
+// takes precedence although its positions are lower.
 func TestListOfLaterEraIsAppliedDespiteLowerPosition(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -148,16 +152,17 @@
 	b.peers = localPeer{old.Registry}
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "old"}))
 	used, _ = b.usedAndLeaving()
-	require.Len(t, used, 3, "a list of an earlier era is not taken")
+	require.Len(t, used, 3, "a list of an earlier era is rejected")
 }
 
-// A VM that has just started takes the copy for the newest, and others read by it. What they know is not taken out for that.
+// A VM that has just started takes the restored copy for current, and other VMs read from it. They
+// must not remove at once the upstreams that this copy lacks.
 func TestPeerListFromRestoredCopyRemovesNothingAtOnce(t *testing.T) {
 	b, young := newHarness(t), newHarness(t)
 	young.Registry.clock = b.clock
 	young.restoreStore(document(1), upstreams("a"))
 	young.list()
-	b.clock.advance(outageHold) // the VM has ended its own hold
+	b.clock.advance(outageHold) // the hold of young has ended
 	young.commit(route.Position{}, 0)
 	b.peers = localPeer{young.Registry}
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "young"}))
@@ -167,7 +172,8 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// All upstreams' entries lapsed while the store was away, and the copy has them. They live.
+// The entries of all upstreams expired while the store was down, and the restored copy has them.
+// The upstreams are alive.
 func TestExpiredUpstreamsInRestoredCopyAreUsed(t *testing.T) {
 	b := newHarness(t)
 	b.learnUpstreams(listing(nil), mark(10), b.clock.Now())
@@ -178,8 +184,9 @@
 	require.Equal(t, 2, b.upstreamCount())
 }
 
-// A VM starts while the store has just come back from a copy, in which a key that was taken away still opens. Its peers know the later document:
-// it waits for their word, and does not take the copy's.
+// A VM starts just after the store was restored from a copy whose document still accepts a revoked
+// API key. The peers have the later document, so the VM must wait for them and not apply the
+// restored one.
 func TestVMStartedAfterStoreRestoreUsesPeerDocument(t *testing.T) {
 	peers := newHarness(t)
 	peers.store.document = document(5)
@@ -202,7 +209,8 @@
 	require.EqualValues(t, 5, young.View().Table.Revision())
 }
 
-// Nobody that a VM reaches at its start knows a document, or nobody answers: it believes the store after a while.
+// No peer that a starting VM reaches has a document, or no peer answers: it accepts the store's
+// document after a wait.
 func TestVMWithoutPeerDocumentAcceptsStoreAfterWait(t *testing.T) {
 	b := newHarness(t)
 	b.store.at.Era = 2
@@ -223,8 +231,9 @@
 	}
 }
 
-// The copy lacks an upstream, and its writer writes it again a second later. A VM whose watch was cut off meanwhile sees that in a list, and
-// not as a change. Doubted, an upstream that lives was taken out for seconds.
+// The restored copy lacks an upstream, whose writer writes it again a second later. A VM whose
+// watch was cut off meanwhile sees it in a list and not as a change. If it were unverified, an
+// upstream that is alive would be removed for seconds.
 func TestUpstreamRewrittenInThisEraIsAccepted(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a"))
@@ -237,7 +246,7 @@
 	require.Equal(t, 2, b.upstreamCount())
 }
 
-// It is written again only after VMs have taken it out.
+// As above, but the entry is written again only after VMs have removed the upstream.
 func TestUpstreamRewrittenAfterRemovalIsAccepted(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a"))
@@ -250,8 +259,9 @@
 	require.Equal(t, 2, b.upstreamCount())
 }
 
-// One VM had seen an upstream's entry go before the drill, and doubts that the copy has it. Others, which had not, took its list for the newest, and
-// the upstream was lost to the whole fleet until its entry changed again.
+// One VM had seen the removal of an upstream's entry before the restore and treats the restored
+// entry as unverified. Other VMs had not seen it. If they took that VM's list as complete, they
+// would remove the upstream until its entry changes again.
 func TestUnverifiedEntriesOfPeerRemoveNothing(t *testing.T) {
 	b, doubts, late := newHarness(t), newHarness(t), newHarness(t)
 	doubts.Registry.clock, late.Registry.clock = b.clock, b.clock
@@ -266,7 +276,7 @@
 	require.True(t, late.fetch(late.ctx, peer.Member{VM: "doubts"}))
 	b.clock.advance(outageHold)
 	b.commit(route.Position{}, 0)
-	require.Equal(t, 2, b.upstreamCount(), "that a peer doubts it is no word of its end")
+	require.Equal(t, 2, b.upstreamCount(), "an entry that is unverified at a peer is not removed")
 	require.Equal(t, 1, late.upstreamCount())
 	b.clock.advance(unverifiedTime)
 	late.acceptUnverified()
--- a/daemon/registry/peers_test.go
+++ b/daemon/registry/peers_test.go
@@ -17,7 +17,7 @@
 	"snipeshift.example/lib/route"
 )
 
-// recordingPeer calls one receiver, keeps its last reply and may spoil replies.
+// recordingPeer calls one receiver, stores its last reply and can corrupt replies.
 type recordingPeer struct {
 	to      *Registry
 	reply   peer.RegistryReply
@@ -34,7 +34,7 @@
 	return err
 }
 
-// newFollower is a VM that takes a list of many upstreams from a reader.
+// newFollower returns a VM that has copied a list of many upstreams from a reader.
 func newFollower(t *testing.T, many int) (b, reader *harness, calls *recordingPeer) {
 	t.Helper()
 	b, reader = newHarness(t), newHarness(t)
@@ -60,10 +60,10 @@
 
 func (b *harness) allUpstreams() []route.Upstream { return slices.Collect(maps.Values(b.upstreams)) }
 
-// One of thousands of upstreams changes, and hundreds of VMs are each sent all of them.
+// One of thousands of upstreams changes, and hundreds of VMs are each sent the whole list.
 func TestPeerReceivesOnlyChanges(t *testing.T) {
 	b, reader, calls := newFollower(t, 100)
-	require.Zero(t, calls.reply.Base, "the first list is whole")
+	require.Zero(t, calls.reply.Base, "the first answer is a whole list")
 	reader.store.upstreams = reader.store.upstreams[1:]
 	reader.store.upstreams[0].Leaving = true
 	reader.relist()
@@ -73,7 +73,8 @@
 	require.ElementsMatch(t, reader.allUpstreams(), b.allUpstreams())
 }
 
-// Changes that a peer tells do not make the list that it has. Taken all the same, an upstream that left would be sent to for good.
+// The changes that a peer sends do not produce its list. If they were applied all the same,
+// requests would be sent to an upstream that has left until its entry changes again.
 func TestChangesWithWrongResultingHashAreRejected(t *testing.T) {
 	b, reader, calls := newFollower(t, 100)
 	before := b.allUpstreams()
@@ -84,11 +85,12 @@
 	require.ElementsMatch(t, before, b.allUpstreams())
 	calls.corrupt = nil
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "reader"}))
-	require.Zero(t, calls.reply.Base, "it asks for all of it")
+	require.Zero(t, calls.reply.Base, "the next request asks for the whole list")
 	require.ElementsMatch(t, reader.allUpstreams(), b.allUpstreams())
 }
 
-// The content by which peers know a list must be that of the list, whatever happened to it, or each question brings all of it.
+// The content hash must match the list after any sequence of updates, or each request of a peer
+// returns the whole list.
 func TestContentHashMatchesList(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := newHarness(t)
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -16,9 +16,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// The store turns a third of the VMs away, and both that read for all are among them. They answer as ever, with a
-// document that is young enough for a while. An upstream leaves meanwhile without a word, and
-// requests are sent to it seconds after it may exit: the next VM must read both kinds of objects at once.
+// The store rejects the calls of a third of the VMs, among them both readers. They still answer
+// peers, with a document that is fresh enough for a while. Meanwhile an upstream leaves without
+// notice, and requests would be sent to it for seconds: the next VM must read both feeds at once.
 func TestVMStandsInForReadersCutOffFromStore(t *testing.T) {
 	b, first, second := newHarness(t), newHarness(t), newHarness(t)
 	first.Registry.clock, second.Registry.clock = b.clock, b.clock
@@ -38,22 +38,23 @@
 	require.False(t, b.delegates(b.documentFeed()))
 	require.False(t, b.delegates(b.upstreamFeed()))
 	b.list()
-	require.False(t, b.delegates(b.upstreamFeed()), "it has just listed, and goes on reading")
-	require.True(t, b.isProver(), "it proves for all")
+	require.False(t, b.delegates(b.upstreamFeed()), "a list of its own does not end its standing in")
+	require.True(t, b.isProver(), "it is the prover")
 
 	first.store.down = false
 	first.list()
 	b.clock.advance(cutOffTTL)
 	b.askReaders(b.ctx, others, 0)
-	require.False(t, b.isProver(), "a reader's way is open again, and it proves")
+	require.False(t, b.isProver(), "a reader can reach the store again and is the prover")
 	second.store.down = false
 	second.list()
 	b.clock.advance(cutOffTTL)
 	b.askReaders(b.ctx, others, 1)
-	require.True(t, b.delegates(b.upstreamFeed()), "both are open again")
+	require.True(t, b.delegates(b.upstreamFeed()), "both readers can reach the store again")
 }
 
-// The first reader is shut off, and the VMs behind it must not all read in its place: two that are open suffice.
+// The first reader is cut off from the store. Not all VMs behind it may read in its place: two VMs
+// that can reach the store suffice.
 func TestNoMoreVMsStandInThanNeeded(t *testing.T) {
 	b, shut, open := newHarness(t), newHarness(t), newHarness(t)
 	shut.Registry.clock, open.Registry.clock = b.clock, b.clock
@@ -65,15 +66,15 @@
 	b.ReadBy(func() Roster { return Roster{Others: others[:rank], Rank: rank, Large: true} })
 	turn := b.askReaders(b.ctx, others, 0)
 	b.askReaders(b.ctx, others, turn)
-	require.False(t, b.delegates(b.documentFeed()), "one before it is open")
-	require.False(t, b.isProver(), "that one proves")
-	require.Equal(t, others[1:], b.connected(others), "a member that is shut off is not asked for a while")
+	require.False(t, b.delegates(b.documentFeed()), "only one VM before it can reach the store")
+	require.False(t, b.isProver(), "the VM before it is the prover")
+	require.Equal(t, others[1:], b.connected(others), "a member that is cut off is not asked for a while")
 	rank = 3
-	require.True(t, b.delegates(b.documentFeed()), "two before it are open")
+	require.True(t, b.delegates(b.documentFeed()), "two VMs before it can reach the store")
 }
 
-// A VM starts again in a fleet that knows all. It lists the store twice, as every VM does after a release, though any peer
-// could have told it.
+// A VM restarts while its peers have the full state. Without bootstrapping from a peer it would
+// list the store twice, as would every VM after an upgrade.
 func TestJoiningVMLearnsFromPeerWithoutStoreCalls(t *testing.T) {
 	b, known := newHarness(t), newHarness(t)
 	young := New(b.store, localPeer{known.Registry}, b.clock, b.log)
@@ -99,8 +100,8 @@
 	require.Zero(t, calls)
 }
 
-// Three hundred VMs start at once and ask the first one that knows the document. It tells a few at a time; all at once they
-// would share its small link, and none would have it in time.
+// Three hundred VMs start at once and ask the first VM that has the document. Without a limit all
+// transfers share its small link and none completes before the requesters time out.
 func TestDocumentHandoversAreRateLimited(t *testing.T) {
 	b := newHarness(t)
 	v := NewReceiver(b.Registry)
@@ -119,14 +120,15 @@
 	require.NotEmpty(t, ask().Packed)
 }
 
-// A peer's document arrives damaged. It must not be taken for an answer, nor end the VM.
+// A peer's document arrives corrupted. It must neither count as an answer nor crash the VM.
 func TestCorruptPeerDocumentIsRejected(t *testing.T) {
 	b := newHarness(t)
 	require.False(t, b.learnReplyDocument(&peer.RegistryReply{Packed: []byte("no document")}, b.clock.Now(), "peer"))
 	require.Equal(t, route.Revision(1), b.View().Table.Revision())
 }
 
-// While the store is away one of the two kinds of objects is asked for, not both, and the other follows once the first is answered.
+// While the store is down only the lead feed calls it, and the other feed follows once such a call
+// succeeds.
 func TestOnlyLeadFeedRetriesDuringOutage(t *testing.T) {
 	b := newHarness(t)
 	b.leadFeedFailing.Store(true)
@@ -140,10 +142,11 @@
 	b.awaitLeadFeed(b.ctx, b.documentFeed())
 	require.Less(t, time.Since(began), checkPeriod)
 	b.awaitLeadFeed(b.ctx, b.upstreamFeed())
-	require.Less(t, time.Since(began), 2*maxLeadFeedWaits*checkPeriod, "a store that fails for one kind alone does not stop the other")
+	require.Less(t, time.Since(began), 2*maxLeadFeedWaits*checkPeriod, "a store that fails for one feed only does not stop the other")
 }
 
-// Upstreams register one after the other. Each ends a watch, so watches follow each other less often while that goes on.
+// Upstreams register one after the other. Each update ends a watch, so the interval between watches
+// grows as long as that continues.
 func TestWatchIntervalGrowsWhileUpdatesContinue(t *testing.T) {
 	b := newHarness(t)
 	f := feed{watch: func(_ context.Context, after route.Position, _ clock.Milli) (route.Position, error) {
@@ -160,8 +163,9 @@
 	require.GreaterOrEqual(t, time.Since(began), busyWatchInterval.Duration())
 }
 
-// A watch is ended since nothing proves our knowledge any more. A further watch would prove it only after its wait, and keys
-// would be refused meanwhile: a list proves at once.
+// A watch is canceled because no reader verifies this VM's copy any more. Another watch would
+// verify it only after its wait, and requests with API keys would be refused meanwhile. A list
+// verifies it at once.
 func TestWatchCanceledForLackOfProofIsFollowedByList(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	b.readBy(reader.Registry, false)
@@ -174,8 +178,8 @@
 	require.Zero(t, at)
 }
 
-// Three hundred VMs start for the first time and each lists both kinds of objects, though no caller is there yet and the first
-// few could tell the others.
+// Three hundred VMs start for the first time and each lists both kinds of objects, although there
+// are no callers yet and the first few VMs could send their state to the others.
 func TestVMWaitsForPeersAtFirstStart(t *testing.T) {
 	b, known := newHarness(t), newHarness(t)
 	young := New(b.store, localPeer{known.Registry}, b.clock, b.log)
@@ -203,7 +207,8 @@
 	require.Zero(t, calls)
 }
 
-// A day's calls of the store are priced, and whoever looks for the dear ones must see who made them and why.
+// Calls of the store are billed, so operators must be able to see which VMs made them and in which
+// role.
 func TestStoreCallsAreCountedByRole(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -217,8 +222,8 @@
 	require.Equal(t, "list", Call{Listed: true}.Name())
 }
 
-// A VM steps in for others, and the log must say when and why: whoever looks for the cause of a stale document asks first who
-// read the store at that time.
+// A VM stands in for the readers. The log must show when and why, since the cause of a stale
+// document is first sought in which VMs read the store at that time.
 func TestRoleChangeIsLoggedOnce(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -239,7 +244,8 @@
 	require.Contains(t, lines.String(), `"role":"standin","before":"follower","rank":2,"open":0`)
 }
 
-// Questions to readers go out late by the time between two checks, and news of a leaving upstream crosses two layers of them.
+// If a poll waited for the next periodic check, it would be late by up to checkPeriod, and the
+// removal of a leaving upstream passes two layers of polls.
 func TestPeriodicCheckDoesNotDelayNextPoll(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -18,7 +18,7 @@
 	"snipeshift.example/lib/route"
 )
 
-// manualClock is a clock that a test sets.
+// manualClock is a clock that a test advances.
 type manualClock struct {
 	mu sync.Mutex
 	at clock.Milli
@@ -36,21 +36,21 @@
 	upstreams []route.Upstream
 	gone      []decide.UpstreamID
 	down      bool
-	// unreadable is set where what stands in the place of the document cannot be read.
+	// unreadable is set to answer that the document cannot be parsed.
 	unreadable bool
-	// at is the store's position. Positions of watches and lists rise by one with each answer.
+	// at is the store's position. Its mark rises by one with each answer about upstreams.
 	at route.Position
 }
 
-// position is one in the present era.
+// position returns a position in the present era.
 func (f *fakeStore) position(m route.Mark) route.Position {
 	return route.Position{Era: f.at.Era, Mark: m}
 }
 
-// mark is a position of a store that tells no era.
+// mark returns a position without an era.
 func mark(m route.Mark) route.Position { return route.Position{Mark: m} }
 
-// next is the position after one.
+// next returns the position that follows p.
 func next(p route.Position) route.Position { return route.Position{Era: p.Era, Mark: p.Mark + 1} }
 
 func (f *fakeStore) Document(context.Context) (*route.Document, route.Position, error) {
@@ -115,12 +115,12 @@
 	return us
 }
 
-// listing is what a list of the store's with these upstreams says.
+// listing returns the answer of the store to a list with these upstreams.
 func listing(us []route.Upstream) route.News { return route.News{Upstreams: us} }
 
 type harness struct {
 	*Registry
-	// promoted makes the VM a reader.
+	// promoted makes the VM the primary reader.
 	promoted atomic.Bool
 	t        *testing.T
 	store    *fakeStore
@@ -136,7 +136,7 @@
 	return b
 }
 
-// list is one round of both followers.
+// list lists both feeds once.
 func (b *harness) list() {
 	b.t.Helper()
 	_, err := b.listDocument(b.ctx)
@@ -155,17 +155,17 @@
 
 func (b *harness) upstreamCount() int { return len(b.View().Upstreams["s"]) }
 
-// Something late tells of a document that was replaced already: a stale read, or a
-// peer that was cut off. Whoever saw the newer one in force must not see it taken back.
+// A late message carries a document that was already replaced: a stale read, or a peer that was cut
+// off. The revision in force must not decrease.
 func TestRevisionNeverDecreases(t *testing.T) {
 	b := newHarness(t)
 	b.learnDocument(document(9), b.clock.Now(), "store")
 	b.learnDocument(document(7), b.clock.Now()+1, "peer")
 	require.EqualValues(t, 9, b.View().Table.Revision())
-	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older one proves nothing")
+	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older document verifies nothing")
 }
 
-// A document leads nowhere. The last good one goes on being served.
+// A document is inconsistent. The last valid one stays in force.
 func TestInvalidDocumentIsRejected(t *testing.T) {
 	b := newHarness(t)
 	bad := document(2)
@@ -174,9 +174,9 @@
 	require.EqualValues(t, 1, b.View().Table.Revision())
 }
 
-// Something that cannot be read stands in the place of the document. The last good one is served on, and the store has answered: it
-// is not away. But it may be a document that takes a key away, so nothing proves the last one any more, also not the
-// end of a watch without news, until a good one is there again.
+// The store's document cannot be parsed. The last valid one stays in force, and the store counts as
+// reachable, since it has answered. But the new document may revoke an API key, so neither lists
+// nor watches that end without a change verify the last one until a valid document is there.
 func TestUnreadableDocumentDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
 	known := b.View().TableAt
@@ -195,8 +195,8 @@
 	require.Greater(t, b.View().TableAt, known)
 }
 
-// The end of a watch without news proves what is known up to the end of the wait, and
-// not up to the arrival of the answer, which may have been held up for seconds.
+// The end of a watch without a change proves that the copy was current until the end of the wait,
+// and not until the arrival of the answer, which may have been delayed for seconds.
 func TestDelayedWatchAnswerProvesOnlyUpToItsWait(t *testing.T) {
 	b := newHarness(t)
 	sent := b.clock.Now()
@@ -206,7 +206,7 @@
 	require.Equal(t, b.clock.Now(), b.provenUntil(sent, watchWait))
 }
 
-// An upstream's entry is removed while the store is well: it has left.
+// An upstream's entry is removed while the store is reachable: the upstream has left.
 func TestRemovedUpstreamIsDroppedAtOnce(t *testing.T) {
 	b := newHarness(t)
 	b.store.gone = []decide.UpstreamID{"a"}
@@ -214,8 +214,8 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// The store was away, and the entries of all upstreams lapsed though they live. Taken
-// at its word, nothing is left to serve with until they have registered again.
+// The entries of all upstreams expired during an outage of the store although the upstreams are
+// alive. If they were removed at once, no upstream would be left until they have registered again.
 func TestEntriesExpiredDuringOutageAreRetained(t *testing.T) {
 	b := newHarness(t)
 	b.store.down = true
@@ -230,10 +230,10 @@
 	require.Equal(t, 2, b.upstreamCount())
 	b.clock.advance(200)
 	b.learnUpstreams(listing(upstreams("a")), mark(1), b.clock.Now())
-	require.Equal(t, 1, b.upstreamCount(), "b has not come back in time")
+	require.Equal(t, 1, b.upstreamCount(), "b was not written again during the hold")
 }
 
-// The same return, when the list of upstreams is the very first answer after the outage.
+// As above, with the list of upstreams as the very first answer after the outage.
 func TestExpiredEntriesAreRetainedOnFirstAnswerAfterOutage(t *testing.T) {
 	b := newHarness(t)
 	b.store.down = true
@@ -245,8 +245,8 @@
 	require.Equal(t, 2, b.upstreamCount())
 }
 
-// The store turns this VM away and serves the others. Keys and upstreams that change
-// meanwhile must be known here all the same.
+// The store rejects this VM's calls and serves the other VMs. Changes of keys and upstreams must
+// still take effect here.
 func TestVMCutOffFromStoreLearnsFromPeers(t *testing.T) {
 	cut, well := newHarness(t), newHarness(t)
 	cut.peers = localPeer{well.Registry}
@@ -257,7 +257,7 @@
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
 	well.Fill("", beat)
 	cut.Learn(beat, false)
-	require.Equal(t, cut.clock.Now()-heartbeatTimeout, cut.View().TableAt, "the same document, known to be new")
+	require.Equal(t, cut.clock.Now()-heartbeatTimeout, cut.View().TableAt, "the same document, verified by the peer")
 	require.Equal(t, cut.clock.Now()-heartbeatTimeout, cut.View().UpstreamsAt)
 
 	cut.clock.advance(4 * clock.Second)
@@ -273,9 +273,9 @@
 	}, time.Second, time.Millisecond)
 }
 
-// The store turned this VM away, and since then readers tell it. An upstream that left without a word is gone
-// by their word at once: kept for two seconds, as after an outage of the store, it would be sent
-// requests long after it had left.
+// The store rejected this VM's calls, and readers have sent it their state since. An upstream that
+// a reader reports as removed must be removed at once. If it were retained as after an outage of
+// the store, requests would be sent to it long after it had left.
 func TestRemovalReportedByReaderAppliesAtOnce(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -289,9 +289,10 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// This VM once met a closed store, and readers have read for it since. Then the readers' ways are shut, and it reads for
-// itself: that is no return of the store. An upstream that has left without a word must not be kept as
-// after an outage: it would be sent requests for two seconds more, long after it had left.
+// A call of this VM failed once, and readers have read for it since. Then the readers are cut off
+// and the VM reads the store itself, which is not the end of an outage. An upstream that has left
+// without notice must not be retained as after an outage: it would receive requests for two more
+// seconds.
 func TestResumedStoreReadsAreNotTreatedAsOutageEnd(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -307,7 +308,7 @@
 	b.follow(ctx, feed{name: "upstreams", list: none, watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
 		return route.Position{Mark: 1}, nil
 	}})
-	require.False(t, b.Lost(), "while it rests, readers vouch for what it knows")
+	require.False(t, b.Lost(), "readers verify its copy while it makes no calls")
 	b.clock.advance(delegationLimit + 1)
 	require.False(t, b.delegates(b.documentFeed()))
 	b.store.upstreams = upstreams("b")
@@ -315,9 +316,9 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// The store was away for all, and the entries of upstreams lapsed though they live. A peer that has just
-// started lists what is there and remembers nothing. By its word all upstreams would be gone
-// everywhere until they have registered again.
+// The store was down for all VMs, and entries of upstreams expired although they are alive. A peer
+// that has just started lists only the present entries and does not know the others. Its list must
+// not remove them from all VMs before they have registered again.
 func TestListOfNewPeerAfterOutageRemovesNothingAtOnce(t *testing.T) {
 	b := newHarness(t)
 	b.clock.advance(5 * clock.Second)
@@ -331,9 +332,10 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// The store was away and its entries lapsed, but the watch of this VM waited all the while and says only that all upstreams of a service
-// are gone. They register again within a second; taken out at once, every request would be refused for want of any. One that leaves
-// alone is gone at once all the same, and so is one that has said that it leaves.
+// During an outage of the store entries expired, while this VM's watch was open all the time, so
+// the watch only reports that all upstreams of a service are gone. They register again within a
+// second. If they were removed at once, every request would be refused. A single upstream, or one
+// that announced that it leaves, is still removed at once.
 func TestUpstreamsRemovedTogetherAreRetained(t *testing.T) {
 	b := newHarness(t)
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
@@ -344,12 +346,12 @@
 	b.changeUpstreams(route.News{}, mark(62), b.clock.Now())
 	require.Equal(t, 1, b.upstreamCount(), "b did not come back")
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
-	require.Equal(t, 0, b.upstreamCount(), "one alone is gone at once")
+	require.Equal(t, 0, b.upstreamCount(), "a single upstream is removed at once")
 
 	b.list()
 	b.store.upstreams = nil
 	b.list()
-	require.Equal(t, 2, b.upstreamCount(), "a list that lacks them says no more than a watch")
+	require.Equal(t, 2, b.upstreamCount(), "a list that lacks them has the same effect as a watch")
 	b.clock.advance(massRemovalHold)
 	b.list()
 	require.Equal(t, 0, b.upstreamCount())
@@ -358,11 +360,11 @@
 	leaving[0].Leaving, leaving[1].Leaving = true, true
 	b.changeUpstreams(listing(leaving), mark(64), b.clock.Now())
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
-	require.Equal(t, 0, b.upstreamCount(), "they had said so")
+	require.Equal(t, 0, b.upstreamCount(), "they had announced that they leave")
 }
 
-// A peer that is cut off itself says what it knew long ago. Its word must not make
-// knowledge look fresh.
+// A peer that is cut off reports state that was verified long ago. Its summary must not make this
+// VM's copy look current.
 func TestOldPeerSummaryDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
 	at := b.View().TableAt
@@ -372,7 +374,7 @@
 	require.Equal(t, at, b.View().UpstreamsAt)
 }
 
-// A failed call may have lost events with its answer, so the next one lists anew.
+// A failed call may have lost changes with its answer, so the next call is a list.
 func TestFeedListsAgainAfterFailure(t *testing.T) {
 	b := newHarness(t)
 	ctx, cancel := context.WithCancel(b.ctx)
@@ -396,9 +398,10 @@
 	require.Equal(t, []string{"list", "watch", "watch", "list", "watch"}, calls)
 }
 
-// The store turned a VM away while an upstream left. Back again, that VM keeps the entry for
-// two seconds, since it may have lapsed; for the others it is gone. A VM whose own
-// watch has just brought news asks that one, and must not take the upstream back.
+// The store rejected a VM's calls while an upstream left. Once it answers again, that VM retains
+// the entry for two seconds, since it may have expired in an outage; at all other VMs the upstream
+// is gone. A VM whose own watch has just delivered the removal asks that VM and must not restore
+// the upstream.
 func TestPeerRetainingExpiredEntriesDoesNotRestoreThem(t *testing.T) {
 	well, back := newHarness(t), newHarness(t)
 	well.peers = localPeer{back.Registry}
@@ -411,20 +414,20 @@
 	well.clock.advance(2400)
 	back.store.down, back.store.upstreams = false, upstreams("b")
 	back.list()
-	require.Equal(t, 2, back.upstreamCount(), "it keeps the entry for a while")
+	require.Equal(t, 2, back.upstreamCount(), "the entry is retained for a while")
 
 	beat := &peer.BeatArgs{From: peer.Member{VM: "back"}}
 	back.Fill("", beat)
-	require.Zero(t, beat.Registry.Digest, "what is kept on suspicion proves nothing to others")
+	require.Zero(t, beat.Registry.Digest, "a list with retained entries is not offered to peers")
 	var reply peer.RegistryReply
 	require.NoError(t, NewReceiver(back.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
 	require.Empty(t, reply.Upstreams)
 
 	well.learnPeerUpstreams(listing(upstreams("a", "b", "c")), mark(9), well.clock.Now())
-	require.Equal(t, 2, well.upstreamCount(), "b, and c that is new; a has left")
+	require.Equal(t, 2, well.upstreamCount(), "b, and c, which is new; a has left")
 }
 
-// An upstream announced that it leaves. A peer's older word must not make it ready again.
+// An upstream announced that it leaves. An older list of a peer must not make it ready again.
 func TestOlderPeerListDoesNotClearLeaving(t *testing.T) {
 	b := newHarness(t)
 	us := upstreams("a", "b")
@@ -434,7 +437,7 @@
 	require.True(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
 }
 
-// readers of a test: one other, or this VM itself.
+// readBy sets the readers: one other VM, or also this VM as the primary reader.
 func (b *harness) readBy(other *Registry, self bool) {
 	b.peers = localPeer{other}
 	b.ReadBy(func() Roster {
@@ -445,25 +448,25 @@
 	})
 }
 
-// Each VM that proves by short watches that it knows the newest makes two calls a
-// second. A hundred of them would take a tenth of what the store bears.
+// Each VM that verifies its copy with short watches makes two calls a second. A hundred such VMs
+// would use a tenth of the store's capacity.
 func TestWatchesAreLongWhileReaderProvesFreshness(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
 	b.readBy(reader.Registry, false)
 	require.Equal(t, longWatchWait, b.watchWaitOf(b.documentFeed()))
 	b.readBy(reader.Registry, true)
-	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "a reader reads")
+	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "the primary reader keeps short watches")
 	b.readBy(reader.Registry, false)
 	b.clock.advance(proofLimit + 1)
-	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "without proof it reads for itself")
+	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "it reads for itself if its copy is not verified")
 	reader.list()
 	b.fetch(b.ctx, peer.Member{VM: "reader"})
 	require.Equal(t, longWatchWait, b.watchWaitOf(b.documentFeed()))
 }
 
-// A long watch goes silent, and the readers are gone as well. The watch must end, or this
-// VM would know nothing new until its wait is over.
+// A long watch hangs, and the readers are gone as well. The watch must be canceled, or this VM
+// would receive no updates until its wait has passed.
 func TestLongWatchIsCanceledWithoutProof(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -477,11 +480,11 @@
 	select {
 	case <-watching.Done():
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the silent watch is still waited for")
+		require.Fail(t, "the hanging watch was not canceled")
 	}
 }
 
-// A long watch went silent, and an upstream has left since. A reader's word has a later mark.
+// A long watch hangs, and an upstream has left since. The list of a reader has a later position.
 func TestLaterListOfReaderIsApplied(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -494,8 +497,8 @@
 	require.LessOrEqual(t, b.documentAge(), askAge)
 }
 
-// All upstreams register within two seconds. A watch for each entry, by each VM of a large
-// fleet, would take most of what the store bears.
+// All upstreams register within two seconds. One watch per entry and VM of a large fleet would use
+// most of the store's capacity.
 func TestUpdatesAreBatched(t *testing.T) {
 	b := newHarness(t)
 	ctx, cancel := context.WithTimeout(b.ctx, 600*time.Millisecond)
@@ -510,7 +513,8 @@
 	require.LessOrEqual(t, watches, 4)
 }
 
-// readLargeFleetBy lets one other read for a fleet in which VMs keep no watches.
+// readLargeFleetBy sets up a large fleet, in which this VM keeps no watches, with one other VM as
+// reader.
 func (b *harness) readLargeFleetBy(reader *Registry) {
 	b.peers = localPeer{reader}
 	b.ReadBy(func() Roster {
@@ -518,9 +522,9 @@
 	})
 }
 
-// A hundred VMs each keep two watches open, and fifteen upstreams are taken away one after
-// the other: each piece of news costs a hundred calls. So in a large fleet a VM leaves the
-// store to the readers while they answer, and an upstream that left is known all the same.
+// If a hundred VMs each kept two watches and fifteen upstreams were removed one after the other,
+// each removal would cost a hundred calls. So a VM of a large fleet leaves the store to the readers
+// while they answer, and still learns of a removal.
 func TestLargeFleetDelegatesToReaders(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -537,11 +541,11 @@
 	require.Equal(t, 1, b.upstreamCount())
 
 	b.clock.advance(pollExpiry + 1)
-	require.False(t, b.delegates(b.documentFeed()), "a reader that is silent is not relied on")
+	require.False(t, b.delegates(b.documentFeed()), "a reader that does not respond is not relied on")
 }
 
-// The way of the readers to the store is shut, and they answer as ever. Whoever relies on
-// them knows nothing of what the store tells all others.
+// The readers cannot reach the store but still answer. A VM that relied on them would miss all
+// updates of the store.
 func TestVMReadsStoreWhenReadersAreStale(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
@@ -553,8 +557,8 @@
 	require.True(t, b.delegates(b.documentFeed()))
 }
 
-// One of two readers is shut off from the store and answers as ever. A VM that asked it first
-// asks the other one before it relies on the answer.
+// One of two readers is cut off from the store but still answers. A VM that asked it first must ask
+// the other one too before it relies on the answer.
 func TestSecondReaderIsAskedWhenFirstIsCutOff(t *testing.T) {
 	b, shut, well := newHarness(t), newHarness(t), newHarness(t)
 	shut.Registry.clock, well.Registry.clock = b.clock, b.clock
@@ -569,16 +573,16 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// localPeers calls receivers by their address without a network.
+// localPeers calls receivers by address without a network.
 type localPeers map[string]*Registry
 
 func (a localPeers) Call(ctx context.Context, address, method string, args, reply any) error {
 	return localPeer{a[address]}.Call(ctx, address, method, args, reply)
 }
 
-// The store is away for twenty seconds. A VM that others read for must not ask it four
-// times a second all the while: a hundred of them would meet it as it comes back. One that
-// becomes a reader asks at once.
+// The store is down for twenty seconds. A VM that others read for must not call it four times a
+// second throughout, or a hundred VMs would overload it as it comes back. A VM that becomes the
+// primary reader calls at once.
 func TestFailedCallsBackOff(t *testing.T) {
 	b, reader := newHarness(t), newHarness(t)
 	b.readBy(reader.Registry, false)
@@ -593,7 +597,7 @@
 	require.Less(t, time.Since(began), 4*retryWait)
 }
 
-// unusable is what the store says of entries that somebody has spoilt.
+// unusable returns the store's answer for entries that are invalid for a reason.
 func unusable(reason string, ids ...decide.UpstreamID) route.News {
 	var n route.News
 	for _, id := range ids {
@@ -602,9 +606,9 @@
 	return n
 }
 
-// Another writer overwrites the entry of an upstream, also while the store has just come back and lapsed
-// entries are kept. Nothing may be sent there on the word of what stood there before; the upstream's next
-// heartbeat makes it good again.
+// Another writer overwrites the entry of an upstream, also just after an outage, while expired
+// entries are retained. No request may be sent on the basis of the earlier entry. The upstream's
+// next heartbeat restores it.
 func TestUnusableEntryIsExcludedUntilValid(t *testing.T) {
 	b := newHarness(t)
 	b.changeUpstreams(unusable("no state", "a"), mark(9), b.clock.Now())
@@ -623,7 +627,8 @@
 	require.Equal(t, 1, b.upstreamCount())
 }
 
-// Another writer fills the store with entries, time and again. Neither memory nor the log may grow with them.
+// Another writer repeatedly floods the store with entries. Neither memory nor the log may grow
+// without bound.
 func TestUnusableEntriesAreBounded(t *testing.T) {
 	b := newHarness(t)
 	ids := make([]decide.UpstreamID, 3*maxUnusable)
@@ -638,11 +643,11 @@
 	require.Len(t, b.unusable, maxUnusable)
 	require.Equal(t, 2, b.upstreamCount())
 	b.changeUpstreams(unusable("no state", "a"), mark(10), b.clock.Now())
-	require.Equal(t, 1, b.upstreamCount(), "a spoilt entry is obeyed all the same")
+	require.Equal(t, 1, b.upstreamCount(), "an unusable entry still excludes its upstream")
 }
 
-// In a large fleet most VMs learn of upstreams from a reader alone. One whose entry was spoilt for a moment must
-// be used again by all of them: it has not left.
+// In a large fleet most VMs learn of upstreams only from a reader. An upstream whose entry was
+// invalid for a moment has not left, and all VMs must use it again.
 func TestReaderRestoresUpstreamAfterUnusableEntry(t *testing.T) {
 	reader, other := newHarness(t), newHarness(t)
 	other.peers = localPeer{reader.Registry}
@@ -655,7 +660,7 @@
 	require.Equal(t, 2, other.upstreamCount())
 }
 
-// upstreamsBorn makes upstreams of one life.
+// upstreamsBorn returns upstreams whose incarnation started at an instant.
 func upstreamsBorn(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
 	us := upstreams(ids...)
 	for i := range us {
@@ -664,8 +669,9 @@
 	return us
 }
 
-// An upstream crashes and starts again under its id. What was said of its earlier life, by the store or by
-// a peer, comes late and changes nothing; that it had left does not keep its new life out.
+// An upstream crashes and restarts under the same id. Late entries of its earlier incarnation, from
+// the store or a peer, must have no effect, and the departure of the earlier incarnation must not
+// exclude the new one.
 func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := newHarness(t)
 	born := func() decide.Born {
@@ -680,16 +686,17 @@
 	b.learnPeerUpstreams(listing(upstreamsBorn(5, "a", "b")), mark(13), b.clock.Now())
 	require.EqualValues(t, 7, born())
 	require.False(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
-	require.Equal(t, generation+1, b.View().Generation, "b alone has changed")
+	require.Equal(t, generation+1, b.View().Generation, "only b has changed")
 
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
 	b.learnPeerUpstreams(listing(upstreamsBorn(7, "a", "b")), mark(15), b.clock.Now())
-	require.Equal(t, 1, b.upstreamCount(), "that life has left")
+	require.Equal(t, 1, b.upstreamCount(), "that incarnation has left")
 	b.learnPeerUpstreams(listing(upstreamsBorn(9, "a", "b")), mark(16), b.clock.Now())
 	require.EqualValues(t, 9, born())
 }
 
-// An upstream that announced its leaving crashes before it is gone, and starts again. Its new life takes work.
+// An upstream announces that it leaves, crashes before it has left, and restarts. The new
+// incarnation must receive requests.
 func TestNewIncarnationIsNotLeaving(t *testing.T) {
 	b := newHarness(t)
 	us := upstreamsBorn(5, "a", "b")
