--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -1,9 +1,10 @@
-// Package changes tells what has changed in a list of upstreams since a peer had it, so that the peer is sent that alone.
+// Package changes computes what changed in a list of upstreams since a peer copied it, so that only
+// the changes are sent to the peer.
 //
-// A list is known by its content, a number that is equal for equal lists. Whoever applies changes works out the content of what
-// results: changes that were made for another list are noticed.
+// A list is identified by its content hash, which is equal for equal lists. The receiver of changes
+// computes the hash of the resulting list, and so detects changes that were made for another list.
 //
-// Nothing here has sockets, goroutines or a clock, nor is anything safe for concurrent use.
+// The package uses no sockets, goroutines or clock. Its types are not safe for concurrent use.
 package changes
 
 import (
@@ -17,13 +18,13 @@
 	"snipeshift.example/lib/route"
 )
 
-// Content is equal for equal sets of upstreams, whatever their order.
+// Content is the hash of a set of upstreams. It does not depend on their order.
 type Content uint64
 
-// emptyHash is the content of an empty list; zero stands for no list.
+// emptyHash is the hash of an empty list; zero stands for no list.
 const emptyHash Content = 1
 
-// Of is the content of a list.
+// Of returns the hash of a list.
 func Of(us []route.Upstream) Content {
 	c := emptyHash
 	for i := range us {
@@ -32,7 +33,7 @@
 	return c
 }
 
-// hashUpstream is the hash of one upstream with all its fields.
+// hashUpstream returns the hash of one upstream with all its fields.
 func hashUpstream(u *route.Upstream) Content {
 	var d xxhash.Digest
 	d.Reset()
@@ -45,19 +46,22 @@
 	return Content(d.Sum64())
 }
 
-// maxHashes bounds the earlier lists of which it is known what changed since. News comes four times a second at most, so whoever asked within
-// the last eight seconds is sent changes.
+// maxHashes bounds the number of earlier lists for which the changes since are known. Updates
+// arrive at most four times a second, so a peer that asked within the last eight seconds is sent
+// only the changes.
 const maxHashes = 32
 
-// Log notes what changes in one list.
+// Log records the changes of one list.
 type Log struct {
-	// version counts the changes, and changed holds the last one of each upstream that changed or went.
+	// version counts the changes. changed holds the version of the last change or removal of each
+	// upstream.
 	version uint64
 	changed map[decide.UpstreamID]uint64
-	// versions holds the version at which the list last had a content, order the contents from the oldest one on.
+	// versions holds, for each recent hash of the list, the last version at which the list had that
+	// hash. order holds these hashes from the oldest to the newest.
 	versions map[Content]uint64
 	order    []Content
-	// hash is the content of the list, and open is set while it changes.
+	// hash is the current hash of the list. changing is set between a change and the next Settle.
 	hash     Content
 	changing bool
 }
@@ -67,7 +71,8 @@
 	return &Log{changed: map[decide.UpstreamID]uint64{}, versions: map[Content]uint64{}, hash: emptyHash}
 }
 
-// Put notes that an upstream came, or took the place of an older entry of its own; nil for none.
+// Put records that an upstream was added, or replaced its older entry; old is nil if there was
+// none.
 func (l *Log) Put(u route.Upstream, old *route.Upstream) {
 	if old != nil {
 		l.hash -= hashUpstream(old)
@@ -76,7 +81,7 @@
 	l.record(u.ID)
 }
 
-// Take notes that an upstream went.
+// Take records that an upstream was removed.
 func (l *Log) Take(u route.Upstream) {
 	l.hash -= hashUpstream(&u)
 	l.record(u.ID)
@@ -88,7 +93,7 @@
 	l.changing = true
 }
 
-// Settle notes that the list is whole as it is now: peers may have it.
+// Settle records that the current state of the list is complete, so that peers may copy it.
 func (l *Log) Settle() {
 	if !l.changing {
 		return
@@ -103,16 +108,17 @@
 	}
 }
 
-// prune drops the changes that all lists have that are known.
+// prune drops the changes that are included in the oldest list still recorded.
 func (l *Log) prune() {
 	least := l.versions[l.order[0]]
 	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= least })
 }
 
-// Content is that of the list; false while it changes.
+// Content returns the hash of the list; false between a change and the next Settle.
 func (l *Log) Content() (Content, bool) { return l.hash, !l.changing }
 
-// Since lists what changed since the list had a content; false if that is not known.
+// Since returns the upstreams that changed or were removed since the list had a hash; false if that
+// is not known.
 func (l *Log) Since(c Content) ([]decide.UpstreamID, bool) {
 	version, ok := l.versions[c]
 	if !ok || l.changing {
@@ -127,7 +133,7 @@
 	return ids, true
 }
 
-// Apply returns a list with upstreams changed or added, and others taken out.
+// Apply returns a copy of a list with some upstreams changed or added, and others removed.
 func Apply(list, changed []route.Upstream, without []decide.UpstreamID) []route.Upstream {
 	replaced := make(map[decide.UpstreamID]bool, len(changed)+len(without))
 	for i := range changed {
--- a/daemon/changes/changes_test.go
+++ b/daemon/changes/changes_test.go
@@ -13,7 +13,7 @@
 	"snipeshift.example/lib/route"
 )
 
-// loggedList is one VM's list with its log.
+// loggedList is a list of upstreams with its log.
 type loggedList struct {
 	*Log
 	upstreams map[decide.UpstreamID]route.Upstream
@@ -45,7 +45,7 @@
 	l.Settle()
 }
 
-// since is what a peer with a content is sent.
+// since returns the changes that are sent to a peer whose list has a hash.
 func (l *loggedList) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
 	ids, ok := l.Since(c)
 	for _, id := range ids {
@@ -60,7 +60,8 @@
 
 func values(l *loggedList) []route.Upstream { return slices.Collect(maps.Values(l.upstreams)) }
 
-// A peer that applied changes to a list that it did not have would send to upstreams that left, and leave others out.
+// A peer that applied changes to a list for which they were not made would send requests to
+// upstreams that have left, and would lack others.
 func TestChangesReproduceTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLoggedList()
@@ -112,7 +113,8 @@
 	require.Equal(t, Of([]route.Upstream{u, {ID: "z"}}), Of([]route.Upstream{{ID: "z"}, u}))
 }
 
-// A VM that was cut off asks again with a list of long ago. What changed since is not remembered for ever, and it must be sent everything.
+// A VM that was cut off asks with a list of long ago. Changes are not recorded for ever, so it must
+// be sent the whole list.
 func TestOldHashesAreForgotten(t *testing.T) {
 	l := newLoggedList()
 	l.put(route.Upstream{ID: "first"})
@@ -129,7 +131,7 @@
 	require.LessOrEqual(t, len(l.changed), 2*maxHashes)
 }
 
-// A list is asked for in the middle of a change.
+// A peer asks for the list between a change and Settle.
 func TestNoHashOrChangesBeforeSettle(t *testing.T) {
 	l := newLoggedList()
 	l.put(route.Upstream{ID: "a"})
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -1,9 +1,8 @@
 // Package follow keeps the newest configuration document in force on this VM.
 //
-// A document is named by its revision, the store's version of it. The one rule
-// that keeps an accepted document from being reverted is that a revision is
-// taken only if it is above every one seen before, wherever it comes from: a
-// stale read of the store or a peer that lags can then never win.
+// A document is identified by its revision, which is its version in the store. A document is
+// applied only if its revision is higher than every revision seen before, whatever its source. So a
+// stale read of the store or an outdated peer can never revert an accepted document.
 package follow
 
 import (
@@ -15,7 +14,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Where the document lives in the store.
+// Kind and name of the document in the store.
 const (
 	Kind platform.Kind = "config"
 	Name platform.Name = "document"
@@ -27,12 +26,12 @@
 	Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error)
 }
 
-// Caller calls a method of a peer.
+// Caller calls net/rpc methods of a peer.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Clock reads the time of this process.
+// Clock reads the monotonic time of this process.
 type Clock interface {
 	Now() clock.Milli
 }
@@ -46,61 +45,62 @@
 	Kick()
 }
 
-// Take parses a document and puts it in force. An error means that it does
-// not parse or does not hold together; it then stays out of force.
+// Take parses a document and puts it in force. If the document cannot be parsed or is inconsistent,
+// it returns an error, and the document does not come into force.
 type Take func(r peer.Revision, text []byte) error
 
-// Rules set the pace of a follower.
+// Rules are the intervals and limits of a follower.
 type Rules struct {
-	// Watchers is how many members of each failure domain watch and poll the store.
+	// Watchers is the number of members in each failure domain that watch and poll the store.
 	Watchers int
-	// Wait is how long one watch waits, Poll the time between two polls of a
-	// watcher, Slow the same for all other members of a full fleet; in a smaller
-	// one they poll more often, so that all of them together poll as much.
+	// Wait is the maximum duration of one watch. Poll is the time between two polls of a watcher.
+	// Slow is the same for all other members of a fleet of fullFleet members; in a smaller fleet
+	// they poll more often, so that all of them together make the same number of polls.
 	Wait, Poll, Slow clock.Milli
-	// Contact is how long ago the store or a peer may have been reached for
-	// this VM to count as ready.
+	// Contact is the maximum time since the last contact with the store or a peer for this VM to be
+	// ready.
 	Contact clock.Milli
-	// Fetch is the timeout of asking a peer for a document.
+	// Fetch is the timeout of a request to a peer for a document.
 	Fetch clock.Milli
 }
 
-// DefaultRules put a document in force everywhere within 8 s, also when every
-// watch is dead: a poll finds it within 2 s and heartbeats carry it on. Two
-// watchers in each of 8 failure domains make 16 waiting watches and 8 polls a
-// second, and 434 other members poll 7 times a second between them, of a store
-// that takes 2,000 reads a second. All 450 polling would take 225.
+// DefaultRules put a document in force on all VMs within 8 s even if every watch hangs: a poll
+// finds the document within 2 s, and heartbeats announce it to the other VMs. Two watchers in each
+// of 8 failure domains make 16 open watches and 8 polls a second, and the 434 other members
+// together poll 7 times a second. The store can serve 2,000 reads a second. If all 450 members
+// polled at the rate of a watcher, they would make 225 polls a second.
 var DefaultRules = Rules{
 	Watchers: 2,
 	Wait:     10 * clock.Second, Poll: 2 * clock.Second, Slow: clock.Minute,
 	Contact: 5 * clock.Second, Fetch: clock.Second,
 }
 
-// fullFleet is the number of members that Slow is made for.
+// fullFleet is the number of members for which Rules.Slow is specified.
 const fullFleet = 450
 
-// Follower holds the newest document. It is safe for concurrent use.
+// Follower keeps the newest document. It is safe for concurrent use.
 type Follower struct {
 	store  Store
 	caller Caller
 	clock  Clock
 	rules  Rules
 	take   Take
-	// wake wakes the fetching from peers.
+	// wake starts a fetch from a peer.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// revision and text are the document in force; revision never falls.
+	// revision and text are the document in force. revision never decreases.
 	revision peer.Revision
 	text     []byte
-	// rejected is the highest revision that did not parse, so that it is
-	// neither tried again and again nor fetched.
+	// rejected is the highest revision that take refused, so that it is neither parsed nor fetched
+	// again.
 	rejected peer.Revision
-	// rejectError is what was wrong with it.
+	// rejectError is the error that take returned for it.
 	rejectError error
-	// storeContact is when the store answered last.
+	// storeContact is when the store last answered.
 	storeContact clock.Milli
-	// peerRevision is the highest revision that a peer told, and where it is to be had.
+	// peerRevision is the highest revision that a peer has announced, peerAddress the address of
+	// that peer.
 	peerRevision peer.Revision
 	peerAddress  string
 	peers        Peers
@@ -111,15 +111,15 @@
 	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, wake: make(chan struct{}, 1)}
 }
 
-// Newest is the document in force; revision zero means that there is none.
+// Newest returns the document in force; revision zero means that there is none.
 func (f *Follower) Newest() (peer.Revision, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision, f.text
 }
 
-// Refused is the newest revision that does not parse, with its problem, while
-// it is above the one in force.
+// Refused returns the highest revision that could not be applied, with the error, as long as it is
+// higher than the one in force.
 func (f *Follower) Refused() (peer.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,16 +129,16 @@
 	return f.rejected, f.rejectError
 }
 
-// Offer takes a document if its revision is above every one seen and it
-// parses. It tells whether the document is now in force.
+// Offer applies a document if its revision is higher than every one seen and it is valid. It
+// reports whether the document is now in force.
 func (f *Follower) Offer(r peer.Revision, text []byte) bool {
 	f.mu.Lock()
 	if r <= f.revision || r <= f.rejected {
 		f.mu.Unlock()
 		return false
 	}
-	// take runs under the lock: two documents offered at once must come into
-	// force in the order of their revisions.
+	// take runs under the lock, so that two documents offered at once come into force in the order
+	// of their revisions.
 	err := f.take(r, text)
 	if err != nil {
 		f.rejected, f.rejectError = r, err
@@ -153,12 +153,13 @@
 	return err == nil
 }
 
-// Fill implements member.Part: a beat carries the revision in force.
+// Fill implements member.Part. It adds the revision in force to a heartbeat.
 func (f *Follower) Fill(_ peer.VM, b *peer.BeatArgs) {
 	b.Revision, _ = f.Newest()
 }
 
-// Learn implements member.Part: a peer with a higher revision has the document.
+// Learn implements member.Part. A higher revision in a peer's heartbeat starts a fetch from that
+// peer.
 func (f *Follower) Learn(b *peer.BeatArgs, _ bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,9 +173,9 @@
 	}
 }
 
-// Ready tells whether a document is in force and the store or a peer was
-// reached lately. A VM that is cut off from both may be obeying a document
-// that is no longer in force anywhere else, so it must get no callers.
+// Ready reports whether a document is in force and the store or a peer was reached within
+// Rules.Contact. A VM that is cut off from both may apply a document that is no longer in force
+// anywhere else, so it must not serve callers.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
 	revision, contact, peers := f.revision, f.storeContact, f.peers
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -17,10 +17,10 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// testRules are the rules of tests: the same decisions at a faster pace.
+// testRules make the same decisions as DefaultRules at shorter intervals.
 var testRules = Rules{Watchers: 2, Wait: 50, Poll: 10, Slow: clock.Minute, Contact: 200, Fetch: 100}
 
-// fakeNetwork calls followers of one process by address.
+// fakeNetwork calls followers of this process by address.
 type fakeNetwork struct {
 	mu        sync.Mutex
 	followers map[string]*Follower
@@ -38,7 +38,7 @@
 	return member.NewReceiver(nil, f).Document(args.(*peer.DocumentArgs), reply.(*peer.DocumentReply))
 }
 
-// fakePeers is a membership set by hand.
+// fakePeers is a membership that tests set directly.
 type fakePeers struct {
 	mu      sync.Mutex
 	self    peer.Member
@@ -94,7 +94,7 @@
 	require.Eventually(t, func() bool { got, _ := f.Newest(); return got == r }, 5*time.Second, time.Millisecond)
 }
 
-// sendHeartbeat lets one follower hear the other's heartbeat.
+// sendHeartbeat delivers a heartbeat of one follower to another.
 func sendHeartbeat(from, to *Follower, address string) {
 	b := peer.BeatArgs{From: peer.Member{VM: peer.VM(address), Address: address}}
 	from.Fill("", &b)
@@ -110,8 +110,8 @@
 	requireInForce(t, f, x.put(t, "two"))
 }
 
-// The watch is open and silent for good, which looks like a store without
-// news. Operators would see their change never come into force.
+// The watch is open but hangs, which looks like a store without changes. A new document would never
+// come into force.
 func TestPollFindsDocumentWhenWatchHangs(t *testing.T) {
 	x := newFixture()
 	x.store.DeadWatch(true)
@@ -120,8 +120,8 @@
 	requireInForce(t, f, x.put(t, "two"))
 }
 
-// The store goes out right after it accepted a document that one VM saw. The
-// other VMs must get it all the same, from the first one.
+// An outage of the store begins right after it accepted a document that only one VM has seen. The
+// other VMs must get the document from that VM.
 func TestDocumentSpreadsFromPeersDuringAnOutage(t *testing.T) {
 	x := newFixture()
 	a, _ := x.start(t, "a")
@@ -138,8 +138,8 @@
 	require.True(t, b.Ready())
 }
 
-// A VM loses store and peers at once. It can't know what is in force any more
-// and must say that it is not ready.
+// A VM loses contact with the store and with all peers. It no longer knows which document is in
+// force elsewhere and must report that it is not ready.
 func TestVMWithoutStoreAndPeersIsNotReady(t *testing.T) {
 	x := newFixture()
 	f, _ := x.start(t, "a")
@@ -167,8 +167,8 @@
 	require.Zero(t, r)
 }
 
-// Stale reads, peers that lag and documents that cross each other arrive in
-// any order. A user must never see an older configuration after a newer one.
+// Stale reads, answers of outdated peers and concurrent documents arrive in any order. An older
+// configuration must never replace a newer one.
 func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var taken []peer.Revision
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -25,7 +25,7 @@
 	return g.Wait()
 }
 
-// Watches tells whether a member is among the watchers of its failure domain.
+// Watches reports whether a member is one of the watchers of its failure domain.
 func Watches(self peer.Member, live []peer.Member, watchers int) bool {
 	var own []peer.Member
 	for _, m := range live {
@@ -44,15 +44,16 @@
 	return false
 }
 
-// pollsAsWatcher tells whether this VM asks the store often: as a watcher, and also
-// while it has no document or no peer, since then nobody else tells it.
+// pollsAsWatcher reports whether this VM watches the store and polls it at the rate of a watcher.
+// It does so as a watcher, and also while it has no document or no contact with a peer, since no
+// peer announces documents to it then.
 func (f *Follower) pollsAsWatcher() bool {
 	revision, _ := f.Newest()
 	alone := f.clock.Now()-f.peers.Reached() > f.rules.Contact
 	return revision == 0 || alone || Watches(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
 }
 
-// watch learns of a change within milliseconds while watches work.
+// watch delivers a change within milliseconds as long as watches work.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.pollsAsWatcher() {
@@ -68,22 +69,23 @@
 			f.noteStoreContact()
 			f.Offer(peer.Revision(o.Version), o.Value)
 			if f.highestSeen() == revision {
-				// An answer without news, against the protocol: do not spin.
+				// The store returned no newer revision, against its protocol. Pause to avoid a busy
+				// loop.
 				pause(ctx, f.rules.Poll)
 			}
 		}
 	}
 }
 
-// highestSeen is the highest revision seen, in force or not.
+// highestSeen returns the highest revision seen, whether in force or rejected.
 func (f *Follower) highestSeen() peer.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(f.revision, f.rejected)
 }
 
-// poll backs the watch up: a watch can die without a sign, and then it looks
-// just like one that has nothing to tell.
+// poll finds changes that the watch misses: a watch can hang without an error, which looks like a
+// watch without changes.
 func (f *Follower) poll(ctx context.Context) {
 	last := f.clock.Now() - f.pollInterval()
 	for ctx.Err() == nil {
@@ -95,12 +97,12 @@
 	}
 }
 
-// pollInterval is the time between two polls of a member that is no watcher.
+// pollInterval returns the time between two polls of a member that is not a watcher.
 //
-// When the watchers are cut off from the store while others reach it, only these
-// polls find a change. All of them together cost the store the same few reads a
-// second at any size, so in a small fleet each can poll as often as a watcher,
-// and a change is in force in time although both watchers are blind.
+// If the watchers cannot reach the store but other members can, only these polls find a change. All
+// members together make the same few reads a second at any fleet size. So in a small fleet each
+// member polls as often as a watcher, and a change comes into force within its bound even without
+// the watchers.
 func (f *Follower) pollInterval() clock.Milli {
 	return max(f.rules.Poll, f.rules.Slow*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
@@ -117,7 +119,7 @@
 	f.Offer(peer.Revision(o.Version), o.Value)
 }
 
-// fetch gets from a peer what its heartbeat told of.
+// fetch fetches documents that peers' heartbeats announce.
 func (f *Follower) fetch(ctx context.Context) {
 	for {
 		select {
@@ -132,7 +134,7 @@
 func (f *Follower) fetchOnce(ctx context.Context) {
 	f.mu.Lock()
 	above, address := max(f.revision, f.rejected), f.peerAddress
-	// The next heartbeat names a peer again if this one fails.
+	// If this request fails, the next heartbeat names a peer again.
 	f.peerRevision = 0
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, f.rules.Fetch.Duration())
--- a/daemon/guard/guard.go
+++ b/daemon/guard/guard.go
@@ -1,5 +1,4 @@
-// Package guard runs goroutines: it reports their panics as log lines, and repeats
-// what is to be done at a period.
+// Package guard runs goroutines. It logs their panics, and calls functions periodically.
 package guard
 
 import (
@@ -11,9 +10,9 @@
 	"github.com/phuslu/log"
 )
 
-// Go runs f in a goroutine of its own. A panic is written to the log with its
-// stack before it ends the process: the log is what on-call engineers read,
-// and a goroutine that died silently would leave a daemon that looks alive.
+// Go runs f in its own goroutine. A panic is logged with its stack before it ends the process,
+// since on-call engineers read only the log. It is not suppressed: if only the goroutine ended, the
+// process would appear healthy.
 func Go(l *log.Logger, name string, f func()) {
 	go func() {
 		defer Report(l, name)
@@ -21,7 +20,8 @@
 	}()
 }
 
-// Report is deferred by goroutines that are started otherwise.
+// Report logs a panic and panics again. It must be deferred by goroutines that are not started by
+// Go.
 func Report(l *log.Logger, name string) {
 	r := recover()
 	if r == nil {
@@ -31,8 +31,8 @@
 	panic(r)
 }
 
-// Every calls f once each period until ctx ends. A call that takes longer than the
-// period delays the next one; none is made up for.
+// Every calls f once per period until ctx ends. A call that takes longer than the period delays the
+// next one; missed calls are not made up for.
 func Every(ctx context.Context, period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
--- a/daemon/readers/fleet_test.go
+++ b/daemon/readers/fleet_test.go
@@ -19,22 +19,23 @@
 	"snipeshift.example/platform/standin"
 )
 
-// Times of a fleet's drill.
+// Intervals and bounds of the fleet test.
 const (
 	heartbeatInterval = 400 * time.Millisecond
-	// mostInformed is when 95 of 100 VMs are to know news after the store is back, allInformed when all are.
+	// mostInformed is the time within which 95 of 100 VMs must learn of an update after the store
+	// is back, allInformed that for all VMs.
 	mostInformed = time.Second
 	allInformed  = 2500 * time.Millisecond
 )
 
-// testFleet is a fleet of registries on a stand-in of the platform.
+// testFleet is a fleet of registries on a stand-in for the platform.
 type testFleet struct {
 	members    []peer.Member
 	registries map[string]*registry.Registry
 	stores     []*platform.Store
 }
 
-// Call implements registry.Peers.
+// Call implements registry.Peers without a network.
 func (f *testFleet) Call(_ context.Context, address, _ string, args, reply any) error {
 	return registry.NewReceiver(f.registries[address]).Tell(args.(*peer.RegistryWord), reply.(*peer.RegistryReply))
 }
@@ -67,7 +68,8 @@
 	return f
 }
 
-// sendHeartbeats carries what each VM knows to a few others, as heartbeats do.
+// sendHeartbeats periodically delivers each VM's version summary to a few random VMs, as heartbeats
+// do.
 func (f *testFleet) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range f.members {
@@ -81,7 +83,8 @@
 	}
 }
 
-// waitTimes is how long each VM takes to fulfil a condition, sorted; those that don't within a bound take that long.
+// waitTimes returns, sorted, how long each VM took to satisfy a condition. VMs that do not satisfy
+// it within the bound count as the bound.
 func (f *testFleet) waitTimes(holds func(*registry.View) bool, bound time.Duration) []time.Duration {
 	began := time.Now()
 	took := make([]time.Duration, 0, len(f.members))
@@ -122,8 +125,9 @@
 	}
 }
 
-// The store comes back from a copy, and an upstream announces just then that it leaves. VMs that keep to the readers' earlier list, since its
-// position is higher, go on sending to it.
+// The store is restored from an older copy, and an upstream announces just then that it leaves. VMs
+// that kept the readers' earlier list because its position is higher would continue to send
+// requests to the upstream.
 func TestUpdateAfterStoreRestoreReachesAllVMs(t *testing.T) {
 	for _, vms := range []int{3, 76, 300} {
 		t.Run(fmt.Sprint(vms), func(t *testing.T) {
@@ -142,12 +146,12 @@
 			before := f.storeCalls()
 			p.Drill(standin.Busy, 300*time.Millisecond, 10*time.Second, 10*time.Millisecond, rand.New(rand.NewPCG(1, 2)))
 			for _, m := range f.members {
-				require.True(t, hasUpstream(p.Models[0].ID(), true)(f.registries[m.Address].View()), "%s takes the copy's word", m.VM)
+				require.True(t, hasUpstream(p.Models[0].ID(), true)(f.registries[m.Address].View()), "%s applied the restored copy", m.VM)
 			}
 			p.Models[1].Drain(time.Minute)
 			took := f.waitTimes(hasUpstream(p.Models[1].ID(), true), 10*time.Second)
 			calls := f.storeCalls() - before
-			t.Logf("%d VMs: half know after %v, 95 of 100 after %v, all after %v; %d calls of the store", vms, took[len(took)/2], took[len(took)*95/100], slices.Max(took), calls)
+			t.Logf("%d VMs: half informed after %v, 95 of 100 after %v, all after %v; %d calls of the store", vms, took[len(took)/2], took[len(took)*95/100], slices.Max(took), calls)
 			require.LessOrEqual(t, took[len(took)*95/100], mostInformed)
 			require.LessOrEqual(t, slices.Max(took), allInformed)
 			require.LessOrEqual(t, calls, max(2*vms, 60))
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -1,7 +1,9 @@
-// Package readers works out which VMs read the platform's store for all, and whom each VM asks.
+// Package readers computes which VMs read the platform's store for all VMs, and which members each
+// VM asks for updates.
 //
-// All VMs that know the same members work out the same order, so nothing is agreed on: while they differ, some
-// VMs ask others than they should, and a few more read.
+// All VMs with the same list of members compute the same order, so no agreement protocol is needed.
+// While their lists differ, some VMs ask other members than they should, and a few more VMs read
+// the store.
 package readers
 
 import (
@@ -14,41 +16,44 @@
 )
 
 const (
-	// watchers keep watches in a large fleet. The first one proves by short ones that what is known is new; those of the
-	// other are long and bring news at once although the first is cut off.
+	// watchers is the number of VMs that keep watches in a large fleet. The first one uses short
+	// watches, which verify for all VMs that their copies are current. Those of the other are long
+	// and deliver updates at once even if the first VM is cut off from the store.
 	watchers = 2
-	// standIns VMs behind the watchers step in, one after the other, once too few before them have an open way to the store. If it
-	// turns a third of the VMs away, all eight are shut off once in six thousand times; others then step in by the age of
-	// what they know.
+	// standIns is the number of VMs that rank after the watchers and start to watch, in this order,
+	// once too few of the VMs before them can reach the store. If the store rejects the calls of a
+	// third of the VMs, all eight are cut off with a probability of one in six thousand. Other VMs
+	// then read the store depending on the age of their copy.
 	standIns = 6
-	// relayers VMs ask the watchers, and all others ask two of these. One answers thirteen VMs of 450, each two or three
-	// times a second. Were there a reader for each
-	// 32 VMs instead, their watches would be most of the store's calls in a large fleet.
+	// relayers is the number of VMs that ask the watchers. All other VMs ask two of the relayers.
+	// In a fleet of 450 VMs each relayer answers thirteen requests at a time, two or three times a
+	// second. With one reader for each 32 VMs instead, the readers' watches would make up most of
+	// the store's calls in a large fleet.
 	relayers = 32
 	// relayersAsked is how many relayers each VM asks in turn.
 	relayersAsked = 2
-	// maxWatchingFleet is the size up to which every VM watches the store itself. News of one
-	// upstream costs a call of each: beside readers a dozen more are no load yet.
+	// maxWatchingFleet is the fleet size up to which every VM watches the store itself. Each update
+	// of an upstream then costs one call of every VM, which is no significant load for a dozen VMs.
 	maxWatchingFleet = 12
 )
 
-// Readers is what one VM works out. It is safe for concurrent use.
+// Readers computes the roster of one VM. It is safe for concurrent use.
 type Readers struct {
 	self peer.VM
-	// seed is set if the settings of others name this VM.
+	// seed is set if the settings of other VMs name this VM.
 	seed bool
 
 	mu sync.Mutex
-	// live is the list that last was worked out from. Members never change a list that they gave out, so the same list is
-	// the same members.
+	// live is the list for which roster was computed. Returned lists of members are never modified,
+	// so the same slice means the same members.
 	live   []peer.Member
 	roster registry.Roster
 }
 
-// New returns the readers as a VM sees them; seed is set if the settings of others name it.
+// New returns the Readers of a VM. seed is set if the settings of other VMs name this VM.
 func New(self peer.VM, seed bool) *Readers { return &Readers{self: self, seed: seed} }
 
-// Roster is the part of this VM among the live members.
+// Roster returns the roster of this VM for the live members.
 func (r *Readers) Roster(live []peer.Member) registry.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,20 +66,21 @@
 	return r.roster
 }
 
-// rosterOf is the roster of one VM. All VMs that know the same members work out the same order.
+// rosterOf computes the roster of one VM. It depends only on the list of members, so VMs with the
+// same list agree.
 func rosterOf(self peer.VM, live []peer.Member) registry.Roster {
 	ranked := rankReaders(live)
 	rank := slices.IndexFunc(ranked, func(m peer.Member) bool { return m.VM == self })
 	if rank < 0 {
-		// It is stopping: it reads for nobody, and steps in last.
+		// This VM is stopping. It reads for no other VM and ranks last among the stand-ins.
 		rank = len(ranked)
 	}
 	large := len(live) > maxWatchingFleet
 	return registry.Roster{Others: sources(ranked, rank, large), Self: rank == 0, Rank: rank, Large: large && rank >= watchers}
 }
 
-// rankReaders puts the strong members first, and the first two into different failure domains, so that the loss of one leaves
-// a reader.
+// rankReaders orders members by capacity, with the first two in different failure domains, so that
+// the loss of one domain leaves a reader.
 func rankReaders(live []peer.Member) []peer.Member {
 	ranked := member.RankStrong("registry", live)
 	for i := 1; i < len(ranked); i++ {
@@ -89,12 +95,12 @@
 	return ranked
 }
 
-// sources are the members that the one at a rank asks: the watchers and those that step in for them, and
-// in a large fleet some of those that ask these.
+// sources returns the members that the VM of a rank asks: the watchers and their stand-ins or, for
+// most VMs of a large fleet, some of the relayers, which ask these.
 func sources(ranked []peer.Member, rank int, large bool) []peer.Member {
 	const first = watchers + standIns
 	if large && rank >= watchers+relayers {
-		layer := ranked[watchers : watchers+relayers] // those that may step in are among them
+		layer := ranked[watchers : watchers+relayers] // includes the stand-ins
 		var ms []peer.Member
 		for i := range relayersAsked {
 			ms = append(ms, layer[(rank+i*relayers/relayersAsked)%relayers])
--- a/daemon/readers/readers_test.go
+++ b/daemon/readers/readers_test.go
@@ -17,7 +17,8 @@
 	return ms
 }
 
-// The readers of a fleet die together if they stand in one failure domain, and are slow if they are its smallest VMs.
+// If the readers of a fleet share a failure domain they can fail together, and if they are its
+// smallest VMs they are slow.
 func TestReadersAreHighCapacityAndInTwoFailureDomains(t *testing.T) {
 	live := newMembers(295)
 	for i := range 15 {
@@ -31,8 +32,8 @@
 	require.Len(t, ranked, 295)
 }
 
-// What is asked of one VM grows with the fleet if all ask the same few; and a VM that nobody's question leads to a
-// reader knows nothing new.
+// The load of a VM grows with the fleet if all VMs ask the same few. A VM whose requests do not
+// lead to a reader receives no updates.
 func TestEveryVMReachesReaderInTwoHops(t *testing.T) {
 	for _, n := range []int{1, 3, 6, 12, 13, 30, 100, 300, 450, 1000} {
 		live := newMembers(n)
@@ -66,7 +67,8 @@
 	}
 }
 
-// A VM that stops takes no duty, and must still learn what is new until its last answer is out.
+// A stopping VM must not be a reader, and must still receive updates until its last response is
+// sent.
 func TestStoppingVMIsNoReader(t *testing.T) {
 	live := newMembers(6)
 	stopping := rankReaders(live)[0].VM
