--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -110,8 +110,8 @@
 
 // prune drops the changes that are included in the oldest list still recorded.
 func (l *Log) prune() {
-	least := l.versions[l.order[0]]
-	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= least })
+	oldest := l.versions[l.order[0]]
+	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= oldest })
 }
 
 // Content returns the hash of the list; false between a change and the next Settle.
--- a/daemon/changes/changes_test.go
+++ b/daemon/changes/changes_test.go
@@ -49,7 +49,7 @@
 func (l *loggedList) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
 	ids, ok := l.Since(c)
 	for _, id := range ids {
-		if u, there := l.upstreams[id]; there {
+		if u, present := l.upstreams[id]; present {
 			changed = append(changed, u)
 		} else {
 			without = append(without, id)
@@ -118,14 +118,14 @@
 func TestOldHashesAreForgotten(t *testing.T) {
 	l := newLoggedList()
 	l.put(route.Upstream{ID: "first"})
-	old, _ := l.Content()
+	oldHash, _ := l.Content()
 	for i := range 10 * maxHashes {
 		l.put(route.Upstream{ID: decide.UpstreamID(fmt.Sprint(i))})
 		if i > 0 {
 			l.remove(decide.UpstreamID(fmt.Sprint(i - 1)))
 		}
 	}
-	_, known := l.Since(old)
+	_, known := l.Since(oldHash)
 	require.False(t, known)
 	require.LessOrEqual(t, len(l.versions), maxHashes)
 	require.LessOrEqual(t, len(l.changed), 2*maxHashes)
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -84,7 +84,7 @@
 	caller Caller
 	clock  Clock
 	rules  Rules
-	take   Take
+	apply  Take
 	// wake starts a fetch from a peer.
 	wake chan struct{}
 
@@ -92,10 +92,10 @@
 	// revision and text are the document in force. revision never decreases.
 	revision peer.Revision
 	text     []byte
-	// rejected is the highest revision that take refused, so that it is neither parsed nor fetched
+	// rejected is the highest revision that apply refused, so that it is neither parsed nor fetched
 	// again.
 	rejected peer.Revision
-	// rejectError is the error that take returned for it.
+	// rejectError is the error that apply returned for it.
 	rejectError error
 	// storeContact is when the store last answered.
 	storeContact clock.Milli
@@ -107,8 +107,8 @@
 }
 
 // New returns a follower without a document.
-func New(s Store, c Caller, k Clock, r Rules, take Take) *Follower {
-	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, wake: make(chan struct{}, 1)}
+func New(s Store, c Caller, k Clock, r Rules, apply Take) *Follower {
+	return &Follower{store: s, caller: c, clock: k, rules: r, apply: apply, wake: make(chan struct{}, 1)}
 }
 
 // Newest returns the document in force; revision zero means that there is none.
@@ -137,9 +137,9 @@
 		f.mu.Unlock()
 		return false
 	}
-	// take runs under the lock, so that two documents offered at once come into force in the order
+	// apply runs under the lock, so that two documents offered at once come into force in the order
 	// of their revisions.
-	err := f.take(r, text)
+	err := f.apply(r, text)
 	if err != nil {
 		f.rejected, f.rejectError = r, err
 	} else {
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -171,12 +171,12 @@
 // configuration must never replace a newer one.
 func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		var taken []peer.Revision
+		var applied []peer.Revision
 		f := New(nil, nil, nil, testRules, func(r peer.Revision, text []byte) error {
 			if err := applyText(r, text); err != nil {
 				return err
 			}
-			taken = append(taken, r)
+			applied = append(applied, r)
 			return nil
 		})
 		for range rapid.IntRange(1, 30).Draw(rt, "offers") {
@@ -184,7 +184,7 @@
 			text := rapid.SampledFrom([]string{"one", "broken"}).Draw(rt, "text")
 			f.Offer(r, []byte(text))
 		}
-		require.IsIncreasing(rt, append([]peer.Revision{0}, taken...))
+		require.IsIncreasing(rt, append([]peer.Revision{0}, applied...))
 	})
 }
 
--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -86,7 +86,7 @@
 func (r *Registry) startEra(era route.Era, cause string) {
 	before := r.era
 	r.era = era
-	if r.table == nil && r.upstreamsAt == 0 {
+	if r.table == nil && r.upstreamsVerified == 0 {
 		return
 	}
 	now := r.clock.Now()
@@ -97,7 +97,7 @@
 	}
 	r.eras.Add(1)
 	r.log.Warn().Str(logline.Key, logline.Era).Uint64("era", uint64(era)).Uint64("before", uint64(before)).Uint64("position", uint64(r.position.Mark)).
-		Int64("age", int64(now-r.upstreamsAt)).Str("cause", cause).Msg("the store was restored from an older copy")
+		Int64("age", int64(now-r.upstreamsVerified)).Str("cause", cause).Msg("the store was restored from an older copy")
 	for _, w := range r.watches {
 		w.cancel()
 	}
@@ -111,16 +111,16 @@
 		return us
 	}
 	// Upstreams of a service that are missing together expired during an outage and are alive.
-	lapsed := r.massRemoval(slices.Collect(maps.Keys(r.expiring)))
+	expired := r.massRemoval(slices.Collect(maps.Keys(r.expiring)))
 	verified := make([]route.Upstream, 0, len(us))
 	for _, u := range us {
-		l, left := r.departed[u.ID]
-		left = left && (l.at <= r.eraStart || r.missingBefore[u.ID])
+		d, hasLeft := r.departed[u.ID]
+		hasLeft = hasLeft && (d.at <= r.eraStart || r.missingBefore[u.ID])
 		_, missing := r.expiring[u.ID]
 		missing = missing && r.missingBefore[u.ID]
 		old, known := r.upstreams[u.ID]
 		switch {
-		case left && !known && u.Born <= l.born, missing && !lapsed[u.ID] && u.Born <= old.Born:
+		case hasLeft && !known && u.Born <= d.born, missing && !expired[u.ID] && u.Born <= old.Born:
 			r.unverified[u.ID] = u
 		case known && old.Leaving && !u.Leaving && u.Born <= old.Born:
 			r.unverified[u.ID] = u
--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -104,7 +104,7 @@
 	require.True(t, b.acceptUnverified())
 	b.commit(route.Position{}, 0)
 	used, _ = b.usedAndLeaving()
-	require.ElementsMatch(t, []decide.UpstreamID{"a", "b", "c"}, used, "its entry would have lapsed")
+	require.ElementsMatch(t, []decide.UpstreamID{"a", "b", "c"}, used, "otherwise its entry would have expired")
 }
 
 // The restored document is earlier than the one in force. That it does not change proves nothing:
@@ -158,13 +158,13 @@
 // A VM that has just started takes the restored copy for current, and other VMs read from it. They
 // must not remove at once the upstreams that this copy lacks.
 func TestPeerListFromRestoredCopyRemovesNothingAtOnce(t *testing.T) {
-	b, young := newHarness(t), newHarness(t)
-	young.Registry.clock = b.clock
-	young.restoreStore(document(1), upstreams("a"))
-	young.list()
+	b, started := newHarness(t), newHarness(t)
+	started.Registry.clock = b.clock
+	started.restoreStore(document(1), upstreams("a"))
+	started.list()
 	b.clock.advance(outageHold) // the hold of young has ended
-	young.commit(route.Position{}, 0)
-	b.peers = localPeer{young.Registry}
+	started.commit(route.Position{}, 0)
+	b.peers = localPeer{started.Registry}
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "young"}))
 	require.Equal(t, 2, b.upstreamCount())
 	b.clock.advance(outageHold)
@@ -188,25 +188,25 @@
 // API key. The peers have the later document, so the VM must wait for them and not apply the
 // restored one.
 func TestVMStartedAfterStoreRestoreUsesPeerDocument(t *testing.T) {
-	peers := newHarness(t)
-	peers.store.document = document(5)
-	peers.list()
-	young := New(peers.store, localPeer{peers.Registry}, peers.clock, peers.log)
-	young.ReadBy(func() Roster { return Roster{} })
-	peers.restoreStore(document(3), upstreams("a", "b"))
-	peers.store.at.Era = 2
+	informed := newHarness(t)
+	informed.store.document = document(5)
+	informed.list()
+	started := New(informed.store, localPeer{informed.Registry}, informed.clock, informed.log)
+	started.ReadBy(func() Roster { return Roster{} })
+	informed.restoreStore(document(3), upstreams("a", "b"))
+	informed.store.at.Era = 2
 	listed := make(chan struct{})
 	go func() {
 		defer close(listed)
-		_, err := young.listDocument(peers.ctx)
+		_, err := started.listDocument(informed.ctx)
 		require.NoError(t, err)
 	}()
 	beat := &peer.BeatArgs{From: peer.Member{VM: "known"}}
-	peers.Fill("", beat)
-	young.Learn(beat, true)
+	informed.Fill("", beat)
+	started.Learn(beat, true)
 	<-listed
-	require.Eventually(t, func() bool { return young.View().Table != nil }, time.Second, time.Millisecond)
-	require.EqualValues(t, 5, young.View().Table.Revision())
+	require.Eventually(t, func() bool { return started.View().Table != nil }, time.Second, time.Millisecond)
+	require.EqualValues(t, 5, started.View().Table.Revision())
 }
 
 // No peer that a starting VM reaches has a document, or no peer answers: it accepts the store's
@@ -263,23 +263,23 @@
 // entry as unverified. Other VMs had not seen it. If they took that VM's list as complete, they
 // would remove the upstream until its entry changes again.
 func TestUnverifiedEntriesOfPeerRemoveNothing(t *testing.T) {
-	b, doubts, late := newHarness(t), newHarness(t), newHarness(t)
-	doubts.Registry.clock, late.Registry.clock = b.clock, b.clock
+	b, verifying, uninformed := newHarness(t), newHarness(t), newHarness(t)
+	verifying.Registry.clock, uninformed.Registry.clock = b.clock, b.clock
 	gone := route.News{Gone: []decide.UpstreamID{"b"}}
-	doubts.changeUpstreams(gone, mark(10), b.clock.Now())
-	late.changeUpstreams(gone, mark(10), b.clock.Now())
-	doubts.restoreStore(document(1), upstreams("a", "b"))
-	doubts.list()
-	require.Equal(t, 1, doubts.upstreamCount())
-	b.peers, late.peers = localPeer{doubts.Registry}, localPeer{doubts.Registry}
-	require.True(t, b.fetch(b.ctx, peer.Member{VM: "doubts"}))
-	require.True(t, late.fetch(late.ctx, peer.Member{VM: "doubts"}))
+	verifying.changeUpstreams(gone, mark(10), b.clock.Now())
+	uninformed.changeUpstreams(gone, mark(10), b.clock.Now())
+	verifying.restoreStore(document(1), upstreams("a", "b"))
+	verifying.list()
+	require.Equal(t, 1, verifying.upstreamCount())
+	b.peers, uninformed.peers = localPeer{verifying.Registry}, localPeer{verifying.Registry}
+	require.True(t, b.fetch(b.ctx, peer.Member{VM: "verifying"}))
+	require.True(t, uninformed.fetch(uninformed.ctx, peer.Member{VM: "verifying"}))
 	b.clock.advance(outageHold)
 	b.commit(route.Position{}, 0)
 	require.Equal(t, 2, b.upstreamCount(), "an entry that is unverified at a peer is not removed")
-	require.Equal(t, 1, late.upstreamCount())
+	require.Equal(t, 1, uninformed.upstreamCount())
 	b.clock.advance(unverifiedTime)
-	late.acceptUnverified()
-	late.commit(route.Position{}, 0)
-	require.Equal(t, 2, late.upstreamCount(), "its entry would have lapsed")
+	uninformed.acceptUnverified()
+	uninformed.commit(route.Position{}, 0)
+	require.Equal(t, 2, uninformed.upstreamCount(), "otherwise its entry would have expired")
 }
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -244,25 +244,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unreadable = true
-	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableAt)).Err(err).Msg("document rejected")
+	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableVerified)).Err(err).Msg("document rejected")
 }
 
 func (r *Registry) listUpstreams(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
-	news, at, err := r.store.Upstreams(ctx)
+	update, at, err := r.store.Upstreams(ctx)
 	if err != nil {
 		return route.Position{}, err
 	}
 	if err := r.checkEra(at.Era); err != nil {
 		return route.Position{}, err
 	}
-	r.learnUpstreams(news, at, sent)
+	r.learnUpstreams(update, at, sent)
 	return at, nil
 }
 
 func (r *Registry) watchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.Position, error) {
 	sent := r.clock.Now()
-	news, at, err := r.store.WatchUpstreams(ctx, after, wait)
+	update, at, err := r.store.WatchUpstreams(ctx, after, wait)
 	if err != nil {
 		return route.Position{}, err
 	}
@@ -270,10 +270,10 @@
 		return route.Position{}, r.checkEra(at.Era)
 	}
 	proven := sent
-	if len(news.Upstreams) == 0 && len(news.Gone) == 0 && len(news.Unusable) == 0 {
+	if len(update.Upstreams) == 0 && len(update.Gone) == 0 && len(update.Unusable) == 0 {
 		proven = r.provenUntil(sent, wait)
 	}
-	r.changeUpstreams(news, at, proven)
+	r.changeUpstreams(update, at, proven)
 	return at, nil
 }
 
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -63,10 +63,10 @@
 	w := peer.RegistryWord{Shut: r.storeDown, Era: r.era}
 	now := r.clock.Now()
 	if r.table != nil {
-		w.Revision, w.RevisionAge = r.table.Revision(), now-r.tableAt
+		w.Revision, w.RevisionAge = r.table.Revision(), now-r.tableVerified
 	}
-	if r.upstreamsAt > 0 && len(r.expiring) == 0 {
-		w.Digest, w.DigestAge = r.digest, now-r.upstreamsAt
+	if r.upstreamsVerified > 0 && len(r.expiring) == 0 {
+		w.Digest, w.DigestAge = r.digest, now-r.upstreamsVerified
 		w.MarkEra, w.Mark = r.position.Era, r.position.Mark
 	}
 	return w
@@ -106,7 +106,7 @@
 	if w.Digest > 0 {
 		at := now - w.DigestAge
 		switch {
-		case w.Digest == r.digest && at > r.upstreamsAt:
+		case w.Digest == r.digest && at > r.upstreamsVerified:
 			r.commit(w.Position(), at)
 		case w.Digest != r.digest && w.Position().After(r.position):
 			ask = true
@@ -217,13 +217,13 @@
 	}
 	reply.Word = r.summary()
 	if newer {
-		reply.DocumentAge = now - r.tableAt
+		reply.DocumentAge = now - r.tableVerified
 		if err := r.addDocument(args, reply); err != nil {
 			return err
 		}
 	}
-	if r.upstreamsAt > 0 && len(r.expiring) == 0 && r.digest != args.Digest {
-		reply.UpstreamsAge = now - r.upstreamsAt
+	if r.upstreamsVerified > 0 && len(r.expiring) == 0 && r.digest != args.Digest {
+		reply.UpstreamsAge = now - r.upstreamsVerified
 		r.addUpstreams(args, reply)
 		for _, u := range r.unverified {
 			reply.Doubted = append(reply.Doubted, u)
@@ -242,7 +242,7 @@
 		c, _ := r.changes.Content()
 		reply.Base, reply.Content = args.Content, uint64(c)
 		for _, id := range ids {
-			if u, there := r.upstreams[id]; there {
+			if u, present := r.upstreams[id]; present {
 				reply.Upstreams = append(reply.Upstreams, u)
 			} else {
 				reply.Without = append(reply.Without, id)
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -100,15 +100,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	later := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankDelay
-	if r.tableAt == 0 {
-		return r.lastAnswer > 0 && now-r.bootstrapped <= bootstrapGrace+later
+	extra := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankDelay
+	if r.tableVerified == 0 {
+		return r.lastAnswer > 0 && now-r.bootstrapped <= bootstrapGrace+extra
 	}
-	at, limit := r.tableAt, delegationLimit
+	at, limit := r.tableVerified, delegationLimit
 	if !f.lead {
-		at, limit = r.upstreamsAt, delegationLimit+upstreamWatchWait
+		at, limit = r.upstreamsVerified, delegationLimit+upstreamWatchWait
 	}
-	return now-at <= limit+later && now-r.lastAnswer <= pollExpiry
+	return now-at <= limit+extra && now-r.lastAnswer <= pollExpiry
 }
 
 // watchWaitOf returns the wait of the next watch of a feed.
@@ -123,7 +123,7 @@
 func (r *Registry) documentAge() clock.Milli {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Now() - r.tableAt
+	return r.clock.Now() - r.tableVerified
 }
 
 // watchContext returns the context of one watch. It is canceled when the store's era changes and,
@@ -174,8 +174,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if left := (pollInterval - (r.clock.Now() - r.lastAnswer)).Duration(); left > 0 {
-		return min(checkPeriod, left)
+	if remaining := (pollInterval - (r.clock.Now() - r.lastAnswer)).Duration(); remaining > 0 {
+		return min(checkPeriod, remaining)
 	}
 	return checkPeriod
 }
@@ -190,7 +190,7 @@
 	if rs.Large {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.clock.Now()-r.lastAnswer >= pollInterval || r.tableAt == 0
+		return r.clock.Now()-r.lastAnswer >= pollInterval || r.tableVerified == 0
 	}
 	return r.documentAge() > askAge
 }
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -33,8 +33,8 @@
 		r.store.down = true
 		r.watch()
 	}
-	turn := b.askReaders(b.ctx, others, 0)
-	b.askReaders(b.ctx, others, turn)
+	nextReader := b.askReaders(b.ctx, others, 0)
+	b.askReaders(b.ctx, others, nextReader)
 	require.False(t, b.delegates(b.documentFeed()))
 	require.False(t, b.delegates(b.upstreamFeed()))
 	b.list()
@@ -56,16 +56,16 @@
 // The first reader is cut off from the store. Not all VMs behind it may read in its place: two VMs
 // that can reach the store suffice.
 func TestNoMoreVMsStandInThanNeeded(t *testing.T) {
-	b, shut, open := newHarness(t), newHarness(t), newHarness(t)
-	shut.Registry.clock, open.Registry.clock = b.clock, b.clock
-	shut.store.down = true
-	shut.watch()
-	b.peers = localPeers{"shut": shut.Registry, "open": open.Registry, "next": open.Registry}
+	b, cutOff, connected := newHarness(t), newHarness(t), newHarness(t)
+	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
+	cutOff.store.down = true
+	cutOff.watch()
+	b.peers = localPeers{"shut": cutOff.Registry, "open": connected.Registry, "next": connected.Registry}
 	others := []peer.Member{{VM: "shut", Address: "shut"}, {VM: "open", Address: "open"}, {VM: "next", Address: "next"}}
 	rank := 2
 	b.ReadBy(func() Roster { return Roster{Others: others[:rank], Rank: rank, Large: true} })
-	turn := b.askReaders(b.ctx, others, 0)
-	b.askReaders(b.ctx, others, turn)
+	nextReader := b.askReaders(b.ctx, others, 0)
+	b.askReaders(b.ctx, others, nextReader)
 	require.False(t, b.delegates(b.documentFeed()), "only one VM before it can reach the store")
 	require.False(t, b.isProver(), "the VM before it is the prover")
 	require.Equal(t, others[1:], b.connected(others), "a member that is cut off is not asked for a while")
@@ -76,10 +76,10 @@
 // A VM restarts while its peers have the full state. Without bootstrapping from a peer it would
 // list the store twice, as would every VM after an upgrade.
 func TestJoiningVMLearnsFromPeerWithoutStoreCalls(t *testing.T) {
-	b, known := newHarness(t), newHarness(t)
-	young := New(b.store, localPeer{known.Registry}, b.clock, b.log)
-	known.Registry.clock = b.clock
-	young.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
+	b, informed := newHarness(t), newHarness(t)
+	joining := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
+	informed.Registry.clock = b.clock
+	joining.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
 	ctx, cancel := context.WithTimeout(b.ctx, 900*time.Millisecond)
 	defer cancel()
 	calls := 0
@@ -91,12 +91,12 @@
 			return route.Position{Mark: 1}, nil
 		},
 	}
-	go func() { _ = young.Run(ctx) }()
+	go func() { _ = joining.Run(ctx) }()
 	beat := &peer.BeatArgs{From: peer.Member{VM: "known"}}
-	known.Fill("", beat)
-	young.Learn(beat, true)
-	young.follow(ctx, f)
-	require.NotNil(t, young.View().Table)
+	informed.Fill("", beat)
+	joining.Learn(beat, true)
+	joining.follow(ctx, f)
+	require.NotNil(t, joining.View().Table)
 	require.Zero(t, calls)
 }
 
@@ -181,20 +181,20 @@
 // Three hundred VMs start for the first time and each lists both kinds of objects, although there
 // are no callers yet and the first few VMs could send their state to the others.
 func TestVMWaitsForPeersAtFirstStart(t *testing.T) {
-	b, known := newHarness(t), newHarness(t)
-	young := New(b.store, localPeer{known.Registry}, b.clock, b.log)
-	known.Registry.clock = b.clock
-	young.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
-	young.Await(FirstWait)
-	told := make(chan struct{})
+	b, informed := newHarness(t), newHarness(t)
+	started := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
+	informed.Registry.clock = b.clock
+	started.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
+	started.Await(FirstWait)
+	informing := make(chan struct{})
 	beat := &peer.BeatArgs{From: peer.Member{VM: "known"}}
-	known.Fill("", beat)
-	tell := time.AfterFunc(5*defaultBootstrapWait, func() { young.Learn(beat, true); close(told) })
-	defer tell.Stop()
+	informed.Fill("", beat)
+	timer := time.AfterFunc(5*defaultBootstrapWait, func() { started.Learn(beat, true); close(informing) })
+	defer timer.Stop()
 	ctx, cancel := context.WithTimeout(b.ctx, 5*defaultBootstrapWait+joinWait/2)
 	defer cancel()
 	calls := 0
-	young.follow(ctx, feed{
+	started.follow(ctx, feed{
 		name: "routes", lead: true,
 		list: func(context.Context) (route.Position, error) { calls++; return route.Position{Mark: 1}, nil },
 		watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
@@ -202,8 +202,8 @@
 			return route.Position{Mark: 1}, nil
 		},
 	})
-	<-told
-	require.NotNil(t, young.View().Table)
+	<-informing
+	require.NotNil(t, started.View().Table)
 	require.Zero(t, calls)
 }
 
@@ -237,8 +237,8 @@
 	require.Equal(t, 1, strings.Count(lines.String(), `"event":"reader"`))
 	reader.store.down = true
 	reader.watch()
-	for turn := range 2 {
-		b.askReaders(b.ctx, b.readers().Others, turn)
+	for nextReader := range 2 {
+		b.askReaders(b.ctx, b.readers().Others, nextReader)
 	}
 	require.Equal(t, StandIn, b.noteRole(b.readers(), role))
 	require.Contains(t, lines.String(), `"role":"standin","before":"follower","rank":2,"open":0`)
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -153,9 +153,9 @@
 	// fetching is set while a fetch of a peer's state, triggered by a heartbeat, is in progress.
 	fetching atomic.Bool
 
-	mu      sync.Mutex
-	table   *route.Table
-	tableAt clock.Milli
+	mu            sync.Mutex
+	table         *route.Table
+	tableVerified clock.Milli
 	// unreadable is set while the store's document cannot be parsed. storeBehind is set while the
 	// store has an earlier revision than the one in force here.
 	unreadable, storeBehind bool
@@ -186,9 +186,9 @@
 	// incarnation, since it may be older than its stated age.
 	departed map[decide.UpstreamID]departure
 	// unusable holds invalid entries, with the reason why each is unusable.
-	unusable    map[decide.UpstreamID]string
-	upstreamsAt clock.Milli
-	// position is the position in the store's history of which upstreams is the state.
+	unusable          map[decide.UpstreamID]string
+	upstreamsVerified clock.Milli
+	// position is the position in the store's history that upstreams reflects.
 	position   route.Position
 	digest     uint64
 	generation uint64
@@ -198,7 +198,8 @@
 	// the whole list.
 	fetchWhole    atomic.Bool
 	unusableCount uint64
-	// storeDown is set while calls of the store fail. storeBack is when it last answered again.
+	// storeDown is set while calls of the store fail. storeBack is when the last outage
+	// ended.
 	storeDown bool
 	storeBack clock.Milli
 	// known is closed once both a document and a list of upstreams are known.
@@ -293,7 +294,7 @@
 // publish stores a new view of the state. The lock must be held.
 func (r *Registry) publish() {
 	v := &View{
-		Table: r.table, TableAt: r.tableAt, UpstreamsAt: r.upstreamsAt, Generation: r.generation,
+		Table: r.table, TableAt: r.tableVerified, UpstreamsAt: r.upstreamsVerified, Generation: r.generation,
 		Upstreams: map[route.ServiceID][]route.Upstream{},
 	}
 	if old := r.view.Load(); old.Generation == r.generation {
@@ -339,7 +340,7 @@
 	r.log.Info().Str(logline.Key, logline.Applied).Uint64("revision", uint64(d.Revision)).Str("from", from).
 		Int64("age", int64(r.clock.Now()-at)).Int("routes", len(d.Routes)).Msg("document applied")
 	r.logEngines(d)
-	r.table, r.tableAt, r.unreadable = t, max(at, r.tableAt), false
+	r.table, r.tableVerified, r.unreadable = t, max(at, r.tableVerified), false
 	r.generation++
 	r.publish()
 }
@@ -373,8 +374,8 @@
 
 // confirmDocument records that the document was still current at an instant. The lock must be held.
 func (r *Registry) confirmDocument(at clock.Milli) {
-	if at > r.tableAt && !r.unreadable {
-		r.tableAt = at
+	if at > r.tableVerified && !r.unreadable {
+		r.tableVerified = at
 		r.publish()
 	}
 }
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -179,7 +179,7 @@
 // nor watches that end without a change verify the last one until a valid document is there.
 func TestUnreadableDocumentDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
-	known := b.View().TableAt
+	verified := b.View().TableAt
 	b.clock.advance(100)
 	b.store.unreadable = true
 	b.list()
@@ -189,10 +189,10 @@
 		b.clock.advance(watchWait)
 		b.watch()
 	}
-	require.Equal(t, known, b.View().TableAt)
+	require.Equal(t, verified, b.View().TableAt)
 	b.store.unreadable = false
 	b.list()
-	require.Greater(t, b.View().TableAt, known)
+	require.Greater(t, b.View().TableAt, verified)
 }
 
 // The end of a watch without a change proves that the copy was current until the end of the wait,
@@ -248,27 +248,27 @@
 // The store rejects this VM's calls and serves the other VMs. Changes of keys and upstreams must
 // still take effect here.
 func TestVMCutOffFromStoreLearnsFromPeers(t *testing.T) {
-	cut, well := newHarness(t), newHarness(t)
-	cut.peers = localPeer{well.Registry}
-	well.clock = cut.clock
-	well.Registry.clock = cut.clock
-	cut.clock.advance(4 * clock.Second)
-	well.list()
+	cutOff, connected := newHarness(t), newHarness(t)
+	cutOff.peers = localPeer{connected.Registry}
+	connected.clock = cutOff.clock
+	connected.Registry.clock = cutOff.clock
+	cutOff.clock.advance(4 * clock.Second)
+	connected.list()
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
-	well.Fill("", beat)
-	cut.Learn(beat, false)
-	require.Equal(t, cut.clock.Now()-heartbeatTimeout, cut.View().TableAt, "the same document, verified by the peer")
-	require.Equal(t, cut.clock.Now()-heartbeatTimeout, cut.View().UpstreamsAt)
-
-	cut.clock.advance(4 * clock.Second)
-	well.store.at.Mark += 10
-	well.store.document, well.store.upstreams = document(2), upstreams("b", "c", "d")
-	well.list()
+	connected.Fill("", beat)
+	cutOff.Learn(beat, false)
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().TableAt, "the same document, verified by the peer")
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().UpstreamsAt)
+
+	cutOff.clock.advance(4 * clock.Second)
+	connected.store.at.Mark += 10
+	connected.store.document, connected.store.upstreams = document(2), upstreams("b", "c", "d")
+	connected.list()
 	beat = &peer.BeatArgs{From: peer.Member{VM: "well"}}
-	well.Fill("", beat)
-	cut.Learn(beat, false)
+	connected.Fill("", beat)
+	cutOff.Learn(beat, false)
 	require.Eventually(t, func() bool {
-		v := cut.View()
+		v := cutOff.View()
 		return v.Table.Revision() == 2 && v.Upstream("s", func(u *route.Upstream) bool { return u.ID == "d" }) != nil
 	}, time.Second, time.Millisecond)
 }
@@ -403,28 +403,28 @@
 // is gone. A VM whose own watch has just delivered the removal asks that VM and must not restore
 // the upstream.
 func TestPeerRetainingExpiredEntriesDoesNotRestoreThem(t *testing.T) {
-	well, back := newHarness(t), newHarness(t)
-	well.peers = localPeer{back.Registry}
-	back.clock, back.Registry.clock = well.clock, well.clock
-	back.store.down = true
-	back.watch()
-	well.store.gone = []decide.UpstreamID{"a"}
-	well.watch()
-	require.Equal(t, 1, well.upstreamCount())
-	well.clock.advance(2400)
-	back.store.down, back.store.upstreams = false, upstreams("b")
-	back.list()
-	require.Equal(t, 2, back.upstreamCount(), "the entry is retained for a while")
+	connected, reconnected := newHarness(t), newHarness(t)
+	connected.peers = localPeer{reconnected.Registry}
+	reconnected.clock, reconnected.Registry.clock = connected.clock, connected.clock
+	reconnected.store.down = true
+	reconnected.watch()
+	connected.store.gone = []decide.UpstreamID{"a"}
+	connected.watch()
+	require.Equal(t, 1, connected.upstreamCount())
+	connected.clock.advance(2400)
+	reconnected.store.down, reconnected.store.upstreams = false, upstreams("b")
+	reconnected.list()
+	require.Equal(t, 2, reconnected.upstreamCount(), "the entry is retained for a while")
 
 	beat := &peer.BeatArgs{From: peer.Member{VM: "back"}}
-	back.Fill("", beat)
+	reconnected.Fill("", beat)
 	require.Zero(t, beat.Registry.Digest, "a list with retained entries is not offered to peers")
 	var reply peer.RegistryReply
-	require.NoError(t, NewReceiver(back.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
+	require.NoError(t, NewReceiver(reconnected.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
 	require.Empty(t, reply.Upstreams)
 
-	well.learnPeerUpstreams(listing(upstreams("a", "b", "c")), mark(9), well.clock.Now())
-	require.Equal(t, 2, well.upstreamCount(), "b, and c, which is new; a has left")
+	connected.learnPeerUpstreams(listing(upstreams("a", "b", "c")), mark(9), connected.clock.Now())
+	require.Equal(t, 2, connected.upstreamCount(), "b, and c, which is new; a has left")
 }
 
 // An upstream announced that it leaves. An older list of a peer must not make it ready again.
@@ -530,14 +530,14 @@
 	reader.Registry.clock = b.clock
 	b.readLargeFleetBy(reader.Registry)
 	require.False(t, b.delegates(b.documentFeed()), "no reader has answered yet")
-	turn := b.askReaders(b.ctx, b.readers().Others, 0)
+	nextReader := b.askReaders(b.ctx, b.readers().Others, 0)
 	require.True(t, b.delegates(b.documentFeed()))
 
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.clock.advance(pollInterval)
 	require.True(t, b.pollDue(b.readers()))
-	b.askReaders(b.ctx, b.readers().Others, turn)
+	b.askReaders(b.ctx, b.readers().Others, nextReader)
 	require.Equal(t, 1, b.upstreamCount())
 
 	b.clock.advance(pollExpiry + 1)
@@ -560,15 +560,15 @@
 // One of two readers is cut off from the store but still answers. A VM that asked it first must ask
 // the other one too before it relies on the answer.
 func TestSecondReaderIsAskedWhenFirstIsCutOff(t *testing.T) {
-	b, shut, well := newHarness(t), newHarness(t), newHarness(t)
-	shut.Registry.clock, well.Registry.clock = b.clock, b.clock
-	b.peers = localPeers{"shut": shut.Registry, "well": well.Registry}
+	b, cutOff, connected := newHarness(t), newHarness(t), newHarness(t)
+	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
+	b.peers = localPeers{"shut": cutOff.Registry, "well": connected.Registry}
 	b.ReadBy(func() Roster {
 		return Roster{Others: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, Large: true}
 	})
 	b.clock.advance(readerMaxAge + 1)
-	well.store.upstreams, well.store.at = upstreams("b"), mark(50)
-	well.list()
+	connected.store.upstreams, connected.store.at = upstreams("b"), mark(50)
+	connected.list()
 	b.askReaders(b.ctx, b.readers().Others, 0)
 	require.Equal(t, 1, b.upstreamCount())
 }
@@ -636,9 +636,9 @@
 		ids[i] = decide.UpstreamID(fmt.Sprint("forged", i))
 	}
 	for range 2 {
-		news := unusable("no state", ids...)
-		news.Upstreams = upstreams("a", "b")
-		b.learnUpstreams(news, mark(9), b.clock.Now())
+		update := unusable("no state", ids...)
+		update.Upstreams = upstreams("a", "b")
+		b.learnUpstreams(update, mark(9), b.clock.Now())
 	}
 	require.Len(t, b.unusable, maxUnusable)
 	require.Equal(t, 2, b.upstreamCount())
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -15,15 +15,15 @@
 
 // learnUpstreams applies a whole list of the store that was current at an instant and has a
 // position.
-func (r *Registry) learnUpstreams(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnUpstreams(update route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
 		return // a later era was learned from another answer or from a peer meanwhile
 	}
-	r.excludeUnusable(news.Unusable)
-	r.massRemoved = r.massRemoval(r.missing(news.Upstreams))
-	r.applyList(r.withoutUnverified(news.Upstreams), position, at, r.remove)
+	r.excludeUnusable(update.Unusable)
+	r.massRemoved = r.massRemoval(r.missing(update.Upstreams))
+	r.applyList(r.withoutUnverified(update.Upstreams), position, at, r.remove)
 }
 
 // missing returns the known upstreams that a list lacks. The lock must be held.
@@ -45,7 +45,7 @@
 // must be held.
 func (r *Registry) applyList(us []route.Upstream, position route.Position, at clock.Milli, remove func(decide.UpstreamID)) {
 	listed := make(map[decide.UpstreamID]bool, len(us))
-	first := r.upstreamsAt == 0
+	first := r.upstreamsVerified == 0
 	if first {
 		r.log.Info().Str(logline.Key, logline.Upstreams).Int("count", len(us)).Int64("age", int64(r.clock.Now()-at)).Msg("first list of upstreams applied")
 	}
@@ -63,17 +63,17 @@
 
 // learnPeerUpstreams applies a whole list of a peer that was current at an instant and has a
 // position. It does not restore upstreams that the store has reported as removed. Upstreams that it
-// lacks are removed at once, even while this VM cannot reach the store, since peers that only
-// retain entries send no list. But if no VM had current state for long, the store was down for all,
+// lacks are removed at once, even while this VM cannot reach the store, since a peer
+// that retains removed entries sends no list. But if no VM had current state for long, the store was down for all,
 // and a peer that has just started does not know which entries expired meanwhile. Then upstreams
 // are retained as after the first answer of the store itself.
-func (r *Registry) learnPeerUpstreams(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnPeerUpstreams(update route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.excludeUnusable(news.Unusable)
-	kept := make([]route.Upstream, 0, len(news.Upstreams))
-	for _, u := range news.Upstreams {
-		if l, left := r.departed[u.ID]; left && u.Born <= l.born {
+	r.excludeUnusable(update.Unusable)
+	kept := make([]route.Upstream, 0, len(update.Upstreams))
+	for _, u := range update.Upstreams {
+		if d, hasLeft := r.departed[u.ID]; hasLeft && u.Born <= d.born {
 			continue
 		}
 		if old := r.upstreams[u.ID]; u.Born <= old.Born {
@@ -81,16 +81,16 @@
 		}
 		kept = append(kept, u)
 	}
-	unverified := r.learnUnverified(news.Doubted)
+	unverified := r.learnUnverified(update.Doubted)
 	until := r.clock.Now()
-	if until-max(r.tableAt, r.upstreamsAt) > entryTTL {
+	if until-max(r.tableVerified, r.upstreamsVerified) > entryTTL {
 		until += outageHold
 	}
 	if r.eraStart > 0 {
 		until = max(until, r.eraStart+outageHold)
 	}
 	r.applyList(kept, position, at, func(id decide.UpstreamID) {
-		if _, held := r.expiring[id]; !held && !unverified[id] {
+		if _, expiring := r.expiring[id]; !expiring && !unverified[id] {
 			r.expiring[id] = until
 		}
 	})
@@ -111,20 +111,20 @@
 }
 
 // changeUpstreams applies changes that were current at an instant and end at a position.
-func (r *Registry) changeUpstreams(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) changeUpstreams(update route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
 		return
 	}
-	r.excludeUnusable(news.Unusable)
-	for _, u := range news.Upstreams {
+	r.excludeUnusable(update.Unusable)
+	for _, u := range update.Upstreams {
 		// This entry was written in the current era.
 		delete(r.unverified, u.ID)
 		r.putUpstream(u, true)
 	}
-	r.massRemoved = r.massRemoval(news.Gone)
-	for _, id := range news.Gone {
+	r.massRemoved = r.massRemoval(update.Gone)
+	for _, id := range update.Gone {
 		delete(r.unusable, id)
 		delete(r.unverified, id)
 		r.remove(id)
@@ -227,7 +227,7 @@
 	if _, ok := r.upstreams[id]; !ok {
 		return
 	}
-	if _, held := r.expiring[id]; held {
+	if _, expiring := r.expiring[id]; expiring {
 		return
 	}
 	now, back := r.clock.Now(), r.storeBack
@@ -258,13 +258,13 @@
 		r.generation++
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream removed")
 	}
-	for id, l := range r.departed {
-		if now-l.at > departureTTL {
+	for id, d := range r.departed {
+		if now-d.at > departureTTL {
 			delete(r.departed, id)
 		}
 	}
 	r.position = route.Later(r.position, position)
-	r.upstreamsAt = max(r.upstreamsAt, at)
+	r.upstreamsVerified = max(r.upstreamsVerified, at)
 	r.digest = digest(r.upstreams, r.unverified)
 	r.changes.Settle()
 	r.publish()
