--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -14,7 +14,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Kind and name of the document in the store.
+// Location of the document in the store.
 const (
 	Kind platform.Kind = "config"
 	Name platform.Name = "document"
@@ -53,9 +53,10 @@
 type Rules struct {
 	// Watchers is the number of members in each failure domain that watch and poll the store.
 	Watchers int
-	// Wait is the maximum duration of one watch. Poll is the time between two polls of a watcher.
-	// Slow is the same for all other members of a fleet of fullFleet members; in a smaller fleet
-	// they poll more often, so that all of them together make the same number of polls.
+	// Wait is the maximum duration of one watch. The second interval is the time between two polls
+	// of a watcher. The third one is the same for all other members of a fleet of fullFleet
+	// members; in a smaller fleet they poll more often, so that all of them together make the same
+	// number of polls.
 	Wait, Poll, Slow clock.Milli
 	// Contact is the maximum time since the last contact with the store or a peer for this VM to be
 	// ready.
@@ -75,7 +76,7 @@
 	Contact: 5 * clock.Second, Fetch: clock.Second,
 }
 
-// fullFleet is the number of members for which Rules.Slow is specified.
+// fullFleet is the number of members for which the poll interval of non-watchers is specified.
 const fullFleet = 450
 
 // Follower keeps the newest document. It is safe for concurrent use.
@@ -173,9 +174,9 @@
 	}
 }
 
-// Ready reports whether a document is in force and the store or a peer was reached within
-// Rules.Contact. A VM that is cut off from both may apply a document that is no longer in force
-// anywhere else, so it must not serve callers.
+// Ready reports whether a document is in force and the store or a peer was reached within the
+// contact limit of its rules. A VM that is cut off from both may apply a document that is no longer
+// in force anywhere else, so it must not serve callers.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
 	revision, contact, peers := f.revision, f.storeContact, f.peers
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -50,7 +50,8 @@
 	roster registry.Roster
 }
 
-// New returns the Readers of a VM. seed is set if the settings of other VMs name this VM.
+// New returns a value that computes the rosters of the VM self. seed is set if the settings of
+// other VMs name this VM.
 func New(self peer.VM, seed bool) *Readers { return &Readers{self: self, seed: seed} }
 
 // Roster returns the roster of this VM for the live members.
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -63,10 +63,10 @@
 
 // learnPeerUpstreams applies a whole list of a peer that was current at an instant and has a
 // position. It does not restore upstreams that the store has reported as removed. Upstreams that it
-// lacks are removed at once, even while this VM cannot reach the store, since a peer
-// that retains removed entries sends no list. But if no VM had current state for long, the store was down for all,
-// and a peer that has just started does not know which entries expired meanwhile. Then upstreams
-// are retained as after the first answer of the store itself.
+// lacks are removed at once, even while this VM cannot reach the store, since a peer that retains
+// removed entries sends no list. But if no VM had current state for long, the store was down for
+// all, and a peer that has just started does not know which entries expired meanwhile. Then
+// upstreams are retained as after the first answer of the store itself.
 func (r *Registry) learnPeerUpstreams(update route.News, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
