--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -104,8 +104,9 @@
 }
 
 // withoutUnverified returns a list of the store without the entries that contradict the state known
-// before the store was restored. An upstream that lists of this era have lacked is no such
-// contradiction: its writer has written it again since. The lock must be held.
+// before the store was restored, and records these as unverified. For an upstream that is known to
+// be leaving and listed as ready, it returns the known entry. An upstream that lists of this era have
+// lacked is no such contradiction: its writer has written it again since. The lock must be held.
 func (r *Registry) withoutUnverified(us []route.Upstream) []route.Upstream {
 	if !r.inVerification() {
 		return us
@@ -133,8 +134,8 @@
 	return verified
 }
 
-// inVerification reports whether the writers of the store may not have written all their entries
-// again yet. The lock must be held.
+// inVerification reports whether the store was restored less than unverifiedTime ago, so that writers
+// may still have to write their entries again. The lock must be held.
 func (r *Registry) inVerification() bool {
 	return r.eraStart > 0 && r.clock.Now()-r.eraStart < unverifiedTime
 }
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -165,7 +165,7 @@
 	eraStart clock.Milli
 	// peerDocument is closed once a peer has reported the revision of its document, and
 	// peerRevision is the highest one reported. peerAnswered is set once any peer has sent its
-	// version summary, awaitedPeer once awaitPeer was called.
+	// version summary, awaitedPeer once awaitPeer has waited.
 	peerAnswered, awaitedPeer atomic.Bool
 	peerDocument              chan struct{}
 	peerDocumentOnce          sync.Once
