--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -1,9 +1,8 @@
 // Package follow keeps the newest configuration document in force on this VM.
 //
-// A document is named by its revision, the store's version of it. The one rule
-// that keeps an accepted document from being reverted is that a revision is
-// taken only if it is above every one seen before, wherever it comes from: a
-// stale read of the store or a peer that lags can then never win.
+// A document is identified by its revision, which is its version in the store. A document is
+// applied only if its revision is higher than every revision seen before, whatever its source. So a
+// stale read of the store or an outdated peer can never revert an accepted document.
 package follow
 
 import (
@@ -15,7 +14,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Where the document lives in the store.
+// Location of the document in the store.
 const (
 	Kind platform.Kind = "config"
 	Name platform.Name = "document"
@@ -27,12 +26,12 @@
 	Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error)
 }
 
-// Caller calls a method of a peer.
+// Caller calls net/rpc methods of a peer.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Clock reads the time of this process.
+// Clock reads the monotonic time of this process.
 type Clock interface {
 	Now() clock.Milli
 }
@@ -46,102 +45,104 @@
 	Kick()
 }
 
-// Take parses a document and puts it in force. An error means that it does
-// not parse or does not hold together; it then stays out of force.
+// Take parses a document and puts it in force. If the document cannot be parsed or is inconsistent,
+// it returns an error, and the document does not come into force.
 type Take func(r peer.Revision, text []byte) error
 
-// Rules set the pace of a follower.
+// Rules are the intervals and limits of a follower.
 type Rules struct {
-	// Watchers is how many members of each failure domain watch and poll the store.
+	// Watchers is the number of members in each failure domain that watch and poll the store.
 	Watchers int
-	// Wait is how long one watch waits, Poll the time between two polls of a
-	// watcher, Slow the same for all other members of a full fleet; in a smaller
-	// one they poll more often, so that all of them together poll as much.
+	// Wait is the maximum duration of one watch. The second interval is the time between two polls
+	// of a watcher. The third one is the same for all other members of a fleet of fullFleet
+	// members; in a smaller fleet they poll more often, so that all of them together make the same
+	// number of polls.
 	Wait, Poll, Slow clock.Milli
-	// Contact is how long ago the store or a peer may have been reached for
-	// this VM to count as ready.
+	// Contact is the maximum time since the last contact with the store or a peer for this VM to be
+	// ready.
 	Contact clock.Milli
-	// Fetch is the timeout of asking a peer for a document.
+	// Fetch is the timeout of a request to a peer for a document.
 	Fetch clock.Milli
 }
 
-// DefaultRules put a document in force everywhere within 8 s, also when every
-// watch is dead: a poll finds it within 2 s and heartbeats carry it on. Two
-// watchers in each of 8 failure domains make 16 waiting watches and 8 polls a
-// second, and 434 other members poll 7 times a second between them, of a store
-// that takes 2,000 reads a second. All 450 polling would take 225.
+// DefaultRules put a document in force on all VMs within 8 s even if every watch hangs: a poll
+// finds the document within 2 s, and heartbeats announce it to the other VMs. Two watchers in each
+// of 8 failure domains make 16 open watches and 8 polls a second, and the 434 other members
+// together poll 7 times a second. The store can serve 2,000 reads a second. If all 450 members
+// polled at the rate of a watcher, they would make 225 polls a second.
 var DefaultRules = Rules{
 	Watchers: 2,
 	Wait:     10 * clock.Second, Poll: 2 * clock.Second, Slow: clock.Minute,
 	Contact: 5 * clock.Second, Fetch: clock.Second,
 }
 
-// fullFleet is the number of members that Slow is made for.
+// fullFleet is the number of members for which the poll interval of non-watchers is specified.
 const fullFleet = 450
 
-// Follower holds the newest document. It is safe for concurrent use.
+// Follower keeps the newest document. It is safe for concurrent use.
 type Follower struct {
 	store  Store
 	caller Caller
 	clock  Clock
 	rules  Rules
-	take   Take
-	// hints wakes the fetching from peers.
-	hints chan struct{}
+	apply  Take
+	// wake starts a fetch from a peer.
+	wake chan struct{}
 
 	mu sync.Mutex
-	// revision and text are the document in force; revision never falls.
+	// revision and text are the document in force. revision never decreases.
 	revision peer.Revision
 	text     []byte
-	// refused is the highest revision that did not parse, so that it is
-	// neither tried again and again nor fetched.
-	refused peer.Revision
-	// problem is what was wrong with it.
-	problem error
-	// stored is when the store answered last.
-	stored clock.Milli
-	// ahead is the highest revision that a peer told, and where it is to be had.
-	ahead   peer.Revision
-	address string
-	peers   Peers
+	// rejected is the highest revision that apply refused, so that it is neither parsed nor fetched
+	// again.
+	rejected peer.Revision
+	// rejectError is the error that apply returned for it.
+	rejectError error
+	// storeContact is when the store last answered.
+	storeContact clock.Milli
+	// peerRevision is the highest revision that a peer has announced, peerAddress the address of
+	// that peer.
+	peerRevision peer.Revision
+	peerAddress  string
+	peers        Peers
 }
 
 // New returns a follower without a document.
-func New(s Store, c Caller, k Clock, r Rules, take Take) *Follower {
-	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, hints: make(chan struct{}, 1)}
+func New(s Store, c Caller, k Clock, r Rules, apply Take) *Follower {
+	return &Follower{store: s, caller: c, clock: k, rules: r, apply: apply, wake: make(chan struct{}, 1)}
 }
 
-// Newest is the document in force; revision zero means that there is none.
+// Newest returns the document in force; revision zero means that there is none.
 func (f *Follower) Newest() (peer.Revision, []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision, f.text
 }
 
-// Refused is the newest revision that does not parse, with its problem, while
-// it is above the one in force.
+// Refused returns the highest revision that could not be applied, with the error, as long as it is
+// higher than the one in force.
 func (f *Follower) Refused() (peer.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.refused <= f.revision {
+	if f.rejected <= f.revision {
 		return 0, nil
 	}
-	return f.refused, f.problem
+	return f.rejected, f.rejectError
 }
 
-// Offer takes a document if its revision is above every one seen and it
-// parses. It tells whether the document is now in force.
+// Offer applies a document if its revision is higher than every one seen and it is valid. It
+// reports whether the document is now in force.
 func (f *Follower) Offer(r peer.Revision, text []byte) bool {
 	f.mu.Lock()
-	if r <= f.revision || r <= f.refused {
+	if r <= f.revision || r <= f.rejected {
 		f.mu.Unlock()
 		return false
 	}
-	// take runs under the lock: two documents offered at once must come into
-	// force in the order of their revisions.
-	err := f.take(r, text)
+	// apply runs under the lock, so that two documents offered at once come into force in the order
+	// of their revisions.
+	err := f.apply(r, text)
 	if err != nil {
-		f.refused, f.problem = r, err
+		f.rejected, f.rejectError = r, err
 	} else {
 		f.revision, f.text = r, append([]byte(nil), text...)
 	}
@@ -153,31 +154,32 @@
 	return err == nil
 }
 
-// Fill implements member.Part: a beat carries the revision in force.
+// Fill implements member.Part. It adds the revision in force to a heartbeat.
 func (f *Follower) Fill(_ peer.VM, b *peer.BeatArgs) {
 	b.Revision, _ = f.Newest()
 }
 
-// Learn implements member.Part: a peer with a higher revision has the document.
+// Learn implements member.Part. A higher revision in a peer's heartbeat starts a fetch from that
+// peer.
 func (f *Follower) Learn(b *peer.BeatArgs, _ bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if b.Revision <= f.revision || b.Revision <= f.refused || b.Revision < f.ahead {
+	if b.Revision <= f.revision || b.Revision <= f.rejected || b.Revision < f.peerRevision {
 		return
 	}
-	f.ahead, f.address = b.Revision, b.From.Address
+	f.peerRevision, f.peerAddress = b.Revision, b.From.Address
 	select {
-	case f.hints <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Ready tells whether a document is in force and the store or a peer was
-// reached lately. A VM that is cut off from both may be obeying a document
-// that is no longer in force anywhere else, so it must get no callers.
+// Ready reports whether a document is in force and the store or a peer was reached within the
+// contact limit of its rules. A VM that is cut off from both may apply a document that is no longer
+// in force anywhere else, so it must not serve callers.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
-	revision, contact, peers := f.revision, f.stored, f.peers
+	revision, contact, peers := f.revision, f.storeContact, f.peers
 	f.mu.Unlock()
 	if peers != nil {
 		contact = max(contact, peers.Reached())
@@ -185,8 +187,8 @@
 	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.Contact
 }
 
-func (f *Follower) reachedStore() {
+func (f *Follower) noteStoreContact() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stored = f.clock.Now()
+	f.storeContact = f.clock.Now()
 }
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -25,7 +25,7 @@
 	return g.Wait()
 }
 
-// Watches tells whether a member is among the watchers of its failure domain.
+// Watches reports whether a member is one of the watchers of its failure domain.
 func Watches(self peer.Member, live []peer.Member, watchers int) bool {
 	var own []peer.Member
 	for _, m := range live {
@@ -44,96 +44,98 @@
 	return false
 }
 
-// watching tells whether this VM asks the store often: as a watcher, and also
-// while it has no document or no peer, since then nobody else tells it.
-func (f *Follower) watching() bool {
+// pollsAsWatcher reports whether this VM watches the store and polls it at the rate of a watcher.
+// It does so as a watcher, and also while it has no document or no contact with a peer, since no
+// peer announces documents to it then.
+func (f *Follower) pollsAsWatcher() bool {
 	revision, _ := f.Newest()
 	alone := f.clock.Now()-f.peers.Reached() > f.rules.Contact
 	return revision == 0 || alone || Watches(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
 }
 
-// watch learns of a change within milliseconds while watches work.
+// watch delivers a change within milliseconds as long as watches work.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.watching() {
+		if !f.pollsAsWatcher() {
 			pause(ctx, f.rules.Poll)
 			continue
 		}
-		revision := f.highest()
-		o, news, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
+		revision := f.highestSeen()
+		o, changed, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
 		switch {
 		case err != nil:
 			pause(ctx, f.rules.Poll)
-		case news:
-			f.reachedStore()
+		case changed:
+			f.noteStoreContact()
 			f.Offer(peer.Revision(o.Version), o.Value)
-			if f.highest() == revision {
-				// An answer without news, against the protocol: do not spin.
+			if f.highestSeen() == revision {
+				// The store returned no newer revision, against its protocol. Pause to avoid a busy
+				// loop.
 				pause(ctx, f.rules.Poll)
 			}
 		}
 	}
 }
 
-// highest is the highest revision seen, in force or not.
-func (f *Follower) highest() peer.Revision {
+// highestSeen returns the highest revision seen, whether in force or rejected.
+func (f *Follower) highestSeen() peer.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.revision, f.refused)
+	return max(f.revision, f.rejected)
 }
 
-// poll backs the watch up: a watch can die without a sign, and then it looks
-// just like one that has nothing to tell.
+// poll finds changes that the watch misses: a watch can hang without an error, which looks like a
+// watch without changes.
 func (f *Follower) poll(ctx context.Context) {
-	last := f.clock.Now() - f.slow()
+	last := f.clock.Now() - f.pollInterval()
 	for ctx.Err() == nil {
-		if f.watching() || f.clock.Now()-last >= f.slow() {
+		if f.pollsAsWatcher() || f.clock.Now()-last >= f.pollInterval() {
 			last = f.clock.Now()
-			f.read(ctx)
+			f.readStore(ctx)
 		}
 		pause(ctx, f.rules.Poll)
 	}
 }
 
-// slow is the time between two polls of a member that is no watcher.
+// pollInterval returns the time between two polls of a member that is not a watcher.
 //
-// When the watchers are cut off from the store while others reach it, only these
-// polls find a change. All of them together cost the store the same few reads a
-// second at any size, so in a small fleet each can poll as often as a watcher,
-// and a change is in force in time although both watchers are blind.
-func (f *Follower) slow() clock.Milli {
+// If the watchers cannot reach the store but other members can, only these polls find a change. All
+// members together make the same few reads a second at any fleet size. So in a small fleet each
+// member polls as often as a watcher, and a change comes into force within its bound even without
+// the watchers.
+func (f *Follower) pollInterval() clock.Milli {
 	return max(f.rules.Poll, f.rules.Slow*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
 
-func (f *Follower) read(ctx context.Context) {
+func (f *Follower) readStore(ctx context.Context) {
 	o, err := f.store.Get(ctx, Kind, Name)
 	if errors.Is(err, platform.ErrNotFound) {
-		f.reachedStore()
+		f.noteStoreContact()
 	}
 	if err != nil {
 		return
 	}
-	f.reachedStore()
+	f.noteStoreContact()
 	f.Offer(peer.Revision(o.Version), o.Value)
 }
 
-// fetch gets from a peer what its heartbeat told of.
+// fetch fetches documents that peers' heartbeats announce.
 func (f *Follower) fetch(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.hints:
-			f.ask(ctx)
+		case <-f.wake:
+			f.fetchOnce(ctx)
 		}
 	}
 }
 
-func (f *Follower) ask(ctx context.Context) {
+func (f *Follower) fetchOnce(ctx context.Context) {
 	f.mu.Lock()
-	above, address := max(f.revision, f.refused), f.address
-	// The next heartbeat names a peer again if this one fails.
-	f.ahead = 0
+	above, address := max(f.revision, f.rejected), f.peerAddress
+	// If this request fails, the next heartbeat names a peer again.
+	f.peerRevision = 0
 	f.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, f.rules.Fetch.Duration())
 	defer cancel()
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -16,49 +16,50 @@
 // Run follows the store until ctx ends.
 func (r *Registry) Run(ctx context.Context) error {
 	var g errgroup.Group
-	g.Go(func() error { r.follow(ctx, r.documents()); return nil })
-	g.Go(func() error { r.follow(ctx, r.entries()); return nil })
+	g.Go(func() error { r.follow(ctx, r.documentFeed()); return nil })
+	g.Go(func() error { r.follow(ctx, r.upstreamFeed()); return nil })
 	g.Go(func() error { r.sweep(ctx); return nil })
-	g.Go(func() error { r.confirm(ctx); return nil })
+	g.Go(func() error { r.pollReaders(ctx); return nil })
 	return g.Wait()
 }
 
-// feed is one kind of the store's objects that is followed.
+// feed is one kind of objects of the store that is followed.
 type feed struct {
 	name  string
 	list  func(context.Context) (route.Position, error)
 	watch func(context.Context, route.Position, clock.Milli) (route.Position, error)
-	// wait is how long a watch waits at a VM that reads for others.
+	// wait is how long a watch waits at a VM that verifies its copy itself.
 	wait clock.Milli
-	// leads is set for the feed whose calls find out whether the store is back.
-	leads bool
+	// lead is set for the feed whose calls find out whether the store is back after an outage.
+	lead bool
 }
 
-func (r *Registry) documents() feed {
-	return feed{name: "routes", list: r.listDocument, watch: r.watchDocument, wait: watchWait, leads: true}
+func (r *Registry) documentFeed() feed {
+	return feed{name: "routes", list: r.listDocument, watch: r.watchDocument, wait: watchWait, lead: true}
 }
 
-func (r *Registry) entries() feed {
-	return feed{name: "upstreams", list: r.listUpstreams, watch: r.watchUpstreams, wait: newsWait}
+func (r *Registry) upstreamFeed() feed {
+	return feed{name: "upstreams", list: r.listUpstreams, watch: r.watchUpstreams, wait: upstreamWatchWait}
 }
 
-// follow lists once and then watches from there; after an error, or once others have read
-// for this VM, it lists anew, since events may have been missed.
+// follow lists once and then watches from the position of the list. It lists again after an error,
+// after a change of the era, and after other members have read for this VM, since it may have
+// missed changes.
 func (r *Registry) follow(ctx context.Context, f feed) {
 	r.bootstrap(ctx)
 	var at route.Position
 	failures, busy := 0, false
 	for ctx.Err() == nil {
-		if r.rests(f) {
+		if r.delegates(f) {
 			at, failures, busy = route.Position{}, 0, false
 			r.clearOutage()
-			if f.leads {
-				r.failing.Store(false)
+			if f.lead {
+				r.leadFeedFailing.Store(false)
 			}
-			pause(ctx, checkEvery)
+			pause(ctx, checkPeriod)
 			continue
 		}
-		r.yield(ctx, f)
+		r.awaitLeadFeed(ctx, f)
 		var err error
 		if at.Era != r.Era() {
 			at = route.Position{}
@@ -68,13 +69,13 @@
 		if listed {
 			at, err = f.list(ctx)
 		} else {
-			at, busy, err = r.next(ctx, f, at, busy)
+			at, busy, err = r.watchOnce(ctx, f, at, busy)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if f.leads {
-			r.failing.Store(err != nil)
+		if f.lead {
+			r.leadFeedFailing.Store(err != nil)
 		}
 		r.noteStore(f.name, err)
 		if err == nil {
@@ -90,23 +91,26 @@
 	}
 }
 
-// yieldLongest bounds how long a feed leaves it to the other one to find out whether the store is back.
-const yieldLongest = 5
+// maxLeadFeedWaits is the maximum number of pauses for which a feed waits for the lead feed to
+// succeed.
+const maxLeadFeedWaits = 5
 
-// yield lets one of the two feeds ask whether the store is back: the calls of an outage are half as many.
-// A store that fails for that feed's objects alone must not stop the other.
-func (r *Registry) yield(ctx context.Context, f feed) {
-	for i := 0; i < yieldLongest && !f.leads && r.failing.Load() && ctx.Err() == nil; i++ {
-		pause(ctx, checkEvery)
+// awaitLeadFeed delays a feed while the calls of the lead feed fail, which halves the calls during
+// an outage. The delay is bounded, so that a store that fails only for the lead feed's objects does
+// not stop the other feed.
+func (r *Registry) awaitLeadFeed(ctx context.Context, f feed) {
+	for i := 0; i < maxLeadFeedWaits && !f.lead && r.leadFeedFailing.Load() && ctx.Err() == nil; i++ {
+		pause(ctx, checkPeriod)
 	}
 }
 
-// bootstrap waits for a peer that hands over what it knows.
+// bootstrap waits for a peer to send its state.
 //
-// A VM that starts alone, after a release or a crash, joins a fleet that knows all: it needs no call
-// of the store. Where all start at once nobody knows anything, and each lists after the wait.
+// A VM that starts alone, after an upgrade or a crash, joins members that already have the state,
+// and needs no call of the store. When all VMs start at once no peer has any state, and each VM
+// lists the store after the wait.
 func (r *Registry) bootstrap(ctx context.Context) {
-	if r.readers == nil || r.readers().Seed || r.rests(r.documents()) {
+	if r.readers == nil || r.readers().Seed || r.delegates(r.documentFeed()) {
 		return
 	}
 	t := time.NewTimer(r.bootstrapWait)
@@ -119,71 +123,74 @@
 	}
 }
 
-// clearOutage notes that readers' word stands for ours. What we then read for ourselves is no first answer
-// after an outage, whatever became of our own calls before.
+// clearOutage clears storeDown once readers keep this VM's copy current. Otherwise its next own
+// call would count as the first answer after an outage, because of a failure before.
 func (r *Registry) clearOutage() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = false
+	r.storeDown = false
 }
 
-// awaitMembers waits after a list until this VM may know whether others read for it.
-// VMs that start together would each open two watches before they know that others read.
+// awaitMembers waits after a list until this VM can know whether others read for it. VMs that start
+// together would otherwise each open two watches before they know.
 func (r *Registry) awaitMembers(ctx context.Context) {
 	if r.readers != nil {
-		pause(ctx, joinTime)
+		pause(ctx, joinWait)
 	}
 }
 
-// next watches once from a position, and returns the one to go on from; zero asks for a list. Busy tells whether news ended the
-// watch, now and before.
-func (r *Registry) next(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
+// watchOnce makes one watch from a position. It returns the position for the next watch, zero if a
+// list is needed, and whether the watch ended with an update soon. busy is that result of the
+// previous watch.
+func (r *Registry) watchOnce(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
 	began := r.clock.Now()
-	wait := r.wait(f)
-	watching, end := r.watching(ctx, f.name, wait)
-	next, err := f.watch(watching, at, wait)
-	ended := watching.Err() != nil
+	wait := r.watchWaitOf(f)
+	watchCtx, end := r.watchContext(ctx, f.name, wait)
+	next, err := f.watch(watchCtx, at, wait)
+	canceled := watchCtx.Err() != nil
 	end()
-	if err != nil && ended && ctx.Err() == nil {
-		// We ended it ourselves, for want of proof or in another era: a list proves at once.
+	if err != nil && canceled && ctx.Err() == nil {
+		// This VM canceled the watch, for lack of a recent verification or because the era changed.
+		// A list verifies the copy at once.
 		return route.Position{}, false, nil
 	}
-	least := newsEvery
+	interval := watchInterval
 	if busy {
-		least = newsBusy
+		interval = busyWatchInterval
 	}
-	rest := least - (r.clock.Now() - began)
-	if err == nil && rest > 0 {
-		pause(ctx, rest.Duration())
+	remaining := interval - (r.clock.Now() - began)
+	if err == nil && remaining > 0 {
+		pause(ctx, remaining.Duration())
 	}
-	return next, rest > 0, err
+	return next, remaining > 0, err
 }
 
-// backOff waits before a failed call is made again: longer after each failure and, in a fleet that
-// leaves the store to a few, the longer the further behind the readers this VM stands.
-// Otherwise all VMs would call a store that is away many times a second. The readers go on asking often, so that its return is known to all
-// within a second; a VM that becomes a reader stops waiting.
+// backOff waits before a failed call is repeated: longer after each failure and, if few members
+// read for all, longer the further behind the readers this VM ranks. Otherwise all VMs would call
+// an unreachable store many times a second. The primary reader continues to call often, so that all
+// VMs learn of the store's return within a second. A VM that becomes the primary reader stops
+// waiting.
 func (r *Registry) backOff(ctx context.Context, failures int) {
-	wait := retryWait << min(failures, retryDoublings)
+	wait := retryWait << min(failures, maxRetryDoublings)
 	if r.readers != nil {
-		wait = max(wait, min(time.Duration(r.readers().Rank)*retryRank, retryLongest))
+		wait = max(wait, min(time.Duration(r.readers().Rank)*retryWaitPerRank, maxRetryWait))
 	}
 	wait = wait/2 + rand.N(wait)
-	if r.leads() {
+	if r.isPrimary() {
 		wait = retryWait/2 + rand.N(retryWait)
 	}
 	for wait > 0 && ctx.Err() == nil {
-		step := min(wait, checkEvery)
+		step := min(wait, checkPeriod)
 		pause(ctx, step)
 		wait -= step
-		if r.leads() && wait > retryWait {
+		if r.isPrimary() && wait > retryWait {
 			wait = retryWait
 		}
 	}
 }
 
-// leads tells whether this VM stands before all others.
-func (r *Registry) leads() bool { return r.readers == nil || r.readers().Self }
+// isPrimary reports whether this VM is the first in the order of readers.
+func (r *Registry) isPrimary() bool { return r.readers == nil || r.readers().Self }
 
 func (r *Registry) listDocument(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
@@ -191,15 +198,15 @@
 	if err != nil && !errors.Is(err, route.ErrDocument) {
 		return route.Position{}, err
 	}
-	if era := r.enter(at.Era); era != nil {
+	if era := r.checkEra(at.Era); era != nil {
 		return route.Position{}, era
 	}
 	if err != nil {
-		r.reject(err)
+		r.noteUnreadable(err)
 		return at, nil
 	}
 	if r.awaitPeer(ctx, at.Era) {
-		return r.listDocument(ctx) // the operator may have written again meanwhile
+		return r.listDocument(ctx) // the operator may have written the document again during the wait
 	}
 	r.learnDocument(d, sent, fromStore)
 	return at, nil
@@ -212,10 +219,10 @@
 		return route.Position{}, err
 	}
 	if at.Era != after.Era {
-		return route.Position{}, r.enter(at.Era)
+		return route.Position{}, r.checkEra(at.Era)
 	}
 	if err != nil {
-		r.reject(err)
+		r.noteUnreadable(err)
 		return at, nil
 	}
 	if d != nil {
@@ -224,83 +231,86 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.behind {
-		r.confirmDocument(r.asOf(sent, wait))
+	if !r.storeBehind {
+		r.confirmDocument(r.provenUntil(sent, wait))
 	}
 	return at, nil
 }
 
-// reject notes that what stands in the place of the document cannot be read. The last one stays in force, but nothing
-// proves that it is still the newest: the operator may have taken a key away. So its age grows, and keys are refused
-// once it is too old.
-func (r *Registry) reject(err error) {
+// noteUnreadable records that the store's document cannot be parsed. The last valid document stays
+// in force, but it cannot be verified as current, since the operator may have revoked an API key.
+// So its age grows, and requests with keys are refused once it is too old.
+func (r *Registry) noteUnreadable(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unread = true
-	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableAt)).Err(err).Msg("document is not taken")
+	r.unreadable = true
+	r.log.Error().Str(logline.Key, logline.Rejected).Int64("age", int64(r.clock.Now()-r.tableVerified)).Err(err).Msg("document rejected")
 }
 
 func (r *Registry) listUpstreams(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
-	news, at, err := r.store.Upstreams(ctx)
+	update, at, err := r.store.Upstreams(ctx)
 	if err != nil {
 		return route.Position{}, err
 	}
-	if err := r.enter(at.Era); err != nil {
+	if err := r.checkEra(at.Era); err != nil {
 		return route.Position{}, err
 	}
-	r.learnUpstreams(news, at, sent)
+	r.learnUpstreams(update, at, sent)
 	return at, nil
 }
 
 func (r *Registry) watchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.Position, error) {
 	sent := r.clock.Now()
-	news, at, err := r.store.WatchUpstreams(ctx, after, wait)
+	update, at, err := r.store.WatchUpstreams(ctx, after, wait)
 	if err != nil {
 		return route.Position{}, err
 	}
 	if at.Era != after.Era {
-		return route.Position{}, r.enter(at.Era)
+		return route.Position{}, r.checkEra(at.Era)
 	}
-	right := sent
-	if len(news.Upstreams) == 0 && len(news.Gone) == 0 && len(news.Unusable) == 0 {
-		right = r.asOf(sent, wait)
+	proven := sent
+	if len(update.Upstreams) == 0 && len(update.Gone) == 0 && len(update.Unusable) == 0 {
+		proven = r.provenUntil(sent, wait)
 	}
-	r.changeUpstreams(news, at, right)
+	r.changeUpstreams(update, at, proven)
 	return at, nil
 }
 
-// asOf is the instant that the end of a watch without news speaks of: the store
-// waited from the arrival of the question, which was after it was sent. The
-// answer itself may have been held up for any time.
-func (r *Registry) asOf(sent, wait clock.Milli) clock.Milli { return min(sent+wait, r.clock.Now()) }
+// provenUntil returns the instant up to which a watch that ended without a change proves that
+// nothing changed. The store waited from the arrival of the request, which was after it was sent.
+// The answer itself may have been delayed by any time.
+func (r *Registry) provenUntil(sent, wait clock.Milli) clock.Milli {
+	return min(sent+wait, r.clock.Now())
+}
 
-// noteStore notes whether the store answers.
+// noteStore records whether the store answered a call.
 func (r *Registry) noteStore(what string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case err != nil && !r.lost:
-		r.lost = true
-		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("the store does not answer")
-	case err == nil && r.lost:
-		r.lost = false
-		r.back = r.clock.Now()
+	case err != nil && !r.storeDown:
+		r.storeDown = true
+		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("call of the store failed")
+	case err == nil && r.storeDown:
+		r.storeDown = false
+		r.storeBack = r.clock.Now()
 		r.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "store").Str("call", what).Msg("the store answers again")
 	}
 }
 
-// Lost tells whether the last call of the store failed.
-func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.lost }
+// Lost reports whether the last call of the store failed.
+func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.storeDown }
 
-// sweep ends upstreams whose hold is over although no news comes.
+// sweep removes upstreams whose hold has ended, and accepts unverified entries, also while no
+// updates arrive.
 func (r *Registry) sweep(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, 200*time.Millisecond)
 		r.mu.Lock()
-		believed := r.believe()
-		if believed || len(r.gone) > 0 {
-			r.settle(route.Position{}, 0)
+		accepted := r.acceptUnverified()
+		if accepted || len(r.expiring) > 0 {
+			r.commit(route.Position{}, 0)
 		}
 		r.mu.Unlock()
 	}
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -18,52 +18,54 @@
 	"snipeshift.example/lib/route"
 )
 
-// hand is a clock that a test sets.
-type hand struct {
+// manualClock is a clock that a test advances.
+type manualClock struct {
 	mu sync.Mutex
 	at clock.Milli
 }
 
-func (h *hand) Now() clock.Milli      { h.mu.Lock(); defer h.mu.Unlock(); return h.at }
-func (h *hand) forward(d clock.Milli) { h.mu.Lock(); defer h.mu.Unlock(); h.at += d }
+func (h *manualClock) Now() clock.Milli      { h.mu.Lock(); defer h.mu.Unlock(); return h.at }
+func (h *manualClock) advance(d clock.Milli) { h.mu.Lock(); defer h.mu.Unlock(); h.at += d }
 
 var errDown = errors.New("down")
 
-// fake is a store whose watches end at once.
-type fake struct {
+// fakeStore is a store whose watches end at once.
+type fakeStore struct {
 	mu        sync.Mutex
 	document  *route.Document
 	upstreams []route.Upstream
 	gone      []decide.UpstreamID
 	down      bool
-	// unread is set where what stands in the place of the document cannot be read.
-	unread bool
-	// at is the store's position. Positions of watches and lists rise by one with each answer.
+	// unreadable is set to answer that the document cannot be parsed.
+	unreadable bool
+	// at is the store's position. Its mark rises by one with each answer about upstreams.
 	at route.Position
 }
 
-// position is one in the present era.
-func (f *fake) position(m route.Mark) route.Position { return route.Position{Era: f.at.Era, Mark: m} }
+// position returns a position in the present era.
+func (f *fakeStore) position(m route.Mark) route.Position {
+	return route.Position{Era: f.at.Era, Mark: m}
+}
 
-// mark is a position of a store that tells no era.
+// mark returns a position without an era.
 func mark(m route.Mark) route.Position { return route.Position{Mark: m} }
 
-// next is the position after one.
+// next returns the position that follows p.
 func next(p route.Position) route.Position { return route.Position{Era: p.Era, Mark: p.Mark + 1} }
 
-func (f *fake) Document(context.Context) (*route.Document, route.Position, error) {
+func (f *fakeStore) Document(context.Context) (*route.Document, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
 		return nil, route.Position{}, errDown
 	}
-	if f.unread {
+	if f.unreadable {
 		return nil, f.position(1), route.ErrDocument
 	}
 	return f.document, f.position(1), nil
 }
 
-func (f *fake) WatchDocument(context.Context, route.Position, clock.Milli) (*route.Document, route.Position, error) {
+func (f *fakeStore) WatchDocument(context.Context, route.Position, clock.Milli) (*route.Document, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -72,7 +74,7 @@
 	return nil, f.position(2), nil
 }
 
-func (f *fake) Upstreams(context.Context) (route.News, route.Position, error) {
+func (f *fakeStore) Upstreams(context.Context) (route.News, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -82,7 +84,7 @@
 	return route.News{Upstreams: f.upstreams}, f.at, nil
 }
 
-func (f *fake) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.News, route.Position, error) {
+func (f *fakeStore) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.News, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -94,10 +96,10 @@
 	return route.News{Gone: gone}, f.at, nil
 }
 
-// direct calls a receiver without a network.
-type direct struct{ to *Registry }
+// localPeer calls a receiver without a network.
+type localPeer struct{ to *Registry }
 
-func (d direct) Call(_ context.Context, _, _ string, args, reply any) error {
+func (d localPeer) Call(_ context.Context, _, _ string, args, reply any) error {
 	return NewReceiver(d.to).Tell(args.(*peer.RegistryWord), reply.(*peer.RegistryReply))
 }
 
@@ -113,29 +115,29 @@
 	return us
 }
 
-// list is what a list of the store's with these upstreams says.
-func list(us []route.Upstream) route.News { return route.News{Upstreams: us} }
+// listing returns the answer of the store to a list with these upstreams.
+func listing(us []route.Upstream) route.News { return route.News{Upstreams: us} }
 
-type bench struct {
+type harness struct {
 	*Registry
-	// promoted makes the VM a reader.
+	// promoted makes the VM the primary reader.
 	promoted atomic.Bool
 	t        *testing.T
-	store    *fake
-	clock    *hand
+	store    *fakeStore
+	clock    *manualClock
 	ctx      context.Context
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	b := &bench{t: t, store: &fake{document: document(1), upstreams: upstreams("a", "b")}, clock: &hand{at: 1_000_000}, ctx: context.Background()}
+	b := &harness{t: t, store: &fakeStore{document: document(1), upstreams: upstreams("a", "b")}, clock: &manualClock{at: 1_000_000}, ctx: context.Background()}
 	b.Registry = New(b.store, nil, b.clock, &log.Logger{Level: log.FatalLevel})
 	b.list()
 	return b
 }
 
-// list is one round of both followers.
-func (b *bench) list() {
+// list lists both feeds once.
+func (b *harness) list() {
 	b.t.Helper()
 	_, err := b.listDocument(b.ctx)
 	b.noteStore("routes", err)
@@ -143,7 +145,7 @@
 	b.noteStore("upstreams", err)
 }
 
-func (b *bench) watch() {
+func (b *harness) watch() {
 	b.t.Helper()
 	_, err := b.watchDocument(b.ctx, b.store.position(1), watchWait)
 	b.noteStore("routes", err)
@@ -151,149 +153,150 @@
 	b.noteStore("upstreams", err)
 }
 
-func (b *bench) there() int { return len(b.View().Upstreams["s"]) }
+func (b *harness) upstreamCount() int { return len(b.View().Upstreams["s"]) }
 
-// Something late tells of a document that was replaced already: a stale read, or a
-// peer that was cut off. Whoever saw the newer one in force must not see it taken back.
-func TestARevisionNeverGoesBack(t *testing.T) {
-	b := newBench(t)
+// A late message carries a document that was already replaced: a stale read, or a peer that was cut
+// off. The revision in force must not decrease.
+func TestRevisionNeverDecreases(t *testing.T) {
+	b := newHarness(t)
 	b.learnDocument(document(9), b.clock.Now(), "store")
 	b.learnDocument(document(7), b.clock.Now()+1, "peer")
 	require.EqualValues(t, 9, b.View().Table.Revision())
-	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older one proves nothing")
+	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older document verifies nothing")
 }
 
-// A document leads nowhere. The last good one goes on being served.
-func TestABadDocumentIsNotTaken(t *testing.T) {
-	b := newBench(t)
+// A document is inconsistent. The last valid one stays in force.
+func TestInvalidDocumentIsRejected(t *testing.T) {
+	b := newHarness(t)
 	bad := document(2)
 	bad.Routes = []route.Route{{Name: "r"}}
 	b.learnDocument(bad, b.clock.Now(), "store")
 	require.EqualValues(t, 1, b.View().Table.Revision())
 }
 
-// Something that cannot be read stands in the place of the document. The last good one is served on, and the store has answered: it
-// is not away. But it may be a document that takes a key away, so nothing proves the last one any more, also not the
-// end of a watch without news, until a good one is there again.
-func TestADocumentThatCannotBeReadProvesNothing(t *testing.T) {
-	b := newBench(t)
-	known := b.View().TableAt
-	b.clock.forward(100)
-	b.store.unread = true
+// The store's document cannot be parsed. The last valid one stays in force, and the store counts as
+// reachable, since it has answered. But the new document may revoke an API key, so neither lists
+// nor watches that end without a change verify the last one until a valid document is there.
+func TestUnreadableDocumentDoesNotRefreshAge(t *testing.T) {
+	b := newHarness(t)
+	verified := b.View().TableAt
+	b.clock.advance(100)
+	b.store.unreadable = true
 	b.list()
 	require.False(t, b.Lost())
 	require.EqualValues(t, 1, b.View().Table.Revision())
 	for range 3 {
-		b.clock.forward(watchWait)
+		b.clock.advance(watchWait)
 		b.watch()
 	}
-	require.Equal(t, known, b.View().TableAt)
-	b.store.unread = false
+	require.Equal(t, verified, b.View().TableAt)
+	b.store.unreadable = false
 	b.list()
-	require.Greater(t, b.View().TableAt, known)
+	require.Greater(t, b.View().TableAt, verified)
 }
 
-// The end of a watch without news proves what is known up to the end of the wait, and
-// not up to the arrival of the answer, which may have been held up for seconds.
-func TestAHeldUpAnswerProvesOnlyItsOwnTime(t *testing.T) {
-	b := newBench(t)
+// The end of a watch without a change proves that the copy was current until the end of the wait,
+// and not until the arrival of the answer, which may have been delayed for seconds.
+func TestDelayedWatchAnswerProvesOnlyUpToItsWait(t *testing.T) {
+	b := newHarness(t)
 	sent := b.clock.Now()
-	b.clock.forward(4 * clock.Second)
-	require.Equal(t, sent+watchWait, b.asOf(sent, watchWait))
-	b.clock.forward(-3500)
-	require.Equal(t, b.clock.Now(), b.asOf(sent, watchWait))
+	b.clock.advance(4 * clock.Second)
+	require.Equal(t, sent+watchWait, b.provenUntil(sent, watchWait))
+	b.clock.advance(-3500)
+	require.Equal(t, b.clock.Now(), b.provenUntil(sent, watchWait))
 }
 
-// An upstream's entry is removed while the store is well: it has left.
-func TestARemovedUpstreamIsGoneAtOnce(t *testing.T) {
-	b := newBench(t)
+// An upstream's entry is removed while the store is reachable: the upstream has left.
+func TestRemovedUpstreamIsDroppedAtOnce(t *testing.T) {
+	b := newHarness(t)
 	b.store.gone = []decide.UpstreamID{"a"}
 	b.watch()
-	require.Equal(t, 1, b.there())
+	require.Equal(t, 1, b.upstreamCount())
 }
 
-// The store was away, and the entries of all upstreams lapsed though they live. Taken
-// at its word, nothing is left to serve with until they have registered again.
-func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
-	b := newBench(t)
+// The entries of all upstreams expired during an outage of the store although the upstreams are
+// alive. If they were removed at once, no upstream would be left until they have registered again.
+func TestEntriesExpiredDuringOutageAreRetained(t *testing.T) {
+	b := newHarness(t)
 	b.store.down = true
 	b.watch()
 	require.True(t, b.Lost())
-	b.clock.forward(5 * clock.Second)
+	b.clock.advance(5 * clock.Second)
 	b.store.down, b.store.upstreams = false, nil
 	b.list()
-	require.Equal(t, 2, b.there())
-	b.clock.forward(holdGone - 100)
-	b.learnUpstreams(list(upstreams("a")), mark(1), b.clock.Now())
-	require.Equal(t, 2, b.there())
-	b.clock.forward(200)
-	b.learnUpstreams(list(upstreams("a")), mark(1), b.clock.Now())
-	require.Equal(t, 1, b.there(), "b has not come back in time")
-}
-
-// The same return, when the list of upstreams is the very first answer after the outage.
-func TestLapsedEntriesAreKeptByTheFirstAnswer(t *testing.T) {
-	b := newBench(t)
+	require.Equal(t, 2, b.upstreamCount())
+	b.clock.advance(outageHold - 100)
+	b.learnUpstreams(listing(upstreams("a")), mark(1), b.clock.Now())
+	require.Equal(t, 2, b.upstreamCount())
+	b.clock.advance(200)
+	b.learnUpstreams(listing(upstreams("a")), mark(1), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount(), "b was not written again during the hold")
+}
+
+// As above, with the list of upstreams as the very first answer after the outage.
+func TestExpiredEntriesAreRetainedOnFirstAnswerAfterOutage(t *testing.T) {
+	b := newHarness(t)
 	b.store.down = true
 	b.watch()
-	b.clock.forward(5 * clock.Second)
+	b.clock.advance(5 * clock.Second)
 	b.store.down, b.store.upstreams = false, nil
 	_, err := b.listUpstreams(b.ctx)
 	require.NoError(t, err)
-	require.Equal(t, 2, b.there())
-}
-
-// The store turns this VM away and serves the others. Keys and upstreams that change
-// meanwhile must be known here all the same.
-func TestAPeersWordMakesUpForAShutWay(t *testing.T) {
-	cut, well := newBench(t), newBench(t)
-	cut.peers = direct{well.Registry}
-	well.clock = cut.clock
-	well.Registry.clock = cut.clock
-	cut.clock.forward(4 * clock.Second)
-	well.list()
+	require.Equal(t, 2, b.upstreamCount())
+}
+
+// The store rejects this VM's calls and serves the other VMs. Changes of keys and upstreams must
+// still take effect here.
+func TestVMCutOffFromStoreLearnsFromPeers(t *testing.T) {
+	cutOff, connected := newHarness(t), newHarness(t)
+	cutOff.peers = localPeer{connected.Registry}
+	connected.clock = cutOff.clock
+	connected.Registry.clock = cutOff.clock
+	cutOff.clock.advance(4 * clock.Second)
+	connected.list()
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
-	well.Fill("", beat)
-	cut.Learn(beat, false)
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().TableAt, "the same document, known to be new")
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().UpstreamsAt)
-
-	cut.clock.forward(4 * clock.Second)
-	well.store.at.Mark += 10
-	well.store.document, well.store.upstreams = document(2), upstreams("b", "c", "d")
-	well.list()
+	connected.Fill("", beat)
+	cutOff.Learn(beat, false)
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().TableAt, "the same document, verified by the peer")
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().UpstreamsAt)
+
+	cutOff.clock.advance(4 * clock.Second)
+	connected.store.at.Mark += 10
+	connected.store.document, connected.store.upstreams = document(2), upstreams("b", "c", "d")
+	connected.list()
 	beat = &peer.BeatArgs{From: peer.Member{VM: "well"}}
-	well.Fill("", beat)
-	cut.Learn(beat, false)
+	connected.Fill("", beat)
+	cutOff.Learn(beat, false)
 	require.Eventually(t, func() bool {
-		v := cut.View()
+		v := cutOff.View()
 		return v.Table.Revision() == 2 && v.Upstream("s", func(u *route.Upstream) bool { return u.ID == "d" }) != nil
 	}, time.Second, time.Millisecond)
 }
 
-// The store turned this VM away, and since then readers tell it. An upstream that left without a word is gone
-// by their word at once: kept for two seconds, as after an outage of the store, it would be sent
-// requests long after it had left.
-func TestAReadersWordOfAnUpstreamThatLeftHoldsAtOnce(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// The store rejected this VM's calls, and readers have sent it their state since. An upstream that
+// a reader reports as removed must be removed at once. If it were retained as after an outage of
+// the store, requests would be sent to it long after it had left.
+func TestRemovalReportedByReaderAppliesAtOnce(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
-	b.large(reader.Registry)
+	b.readLargeFleetBy(reader.Registry)
 	b.store.down = true
 	b.watch()
 	require.True(t, b.Lost())
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.askReaders(b.ctx, b.readers().Others, 0)
-	require.Equal(t, 1, b.there())
+	require.Equal(t, 1, b.upstreamCount())
 }
 
-// This VM once met a closed store, and readers have read for it since. Then the readers' ways are shut, and it reads for
-// itself: that is no return of the store. An upstream that has left without a word must not be kept as
-// after an outage: it would be sent requests for two seconds more, long after it had left.
-func TestReadingAgainAfterARestIsNoReturnOfTheStore(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// A call of this VM failed once, and readers have read for it since. Then the readers are cut off
+// and the VM reads the store itself, which is not the end of an outage. An upstream that has left
+// without notice must not be retained as after an outage: it would receive requests for two more
+// seconds.
+func TestResumedStoreReadsAreNotTreatedAsOutageEnd(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
-	b.large(reader.Registry)
+	b.readLargeFleetBy(reader.Registry)
 	b.store.down = true
 	b.watch()
 	require.True(t, b.Lost())
@@ -305,74 +308,75 @@
 	b.follow(ctx, feed{name: "upstreams", list: none, watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
 		return route.Position{Mark: 1}, nil
 	}})
-	require.False(t, b.Lost(), "while it rests, readers vouch for what it knows")
-	b.clock.forward(restLimit + 1)
-	require.False(t, b.rests(b.documents()))
+	require.False(t, b.Lost(), "readers verify its copy while it makes no calls")
+	b.clock.advance(delegationLimit + 1)
+	require.False(t, b.delegates(b.documentFeed()))
 	b.store.upstreams = upstreams("b")
 	b.list()
-	require.Equal(t, 1, b.there())
-}
-
-// The store was away for all, and the entries of upstreams lapsed though they live. A peer that has just
-// started lists what is there and remembers nothing. By its word all upstreams would be gone
-// everywhere until they have registered again.
-func TestAStartedPeersListAfterAnOutageRemovesNothingAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.clock.forward(5 * clock.Second)
-	b.learnPeers(list(upstreams("b")), mark(50), b.clock.Now())
-	require.Equal(t, 2, b.there())
-	b.clock.forward(holdGone - 100)
-	b.learnPeers(list(upstreams("b")), mark(51), b.clock.Now())
-	require.Equal(t, 2, b.there())
-	b.clock.forward(200)
-	b.learnPeers(list(upstreams("b")), mark(52), b.clock.Now())
-	require.Equal(t, 1, b.there())
-}
-
-// The store was away and its entries lapsed, but the watch of this VM waited all the while and says only that all upstreams of a service
-// are gone. They register again within a second; taken out at once, every request would be refused for want of any. One that leaves
-// alone is gone at once all the same, and so is one that has said that it leaves.
-func TestUpstreamsThatVanishTogetherAreKeptForAWhile(t *testing.T) {
-	b := newBench(t)
+	require.Equal(t, 1, b.upstreamCount())
+}
+
+// The store was down for all VMs, and entries of upstreams expired although they are alive. A peer
+// that has just started lists only the present entries and does not know the others. Its list must
+// not remove them from all VMs before they have registered again.
+func TestListOfNewPeerAfterOutageRemovesNothingAtOnce(t *testing.T) {
+	b := newHarness(t)
+	b.clock.advance(5 * clock.Second)
+	b.learnPeerUpstreams(listing(upstreams("b")), mark(50), b.clock.Now())
+	require.Equal(t, 2, b.upstreamCount())
+	b.clock.advance(outageHold - 100)
+	b.learnPeerUpstreams(listing(upstreams("b")), mark(51), b.clock.Now())
+	require.Equal(t, 2, b.upstreamCount())
+	b.clock.advance(200)
+	b.learnPeerUpstreams(listing(upstreams("b")), mark(52), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount())
+}
+
+// During an outage of the store entries expired, while this VM's watch was open all the time, so
+// the watch only reports that all upstreams of a service are gone. They register again within a
+// second. If they were removed at once, every request would be refused. A single upstream, or one
+// that announced that it leaves, is still removed at once.
+func TestUpstreamsRemovedTogetherAreRetained(t *testing.T) {
+	b := newHarness(t)
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
-	require.Equal(t, 2, b.there())
-	b.clock.forward(clock.Second)
-	b.changeUpstreams(list(upstreams("a")), mark(61), b.clock.Now())
-	b.clock.forward(massHold)
+	require.Equal(t, 2, b.upstreamCount())
+	b.clock.advance(clock.Second)
+	b.changeUpstreams(listing(upstreams("a")), mark(61), b.clock.Now())
+	b.clock.advance(massRemovalHold)
 	b.changeUpstreams(route.News{}, mark(62), b.clock.Now())
-	require.Equal(t, 1, b.there(), "b did not come back")
+	require.Equal(t, 1, b.upstreamCount(), "b did not come back")
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
-	require.Equal(t, 0, b.there(), "one alone is gone at once")
+	require.Equal(t, 0, b.upstreamCount(), "a single upstream is removed at once")
 
 	b.list()
 	b.store.upstreams = nil
 	b.list()
-	require.Equal(t, 2, b.there(), "a list that lacks them says no more than a watch")
-	b.clock.forward(massHold)
+	require.Equal(t, 2, b.upstreamCount(), "a list that lacks them has the same effect as a watch")
+	b.clock.advance(massRemovalHold)
 	b.list()
-	require.Equal(t, 0, b.there())
+	require.Equal(t, 0, b.upstreamCount())
 
 	leaving := upstreams("c", "d")
 	leaving[0].Leaving, leaving[1].Leaving = true, true
-	b.changeUpstreams(list(leaving), mark(64), b.clock.Now())
+	b.changeUpstreams(listing(leaving), mark(64), b.clock.Now())
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
-	require.Equal(t, 0, b.there(), "they had said so")
+	require.Equal(t, 0, b.upstreamCount(), "they had announced that they leave")
 }
 
-// A peer that is cut off itself says what it knew long ago. Its word must not make
-// knowledge look fresh.
-func TestAnOldWordProvesNothing(t *testing.T) {
-	b := newBench(t)
+// A peer that is cut off reports state that was verified long ago. Its summary must not make this
+// VM's copy look current.
+func TestOldPeerSummaryDoesNotRefreshAge(t *testing.T) {
+	b := newHarness(t)
 	at := b.View().TableAt
-	b.clock.forward(6 * clock.Second)
+	b.clock.advance(6 * clock.Second)
 	b.Learn(&peer.BeatArgs{Registry: peer.RegistryWord{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
 	require.Equal(t, at, b.View().TableAt)
 	require.Equal(t, at, b.View().UpstreamsAt)
 }
 
-// A failed call may have lost events with its answer, so the next one lists anew.
-func TestFollowingListsAnewAfterAFailure(t *testing.T) {
-	b := newBench(t)
+// A failed call may have lost changes with its answer, so the next call is a list.
+func TestFeedListsAgainAfterFailure(t *testing.T) {
+	b := newHarness(t)
 	ctx, cancel := context.WithCancel(b.ctx)
 	var calls []string
 	list := func(context.Context) (route.Position, error) {
@@ -380,7 +384,7 @@
 		return route.Position{Mark: 5}, nil
 	}
 	watch := func(_ context.Context, after route.Position, _ clock.Milli) (route.Position, error) {
-		b.clock.forward(newsEvery)
+		b.clock.advance(watchInterval)
 		calls = append(calls, "watch")
 		if len(calls) == 3 {
 			return route.Position{Mark: 0}, errDown
@@ -394,47 +398,48 @@
 	require.Equal(t, []string{"list", "watch", "watch", "list", "watch"}, calls)
 }
 
-// The store turned a VM away while an upstream left. Back again, that VM keeps the entry for
-// two seconds, since it may have lapsed; for the others it is gone. A VM whose own
-// watch has just brought news asks that one, and must not take the upstream back.
-func TestAPeerThatKeepsLapsedEntriesBringsNoneBack(t *testing.T) {
-	well, back := newBench(t), newBench(t)
-	well.peers = direct{back.Registry}
-	back.clock, back.Registry.clock = well.clock, well.clock
-	back.store.down = true
-	back.watch()
-	well.store.gone = []decide.UpstreamID{"a"}
-	well.watch()
-	require.Equal(t, 1, well.there())
-	well.clock.forward(2400)
-	back.store.down, back.store.upstreams = false, upstreams("b")
-	back.list()
-	require.Equal(t, 2, back.there(), "it keeps the entry for a while")
+// The store rejected a VM's calls while an upstream left. Once it answers again, that VM retains
+// the entry for two seconds, since it may have expired in an outage; at all other VMs the upstream
+// is gone. A VM whose own watch has just delivered the removal asks that VM and must not restore
+// the upstream.
+func TestPeerRetainingExpiredEntriesDoesNotRestoreThem(t *testing.T) {
+	connected, reconnected := newHarness(t), newHarness(t)
+	connected.peers = localPeer{reconnected.Registry}
+	reconnected.clock, reconnected.Registry.clock = connected.clock, connected.clock
+	reconnected.store.down = true
+	reconnected.watch()
+	connected.store.gone = []decide.UpstreamID{"a"}
+	connected.watch()
+	require.Equal(t, 1, connected.upstreamCount())
+	connected.clock.advance(2400)
+	reconnected.store.down, reconnected.store.upstreams = false, upstreams("b")
+	reconnected.list()
+	require.Equal(t, 2, reconnected.upstreamCount(), "the entry is retained for a while")
 
 	beat := &peer.BeatArgs{From: peer.Member{VM: "back"}}
-	back.Fill("", beat)
-	require.Zero(t, beat.Registry.Digest, "what is kept on suspicion proves nothing to others")
+	reconnected.Fill("", beat)
+	require.Zero(t, beat.Registry.Digest, "a list with retained entries is not offered to peers")
 	var reply peer.RegistryReply
-	require.NoError(t, NewReceiver(back.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
+	require.NoError(t, NewReceiver(reconnected.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
 	require.Empty(t, reply.Upstreams)
 
-	well.learnPeers(list(upstreams("a", "b", "c")), mark(9), well.clock.Now())
-	require.Equal(t, 2, well.there(), "b, and c that is new; a has left")
+	connected.learnPeerUpstreams(listing(upstreams("a", "b", "c")), mark(9), connected.clock.Now())
+	require.Equal(t, 2, connected.upstreamCount(), "b, and c, which is new; a has left")
 }
 
-// An upstream announced that it leaves. A peer's older word must not make it ready again.
-func TestAPeersOlderWordMakesNoUpstreamReadyAgain(t *testing.T) {
-	b := newBench(t)
+// An upstream announced that it leaves. An older list of a peer must not make it ready again.
+func TestOlderPeerListDoesNotClearLeaving(t *testing.T) {
+	b := newHarness(t)
 	us := upstreams("a", "b")
 	us[0].Leaving = true
-	b.learnUpstreams(list(us), mark(1), b.clock.Now())
-	b.learnPeers(list(upstreams("a", "b")), mark(9), b.clock.Now()+1)
+	b.learnUpstreams(listing(us), mark(1), b.clock.Now())
+	b.learnPeerUpstreams(listing(upstreams("a", "b")), mark(9), b.clock.Now()+1)
 	require.True(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
 }
 
-// readers of a test: one other, or this VM itself.
-func (b *bench) readBy(other *Registry, self bool) {
-	b.peers = direct{other}
+// readBy sets the readers: one other VM, or also this VM as the primary reader.
+func (b *harness) readBy(other *Registry, self bool) {
+	b.peers = localPeer{other}
 	b.ReadBy(func() Roster {
 		if self {
 			return Roster{Others: []peer.Member{{VM: "reader"}}, Self: true}
@@ -443,59 +448,59 @@
 	})
 }
 
-// Each VM that proves by short watches that it knows the newest makes two calls a
-// second. A hundred of them would take a tenth of what the store bears.
-func TestWatchesAreLongWhereAReaderProvesNewness(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// Each VM that verifies its copy with short watches makes two calls a second. A hundred such VMs
+// would use a tenth of the store's capacity.
+func TestWatchesAreLongWhileReaderProvesFreshness(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
 	b.readBy(reader.Registry, false)
-	require.Equal(t, longWait, b.wait(b.documents()))
+	require.Equal(t, longWatchWait, b.watchWaitOf(b.documentFeed()))
 	b.readBy(reader.Registry, true)
-	require.Equal(t, watchWait, b.wait(b.documents()), "a reader reads")
+	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "the primary reader keeps short watches")
 	b.readBy(reader.Registry, false)
-	b.clock.forward(proofLimit + 1)
-	require.Equal(t, watchWait, b.wait(b.documents()), "without proof it reads for itself")
+	b.clock.advance(proofLimit + 1)
+	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "it reads for itself if its copy is not verified")
 	reader.list()
 	b.fetch(b.ctx, peer.Member{VM: "reader"})
-	require.Equal(t, longWait, b.wait(b.documents()))
+	require.Equal(t, longWatchWait, b.watchWaitOf(b.documentFeed()))
 }
 
-// A long watch goes silent, and the readers are gone as well. The watch must end, or this
-// VM would know nothing new until its wait is over.
-func TestALongWatchEndsWithoutProof(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// A long watch hangs, and the readers are gone as well. The watch must be canceled, or this VM
+// would receive no updates until its wait has passed.
+func TestLongWatchIsCanceledWithoutProof(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
 	b.readBy(reader.Registry, false)
-	watching, end := b.watching(b.ctx, "routes", longWait)
+	watching, end := b.watchContext(b.ctx, "routes", longWatchWait)
 	defer end()
 	ctx, cancel := context.WithCancel(b.ctx)
 	defer cancel()
-	go b.confirm(ctx)
-	b.clock.forward(proofLimit + 1)
+	go b.pollReaders(ctx)
+	b.clock.advance(proofLimit + 1)
 	select {
 	case <-watching.Done():
 	case <-time.After(2 * time.Second):
-		require.Fail(t, "the silent watch is still waited for")
+		require.Fail(t, "the hanging watch was not canceled")
 	}
 }
 
-// A long watch went silent, and an upstream has left since. A reader's word has a later mark.
-func TestAReadersLaterListIsTaken(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// A long watch hangs, and an upstream has left since. The list of a reader has a later position.
+func TestLaterListOfReaderIsApplied(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
 	b.readBy(reader.Registry, false)
-	b.clock.forward(askAfter + 1)
+	b.clock.advance(askAge + 1)
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.fetch(b.ctx, peer.Member{VM: "reader"})
-	require.Equal(t, 1, b.there())
-	require.LessOrEqual(t, b.age(), askAfter)
+	require.Equal(t, 1, b.upstreamCount())
+	require.LessOrEqual(t, b.documentAge(), askAge)
 }
 
-// All upstreams register within two seconds. A watch for each entry, by each VM of a large
-// fleet, would take most of what the store bears.
-func TestNewsComesTogether(t *testing.T) {
-	b := newBench(t)
+// All upstreams register within two seconds. One watch per entry and VM of a large fleet would use
+// most of the store's capacity.
+func TestUpdatesAreBatched(t *testing.T) {
+	b := newHarness(t)
 	ctx, cancel := context.WithTimeout(b.ctx, 600*time.Millisecond)
 	defer cancel()
 	watches := 0
@@ -508,77 +513,78 @@
 	require.LessOrEqual(t, watches, 4)
 }
 
-// large lets one other read for a fleet in which VMs keep no watches.
-func (b *bench) large(reader *Registry) {
-	b.peers = direct{reader}
+// readLargeFleetBy sets up a large fleet, in which this VM keeps no watches, with one other VM as
+// reader.
+func (b *harness) readLargeFleetBy(reader *Registry) {
+	b.peers = localPeer{reader}
 	b.ReadBy(func() Roster {
 		return Roster{Others: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, Large: true}
 	})
 }
 
-// A hundred VMs each keep two watches open, and fifteen upstreams are taken away one after
-// the other: each piece of news costs a hundred calls. So in a large fleet a VM leaves the
-// store to the readers while they answer, and an upstream that left is known all the same.
-func TestALargeFleetLeavesTheStoreToItsReaders(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// If a hundred VMs each kept two watches and fifteen upstreams were removed one after the other,
+// each removal would cost a hundred calls. So a VM of a large fleet leaves the store to the readers
+// while they answer, and still learns of a removal.
+func TestLargeFleetDelegatesToReaders(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
-	b.large(reader.Registry)
-	require.False(t, b.rests(b.documents()), "no reader has answered yet")
-	turn := b.askReaders(b.ctx, b.readers().Others, 0)
-	require.True(t, b.rests(b.documents()))
+	b.readLargeFleetBy(reader.Registry)
+	require.False(t, b.delegates(b.documentFeed()), "no reader has answered yet")
+	nextReader := b.askReaders(b.ctx, b.readers().Others, 0)
+	require.True(t, b.delegates(b.documentFeed()))
 
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
-	b.clock.forward(pollEvery)
-	require.True(t, b.due(b.readers()))
-	b.askReaders(b.ctx, b.readers().Others, turn)
-	require.Equal(t, 1, b.there())
+	b.clock.advance(pollInterval)
+	require.True(t, b.pollDue(b.readers()))
+	b.askReaders(b.ctx, b.readers().Others, nextReader)
+	require.Equal(t, 1, b.upstreamCount())
 
-	b.clock.forward(pollExpiry + 1)
-	require.False(t, b.rests(b.documents()), "a reader that is silent is not relied on")
+	b.clock.advance(pollExpiry + 1)
+	require.False(t, b.delegates(b.documentFeed()), "a reader that does not respond is not relied on")
 }
 
-// The way of the readers to the store is shut, and they answer as ever. Whoever relies on
-// them knows nothing of what the store tells all others.
-func TestAVMReadsForItselfIfTheReadersKnowNothingNew(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// The readers cannot reach the store but still answer. A VM that relied on them would miss all
+// updates of the store.
+func TestVMReadsStoreWhenReadersAreStale(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
-	b.large(reader.Registry)
-	b.clock.forward(restLimit + 1)
+	b.readLargeFleetBy(reader.Registry)
+	b.clock.advance(delegationLimit + 1)
 	b.askReaders(b.ctx, b.readers().Others, 0)
-	require.False(t, b.rests(b.documents()))
+	require.False(t, b.delegates(b.documentFeed()))
 	b.list()
-	require.True(t, b.rests(b.documents()))
+	require.True(t, b.delegates(b.documentFeed()))
 }
 
-// One of two readers is shut off from the store and answers as ever. A VM that asked it first
-// asks the other one before it relies on the answer.
-func TestAShutReaderIsNotAskedAlone(t *testing.T) {
-	b, shut, well := newBench(t), newBench(t), newBench(t)
-	shut.Registry.clock, well.Registry.clock = b.clock, b.clock
-	b.peers = byAddress{"shut": shut.Registry, "well": well.Registry}
+// One of two readers is cut off from the store but still answers. A VM that asked it first must ask
+// the other one too before it relies on the answer.
+func TestSecondReaderIsAskedWhenFirstIsCutOff(t *testing.T) {
+	b, cutOff, connected := newHarness(t), newHarness(t), newHarness(t)
+	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
+	b.peers = localPeers{"shut": cutOff.Registry, "well": connected.Registry}
 	b.ReadBy(func() Roster {
 		return Roster{Others: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, Large: true}
 	})
-	b.clock.forward(readerAge + 1)
-	well.store.upstreams, well.store.at = upstreams("b"), mark(50)
-	well.list()
+	b.clock.advance(readerMaxAge + 1)
+	connected.store.upstreams, connected.store.at = upstreams("b"), mark(50)
+	connected.list()
 	b.askReaders(b.ctx, b.readers().Others, 0)
-	require.Equal(t, 1, b.there())
+	require.Equal(t, 1, b.upstreamCount())
 }
 
-// byAddress calls receivers by their address without a network.
-type byAddress map[string]*Registry
+// localPeers calls receivers by address without a network.
+type localPeers map[string]*Registry
 
-func (a byAddress) Call(ctx context.Context, address, method string, args, reply any) error {
-	return direct{a[address]}.Call(ctx, address, method, args, reply)
+func (a localPeers) Call(ctx context.Context, address, method string, args, reply any) error {
+	return localPeer{a[address]}.Call(ctx, address, method, args, reply)
 }
 
-// The store is away for twenty seconds. A VM that others read for must not ask it four
-// times a second all the while: a hundred of them would meet it as it comes back. One that
-// becomes a reader asks at once.
-func TestFailedCallsAreMadeLessAndLessOften(t *testing.T) {
-	b, reader := newBench(t), newBench(t)
+// The store is down for twenty seconds. A VM that others read for must not call it four times a
+// second throughout, or a hundred VMs would overload it as it comes back. A VM that becomes the
+// primary reader calls at once.
+func TestFailedCallsBackOff(t *testing.T) {
+	b, reader := newHarness(t), newHarness(t)
 	b.readBy(reader.Registry, false)
 	began := time.Now()
 	b.backOff(b.ctx, 2)
@@ -591,8 +597,8 @@
 	require.Less(t, time.Since(began), 4*retryWait)
 }
 
-// broken is what the store says of entries that somebody has spoilt.
-func broken(reason string, ids ...decide.UpstreamID) route.News {
+// unusable returns the store's answer for entries that are invalid for a reason.
+func unusable(reason string, ids ...decide.UpstreamID) route.News {
 	var n route.News
 	for _, id := range ids {
 		n.Unusable = append(n.Unusable, route.Unusable{ID: id, Reason: reason})
@@ -600,61 +606,62 @@
 	return n
 }
 
-// Another writer overwrites the entry of an upstream, also while the store has just come back and lapsed
-// entries are kept. Nothing may be sent there on the word of what stood there before; the upstream's next
-// heartbeat makes it good again.
-func TestASpoiltEntryIsNotUsedUntilItIsSoundAgain(t *testing.T) {
-	b := newBench(t)
-	b.changeUpstreams(broken("no state", "a"), mark(9), b.clock.Now())
-	require.Equal(t, 1, b.there())
-	b.changeUpstreams(broken("no state", "a"), mark(10), b.clock.Now())
-	b.changeUpstreams(broken("no address", "a", "x"), mark(11), b.clock.Now())
+// Another writer overwrites the entry of an upstream, also just after an outage, while expired
+// entries are retained. No request may be sent on the basis of the earlier entry. The upstream's
+// next heartbeat restores it.
+func TestUnusableEntryIsExcludedUntilValid(t *testing.T) {
+	b := newHarness(t)
+	b.changeUpstreams(unusable("no state", "a"), mark(9), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount())
+	b.changeUpstreams(unusable("no state", "a"), mark(10), b.clock.Now())
+	b.changeUpstreams(unusable("no address", "a", "x"), mark(11), b.clock.Now())
 	require.EqualValues(t, 3, b.Barred(), "once for each reason and entry")
-	b.changeUpstreams(list(upstreams("a")), mark(12), b.clock.Now())
-	require.Equal(t, 2, b.there())
+	b.changeUpstreams(listing(upstreams("a")), mark(12), b.clock.Now())
+	require.Equal(t, 2, b.upstreamCount())
 
 	b.store.down = true
 	b.watch()
-	b.clock.forward(5 * clock.Second)
+	b.clock.advance(5 * clock.Second)
 	b.store.down = false
-	b.learnUpstreams(route.News{Upstreams: upstreams("b"), Unusable: broken("no state", "a").Unusable}, mark(13), b.clock.Now())
-	require.Equal(t, 1, b.there())
+	b.learnUpstreams(route.News{Upstreams: upstreams("b"), Unusable: unusable("no state", "a").Unusable}, mark(13), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount())
 }
 
-// Another writer fills the store with entries, time and again. Neither memory nor the log may grow with them.
-func TestAFloodOfLyingEntriesIsBounded(t *testing.T) {
-	b := newBench(t)
-	ids := make([]decide.UpstreamID, 3*unusableKept)
+// Another writer repeatedly floods the store with entries. Neither memory nor the log may grow
+// without bound.
+func TestUnusableEntriesAreBounded(t *testing.T) {
+	b := newHarness(t)
+	ids := make([]decide.UpstreamID, 3*maxUnusable)
 	for i := range ids {
 		ids[i] = decide.UpstreamID(fmt.Sprint("forged", i))
 	}
 	for range 2 {
-		news := broken("no state", ids...)
-		news.Upstreams = upstreams("a", "b")
-		b.learnUpstreams(news, mark(9), b.clock.Now())
+		update := unusable("no state", ids...)
+		update.Upstreams = upstreams("a", "b")
+		b.learnUpstreams(update, mark(9), b.clock.Now())
 	}
-	require.Len(t, b.unusable, unusableKept)
-	require.Equal(t, 2, b.there())
-	b.changeUpstreams(broken("no state", "a"), mark(10), b.clock.Now())
-	require.Equal(t, 1, b.there(), "a spoilt entry is obeyed all the same")
-}
-
-// In a large fleet most VMs learn of upstreams from a reader alone. One whose entry was spoilt for a moment must
-// be used again by all of them: it has not left.
-func TestASpoiltEntryIsSoundAgainByAReadersWord(t *testing.T) {
-	reader, other := newBench(t), newBench(t)
-	other.peers = direct{reader.Registry}
-	reader.changeUpstreams(broken("no state", "a"), mark(90), reader.clock.Now())
-	other.clock.forward(1)
+	require.Len(t, b.unusable, maxUnusable)
+	require.Equal(t, 2, b.upstreamCount())
+	b.changeUpstreams(unusable("no state", "a"), mark(10), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount(), "an unusable entry still excludes its upstream")
+}
+
+// In a large fleet most VMs learn of upstreams only from a reader. An upstream whose entry was
+// invalid for a moment has not left, and all VMs must use it again.
+func TestReaderRestoresUpstreamAfterUnusableEntry(t *testing.T) {
+	reader, other := newHarness(t), newHarness(t)
+	other.peers = localPeer{reader.Registry}
+	reader.changeUpstreams(unusable("no state", "a"), mark(90), reader.clock.Now())
+	other.clock.advance(1)
 	require.True(t, other.fetch(other.ctx, peer.Member{VM: "reader"}))
-	require.Equal(t, 1, other.there())
-	reader.changeUpstreams(list(upstreams("a")), mark(91), reader.clock.Now())
+	require.Equal(t, 1, other.upstreamCount())
+	reader.changeUpstreams(listing(upstreams("a")), mark(91), reader.clock.Now())
 	require.True(t, other.fetch(other.ctx, peer.Member{VM: "reader"}))
-	require.Equal(t, 2, other.there())
+	require.Equal(t, 2, other.upstreamCount())
 }
 
-// lives makes upstreams of one life.
-func lives(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
+// upstreamsBorn returns upstreams whose incarnation started at an instant.
+func upstreamsBorn(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
 	us := upstreams(ids...)
 	for i := range us {
 		us[i].Born = born
@@ -662,37 +669,39 @@
 	return us
 }
 
-// An upstream crashes and starts again under its id. What was said of its earlier life, by the store or by
-// a peer, comes late and changes nothing; that it had left does not keep its new life out.
-func TestAnEarlierLifeChangesNothing(t *testing.T) {
-	b := newBench(t)
+// An upstream crashes and restarts under the same id. Late entries of its earlier incarnation, from
+// the store or a peer, must have no effect, and the departure of the earlier incarnation must not
+// exclude the new one.
+func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
+	b := newHarness(t)
 	born := func() decide.Born {
 		return b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Born
 	}
-	b.changeUpstreams(list(lives(5, "a")), mark(10), b.clock.Now())
-	b.changeUpstreams(list(lives(7, "a")), mark(11), b.clock.Now())
+	b.changeUpstreams(listing(upstreamsBorn(5, "a")), mark(10), b.clock.Now())
+	b.changeUpstreams(listing(upstreamsBorn(7, "a")), mark(11), b.clock.Now())
 	generation := b.View().Generation
-	old := lives(5, "a")
+	old := upstreamsBorn(5, "a")
 	old[0].Leaving = true
-	b.changeUpstreams(list(old), mark(12), b.clock.Now())
-	b.learnPeers(list(lives(5, "a", "b")), mark(13), b.clock.Now())
+	b.changeUpstreams(listing(old), mark(12), b.clock.Now())
+	b.learnPeerUpstreams(listing(upstreamsBorn(5, "a", "b")), mark(13), b.clock.Now())
 	require.EqualValues(t, 7, born())
 	require.False(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
-	require.Equal(t, generation+1, b.View().Generation, "b alone has changed")
+	require.Equal(t, generation+1, b.View().Generation, "only b has changed")
 
 	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
-	b.learnPeers(list(lives(7, "a", "b")), mark(15), b.clock.Now())
-	require.Equal(t, 1, b.there(), "that life has left")
-	b.learnPeers(list(lives(9, "a", "b")), mark(16), b.clock.Now())
+	b.learnPeerUpstreams(listing(upstreamsBorn(7, "a", "b")), mark(15), b.clock.Now())
+	require.Equal(t, 1, b.upstreamCount(), "that incarnation has left")
+	b.learnPeerUpstreams(listing(upstreamsBorn(9, "a", "b")), mark(16), b.clock.Now())
 	require.EqualValues(t, 9, born())
 }
 
-// An upstream that announced its leaving crashes before it is gone, and starts again. Its new life takes work.
-func TestANewLifeIsNotLeaving(t *testing.T) {
-	b := newBench(t)
-	us := lives(5, "a", "b")
+// An upstream announces that it leaves, crashes before it has left, and restarts. The new
+// incarnation must receive requests.
+func TestNewIncarnationIsNotLeaving(t *testing.T) {
+	b := newHarness(t)
+	us := upstreamsBorn(5, "a", "b")
 	us[0].Leaving = true
-	b.learnUpstreams(list(us), mark(10), b.clock.Now())
-	b.learnPeers(list(lives(6, "a", "b")), mark(11), b.clock.Now())
+	b.learnUpstreams(listing(us), mark(10), b.clock.Now())
+	b.learnPeerUpstreams(listing(upstreamsBorn(6, "a", "b")), mark(11), b.clock.Now())
 	require.False(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
 }
