--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -18,14 +18,14 @@
 	"snipeshift.example/lib/route"
 )
 
-// Content is the hash of a set of upstreams. It does not depend on their order.
-type Content uint64
+// Hash is the hash of a set of upstreams. It does not depend on their order.
+type Hash uint64
 
 // emptyHash is the hash of an empty list; zero stands for no list.
-const emptyHash Content = 1
+const emptyHash Hash = 1
 
-// Of returns the hash of a list.
-func Of(us []route.Upstream) Content {
+// HashOf returns the hash of a list.
+func HashOf(us []route.Upstream) Hash {
 	c := emptyHash
 	for i := range us {
 		c += hashUpstream(&us[i])
@@ -34,7 +34,7 @@
 }
 
 // hashUpstream returns the hash of one upstream with all its fields.
-func hashUpstream(u *route.Upstream) Content {
+func hashUpstream(u *route.Upstream) Hash {
 	var d xxhash.Digest
 	d.Reset()
 	for _, field := range [...]string{
@@ -43,7 +43,7 @@
 		_, _ = d.WriteString(field)
 		_, _ = d.Write([]byte{0})
 	}
-	return Content(d.Sum64())
+	return Hash(d.Sum64())
 }
 
 // maxHashes bounds the number of earlier lists for which the changes since are known. Updates
@@ -59,16 +59,16 @@
 	changed map[decide.UpstreamID]uint64
 	// versions holds, for each recent hash of the list, the last version at which the list had that
 	// hash. order holds these hashes from the oldest to the newest.
-	versions map[Content]uint64
-	order    []Content
+	versions map[Hash]uint64
+	order    []Hash
 	// hash is the current hash of the list. changing is set between a change and the next Settle.
-	hash     Content
+	hash     Hash
 	changing bool
 }
 
 // NewLog returns the log of an empty list.
 func NewLog() *Log {
-	return &Log{changed: map[decide.UpstreamID]uint64{}, versions: map[Content]uint64{}, hash: emptyHash}
+	return &Log{changed: map[decide.UpstreamID]uint64{}, versions: map[Hash]uint64{}, hash: emptyHash}
 }
 
 // Put records that an upstream was added, or replaced its older entry; old is nil if there was
@@ -81,8 +81,8 @@
 	l.record(u.ID)
 }
 
-// Take records that an upstream was removed.
-func (l *Log) Take(u route.Upstream) {
+// Remove records that an upstream was removed.
+func (l *Log) Remove(u route.Upstream) {
 	l.hash -= hashUpstream(&u)
 	l.record(u.ID)
 }
@@ -99,7 +99,7 @@
 		return
 	}
 	l.changing = false
-	l.order = append(slices.DeleteFunc(l.order, func(c Content) bool { return c == l.hash }), l.hash)
+	l.order = append(slices.DeleteFunc(l.order, func(c Hash) bool { return c == l.hash }), l.hash)
 	l.versions[l.hash] = l.version
 	if len(l.order) > maxHashes {
 		delete(l.versions, l.order[0])
@@ -114,12 +114,12 @@
 	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= oldest })
 }
 
-// Content returns the hash of the list; false between a change and the next Settle.
-func (l *Log) Content() (Content, bool) { return l.hash, !l.changing }
+// Hash returns the hash of the list; false between a change and the next Settle.
+func (l *Log) Hash() (Hash, bool) { return l.hash, !l.changing }
 
 // Since returns the upstreams that changed or were removed since the list had a hash; false if that
 // is not known.
-func (l *Log) Since(c Content) ([]decide.UpstreamID, bool) {
+func (l *Log) Since(c Hash) ([]decide.UpstreamID, bool) {
 	version, ok := l.versions[c]
 	if !ok || l.changing {
 		return nil, false
--- a/daemon/changes/changes_test.go
+++ b/daemon/changes/changes_test.go
@@ -38,7 +38,7 @@
 func (l *loggedList) remove(ids ...decide.UpstreamID) {
 	for _, id := range ids {
 		if old, ok := l.upstreams[id]; ok {
-			l.Take(old)
+			l.Remove(old)
 		}
 		delete(l.upstreams, id)
 	}
@@ -46,7 +46,7 @@
 }
 
 // since returns the changes that are sent to a peer whose list has a hash.
-func (l *loggedList) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
+func (l *loggedList) since(c Hash) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
 	ids, ok := l.Since(c)
 	for _, id := range ids {
 		if u, present := l.upstreams[id]; present {
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLoggedList()
 		var base []route.Upstream
-		var content Content
+		var content Hash
 		copied := false
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
@@ -76,7 +76,7 @@
 				l.remove(id)
 			case 1:
 				base, copied = values(l), true
-				content, _ = l.Content()
+				content, _ = l.Hash()
 			default:
 				l.put(route.Upstream{ID: id, Address: rapid.StringMatching("[xy]").Draw(t, "address"), Leaving: rapid.Bool().Draw(t, "leaving")})
 			}
@@ -87,14 +87,14 @@
 		}
 		got := Apply(base, changed, without)
 		require.ElementsMatch(t, values(l), got)
-		now, _ := l.Content()
-		require.Equal(t, now, Of(got))
+		now, _ := l.Hash()
+		require.Equal(t, now, HashOf(got))
 	})
 }
 
 func TestDifferentListsHaveDifferentHashes(t *testing.T) {
 	u := route.Upstream{ID: "a", Service: "s", Address: "1", Domain: "d", Slots: 2}
-	seen := map[Content]bool{Of(nil): true, Of([]route.Upstream{u}): true}
+	seen := map[Hash]bool{HashOf(nil): true, HashOf([]route.Upstream{u}): true}
 	for _, change := range []func(*route.Upstream){
 		func(u *route.Upstream) { u.ID = "b" },
 		func(u *route.Upstream) { u.Service = "r" },
@@ -106,11 +106,11 @@
 	} {
 		v := u
 		change(&v)
-		c := Of([]route.Upstream{v})
+		c := HashOf([]route.Upstream{v})
 		require.False(t, seen[c], "%+v", v)
 		seen[c] = true
 	}
-	require.Equal(t, Of([]route.Upstream{u, {ID: "z"}}), Of([]route.Upstream{{ID: "z"}, u}))
+	require.Equal(t, HashOf([]route.Upstream{u, {ID: "z"}}), HashOf([]route.Upstream{{ID: "z"}, u}))
 }
 
 // A VM that was cut off asks with a list of long ago. Changes are not recorded for ever, so it must
@@ -118,7 +118,7 @@
 func TestOldHashesAreForgotten(t *testing.T) {
 	l := newLoggedList()
 	l.put(route.Upstream{ID: "first"})
-	oldHash, _ := l.Content()
+	oldHash, _ := l.Hash()
 	for i := range 10 * maxHashes {
 		l.put(route.Upstream{ID: decide.UpstreamID(fmt.Sprint(i))})
 		if i > 0 {
@@ -135,10 +135,10 @@
 func TestNoHashOrChangesBeforeSettle(t *testing.T) {
 	l := newLoggedList()
 	l.put(route.Upstream{ID: "a"})
-	c, settled := l.Content()
+	c, settled := l.Hash()
 	require.True(t, settled)
-	l.Take(l.upstreams["a"])
-	_, settled = l.Content()
+	l.Remove(l.upstreams["a"])
+	_, settled = l.Hash()
 	require.False(t, settled)
 	_, known := l.Since(c)
 	require.False(t, known)
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -16,8 +16,8 @@
 
 // Location of the document in the store.
 const (
-	Kind platform.Kind = "config"
-	Name platform.Name = "document"
+	DocumentKind platform.Kind = "config"
+	DocumentName platform.Name = "document"
 )
 
 // Store is the part of the platform's store that a follower needs.
@@ -45,24 +45,24 @@
 	Kick()
 }
 
-// Take parses a document and puts it in force. If the document cannot be parsed or is inconsistent,
+// Apply parses a document and puts it in force. If the document cannot be parsed or is inconsistent,
 // it returns an error, and the document does not come into force.
-type Take func(r peer.Revision, text []byte) error
+type Apply func(r peer.Revision, text []byte) error
 
 // Rules are the intervals and limits of a follower.
 type Rules struct {
 	// Watchers is the number of members in each failure domain that watch and poll the store.
 	Watchers int
-	// Wait is the maximum duration of one watch. The second interval is the time between two polls
-	// of a watcher. The third one is the same for all other members of a fleet of fullFleet
+	// WatchWait is the maximum duration of one watch. The second interval is the time between two
+	// polls of a watcher. The third one is the same for all other members of a fleet of fullFleet
 	// members; in a smaller fleet they poll more often, so that all of them together make the same
 	// number of polls.
-	Wait, Poll, Slow clock.Milli
-	// Contact is the maximum time since the last contact with the store or a peer for this VM to be
-	// ready.
-	Contact clock.Milli
-	// Fetch is the timeout of a request to a peer for a document.
-	Fetch clock.Milli
+	WatchWait, WatcherPoll, MemberPoll clock.Milli
+	// MaxContactAge is the maximum time since the last contact with the store or a peer for this VM
+	// to be ready.
+	MaxContactAge clock.Milli
+	// FetchTimeout is the timeout of a request to a peer for a document.
+	FetchTimeout clock.Milli
 }
 
 // DefaultRules put a document in force on all VMs within 8 s even if every watch hangs: a poll
@@ -71,9 +71,9 @@
 // together poll 7 times a second. The store can serve 2,000 reads a second. If all 450 members
 // polled at the rate of a watcher, they would make 225 polls a second.
 var DefaultRules = Rules{
-	Watchers: 2,
-	Wait:     10 * clock.Second, Poll: 2 * clock.Second, Slow: clock.Minute,
-	Contact: 5 * clock.Second, Fetch: clock.Second,
+	Watchers:  2,
+	WatchWait: 10 * clock.Second, WatcherPoll: 2 * clock.Second, MemberPoll: clock.Minute,
+	MaxContactAge: 5 * clock.Second, FetchTimeout: clock.Second,
 }
 
 // fullFleet is the number of members for which the poll interval of non-watchers is specified.
@@ -85,7 +85,7 @@
 	caller Caller
 	clock  Clock
 	rules  Rules
-	apply  Take
+	apply  Apply
 	// wake starts a fetch from a peer.
 	wake chan struct{}
 
@@ -108,7 +108,7 @@
 }
 
 // New returns a follower without a document.
-func New(s Store, c Caller, k Clock, r Rules, apply Take) *Follower {
+func New(s Store, c Caller, k Clock, r Rules, apply Apply) *Follower {
 	return &Follower{store: s, caller: c, clock: k, rules: r, apply: apply, wake: make(chan struct{}, 1)}
 }
 
@@ -119,9 +119,9 @@
 	return f.revision, f.text
 }
 
-// Refused returns the highest revision that could not be applied, with the error, as long as it is
+// Rejected returns the highest revision that could not be applied, with the error, as long as it is
 // higher than the one in force.
-func (f *Follower) Refused() (peer.Revision, error) {
+func (f *Follower) Rejected() (peer.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.rejected <= f.revision {
@@ -184,7 +184,7 @@
 	if peers != nil {
 		contact = max(contact, peers.Reached())
 	}
-	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.Contact
+	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.MaxContactAge
 }
 
 func (f *Follower) noteStoreContact() {
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -25,8 +25,8 @@
 	return g.Wait()
 }
 
-// Watches reports whether a member is one of the watchers of its failure domain.
-func Watches(self peer.Member, live []peer.Member, watchers int) bool {
+// IsWatcher reports whether a member is one of the watchers of its failure domain.
+func IsWatcher(self peer.Member, live []peer.Member, watchers int) bool {
 	var own []peer.Member
 	for _, m := range live {
 		if m.Domain == self.Domain {
@@ -49,29 +49,29 @@
 // peer announces documents to it then.
 func (f *Follower) pollsAsWatcher() bool {
 	revision, _ := f.Newest()
-	alone := f.clock.Now()-f.peers.Reached() > f.rules.Contact
-	return revision == 0 || alone || Watches(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
+	alone := f.clock.Now()-f.peers.Reached() > f.rules.MaxContactAge
+	return revision == 0 || alone || IsWatcher(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
 }
 
 // watch delivers a change within milliseconds as long as watches work.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.pollsAsWatcher() {
-			pause(ctx, f.rules.Poll)
+			pause(ctx, f.rules.WatcherPoll)
 			continue
 		}
 		revision := f.highestSeen()
-		o, changed, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
+		o, changed, err := f.store.Watch(ctx, DocumentKind, DocumentName, platform.Version(revision), f.rules.WatchWait)
 		switch {
 		case err != nil:
-			pause(ctx, f.rules.Poll)
+			pause(ctx, f.rules.WatcherPoll)
 		case changed:
 			f.noteStoreContact()
 			f.Offer(peer.Revision(o.Version), o.Value)
 			if f.highestSeen() == revision {
 				// The store returned no newer revision, against its protocol. Pause to avoid a busy
 				// loop.
-				pause(ctx, f.rules.Poll)
+				pause(ctx, f.rules.WatcherPoll)
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 			last = f.clock.Now()
 			f.readStore(ctx)
 		}
-		pause(ctx, f.rules.Poll)
+		pause(ctx, f.rules.WatcherPoll)
 	}
 }
 
@@ -104,11 +104,11 @@
 // member polls as often as a watcher, and a change comes into force within its bound even without
 // the watchers.
 func (f *Follower) pollInterval() clock.Milli {
-	return max(f.rules.Poll, f.rules.Slow*clock.Milli(len(f.peers.Live()))/fullFleet)
+	return max(f.rules.WatcherPoll, f.rules.MemberPoll*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
 
 func (f *Follower) readStore(ctx context.Context) {
-	o, err := f.store.Get(ctx, Kind, Name)
+	o, err := f.store.Get(ctx, DocumentKind, DocumentName)
 	if errors.Is(err, platform.ErrNotFound) {
 		f.noteStoreContact()
 	}
@@ -137,7 +137,7 @@
 	// If this request fails, the next heartbeat names a peer again.
 	f.peerRevision = 0
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, f.rules.Fetch.Duration())
+	ctx, cancel := context.WithTimeout(ctx, f.rules.FetchTimeout.Duration())
 	defer cancel()
 	var reply peer.DocumentReply
 	err := f.caller.Call(ctx, address, member.Name+".Document", &peer.DocumentArgs{Above: above}, &reply)
--- a/daemon/guard/guard.go
+++ b/daemon/guard/guard.go
@@ -15,14 +15,14 @@
 // process would appear healthy.
 func Go(l *log.Logger, name string, f func()) {
 	go func() {
-		defer Report(l, name)
+		defer ReportPanic(l, name)
 		f()
 	}()
 }
 
-// Report logs a panic and panics again. It must be deferred by goroutines that are not started by
-// Go.
-func Report(l *log.Logger, name string) {
+// ReportPanic logs a panic and panics again. It must be deferred by goroutines that are not started
+// by Go.
+func ReportPanic(l *log.Logger, name string) {
 	r := recover()
 	if r == nil {
 		return
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -37,8 +37,8 @@
 	maxWatchingFleet = 12
 )
 
-// Readers computes the roster of one VM. It is safe for concurrent use.
-type Readers struct {
+// Selector computes the roster of one VM. It is safe for concurrent use.
+type Selector struct {
 	self peer.VM
 	// seed is set if the settings of other VMs name this VM.
 	seed bool
@@ -52,10 +52,10 @@
 
 // New returns a value that computes the rosters of the VM self. seed is set if the settings of
 // other VMs name this VM.
-func New(self peer.VM, seed bool) *Readers { return &Readers{self: self, seed: seed} }
+func New(self peer.VM, seed bool) *Selector { return &Selector{self: self, seed: seed} }
 
 // Roster returns the roster of this VM for the live members.
-func (r *Readers) Roster(live []peer.Member) registry.Roster {
+func (r *Selector) Roster(live []peer.Member) registry.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	same := len(live) == len(r.live) && (len(live) == 0 || &live[0] == &r.live[0])
@@ -77,7 +77,7 @@
 		rank = len(ranked)
 	}
 	large := len(live) > maxWatchingFleet
-	return registry.Roster{Others: sources(ranked, rank, large), Self: rank == 0, Rank: rank, Large: large && rank >= watchers}
+	return registry.Roster{Sources: sources(ranked, rank, large), Primary: rank == 0, Rank: rank, LargeFleet: large && rank >= watchers}
 }
 
 // rankReaders orders members by capacity, with the first two in different failure domains, so that
--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -33,8 +33,8 @@
 // Era returns the latest known era of the store.
 func (r *Registry) Era() route.Era { r.mu.Lock(); defer r.mu.Unlock(); return r.era }
 
-// Eras returns the number of changes of the store's era that this VM observed.
-func (r *Registry) Eras() uint64 { return r.eras.Load() }
+// EraChanges returns the number of changes of the store's era that this VM observed.
+func (r *Registry) EraChanges() uint64 { return r.eras.Load() }
 
 const (
 	// firstEra is the era of a store that was never restored from a copy.
--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -46,7 +46,7 @@
 	next, err = b.watchDocument(b.ctx, at, watchWait)
 	require.NoError(t, err)
 	require.Zero(t, next, "a list follows")
-	require.EqualValues(t, 1, b.Eras(), "both feeds count one change")
+	require.EqualValues(t, 1, b.EraChanges(), "both feeds count one change")
 }
 
 // An answer is in transit when the store is restored. Its contents belong to the history before.
@@ -115,18 +115,18 @@
 	b.list()
 	b.restoreStore(document(3), upstreams("a", "b"))
 	b.list()
-	at := b.View().TableAt
+	at := b.View().TableVerified
 	for range 3 {
 		b.clock.advance(watchWait)
 		b.watch()
 	}
 	require.EqualValues(t, 5, b.View().Table.Revision(), "the revision must not decrease")
-	require.Equal(t, at, b.View().TableAt)
+	require.Equal(t, at, b.View().TableVerified)
 	b.store.document = document(5)
 	b.list()
 	b.clock.advance(watchWait)
 	b.watch()
-	require.Greater(t, b.View().TableAt, at)
+	require.Greater(t, b.View().TableVerified, at)
 }
 
 // Readers that have and that have not yet noticed a restore answer side by side. The later era
@@ -192,7 +192,7 @@
 	informed.store.document = document(5)
 	informed.list()
 	started := New(informed.store, localPeer{informed.Registry}, informed.clock, informed.log)
-	started.ReadBy(func() Roster { return Roster{} })
+	started.SetReaders(func() Roster { return Roster{} })
 	informed.restoreStore(document(3), upstreams("a", "b"))
 	informed.store.at.Era = 2
 	listed := make(chan struct{})
@@ -216,7 +216,7 @@
 	b.store.at.Era = 2
 	for _, answered := range []bool{false, true} {
 		alone := New(b.store, nil, clock.Boot{}, b.log)
-		alone.ReadBy(func() Roster { return Roster{} })
+		alone.SetReaders(func() Roster { return Roster{} })
 		wait := aloneWait
 		if answered {
 			wait = documentPeerWait
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -65,7 +65,7 @@
 			at = route.Position{}
 		}
 		listed := at == route.Position{}
-		r.calls.add(Call{Feed: f.name, Role: r.role(), Listed: listed})
+		r.calls.add(Call{Feed: f.name, Role: r.role(), List: listed})
 		if listed {
 			at, err = f.list(ctx)
 		} else {
@@ -190,7 +190,7 @@
 }
 
 // isPrimary reports whether this VM is the first in the order of readers.
-func (r *Registry) isPrimary() bool { return r.readers == nil || r.readers().Self }
+func (r *Registry) isPrimary() bool { return r.readers == nil || r.readers().Primary }
 
 func (r *Registry) listDocument(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
@@ -299,8 +299,8 @@
 	}
 }
 
-// Lost reports whether the last call of the store failed.
-func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.storeDown }
+// StoreDown reports whether the last call of the store failed.
+func (r *Registry) StoreDown() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.storeDown }
 
 // sweep removes upstreams whose hold has ended, and accepts unverified entries, also while no
 // updates arrive.
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -127,7 +127,7 @@
 	}
 	args.Digest = r.digest
 	own := r.view.Load()
-	if c, ok := r.changes.Content(); ok && !r.fetchWhole.Swap(false) {
+	if c, ok := r.changes.Hash(); ok && !r.fetchWhole.Swap(false) {
 		args.Content = uint64(c)
 	}
 	r.mu.Unlock()
@@ -177,7 +177,7 @@
 		return nil, false
 	}
 	us := changes.Apply(slices.Concat(slices.Collect(maps.Values(own.Upstreams))...), reply.Upstreams, reply.Without)
-	return us, uint64(changes.Of(us)) == reply.Content
+	return us, uint64(changes.HashOf(us)) == reply.Content
 }
 
 // learnReplyDocument applies the document of a reply, if any, and reports whether it could be
@@ -238,8 +238,8 @@
 // addUpstreams adds the upstreams to a reply: only the changes if the requester's list is an
 // earlier one that is known here and they are few, otherwise the whole list. The lock must be held.
 func (r *Registry) addUpstreams(args *peer.RegistryWord, reply *peer.RegistryReply) {
-	if ids, ok := r.changes.Since(changes.Content(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
-		c, _ := r.changes.Content()
+	if ids, ok := r.changes.Since(changes.Hash(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
+		c, _ := r.changes.Hash()
 		reply.Base, reply.Content = args.Content, uint64(c)
 		for _, id := range ids {
 			if u, present := r.upstreams[id]; present {
--- a/daemon/registry/peers_test.go
+++ b/daemon/registry/peers_test.go
@@ -111,9 +111,9 @@
 			default:
 				b.changeUpstreams(unusable("spoilt", "a", "b"), b.position, b.clock.Now())
 			}
-			c, settled := b.changes.Content()
+			c, settled := b.changes.Hash()
 			require.True(t, settled)
-			require.Equal(t, changes.Of(b.allUpstreams()), c)
+			require.Equal(t, changes.HashOf(b.allUpstreams()), c)
 		}
 	})
 }
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -10,14 +10,14 @@
 	"snipeshift.example/lib/peer"
 )
 
-// ReadBy lets a few members read the store for all VMs. It must be called before Run.
+// SetReaders lets a few members read the store for all VMs. It must be called before Run.
 //
 // Each VM that verifies its copy with short watches makes two calls a second, so the load and the
 // cost of the store grow with the fleet. With readers, a VM asks one of them whether its copy is
 // current. In a small fleet it also keeps long watches of its own, which deliver updates at once.
 // In a large fleet each update would cost a call of every VM, so it keeps none. A VM that finds no
 // reader, or whose readers cannot reach the store, reads for itself until that changes.
-func (r *Registry) ReadBy(rs Readers) { r.readers = rs }
+func (r *Registry) SetReaders(rs RosterFunc) { r.readers = rs }
 
 // isProver reports whether this VM verifies for all VMs that their copies are current: it ranks
 // first among those that can reach the store.
@@ -26,7 +26,7 @@
 		return true
 	}
 	rs := r.readers()
-	return rs.Self || r.connectedAhead(rs) == 0
+	return rs.Primary || r.connectedAhead(rs) == 0
 }
 
 // minWatchers is how many VMs that can reach the store must keep watches. With two, updates arrive
@@ -41,14 +41,14 @@
 // connectedAhead counts the VMs that rank before this one and have not reported that they cannot
 // reach the store. If this VM asks members other than these, all of them are counted.
 func (r *Registry) connectedAhead(rs Roster) int {
-	if rs.Rank > len(rs.Others) {
+	if rs.Rank > len(rs.Sources) {
 		return rs.Rank
 	}
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	open := 0
-	for _, m := range rs.Others[:rs.Rank] {
+	for _, m := range rs.Sources[:rs.Rank] {
 		if now >= r.cutOff[m.VM] {
 			open++
 		}
@@ -94,13 +94,13 @@
 		return false
 	}
 	rs := r.readers()
-	if rs.Self || !rs.Large || r.stepsIn(rs) {
+	if rs.Primary || !rs.LargeFleet || r.stepsIn(rs) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	extra := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankDelay
+	extra := clock.Milli(max(rs.Rank-len(rs.Sources), 0)) * rankDelay
 	if r.tableVerified == 0 {
 		return r.lastAnswer > 0 && now-r.bootstrapped <= bootstrapGrace+extra
 	}
@@ -157,7 +157,7 @@
 		if !r.pollDue(rs) {
 			continue
 		}
-		next = r.askReaders(ctx, rs.Others, next)
+		next = r.askReaders(ctx, rs.Sources, next)
 		if r.isProver() || r.documentAge() > proofLimit {
 			r.endLongWatches()
 		}
@@ -187,7 +187,7 @@
 	if r.isProver() {
 		return r.documentAge() > readerMaxAge || r.standInPollDue(rs)
 	}
-	if rs.Large {
+	if rs.LargeFleet {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.clock.Now()-r.lastAnswer >= pollInterval || r.tableVerified == 0
@@ -198,7 +198,7 @@
 // standInPollDue reports whether a VM that stands in for readers should ask whether they can reach
 // the store again.
 func (r *Registry) standInPollDue(rs Roster) bool {
-	if rs.Self {
+	if rs.Primary {
 		return false
 	}
 	r.mu.Lock()
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -24,7 +24,7 @@
 	first.Registry.clock, second.Registry.clock = b.clock, b.clock
 	b.peers = localPeers{"first": first.Registry, "second": second.Registry}
 	others := []peer.Member{{VM: "first", Address: "first"}, {VM: "second", Address: "second"}}
-	b.ReadBy(func() Roster { return Roster{Others: others, Rank: 2, Large: true} })
+	b.SetReaders(func() Roster { return Roster{Sources: others, Rank: 2, LargeFleet: true} })
 	b.askReaders(b.ctx, others, 0)
 	require.True(t, b.delegates(b.documentFeed()))
 	require.True(t, b.delegates(b.upstreamFeed()))
@@ -63,7 +63,7 @@
 	b.peers = localPeers{"shut": cutOff.Registry, "open": connected.Registry, "next": connected.Registry}
 	others := []peer.Member{{VM: "shut", Address: "shut"}, {VM: "open", Address: "open"}, {VM: "next", Address: "next"}}
 	rank := 2
-	b.ReadBy(func() Roster { return Roster{Others: others[:rank], Rank: rank, Large: true} })
+	b.SetReaders(func() Roster { return Roster{Sources: others[:rank], Rank: rank, LargeFleet: true} })
 	nextReader := b.askReaders(b.ctx, others, 0)
 	b.askReaders(b.ctx, others, nextReader)
 	require.False(t, b.delegates(b.documentFeed()), "only one VM before it can reach the store")
@@ -79,7 +79,7 @@
 	b, informed := newHarness(t), newHarness(t)
 	joining := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
 	informed.Registry.clock = b.clock
-	joining.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
+	joining.SetReaders(func() Roster { return Roster{Sources: []peer.Member{{VM: "known"}}, Rank: 2, LargeFleet: true} })
 	ctx, cancel := context.WithTimeout(b.ctx, 900*time.Millisecond)
 	defer cancel()
 	calls := 0
@@ -184,8 +184,8 @@
 	b, informed := newHarness(t), newHarness(t)
 	started := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
 	informed.Registry.clock = b.clock
-	started.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
-	started.Await(FirstWait)
+	started.SetReaders(func() Roster { return Roster{Sources: []peer.Member{{VM: "known"}}, Rank: 2, LargeFleet: true} })
+	started.SetBootstrapWait(FirstBootstrapWait)
 	informing := make(chan struct{})
 	beat := &peer.BeatArgs{From: peer.Member{VM: "known"}}
 	informed.Fill("", beat)
@@ -214,12 +214,12 @@
 	reader.Registry.clock = b.clock
 	b.readLargeFleetBy(reader.Registry)
 	require.Equal(t, Alone, b.role())
-	b.ReadBy(func() Roster { return Roster{Self: true, Seed: true} })
+	b.SetReaders(func() Roster { return Roster{Primary: true, Seed: true} })
 	ctx, cancel := context.WithTimeout(b.ctx, 50*time.Millisecond)
 	defer cancel()
 	b.follow(ctx, feed{name: "routes", list: func(context.Context) (route.Position, error) { return route.Position{Mark: 0}, errDown }})
-	require.Equal(t, map[Call]uint64{{Feed: "routes", Role: Prover, Listed: true}: 1}, b.Calls())
-	require.Equal(t, "list", Call{Listed: true}.Name())
+	require.Equal(t, map[Call]uint64{{Feed: "routes", Role: Prover, List: true}: 1}, b.Calls())
+	require.Equal(t, "list", Call{List: true}.Name())
 }
 
 // A VM stands in for the readers. The log must show when and why, since the cause of a stale
@@ -230,7 +230,7 @@
 	b.readLargeFleetBy(reader.Registry)
 	var lines bytes.Buffer
 	b.log = &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &lines}}
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	role := b.noteRole(b.readers(), Starter)
 	require.Equal(t, Follower, role)
 	require.Equal(t, Follower, b.noteRole(b.readers(), role))
@@ -238,7 +238,7 @@
 	reader.store.down = true
 	reader.watch()
 	for nextReader := range 2 {
-		b.askReaders(b.ctx, b.readers().Others, nextReader)
+		b.askReaders(b.ctx, b.readers().Sources, nextReader)
 	}
 	require.Equal(t, StandIn, b.noteRole(b.readers(), role))
 	require.Contains(t, lines.String(), `"role":"standin","before":"follower","rank":2,"open":0`)
@@ -250,7 +250,7 @@
 	b, reader := newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
 	b.readLargeFleetBy(reader.Registry)
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	for passed := clock.Milli(0); passed < pollInterval; {
 		require.False(t, b.pollDue(b.readers()))
 		wait := clock.Milli(b.checkInterval().Milliseconds())
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -85,10 +85,10 @@
 	// VMs start together no peer has any state, and requests that arrive meanwhile have a deadline
 	// 300 ms later, which a longer wait would make them miss.
 	defaultBootstrapWait = 30 * time.Millisecond
-	// FirstWait is the bootstrap wait for the first start of all VMs of a deployment. There are no
-	// callers yet, and the wait suffices to discover the peers and to receive their state. Without
-	// it 295 VMs that each list both kinds of objects make 590 calls.
-	FirstWait = clock.Second
+	// FirstBootstrapWait is the bootstrap wait for the first start of all VMs of a deployment.
+	// There are no callers yet, and the wait suffices to discover the peers and to receive their
+	// state. Without it 295 VMs that each list both kinds of objects make 590 calls.
+	FirstBootstrapWait = clock.Second
 	// bootstrapGrace is how long after the bootstrap wait a VM without a document still leaves
 	// reading the first one to the members that it asks, as long as they answer.
 	bootstrapGrace = 600 * clock.Milli(1)
@@ -121,13 +121,13 @@
 type View struct {
 	// Table is nil until a document is known.
 	Table *route.Table
-	// TableAt is the latest instant at which Table was verified as current.
-	TableAt clock.Milli
+	// TableVerified is the latest instant at which Table was verified as current.
+	TableVerified clock.Milli
 	// Upstreams are the present upstreams by service.
 	Upstreams map[route.ServiceID][]route.Upstream
-	// UpstreamsAt is the latest instant at which Upstreams were verified as current; zero until a
-	// list is known.
-	UpstreamsAt clock.Milli
+	// UpstreamsVerified is the latest instant at which Upstreams were verified as current; zero
+	// until a list is known.
+	UpstreamsVerified clock.Milli
 	// Generation increases when Upstreams or Table change.
 	Generation uint64
 }
@@ -206,7 +206,7 @@
 	known     chan struct{}
 	knownOnce sync.Once
 	// readers returns the members that read the store for all VMs; nil if each VM reads for itself.
-	readers Readers
+	readers RosterFunc
 	// lastAnswer is when the last answered request to a member was sent.
 	lastAnswer clock.Milli
 	// leadFeedFailing is set while the last call for the document failed.
@@ -240,27 +240,27 @@
 	born decide.Born
 }
 
-// Readers returns the current roster.
-type Readers func() Roster
+// RosterFunc returns the current roster.
+type RosterFunc func() Roster
 
 // Roster describes which members read the store and which of them this VM asks.
 type Roster struct {
-	// Others are the members that this VM asks. They are the members that watch the store and those
+	// Sources are the members that this VM asks. They are the members that watch the store and those
 	// that stand in for them, in order of rank. In a large fleet they may be members that ask
 	// these.
-	Others []peer.Member
-	// Self is set if this VM is the primary reader: its short watches verify for all VMs that their
-	// copies are current.
-	Self bool
+	Sources []peer.Member
+	// Primary is set if this VM is the primary reader: its short watches verify for all VMs that
+	// their copies are current.
+	Primary bool
 	// Rank is the position of this VM in the order in which VMs stand in for readers that cannot
 	// reach the store.
 	Rank int
 	// Seed is set if the settings of other VMs name this VM. They ask it at their start, so it
 	// lists the store at once.
 	Seed bool
-	// Large is set if the fleet is too large for each VM to watch the store. This VM then receives
-	// updates from the members that it asks.
-	Large bool
+	// LargeFleet is set if the fleet is too large for each VM to watch the store. This VM then
+	// receives updates from the members that it asks.
+	LargeFleet bool
 }
 
 // New returns an empty registry. Run fills it and follows the store.
@@ -273,14 +273,14 @@
 		changes: changes.NewLog(),
 	}
 	r.handover.clock = k
-	r.Await(clock.Of(defaultBootstrapWait))
+	r.SetBootstrapWait(clock.Of(defaultBootstrapWait))
 	r.view.Store(&View{})
 	return r
 }
 
-// Await sets how long this VM waits at its start for a peer to send its state before it lists the
-// store. It must be called before Run.
-func (r *Registry) Await(d clock.Milli) {
+// SetBootstrapWait sets how long this VM waits at its start for a peer to send its state before it
+// lists the store. It must be called before Run.
+func (r *Registry) SetBootstrapWait(d clock.Milli) {
 	r.bootstrapWait = d.Duration()
 	r.bootstrapped = r.clock.Now() + d
 }
@@ -294,7 +294,7 @@
 // publish stores a new view of the state. The lock must be held.
 func (r *Registry) publish() {
 	v := &View{
-		Table: r.table, TableAt: r.tableVerified, UpstreamsAt: r.upstreamsVerified, Generation: r.generation,
+		Table: r.table, TableVerified: r.tableVerified, UpstreamsVerified: r.upstreamsVerified, Generation: r.generation,
 		Upstreams: map[route.ServiceID][]route.Upstream{},
 	}
 	if old := r.view.Load(); old.Generation == r.generation {
@@ -305,7 +305,7 @@
 		}
 	}
 	r.view.Store(v)
-	if v.Table != nil && v.UpstreamsAt > 0 {
+	if v.Table != nil && v.UpstreamsVerified > 0 {
 		r.knownOnce.Do(func() { close(r.known) })
 	}
 }
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -162,7 +162,7 @@
 	b.learnDocument(document(9), b.clock.Now(), "store")
 	b.learnDocument(document(7), b.clock.Now()+1, "peer")
 	require.EqualValues(t, 9, b.View().Table.Revision())
-	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older document verifies nothing")
+	require.Equal(t, b.clock.Now(), b.View().TableVerified, "the older document verifies nothing")
 }
 
 // A document is inconsistent. The last valid one stays in force.
@@ -179,20 +179,20 @@
 // nor watches that end without a change verify the last one until a valid document is there.
 func TestUnreadableDocumentDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
-	verified := b.View().TableAt
+	verified := b.View().TableVerified
 	b.clock.advance(100)
 	b.store.unreadable = true
 	b.list()
-	require.False(t, b.Lost())
+	require.False(t, b.StoreDown())
 	require.EqualValues(t, 1, b.View().Table.Revision())
 	for range 3 {
 		b.clock.advance(watchWait)
 		b.watch()
 	}
-	require.Equal(t, verified, b.View().TableAt)
+	require.Equal(t, verified, b.View().TableVerified)
 	b.store.unreadable = false
 	b.list()
-	require.Greater(t, b.View().TableAt, verified)
+	require.Greater(t, b.View().TableVerified, verified)
 }
 
 // The end of a watch without a change proves that the copy was current until the end of the wait,
@@ -220,7 +220,7 @@
 	b := newHarness(t)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.clock.advance(5 * clock.Second)
 	b.store.down, b.store.upstreams = false, nil
 	b.list()
@@ -257,8 +257,8 @@
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
 	connected.Fill("", beat)
 	cutOff.Learn(beat, false)
-	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().TableAt, "the same document, verified by the peer")
-	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().UpstreamsAt)
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().TableVerified, "the same document, verified by the peer")
+	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().UpstreamsVerified)
 
 	cutOff.clock.advance(4 * clock.Second)
 	connected.store.at.Mark += 10
@@ -282,10 +282,10 @@
 	b.readLargeFleetBy(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.upstreamCount())
 }
 
@@ -299,16 +299,16 @@
 	b.readLargeFleetBy(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.store.down = false
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	ctx, cancel := context.WithTimeout(b.ctx, 300*time.Millisecond)
 	defer cancel()
 	none := func(context.Context) (route.Position, error) { return route.Position{Mark: 1}, nil }
 	b.follow(ctx, feed{name: "upstreams", list: none, watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
 		return route.Position{Mark: 1}, nil
 	}})
-	require.False(t, b.Lost(), "readers verify its copy while it makes no calls")
+	require.False(t, b.StoreDown(), "readers verify its copy while it makes no calls")
 	b.clock.advance(delegationLimit + 1)
 	require.False(t, b.delegates(b.documentFeed()))
 	b.store.upstreams = upstreams("b")
@@ -367,11 +367,11 @@
 // VM's copy look current.
 func TestOldPeerSummaryDoesNotRefreshAge(t *testing.T) {
 	b := newHarness(t)
-	at := b.View().TableAt
+	at := b.View().TableVerified
 	b.clock.advance(6 * clock.Second)
 	b.Learn(&peer.BeatArgs{Registry: peer.RegistryWord{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
-	require.Equal(t, at, b.View().TableAt)
-	require.Equal(t, at, b.View().UpstreamsAt)
+	require.Equal(t, at, b.View().TableVerified)
+	require.Equal(t, at, b.View().UpstreamsVerified)
 }
 
 // A failed call may have lost changes with its answer, so the next call is a list.
@@ -440,11 +440,11 @@
 // readBy sets the readers: one other VM, or also this VM as the primary reader.
 func (b *harness) readBy(other *Registry, self bool) {
 	b.peers = localPeer{other}
-	b.ReadBy(func() Roster {
+	b.SetReaders(func() Roster {
 		if self {
-			return Roster{Others: []peer.Member{{VM: "reader"}}, Self: true}
+			return Roster{Sources: []peer.Member{{VM: "reader"}}, Primary: true}
 		}
-		return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1}
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1}
 	})
 }
 
@@ -517,8 +517,8 @@
 // reader.
 func (b *harness) readLargeFleetBy(reader *Registry) {
 	b.peers = localPeer{reader}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, LargeFleet: true}
 	})
 }
 
@@ -530,14 +530,14 @@
 	reader.Registry.clock = b.clock
 	b.readLargeFleetBy(reader.Registry)
 	require.False(t, b.delegates(b.documentFeed()), "no reader has answered yet")
-	nextReader := b.askReaders(b.ctx, b.readers().Others, 0)
+	nextReader := b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.True(t, b.delegates(b.documentFeed()))
 
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.clock.advance(pollInterval)
 	require.True(t, b.pollDue(b.readers()))
-	b.askReaders(b.ctx, b.readers().Others, nextReader)
+	b.askReaders(b.ctx, b.readers().Sources, nextReader)
 	require.Equal(t, 1, b.upstreamCount())
 
 	b.clock.advance(pollExpiry + 1)
@@ -551,7 +551,7 @@
 	reader.Registry.clock = b.clock
 	b.readLargeFleetBy(reader.Registry)
 	b.clock.advance(delegationLimit + 1)
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.False(t, b.delegates(b.documentFeed()))
 	b.list()
 	require.True(t, b.delegates(b.documentFeed()))
@@ -563,13 +563,13 @@
 	b, cutOff, connected := newHarness(t), newHarness(t), newHarness(t)
 	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
 	b.peers = localPeers{"shut": cutOff.Registry, "well": connected.Registry}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, LargeFleet: true}
 	})
 	b.clock.advance(readerMaxAge + 1)
 	connected.store.upstreams, connected.store.at = upstreams("b"), mark(50)
 	connected.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.upstreamCount())
 }
 
@@ -592,7 +592,9 @@
 	began = time.Now()
 	self := time.AfterFunc(50*time.Millisecond, func() { b.promoted.Store(true) })
 	defer self.Stop()
-	b.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1, Self: b.promoted.Load()} })
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1, Primary: b.promoted.Load()}
+	})
 	b.backOff(b.ctx, 5)
 	require.Less(t, time.Since(began), 4*retryWait)
 }
@@ -615,7 +617,7 @@
 	require.Equal(t, 1, b.upstreamCount())
 	b.changeUpstreams(unusable("no state", "a"), mark(10), b.clock.Now())
 	b.changeUpstreams(unusable("no address", "a", "x"), mark(11), b.clock.Now())
-	require.EqualValues(t, 3, b.Barred(), "once for each reason and entry")
+	require.EqualValues(t, 3, b.UnusableCount(), "once for each reason and entry")
 	b.changeUpstreams(listing(upstreams("a")), mark(12), b.clock.Now())
 	require.Equal(t, 2, b.upstreamCount())
 
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -202,7 +202,7 @@
 		if old, known := r.upstreams[u.ID]; known {
 			delete(r.upstreams, u.ID)
 			delete(r.expiring, u.ID)
-			r.changes.Take(old)
+			r.changes.Remove(old)
 			r.generation++
 		}
 		if r.unusable[u.ID] == u.Reason {
@@ -218,8 +218,8 @@
 	}
 }
 
-// Barred returns the number of unusable entries, each counted once per reason.
-func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.unusableCount }
+// UnusableCount returns the number of unusable entries, each counted once per reason.
+func (r *Registry) UnusableCount() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.unusableCount }
 
 // remove removes an upstream, immediately or, shortly after an outage of the store or in a mass
 // removal, after a hold. The lock must be held.
@@ -253,7 +253,7 @@
 		delete(r.expiring, id)
 		u := r.upstreams[id]
 		r.departed[id] = departure{now, u.Born}
-		r.changes.Take(u)
+		r.changes.Remove(u)
 		delete(r.upstreams, id)
 		r.generation++
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream removed")
