--- a/lib/decide/span/books.go
+++ b/lib/decide/span/books.go
@@ -6,88 +6,98 @@
 	"snipeshift.example/lib/decide/statement"
 )
 
-// An owner that stops hands its books over whole: gates would tell its successor only within a second what runs. Instants travel as spans, for
-// clocks of two VMs differ.
+// An owner that stops passes its whole state to its successor. Otherwise the successor would have
+// to wait up to a second until the gates have presented their live grants. Times are passed as
+// durations because the clocks of two VMs differ.
 
-// Books is all that one owner of a service knows and another one cannot ask for.
+// Books is a snapshot of the state of an owner that another owner can't obtain from gates and
+// upstreams.
 type Books struct {
 	Grants    []BookedGrant
 	Upstreams []Condition
-	// Busy and Served are the averages that tell how much time engines have to spare.
+	// Busy and Served are averages of the spare time of engines: the share that is busy, and the
+	// rate at which late short requests are placed.
 	Busy, Served float64
-	// Saved, Mean, LargeRefused and OthersRefused are what is kept for large prompts, and why.
+	// Saved is the prefill time saved for large prompts, Mean the mean prefill time of long
+	// prompts, both in milliseconds. LargeRefused and OthersRefused are the shares of large and of
+	// other long prompts that were refused.
 	Saved, Mean, LargeRefused, OthersRefused float64
 }
 
-// BookedGrant is one live grant.
+// BookedGrant is one live grant in a snapshot.
 type BookedGrant struct {
 	Live Live
-	// Age is the time since it was made, Unheard since its gate named it last.
+	// Age is the time since the grant was made, Unheard the time since its gate last named it.
 	Age, Unheard clock.Milli
 	Workspace    decide.WorkspaceID
 	Suspect      bool
 }
 
-// Condition is what the outcomes and reports of one upstream say of it.
+// Condition is the state of one upstream in a snapshot, derived from outcomes, reports and
+// statements.
 type Condition struct {
 	Upstream decide.UpstreamID
 	Born     decide.Born
-	// Debt is the reading in milliseconds that should be left there.
+	// Debt is the backlog of prefill time in milliseconds.
 	Debt float64
-	// Strikes, Shut and Rest are its health; Shut is how long it is still left alone.
+	// Strikes counts failures since the last success. Shut is how long the upstream is still
+	// excluded, and Rest the length of its last exclusion.
 	Strikes    int
 	Shut, Rest clock.Milli
-	// Helps is how long it is still not asked to read parts for others, Declined the length of that time.
+	// Helps is how long the upstream is still not used as a helper, and Declined the length of the
+	// last such pause.
 	Helps, Declined clock.Milli
 	Foreign         int
 	ForeignUsed     decide.Tokens
 	Pace            float64
-	// Doubtful and Suspected ask for its report.
+	// Doubtful is set if the load is unverified, Suspected if a report is wanted.
 	Doubtful, Suspected bool
-	// Statements are what it says of itself, and Allowed how many requests may be granted now by the limit that it names.
+	// Statements are what the upstream declared about itself. Allowed is how many requests its rate
+	// limit admits now.
 	Statements []statement.Aged
 	Allowed    float64
-	// Shed is set if a request is to show whether it takes any again.
+	// Shed is set if a probe request has to show whether the upstream accepts requests again.
 	Shed bool
 }
 
-// Books returns what the next owner is to know.
+// Books returns a snapshot for the next owner.
 func (p *Pool) Books(now clock.Milli) Books {
 	p.expire(now)
 	b := Books{
-		Busy: p.headroom.busy, Served: p.headroom.served,
-		Saved: p.large.saved, Mean: p.large.mean, LargeRefused: p.large.large.refused, OthersRefused: p.large.others.refused,
+		Busy: p.headroom.busy, Served: p.headroom.placeRate,
+		Saved: p.largeReserve.savedRead, Mean: p.largeReserve.meanRead, LargeRefused: p.largeReserve.large.refused, OthersRefused: p.largeReserve.others.refused,
 	}
 	for _, g := range p.grants {
 		b.Grants = append(b.Grants, BookedGrant{
-			Live: g.Live, Age: now - g.at, Unheard: now - g.heard, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
+			Live: g.Live, Age: now - g.grantedAt, Unheard: now - g.namedAt, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
 		})
 	}
-	for _, r := range p.order {
+	for _, r := range p.packOrder {
 		c := Condition{
-			Upstream: r.ID, Born: r.Born, Debt: max(0, r.until-float64(now)),
-			Strikes: r.health.strikes, Shut: max(0, r.health.until-now), Rest: r.health.last,
-			Helps: max(0, r.health.helps-now), Declined: r.health.declined,
-			Foreign: r.foreign, ForeignUsed: r.foreignUsed, Pace: r.pace, Doubtful: r.doubtful, Suspected: r.suspected,
+			Upstream: r.ID, Born: r.Born, Debt: max(0, r.readUntil-float64(now)),
+			Strikes: r.health.failures, Shut: max(0, r.health.excludedUntil-now), Rest: r.health.lastExclusion,
+			Helps: max(0, r.health.helpsFrom-now), Declined: r.health.declinePause,
+			Foreign: r.external, ForeignUsed: r.externalUsed, Pace: r.pace, Doubtful: r.unverified, Suspected: r.reportWanted,
 		}
-		c.Statements, c.Allowed, c.Shed = r.declared.statements(now, r.ID), r.declared.limit.Level(now), r.declared.shed
+		c.Statements, c.Allowed, c.Shed = r.declared.statements(now, r.ID), r.declared.limit.Level(now), r.declared.shedding
 		b.Upstreams = append(b.Upstreams, c)
 	}
 	return b
 }
 
-// Restore takes the books of the owner before. What is known here already stays.
+// Restore adds the snapshot of the previous owner. Grants that are known here already are not added
+// again.
 func (p *Pool) Restore(now clock.Milli, b Books) {
 	for _, l := range b.Grants {
 		g := p.grants[l.Live.Grant.Request]
 		if g == nil {
-			g = p.adopt(now, l.Live, Ask{ID: l.Live.Grant.Request, Gate: l.Live.Grant.Gate, Workspace: l.Workspace, Suspect: l.Suspect})
+			g = p.addGrant(now, l.Live, Ask{ID: l.Live.Grant.Request, Gate: l.Live.Grant.Gate, Workspace: l.Workspace, Suspect: l.Suspect})
 		}
-		g.at, g.heard = now-l.Age, now-l.Unheard
+		g.grantedAt, g.namedAt = now-l.Age, now-l.Unheard
 	}
 	for _, c := range b.Upstreams {
-		r := p.rows[c.Upstream]
-		if r == nil || r.earlier(c.Born) || r.newer(c.Born) {
+		r := p.upstreams[c.Upstream]
+		if r == nil || r.pastIncarnation(c.Born) || r.newIncarnation(c.Born) {
 			continue
 		}
 		for _, a := range c.Statements {
@@ -95,28 +105,28 @@
 				r.declared.limit.Restore(now, c.Allowed)
 			}
 		}
-		r.declared.shed = r.declared.shed || c.Shed
+		r.declared.shedding = r.declared.shedding || c.Shed
 		r.refresh()
-		r.until = float64(now) + c.Debt
-		r.health = health{strikes: c.Strikes, last: c.Rest, declined: c.Declined}
+		r.readUntil = float64(now) + c.Debt
+		r.health = health{failures: c.Strikes, lastExclusion: c.Rest, declinePause: c.Declined}
 		if c.Shut > 0 {
-			r.health.until = now + c.Shut
+			r.health.excludedUntil = now + c.Shut
 		}
 		if c.Helps > 0 {
-			r.health.helps = now + c.Helps
+			r.health.helpsFrom = now + c.Helps
 		}
-		r.foreign, r.foreignUsed, r.pace = c.Foreign, c.ForeignUsed, c.Pace
-		r.doubtful, r.suspected = c.Doubtful, c.Suspected
+		r.external, r.externalUsed, r.pace = c.Foreign, c.ForeignUsed, c.Pace
+		r.unverified, r.reportWanted = c.Doubtful, c.Suspected
 	}
-	p.headroom = headroom{busy: b.Busy, at: now, engines: p.headroom.engines, served: b.Served}
-	p.large.saved, p.large.mean = b.Saved, b.Mean
-	p.large.large.refused, p.large.others.refused = b.LargeRefused, b.OthersRefused
+	p.headroom = headroom{busy: b.Busy, at: now, engines: p.headroom.engines, placeRate: b.Served}
+	p.largeReserve.savedRead, p.largeReserve.meanRead = b.Saved, b.Mean
+	p.largeReserve.large.refused, p.largeReserve.others.refused = b.LargeRefused, b.OthersRefused
 }
 
-// Suspect asks for the reports of all upstreams, and uses them meanwhile: the owner before is lost, and with it perhaps gates whose
-// requests still run.
+// Suspect requests load reports of all engines and uses them meanwhile. It is for a new owner whose
+// predecessor was lost, perhaps together with gates whose requests still run.
 func (p *Pool) Suspect() {
-	for _, r := range p.order {
-		r.doubtful, r.suspected = false, r.engine != nil
+	for _, r := range p.packOrder {
+		r.unverified, r.reportWanted = false, r.engine != nil
 	}
 }
--- a/lib/decide/span/books_test.go
+++ b/lib/decide/span/books_test.go
@@ -10,38 +10,40 @@
 	"snipeshift.example/lib/decide"
 )
 
-// The owner of a service stops while engines are packed. With empty books its successor would pack the next short requests on the same
-// engines, and callers would wait behind twice the streams.
-func TestASuccessorPacksAsTheOwnerBeforeWould(t *testing.T) {
+// An owner stops while engines are packed with short streams. Without the snapshot its successor
+// would pack the next short requests on the same engines, and callers would wait behind twice the
+// streams.
+func TestSuccessorContinuesPacking(t *testing.T) {
 	before, after := newBench(t, 4), newBench(t, 4)
 	for range DefaultRules.Packed {
-		require.Equal(t, decide.UpstreamID("e00"), before.runs(before.note(now)).Leader.Upstream)
+		require.Equal(t, decide.UpstreamID("e00"), before.mustStream(before.shortAsk(now)).Leader.Upstream)
 	}
-	before.rows["e01"].health.shut(now)
+	before.upstreams["e01"].health.exclude(now)
 	after.Restore(now+5, before.Books(now))
 	require.Equal(t, before.Counts().Granted, after.Counts().Granted)
 	after.asked = before.asked
-	require.Equal(t, decide.UpstreamID("e02"), after.granted(now+5, after.note(now+5)).Leader.Upstream, "e00 is packed, e01 rests")
+	require.Equal(t, decide.UpstreamID("e02"), after.mustGrant(now+5, after.shortAsk(now+5)).Leader.Upstream, "e00 is packed, e01 is excluded")
 }
 
-// A grant that a gate presents to the successor before the books arrive must not count twice.
-func TestBooksDoNotCountWhatWasPresentedAlready(t *testing.T) {
+// A gate may present a grant to the successor before the snapshot arrives. The grant must not be
+// counted twice.
+func TestSnapshotDoesNotCountPresentedGrantsTwice(t *testing.T) {
 	before, after := newBench(t, 2), newBench(t, 2)
-	g := before.runs(before.note(now))
+	g := before.mustStream(before.shortAsk(now))
 	after.Present(now, "g", []Live{{Grant: g, Writing: true}})
 	after.Restore(now, before.Books(now))
 	require.Equal(t, 1, after.Counts().Granted)
-	require.Equal(t, 1, after.rows["e00"].streams)
+	require.Equal(t, 1, after.upstreams["e00"].streams)
 }
 
-// Engines are being emptied while the store does not answer, so nobody knows that they leave: they finish what they have and decline to
-// read parts of new prompts, which turns the whole prompt away. Each one is to cost a prompt one try, not every
-// prompt one.
-func TestAnEngineThatDeclinesToReadForOthersIsNotAskedAgainAtOnce(t *testing.T) {
+// Engines are drained while the store is unavailable, so the owner does not know that they are
+// leaving: they finish their requests and decline to be helpers for new prompts, which fails the
+// whole prompt. Each such engine must cost one prompt one try, not every prompt.
+func TestHelperThatDeclinesIsPaused(t *testing.T) {
 	b := newBench(t, 20)
 	helps := func(at clock.Milli, id decide.UpstreamID) bool {
-		a := b.history(at, 300_000)
-		g := b.granted(at, a)
+		a := b.longAsk(at, 300_000)
+		g := b.mustGrant(at, a)
 		defer b.End(at, a.ID, Left, "")
 		for _, h := range g.Helpers {
 			if h.Upstream == id {
@@ -50,15 +52,15 @@
 		}
 		return false
 	}
-	a := b.history(now, 300_000)
-	g := b.granted(now, a)
+	a := b.longAsk(now, 300_000)
+	g := b.mustGrant(now, a)
 	leaving := g.Helpers[0].Upstream
 	b.End(now, a.ID, Full, leaving)
 	require.False(t, helps(now+10, leaving))
-	require.False(t, helps(now+firstDeclined-10, leaving))
-	require.True(t, helps(now+firstDeclined, leaving))
-	require.NotContains(t, b.Doubtful(now, "owner", math.MaxInt), leaving, "its books are right")
-	short := b.note(now + 10)
+	require.False(t, helps(now+firstDeclinePause-10, leaving))
+	require.True(t, helps(now+firstDeclinePause, leaving))
+	require.NotContains(t, b.Doubtful(now, "owner", math.MaxInt), leaving, "its load is verified")
+	short := b.shortAsk(now + 10)
 	_, decided := b.ask(now+10, short)
-	require.True(t, decided, "short requests go on")
+	require.True(t, decided, "short requests are still placed")
 }
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -11,53 +11,58 @@
 	"snipeshift.example/lib/fault"
 )
 
-// declared is what one upstream says of itself.
+// declared holds what one upstream declared about itself in its responses.
 type declared struct {
-	// limit bounds the requests that all VMs give it together.
+	// limit is the rate limit of the upstream, which applies to the requests of all VMs together.
 	limit ratelimit.Pace
-	// leaving is its word that it ends soon, if it is named.
+	// leaving is its drain notice; leaving.Named is false if there is none.
 	leaving statement.Statement
-	// rests holds the last rest that each VM was asked for.
-	rests map[decide.GateID]statement.Statement
-	// shed is set from the word of a rest until a request is seen to run again. Meanwhile one is granted at a time, which is the trial: what
-	// waited for the end of a rest must not all come at once.
-	shed  bool
-	trial decide.RequestID
-	// served is when a request ran here of a VM that need not rest while another one had to.
-	served clock.Milli
-	// at is an instant at which the newest word of a rest or a leaving held.
-	at clock.Milli
-}
-
-// wayTime is by how much a message may move the end of a rest: it holds what is left, and takes its time.
-const wayTime = 100 * clock.Milli(1)
-
-// restLives is how long a rest that is over is remembered, to tell an upstream that has too much of one VM from one that has too much.
-const restLives = 10 * clock.Second
-
-// learnRest takes a rest and reports whether it is a new one.
-func (d *declared) learnRest(now clock.Milli, s statement.Statement) bool {
-	before, known := d.rests[s.Gate]
-	at := before.At
-	before.Until += wayTime
+	// backOffs maps each gate to the last back-off that the upstream asked it for.
+	backOffs map[decide.GateID]statement.Statement
+	// shedding is set when the upstream asks for a back-off, until a request is seen to run there
+	// again. Meanwhile it is granted one request at a time, the probe, so that the requests that
+	// waited for the end of the back-off do not all arrive at once.
+	shedding bool
+	probe    decide.RequestID
+	// servedOthers is when the upstream last ran a request of one gate while another gate had to
+	// back off.
+	servedOthers clock.Milli
+	// heardAt is the latest time at which a back-off or drain notice is known to have held.
+	heardAt clock.Milli
+}
+
+// transitTime is by how much the end of a back-off may move without being a new back-off. Messages
+// carry the time that is left, so each transfer moves the end by the time in transit.
+const transitTime = 100 * clock.Milli(1)
+
+// backOffTTL is how long a back-off is remembered after its end. It is needed to tell an upstream
+// that is overloaded by one gate from one that is overloaded in general.
+const backOffTTL = 10 * clock.Second
+
+// learnBackOff records a back-off and reports whether it is a new one.
+func (d *declared) learnBackOff(now clock.Milli, s statement.Statement) bool {
+	before, known := d.backOffs[s.Gate]
+	previousAt := before.At
+	before.Until += transitTime
 	if now >= s.Until || known && !s.Supersedes(before) {
 		return false
 	}
-	if d.rests == nil {
-		d.rests = map[decide.GateID]statement.Statement{}
+	if d.backOffs == nil {
+		d.backOffs = map[decide.GateID]statement.Statement{}
 	}
-	maps.DeleteFunc(d.rests, func(_ decide.GateID, r statement.Statement) bool { return now >= r.Until+restLives })
-	d.rests[s.Gate] = s
-	// Others were served since it last asked this VM for rest: it has too much of this VM alone.
-	d.shed = d.shed || !known || d.served <= at
+	maps.DeleteFunc(d.backOffs, func(_ decide.GateID, r statement.Statement) bool { return now >= r.Until+backOffTTL })
+	d.backOffs[s.Gate] = s
+	// If the upstream served other gates since its last request for a back-off to this gate, it is
+	// overloaded by this gate alone and is not shedding for all.
+	d.shedding = d.shedding || !known || d.servedOthers <= previousAt
 	return true
 }
 
-// learn takes a statement and reports whether it changes what the upstream says.
+// learn records a statement and reports whether it changes what is known of the upstream.
 func (d *declared) learn(now clock.Milli, s statement.Statement) bool {
 	switch s.Kind {
 	case statement.Rest:
-		if !d.learnRest(now, s) {
+		if !d.learnBackOff(now, s) {
 			return false
 		}
 	case statement.Leaving:
@@ -68,16 +73,16 @@
 	default:
 		return d.limit.Learn(now, s)
 	}
-	d.at = max(d.at, s.At)
+	d.heardAt = max(d.heardAt, s.At)
 	return true
 }
 
-// rest is when the rest ends that a VM was asked for; zero for none.
-func (d *declared) rest(gate decide.GateID) clock.Milli { return d.rests[gate].Until }
+// backOffUntil returns the end of the last back-off that the gate was asked for; zero for none.
+func (d *declared) backOffUntil(gate decide.GateID) clock.Milli { return d.backOffs[gate].Until }
 
-// renew forgets what an earlier life than one of the upstream said. What came from a life that did not tell when it began is of an earlier
-// one only if before is set.
-func (d *declared) renew(born decide.Born, before bool) {
+// restart removes statements of incarnations before the one that started at born. A statement
+// without a start time counts as earlier only if before is set.
+func (d *declared) restart(born decide.Born, before bool) {
 	earlier := func(b decide.Born) bool { return b < born && (b > 0 || before) }
 	if s, known := d.limit.Statement(); known && earlier(s.Born) {
 		d.limit.Reset()
@@ -85,17 +90,18 @@
 	if earlier(d.leaving.Born) {
 		d.leaving = statement.Statement{}
 	}
-	maps.DeleteFunc(d.rests, func(_ decide.GateID, r statement.Statement) bool { return earlier(r.Born) })
-	d.shed = d.shed && len(d.rests) > 0
+	maps.DeleteFunc(d.backOffs, func(_ decide.GateID, r statement.Statement) bool { return earlier(r.Born) })
+	d.shedding = d.shedding && len(d.backOffs) > 0
 }
 
-// idle reports whether nothing that the upstream said is of use once it is not listed.
-func (d *declared) idle(now clock.Milli) bool {
+// outdated reports whether all statements are too old to be kept for an upstream that is no longer
+// listed.
+func (d *declared) outdated(now clock.Milli) bool {
 	s, known := d.limit.Statement()
-	return (!known || now-s.At > statement.AbsentLives) && now-d.at > statement.AbsentLives
+	return (!known || now-s.At > statement.AbsentLives) && now-d.heardAt > statement.AbsentLives
 }
 
-// statements lists what is known, for the next owner.
+// statements lists all known statements, for the next owner.
 func (d *declared) statements(now clock.Milli, u decide.UpstreamID) []statement.Aged {
 	var out []statement.Aged
 	if s, known := d.limit.Statement(); known {
@@ -104,136 +110,148 @@
 	if d.leaving.Named {
 		out = append(out, d.leaving.Aged(now, u))
 	}
-	for _, r := range d.rests {
+	for _, r := range d.backOffs {
 		out = append(out, r.Aged(now, u))
 	}
 	return out
 }
 
-// declarations hold what upstreams say of themselves.
+// declarations holds the statements of all upstreams.
 type declarations struct {
-	// rows holds each upstream, also one that the list lacks for a moment.
-	rows map[decide.UpstreamID]*declared
-	// part is the share of each limit that is granted here; zero for all of it.
-	part float64
+	// byUpstream includes upstreams that are missing from the list for a moment.
+	byUpstream map[decide.UpstreamID]*declared
+	// share is the fraction of each rate limit that this pool may grant; zero for all of it.
+	share float64
 }
 
-// of returns what an upstream says.
-func (l *declarations) of(u decide.UpstreamID) *declared {
-	d := l.rows[u]
+// get returns the entry of an upstream; a missing one is created.
+func (l *declarations) get(u decide.UpstreamID) *declared {
+	d := l.byUpstream[u]
 	if d == nil {
 		d = &declared{}
-		d.limit.Divide(0, l.part)
-		l.rows[u] = d
+		d.limit.Divide(0, l.share)
+		l.byUpstream[u] = d
 	}
 	return d
 }
 
-// absentKept is how many more upstreams than are listed are kept at least.
+// absentKept is how many entries of upstreams that are not listed are kept at least.
 const absentKept = 64
 
-// forget drops what upstreams said that are gone, once there are many.
-func (p *Pool) forget(now clock.Milli) {
-	if len(p.declared.rows) <= 2*len(p.rows)+absentKept {
+// forgetAbsent removes outdated entries of upstreams that are no longer listed, once there are many
+// entries.
+func (p *Pool) forgetAbsent(now clock.Milli) {
+	if len(p.declared.byUpstream) <= 2*len(p.upstreams)+absentKept {
 		return
 	}
-	maps.DeleteFunc(p.declared.rows, func(u decide.UpstreamID, d *declared) bool { return p.rows[u] == nil && d.idle(now) })
+	maps.DeleteFunc(p.declared.byUpstream, func(u decide.UpstreamID, d *declared) bool { return p.upstreams[u] == nil && d.outdated(now) })
 }
 
-// Learn takes what an upstream says of itself and reports whether that is something else now.
+// Learn records a statement of an upstream and reports whether it changes what is known. Statements
+// of past incarnations are ignored.
 func (p *Pool) Learn(now clock.Milli, u decide.UpstreamID, s statement.Statement) bool {
-	r := p.rows[u]
-	if r != nil && r.earlier(s.Born) {
+	r := p.upstreams[u]
+	if r != nil && r.pastIncarnation(s.Born) {
 		return false
 	}
-	d := p.declared.of(u)
+	d := p.declared.get(u)
 	changed := d.learn(now, s)
-	if changed && s.Kind == statement.Rest && d.shed && r != nil {
-		// One that has too much of one VM probably has too much, until a request of another one shows otherwise.
-		r.health.shut(now)
+	if changed && s.Kind == statement.Rest && d.shedding && r != nil {
+		// An upstream that is overloaded by one gate is probably overloaded in general, until a
+		// request of another gate shows otherwise.
+		r.health.exclude(now)
 	}
 	return changed
 }
 
-// Divide tells the pool which part of the limits it may grant: other VMs, which it cannot ask, may grant at the same upstreams.
-func (p *Pool) Divide(now clock.Milli, part float64) {
-	if p.declared.part == part {
+// Divide sets the fraction of each rate limit that this pool may grant. The rest is left for VMs
+// that can't be reached and may grant requests at the same upstreams.
+func (p *Pool) Divide(now clock.Milli, share float64) {
+	if p.declared.share == share {
 		return
 	}
-	p.declared.part = part
-	for _, d := range p.declared.rows {
-		d.limit.Divide(now, part)
+	p.declared.share = share
+	for _, d := range p.declared.byUpstream {
+		d.limit.Divide(now, share)
 	}
 }
 
-// leaves reports whether the upstream leaves or is gone, by the list or by its own word.
-func (r *row) leaves() bool { return r.Leaving || r.declared.leaving.Named }
+// draining reports whether the upstream is leaving or gone, by the list of upstreams or by its own
+// statement.
+func (r *upstreamState) draining() bool { return r.Leaving || r.declared.leaving.Named }
 
-// restsFor reports whether any upstream wants a rest from a VM, which others may send to.
-func (p *Pool) restsFor(now clock.Milli, gate decide.GateID) bool {
-	return slices.ContainsFunc(p.order, func(r *row) bool { return now < r.declared.rest(gate) })
+// hasBackOff reports whether any upstream asked the gate for a back-off. Other gates may still send
+// there.
+func (p *Pool) hasBackOff(now clock.Milli, gate decide.GateID) bool {
+	return slices.ContainsFunc(p.packOrder, func(r *upstreamState) bool { return now < r.declared.backOffUntil(gate) })
 }
 
-// onTrial reports whether one request is to show first whether the upstream takes requests again.
-func (r *row) onTrial() bool { return r.declared.shed && r.grants[r.declared.trial] != nil }
+// probing reports whether a probe request is running that has to show whether the upstream accepts
+// requests again.
+func (r *upstreamState) probing() bool {
+	return r.declared.shedding && r.grants[r.declared.probe] != nil
+}
 
-// begins notes a grant, which is the trial of an upstream that has shed.
-func (r *row) begins(now clock.Milli, id decide.RequestID) {
+// noteGranted records a new grant, which is the probe if the upstream is shedding.
+func (r *upstreamState) noteGranted(now clock.Milli, id decide.RequestID) {
 	r.declared.limit.Take(now)
-	if r.declared.shed {
-		r.declared.trial = id
+	if r.declared.shedding {
+		r.declared.probe = id
 	}
 }
 
-// runs notes that a request of a VM runs or ran at the upstream: if it was the trial, all may come again.
-func (r *row) runs(now clock.Milli, id decide.RequestID, gate decide.GateID) {
+// noteServed records that a request of a gate runs or ran on the upstream. If it was the probe, the
+// upstream is no longer shedding.
+func (r *upstreamState) noteServed(now clock.Milli, id decide.RequestID, gate decide.GateID) {
 	d := r.declared
-	if d.trial == id {
-		d.shed = false
+	if d.probe == id {
+		d.shedding = false
 	}
-	for g, s := range d.rests {
+	for g, s := range d.backOffs {
 		if g != gate && now < s.Until {
-			d.served = now
+			d.servedOthers = now
 		}
 	}
 }
 
-// supply is what upstreams take together.
+// supply is the request rate that the upstreams accept together.
 type supply struct {
-	// bounded is set if each of them bounds its requests. At once is how many may be granted now, rate how many a second.
+	// bounded is set if every upstream limits its requests. burst is how many may be granted now,
+	// and rate how many per second.
 	bounded bool
-	atOnce  float64
+	burst   float64
 	rate    statement.PerSecond
 }
 
-// supplied sums up what upstreams take that may get work.
-func (p *Pool) supplied(now clock.Milli) supply {
+// totalSupply sums up the limits of the upstreams that can get requests.
+func (p *Pool) totalSupply(now clock.Milli) supply {
 	var s supply
-	for _, r := range p.order {
-		if r.leaves() || !r.health.open(now) {
+	for _, r := range p.packOrder {
+		if r.draining() || !r.health.available(now) {
 			continue
 		}
 		if !r.declared.limit.Bounds(now) {
 			return supply{}
 		}
 		s.bounded = true
-		s.atOnce += r.declared.limit.Level(now)
+		s.burst += r.declared.limit.Level(now)
 		s.rate += r.declared.limit.Rate(now)
 	}
 	return s
 }
 
-// outpaced refuses a request that upstreams will not take before its time is over, behind those that are placed before it.
-func (o *round) outpaced(w *waiting) (Decision, bool) {
+// refuseOverLimit refuses a request that the rate limits will not admit in time, behind the
+// requests that are placed before it.
+func (o *round) refuseOverLimit(w *queuedRequest) (Decision, bool) {
 	if !o.supply.bounded {
 		return Decision{}, false
 	}
 	o.behind++
-	wait := 1000 * max(0, float64(o.behind)-o.supply.atOnce) / float64(o.supply.rate)
-	if float64(w.last-o.now) >= wait+w.least {
+	wait := 1000 * max(0, float64(o.behind)-o.supply.burst) / float64(o.supply.rate)
+	if float64(w.latestFirst-o.now) >= wait+w.groupReadTime {
 		return Decision{}, false
 	}
 	o.behind--
-	retry := min(max(clock.Milli(wait), firstShut), longestRetry)
+	retry := min(max(clock.Milli(wait), firstExclusion), maxRetry)
 	return Decision{Action: Refused, Request: w.ID, Gate: w.Gate, Fault: fault.Overloaded, Retry: retry, Reason: "limit"}, true
 }
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -6,118 +6,121 @@
 	"snipeshift.example/lib/route"
 )
 
-// row is one upstream with all that was granted on it.
-type row struct {
+// upstreamState is one upstream with all its grants.
+type upstreamState struct {
 	route.Upstream
 	// engine is nil for a plain service.
 	engine *route.Engine
-	// until is when the reading granted so far should be over, in milliseconds
-	// of the pool's clock.
-	until float64
+	// readUntil is the time, in milliseconds of the pool's clock, at which the prefills granted so
+	// far should be done.
+	readUntil float64
 	// grants holds every grant that uses the upstream, as leader or helper.
-	grants map[decide.RequestID]*granted
-	sums
+	grants map[decide.RequestID]*grantState
+	totals
 	health health
-	// foreign is how many requests the upstream holds that no grant explains, by
-	// its last report, and foreignUsed the memory in tokens that they take.
-	foreign     int
-	foreignUsed decide.Tokens
-	// doubtful is set from the moment at which the books are known to miss work
-	// there, until a report says what it is.
-	doubtful bool
-	// ended is when requests ended here of which a report may still tell, oldest first.
-	ended []clock.Milli
-	// pace is how many times as long as usual work takes there, by its last report; zero if it
-	// never reported. Suspected is set if that should be asked.
-	pace      float64
-	suspected bool
-	// declared is what the upstream says of itself.
+	// external is the number of requests in the upstream's last report that no grant of this owner
+	// accounts for, and externalUsed is the KV memory in tokens that they use.
+	external     int
+	externalUsed decide.Tokens
+	// unverified is set when the grants recorded here are known to miss some work of the upstream,
+	// until a report shows its load.
+	unverified bool
+	// recentEnds lists when requests ended here that a delayed report may still count, oldest
+	// first.
+	recentEnds []clock.Milli
+	// pace is the factor by which work takes longer than usual, by the last report; zero if the
+	// upstream never reported. reportWanted is set if the upstream should be polled for its pace.
+	pace         float64
+	reportWanted bool
+	// declared is what the upstream declared about itself.
 	declared *declared
-	// polled is when the upstream was asked for its load last.
-	polled clock.Milli
+	// polledAt is when the upstream was last polled for its load.
+	polledAt clock.Milli
 }
 
-// granted is a grant in the pool's books.
-type granted struct {
+// grantState is a grant and what the pool records about it.
+type grantState struct {
 	Live
-	ask Ask
-	at  clock.Milli
-	// presented is set for a grant of another owner's: it is older than at.
+	ask       Ask
+	grantedAt clock.Milli
+	// presented is set for a grant that another owner made: it is older than grantedAt.
 	presented bool
-	// heard is when its gate last named it.
-	heard clock.Milli
-	rows  []*row
+	// namedAt is when the gate of the grant last named it.
+	namedAt   clock.Milli
+	upstreams []*upstreamState
 }
 
-// leads reports whether the grant's answer is written on r.
-func (g *granted) leads(r *row) bool { return g.Grant.Leader.Upstream == r.ID }
+// leads reports whether r is the leader of the grant, which writes the answer.
+func (g *grantState) leads(r *upstreamState) bool { return g.Grant.Leader.Upstream == r.ID }
 
-// overdue is the reading in milliseconds that is assumed where the estimate has run
-// out and the word of the end has not come.
-const overdue = 60.0
+// minBacklog is the backlog in milliseconds that is assumed if the estimate has run out and the
+// first byte has not been reported.
+const minBacklog = 60.0
 
-// debt is the reading that is granted and not done, in milliseconds. An engine whose first byte
-// is late is taken to be busy for as long again: what holds it up is not in the books.
-func (r *row) debt(now clock.Milli) float64 {
-	left := max(0, r.until-float64(now))
-	if r.engine == nil || r.reading == 0 {
+// backlog returns the prefill time in milliseconds that is granted and not done. If the first byte
+// on an engine is overdue, the engine is assumed to be busy for as long again: what delays it is
+// not among the recorded grants.
+func (r *upstreamState) backlog(now clock.Milli) float64 {
+	left := max(0, r.readUntil-float64(now))
+	if r.engine == nil || r.prefills == 0 {
 		return left
 	}
-	return max(left, overdue, float64(now-r.due))
+	return max(left, minBacklog, float64(now-r.firstDue))
 }
 
-// overruns reports whether a first byte is so late that the books must be missing work.
-func (r *row) overruns(now clock.Milli) bool {
-	return r.engine != nil && r.reading > 0 && now-r.due > lateSlack
+// firstByteOverdue reports whether a first byte is so late that the engine must have work that is
+// not recorded here.
+func (r *upstreamState) firstByteOverdue(now clock.Milli) bool {
+	return r.engine != nil && r.prefills > 0 && now-r.firstDue > lateSlack
 }
 
-// sums are what follows from a row's grants. They are worked out when grants change:
-// each placing reads them of every row.
-type sums struct {
-	// streams counts the requests that hold a slot, since their answer is written here or
-	// will be, and context is their tokens.
+// totals are computed from the grants of an upstream. They are cached until the grants change,
+// because each placement reads the totals of every upstream.
+type totals struct {
+	// streams counts the requests that hold a slot here as their leader, from the grant on, and
+	// context is the sum of their tokens.
 	streams int
 	context decide.Tokens
-	// reading counts the grants whose prompt is not read yet, and due is when the first byte of
-	// one of them should be there.
-	reading int
-	due     clock.Milli
-	// suspects counts the grants of requests that an upstream died of.
+	// prefills counts the grants whose prefill is not done, and firstDue is the earliest time at
+	// which the first byte of one of them is expected.
+	prefills int
+	firstDue clock.Milli
+	// suspects counts the grants of suspect requests, see Ask.Suspect.
 	suspects int
-	// pause is the shortest pause that the streams bear; zero for none.
+	// pause is the shortest pause that the streams tolerate; zero for none.
 	pause clock.Milli
-	// taken is the KV memory in tokens that grants take.
-	taken decide.Tokens
+	// grantedMemory is the KV memory in tokens used by grants.
+	grantedMemory decide.Tokens
 }
 
-// refresh works the sums out anew.
-func (r *row) refresh() {
-	r.sums = sums{}
+// refresh recomputes the totals.
+func (r *upstreamState) refresh() {
+	r.totals = totals{}
 	for _, g := range r.grants {
 		if !g.Writing {
-			if due := g.at + g.Grant.First; r.reading == 0 || due < r.due {
-				r.due = due
+			if due := g.grantedAt + g.Grant.First; r.prefills == 0 || due < r.firstDue {
+				r.firstDue = due
 			}
-			r.reading++
+			r.prefills++
 		}
 		if g.ask.Suspect {
 			r.suspects++
 		}
 		if !g.leads(r) {
-			r.taken += g.reserved(r)
+			r.grantedMemory += g.reserved(r)
 			continue
 		}
 		r.streams++
 		r.context += g.Grant.Prompt + g.Grant.Output
-		r.taken += g.Grant.Prompt + g.Grant.Output - reserved(g.Grant.Helpers)
+		r.grantedMemory += g.Grant.Prompt + g.Grant.Output - totalReserved(g.Grant.Helpers)
 		if g.Grant.Gap > 0 && (r.pause == 0 || g.Grant.Gap < r.pause) {
 			r.pause = g.Grant.Gap
 		}
 	}
 }
 
-// reserved is the memory that a grant reserves on a helper.
-func (g *granted) reserved(r *row) decide.Tokens {
+// reserved returns the KV memory in tokens that a grant reserves on a helper.
+func (g *grantState) reserved(r *upstreamState) decide.Tokens {
 	for _, h := range g.Grant.Helpers {
 		if h.Upstream == r.ID {
 			return h.Reserve
@@ -126,16 +129,17 @@
 	return 0
 }
 
-// light reports whether any stream here bears only short pauses. What no grant
-// explains is taken for such streams: most requests are.
-func (r *row) light() bool {
-	return r.foreign > 0 || r.pause > 0 && r.pause <= lightPause
+// hasShortStreams reports whether any stream here tolerates only short pauses. External requests
+// are assumed to be such streams, because most requests are.
+func (r *upstreamState) hasShortStreams() bool {
+	return r.external > 0 || r.pause > 0 && r.pause <= maxShortPause
 }
 
-// used is the KV memory in tokens that is taken here.
-func (r *row) used() decide.Tokens { return r.foreignUsed + r.taken }
+// usedMemory returns the KV memory in tokens that is in use.
+func (r *upstreamState) usedMemory() decide.Tokens { return r.externalUsed + r.grantedMemory }
 
-func reserved(ps []Place) decide.Tokens {
+// totalReserved returns the sum of the KV memory in tokens that is reserved at these places.
+func totalReserved(ps []Place) decide.Tokens {
 	var sum decide.Tokens
 	for _, p := range ps {
 		sum += p.Reserve
@@ -143,33 +147,36 @@
 	return sum
 }
 
-// free is the KV memory in tokens that no grant takes. A sixteenth is left:
-// engines count memory in blocks, and a full one puts its newest request out.
-func (r *row) free() decide.Tokens {
+// freeMemory returns the KV memory in tokens that is not in use, except for a sixteenth of the
+// whole that stays free: engines allocate memory in blocks, and a full engine evicts its newest
+// request.
+func (r *upstreamState) freeMemory() decide.Tokens {
 	if r.engine == nil {
 		return 0
 	}
-	return r.usual() - r.used()
+	return r.usableMemory() - r.usedMemory()
 }
 
-// spare is the free memory that may be set aside for a prompt that another engine leads. One that bounds its requests sets none aside: it may
-// count the orders as requests.
-func (r *row) spare(now clock.Milli) decide.Tokens {
+// reservableMemory returns the free memory that may be reserved for a prompt that another engine
+// leads. Nothing is reserved on an upstream that limits its request rate: it may count reservation
+// orders as requests.
+func (r *upstreamState) reservableMemory(now clock.Milli) decide.Tokens {
 	if r.declared.limit.Bounds(now) {
 		return 0
 	}
-	return r.free()
+	return r.freeMemory()
 }
 
-// usual is the KV memory in tokens of the upstream while it has no grants.
-func (r *row) usual() decide.Tokens { return r.engine.Memory - r.engine.Memory/16 }
+// usableMemory returns the KV memory in tokens that the upstream has for grants when it is idle.
+func (r *upstreamState) usableMemory() decide.Tokens { return r.engine.Memory - r.engine.Memory/16 }
 
-// usable reports whether a new request may go there at all.
-func (r *row) usable(now clock.Milli, a *Ask) bool {
-	if r.leaves() || !r.health.open(now) || r.doubtful && r.engine != nil || !r.declared.limit.Allows(now) {
+// accepts reports whether new requests may be placed on the upstream at all, whatever its free
+// capacity.
+func (r *upstreamState) accepts(now clock.Milli, a *Ask) bool {
+	if r.draining() || !r.health.available(now) || r.unverified && r.engine != nil || !r.declared.limit.Allows(now) {
 		return false
 	}
-	if now < r.declared.rest(a.Gate) || r.onTrial() {
+	if now < r.declared.backOffUntil(a.Gate) || r.probing() {
 		return false
 	}
 	for _, id := range a.Avoid {
@@ -180,23 +187,23 @@
 	return !a.Suspect || r.suspects == 0
 }
 
-// take books a grant that adds a read of this many milliseconds.
-func (r *row) take(now clock.Milli, g *granted, read float64) {
+// addGrant records a grant that adds a prefill of this many milliseconds.
+func (r *upstreamState) addGrant(now clock.Milli, g *grantState, read float64) {
 	if r.streams > 0 && read > 0 {
-		// Streams that are written meanwhile take their part of each pass.
+		// Streams that are decoded meanwhile take their share of each pass.
 		read += r.engine.Pass(r.streams, r.context)
 	}
 	read *= max(r.pace, 1)
-	r.until = max(r.until, float64(now)) + read
+	r.readUntil = max(r.readUntil, float64(now)) + read
 	r.grants[g.Grant.Request] = g
 	r.refresh()
 }
 
-// settle takes a change of the grants into the sums, and corrects the estimate once
-// nothing is left to be read.
-func (r *row) settle(now clock.Milli) {
+// update recomputes the totals after a grant ended or its first byte arrived, and resets the
+// estimate once no prefill is left.
+func (r *upstreamState) update(now clock.Milli) {
 	r.refresh()
-	if r.reading == 0 {
-		r.until = min(r.until, float64(now))
+	if r.prefills == 0 {
+		r.readUntil = min(r.readUntil, float64(now))
 	}
 }
--- a/lib/decide/span/foreign.go
+++ b/lib/decide/span/foreign.go
@@ -9,133 +9,139 @@
 	"snipeshift.example/lib/exchange"
 )
 
-// After a loss of power of all VMs engines go on writing for callers who are gone. So a new owner, whose books are empty, asks engines for their
-// load and counts what they report beyond its own grants.
-
-// limitedPolls is the least time between two polls of an upstream that names a limit: it may count them as requests.
-const limitedPolls = clock.Second
-
-// turnedRest is how long an upstream that had no room is left alone: about until a
-// report on it is there.
-const turnedRest clock.Milli = 150
-
-// pollEvery is the least time between two polls of one upstream: its reports are some 200 ms old, and each poll costs it a little.
-const pollEvery = 300 * clock.Milli(1)
-
-// Doubtful lists upstreams whose reports are wanted, up to so many, and takes them for asked now: all of a new owner's, those that turned a
-// request away, those that held work which no grant explains, and those that are slow or
-// may be. Engines of the first two sorts get nothing until they have reported, or are known
-// not to, so they come first; behind them comes who was asked longest ago. The VM that asks is named: it must not ask one that wants a
-// rest from it.
-func (p *Pool) Doubtful(now clock.Milli, gate decide.GateID, most int) []decide.UpstreamID {
-	if !scans(p.listed, now, len(p.order)) {
+// After a power loss of all VMs, engines go on writing answers for callers who have disconnected. A
+// new owner has no grants for that work, so it polls the engines for their load and counts what
+// they report beyond its own grants as external load.
+
+// limitedPollInterval is the least time between two polls of an upstream that declares a rate
+// limit: it may count polls as requests.
+const limitedPollInterval = clock.Second
+
+// rejectedPause is how long an upstream that had no room is excluded: about the time until its next
+// load report arrives.
+const rejectedPause clock.Milli = 150
+
+// pollInterval is the least time between two polls of one upstream. Reports are about 200 ms old,
+// and each poll costs the upstream a little.
+const pollInterval = 300 * clock.Milli(1)
+
+// Doubtful lists up to limit upstreams to be polled for their load and marks them as polled. These
+// are: upstreams whose load is unverified, which includes all of a new owner's and those that
+// rejected a request; upstreams with external load; and those that are slow or suspected to be.
+// Unverified engines get no requests until they have reported, or are known not to report, so they
+// come first. Within each group the one polled longest ago comes first. The gate is that of the
+// polling VM, which does not poll upstreams that asked it for a back-off.
+func (p *Pool) Doubtful(now clock.Milli, gate decide.GateID, limit int) []decide.UpstreamID {
+	if !scanDue(p.pollsListed, now, len(p.packOrder)) {
 		return nil
 	}
-	p.listed = now
-	var rows []*row
-	for _, r := range p.asks() {
+	p.pollsListed = now
+	var ups []*upstreamState
+	for _, r := range p.pollCandidates() {
 		switch {
-		case !r.doubtful && r.foreign == 0 && !r.suspected && !r.slow():
-		case r.leaves() || !r.pollable(now):
-		case now < r.declared.rest(gate):
+		case !r.unverified && r.external == 0 && !r.reportWanted && !r.slow():
+		case r.draining() || !r.pollable(now):
+		case now < r.declared.backOffUntil(gate):
 			p.Unreported(r.ID)
 		default:
-			rows = append(rows, r)
+			ups = append(ups, r)
 		}
 	}
-	if len(rows) > most {
-		slices.SortStableFunc(rows, func(x, y *row) int {
-			if x.doubtful != y.doubtful {
-				return sign(x.doubtful)
+	if len(ups) > limit {
+		slices.SortStableFunc(ups, func(x, y *upstreamState) int {
+			if x.unverified != y.unverified {
+				return firstIf(x.unverified)
 			}
-			return cmp.Compare(x.polled, y.polled)
+			return cmp.Compare(x.polledAt, y.polledAt)
 		})
-		rows = rows[:most]
+		ups = ups[:limit]
 	}
 	var ids []decide.UpstreamID
-	for _, r := range rows {
-		r.polled = now
+	for _, r := range ups {
+		r.polledAt = now
 		ids = append(ids, r.ID)
 	}
 	return ids
 }
 
-// sign is -1 for what comes first.
-func sign(first bool) int {
+// firstIf returns -1, for use in comparisons, if first is true, and 1 otherwise.
+func firstIf(first bool) int {
 	if first {
 		return -1
 	}
 	return 1
 }
 
-// Pressing reports whether reports are due of engines that get nothing, or less than they could take, until they come.
+// Pressing reports whether polls are due of upstreams that get no requests, or fewer than they
+// could accept, until they report.
 func (p *Pool) Pressing(now clock.Milli) bool {
-	return slices.ContainsFunc(p.asks(), func(r *row) bool {
-		return (r.doubtful || r.foreign > 0) && !r.leaves() && r.pollable(now)
+	return slices.ContainsFunc(p.pollCandidates(), func(r *upstreamState) bool {
+		return (r.unverified || r.external > 0) && !r.draining() && r.pollable(now)
 	})
 }
 
-// asks lists the upstreams that the owner asks for their load.
-func (p *Pool) asks() []*row {
+// pollCandidates lists the upstreams that the owner may poll.
+func (p *Pool) pollCandidates() []*upstreamState {
 	if p.isolation.on {
-		return p.own()
+		return p.isolatedUpstreams()
 	}
-	return p.order
+	return p.packOrder
 }
 
-// pollable reports whether an upstream may be polled again.
-func (r *row) pollable(now clock.Milli) bool {
-	least := pollEvery
+// pollable reports whether the upstream may be polled again.
+func (r *upstreamState) pollable(now clock.Milli) bool {
+	least := pollInterval
 	if r.declared.limit.Bounds(now) {
-		least = limitedPolls
+		least = limitedPollInterval
 	}
-	return r.polled == 0 || now-r.polled >= least
+	return r.polledAt == 0 || now-r.polledAt >= least
 }
 
-// Doubt marks all upstreams as holding work that the books may miss: the pool has a new owner.
+// Doubt marks the load of all upstreams as unverified, because the pool has a new owner.
 func (p *Pool) Doubt() {
-	for _, r := range p.order {
-		r.doubtful = true
+	for _, r := range p.packOrder {
+		r.unverified = true
 	}
 }
 
-// arrives is what passes between a grant and its request's arrival at the upstream, in
-// milliseconds: two ways among VMs of a region, and one to the upstream.
-const arrives clock.Milli = 10
+// arrivalTime is the time in milliseconds from a grant to the arrival of its request at the
+// upstream: two messages between VMs of a region, and one to the upstream.
+const arrivalTime clock.Milli = 10
 
-// Report takes an upstream's own word on its load. It is some hundred milliseconds old: what was granted since
-// is not in it, and what has ended since still is. Only what it counts beyond the books of that
-// moment is work for which there is no grant.
+// Report takes the load that an upstream reports. The report is some hundred milliseconds old: it
+// lacks what was granted since and still counts what has ended since. Only the load beyond the
+// grants of that time is external.
 func (p *Pool) Report(now clock.Milli, id decide.UpstreamID, l exchange.Load) {
-	r := p.rows[id]
-	if r == nil || r.earlier(l.Born) {
+	r := p.upstreams[id]
+	if r == nil || r.pastIncarnation(l.Born) {
 		return
 	}
-	if r.newer(l.Born) {
-		r.renew(l.Born)
+	if r.newIncarnation(l.Born) {
+		r.restart(l.Born)
 	}
-	doubted := r.doubtful || r.foreign > 0 || r.suspected
-	r.doubtful, r.suspected, r.pace = false, false, max(1, l.Pace)
-	if !doubted {
-		// It was asked for its pace alone, and the books are right.
+	inQuestion := r.unverified || r.external > 0 || r.reportWanted
+	r.unverified, r.reportWanted, r.pace = false, false, max(1, l.Pace)
+	if !inQuestion {
+		// The upstream was polled for its pace only, and its load is not in question.
 		return
 	}
-	requests, used := r.known(now)
-	r.foreign, r.foreignUsed = max(0, l.Requests-requests), 0
-	if r.foreign > 0 {
-		r.foreignUsed = max(0, l.Used-used)
+	requests, used := r.explained(now)
+	r.external, r.externalUsed = max(0, l.Requests-requests), 0
+	if r.external > 0 {
+		r.externalUsed = max(0, l.Used-used)
 	}
 }
 
-// known is how many requests and how much memory a report of now tells of that grants explain. Whether
-// engines count the parts that they read for others, nothing says: they are taken as counted.
-func (r *row) known(now clock.Milli) (requests int, used decide.Tokens) {
-	at := now
+// explained returns how many requests, and how much KV memory in tokens, of a report that arrives
+// now are accounted for by grants. It is not specified whether engines count the parts that they
+// compute for other engines; they are assumed to.
+func (r *upstreamState) explained(now clock.Milli) (requests int, used decide.Tokens) {
+	reportedAt := now
 	if r.engine != nil {
-		at -= r.engine.Lag
+		reportedAt -= r.engine.Lag
 	}
 	for _, g := range r.grants {
-		if !g.presented && g.at+arrives > at {
+		if !g.presented && g.grantedAt+arrivalTime > reportedAt {
 			continue
 		}
 		requests++
@@ -143,37 +149,37 @@
 			used += g.reserved(r)
 			continue
 		}
-		used += g.Grant.Prompt + g.Grant.Output - reserved(g.Grant.Helpers)
+		used += g.Grant.Prompt + g.Grant.Output - totalReserved(g.Grant.Helpers)
 	}
-	for _, end := range r.ended {
-		if end > at {
+	for _, end := range r.recentEnds {
+		if end > reportedAt {
 			requests++
 		}
 	}
 	return requests, used
 }
 
-// ends notes that a request, or its part, has ended here.
-func (r *row) ends(now clock.Milli) {
+// noteEnded records that a request, or its part, has ended here.
+func (r *upstreamState) noteEnded(now clock.Milli) {
 	if r.engine == nil {
 		return
 	}
-	keep := 0
-	for keep < len(r.ended) && r.ended[keep] <= now-r.engine.Lag-arrives {
-		keep++
+	outdated := 0
+	for outdated < len(r.recentEnds) && r.recentEnds[outdated] <= now-r.engine.Lag-arrivalTime {
+		outdated++
 	}
-	r.ended = append(r.ended[keep:], now)
+	r.recentEnds = append(r.recentEnds[outdated:], now)
 }
 
-// Unreported ends the doubt about an upstream that does not report.
+// Unreported accepts an upstream that does not report its load as verified, without external load.
 func (p *Pool) Unreported(id decide.UpstreamID) {
-	if r := p.rows[id]; r != nil {
-		r.doubtful, r.suspected, r.foreign, r.foreignUsed = false, false, 0, 0
+	if r := p.upstreams[id]; r != nil {
+		r.unverified, r.reportWanted, r.external, r.externalUsed = false, false, 0, 0
 	}
 }
 
-// turned notes that an upstream had no room although the books say so.
-func (r *row) turned(now clock.Milli) {
-	r.doubtful = true
-	r.health.until = max(r.health.until, now+turnedRest)
+// noteRejected records that an upstream had no room although its grants leave some.
+func (r *upstreamState) noteRejected(now clock.Milli) {
+	r.unverified = true
+	r.health.excludedUntil = max(r.health.excludedUntil, now+rejectedPause)
 }
--- a/lib/decide/span/headroom.go
+++ b/lib/decide/span/headroom.go
@@ -7,55 +7,56 @@
 	"snipeshift.example/lib/fault"
 )
 
-// The load of this file is long prompts beyond what the engines can read. What is in time
-// goes first, so a prompt that missed its aim waits for engines that nobody else
-// wants, and under lasting pressure it would wait until its deadline and get nothing.
-// Its caller is better served by a refusal while there is time to come back. So
-// late prompts are kept only as far as the engines' spare time will serve them.
+// This file handles more long prompts than the engines can prefill. Prompts in time go first, so a
+// prompt that missed its aim waits for engines that no other prompt needs, and under lasting
+// overload it would wait until its deadline without an answer. Its caller is better served by a
+// refusal that leaves time to retry. So late prompts are queued only as far as the spare time of
+// the engines will serve them.
 const (
-	// headroomWindow is the time over which the engines' spare time is averaged: about as
-	// long as two long reads, so that the gap between two does not count as calm.
+	// headroomWindow is the time in milliseconds over which the engines' spare time is averaged:
+	// about as long as two long prefills, so that the gap between two does not count as low load.
 	headroomWindow = 4000.0
-	// lateWindow is the time over which the placing of late short requests is averaged as well: callers whose streams were all cut
-	// come back in one moment, and the seconds before tell nothing of how soon they find their places.
+	// lateWindow is a second, shorter window for the rate at which late short requests are placed.
+	// When all streams were cut, their callers reconnect at once, and the rate of the seconds
+	// before does not show how soon they can be placed.
 	lateWindow = 250.0
-	// leastHeadroom is the share of the engines' time that is counted on for late
-	// prompts under any pressure: phases of pressure end.
-	leastHeadroom = 0.1
-	// stuckAfter is how long a short request is late before it is taken for stuck: a
-	// moment without a free slot is no pressure.
-	stuckAfter = 200 * clock.Milli(1)
-	// longestRetry bounds the time after which a refused caller is asked to come back.
-	longestRetry = 4 * clock.Second
+	// minHeadroom is the share of the engines' time that is assumed to be available to late prompts
+	// under any load, because phases of overload end.
+	minHeadroom = 0.1
+	// lateShortGrace is how long a short request must be late before it can be refused for
+	// overload: a moment without a free slot is no overload.
+	lateShortGrace = 200 * clock.Milli(1)
+	// maxRetry bounds the time after which a refused caller is asked to retry.
+	maxRetry = 4 * clock.Second
 )
 
-// headroom follows how much of the time of engines for long reads is left over.
+// headroom tracks how much time the engines that long prompts use have to spare.
 type headroom struct {
-	// busy is the averaged share of those engines that read, at the instant at.
+	// busy is the average share of these engines that are reading a prompt, at the time at.
 	busy float64
 	at   clock.Milli
-	// engines is how many there are that hold no short streams.
+	// engines is the number of engines without short streams.
 	engines int
-	// served is how many late short requests are placed in a millisecond, averaged over headroomWindow, and lately over
-	// lateWindow.
-	served, lately float64
+	// placeRate is the number of late short requests placed per millisecond, averaged over
+	// headroomWindow; recentPlaceRate is averaged over lateWindow.
+	placeRate, recentPlaceRate float64
 }
 
-// observe takes the present state of the engines into the average.
-func (p *Pool) observe(now clock.Milli) {
-	if !scans(p.headroom.at, now, len(p.order)) {
+// observeLoad includes the present state of the engines in the averages.
+func (p *Pool) observeLoad(now clock.Milli) {
+	if !scanDue(p.headroom.at, now, len(p.packOrder)) {
 		return
 	}
 	engines, reading := 0, 0
-	for _, r := range p.order {
-		if r.overruns(now) {
-			r.suspected = true
+	for _, r := range p.packOrder {
+		if r.firstByteOverdue(now) {
+			r.reportWanted = true
 		}
-		if r.engine == nil || r.leaves() || r.light() {
+		if r.engine == nil || r.draining() || r.hasShortStreams() {
 			continue
 		}
 		engines++
-		if r.reading > 0 {
+		if r.prefills > 0 {
 			reading++
 		}
 	}
@@ -63,67 +64,69 @@
 	if engines > 0 {
 		share = float64(reading) / float64(engines)
 	}
-	keep := math.Exp(-float64(now-p.headroom.at) / headroomWindow)
-	soon := math.Exp(-float64(now-p.headroom.at) / lateWindow)
+	decay := math.Exp(-float64(now-p.headroom.at) / headroomWindow)
+	recentDecay := math.Exp(-float64(now-p.headroom.at) / lateWindow)
 	p.headroom = headroom{
-		busy: keep*p.headroom.busy + (1-keep)*share, at: now, engines: engines,
-		served: keep * p.headroom.served, lately: soon * p.headroom.lately,
+		busy: decay*p.headroom.busy + (1-decay)*share, at: now, engines: engines,
+		placeRate: decay * p.headroom.placeRate, recentPlaceRate: recentDecay * p.headroom.recentPlaceRate,
 	}
 }
 
-// placed counts a late short request that found its place.
-func (h *headroom) placed() {
-	h.served += 1 / headroomWindow
-	h.lately += 1 / lateWindow
+// notePlaced counts a late short request that was placed.
+func (h *headroom) notePlaced() {
+	h.placeRate += 1 / headroomWindow
+	h.recentPlaceRate += 1 / lateWindow
 }
 
-// stuck reports whether a late short request behind this many others will be of no use
-// any more when it is placed, at the rate of the last seconds or of the last moments, whichever is higher.
-func (p *Pool) stuck(now clock.Milli, w *waiting, ahead int) (Decision, bool) {
-	wait := float64(ahead+1) / max(p.headroom.served, p.headroom.lately, 1/headroomWindow)
-	if w.cost == 0 || now-w.Aim < stuckAfter || float64(w.last-now) > wait+w.least {
+// refuseLateShort refuses a late short request that will be useless by the time it is placed,
+// behind this many others, at the average or recent rate, whichever is higher. It reports whether
+// it did.
+func (p *Pool) refuseLateShort(now clock.Milli, w *queuedRequest, ahead int) (Decision, bool) {
+	wait := float64(ahead+1) / max(p.headroom.placeRate, p.headroom.recentPlaceRate, 1/headroomWindow)
+	if w.readTime == 0 || now-w.Aim < lateShortGrace || float64(w.latestFirst-now) > wait+w.groupReadTime {
 		return Decision{}, false
 	}
-	return refusal(w, wait), true
+	return pressureRefusal(w, wait), true
 }
 
-// debts is the reading in milliseconds that all engines still have to do.
-func (p *Pool) debts(now clock.Milli) float64 {
+// totalBacklog returns the prefill time in milliseconds that all engines still have to compute.
+func (p *Pool) totalBacklog(now clock.Milli) float64 {
 	sum := 0.0
-	for _, r := range p.order {
+	for _, r := range p.packOrder {
 		if r.engine != nil {
-			sum += r.debt(now)
+			sum += r.backlog(now)
 		}
 	}
 	return sum
 }
 
-// willBeLate reports whether a long prompt in time will miss its aim behind this much reading.
-func (p *Pool) willBeLate(now clock.Milli, w *waiting, before float64) bool {
-	return float64(w.Aim-now) < settleTime+w.least+before/float64(max(p.headroom.engines, 1))
+// willBeLate reports whether a long prompt in time will miss its aim behind this backlog.
+func (p *Pool) willBeLate(now clock.Milli, w *queuedRequest, backlog float64) bool {
+	return float64(w.Aim-now) < startDelay+w.groupReadTime+backlog/float64(max(p.headroom.engines, 1))
 }
 
-// refusal tells a caller to come back when half of the time is over that it would have
-// waited: pressure comes in phases, and one that comes back at once is only refused again.
-func refusal(w *waiting, wait float64) Decision {
-	retry := min(max(clock.Milli(wait/2), firstShut), longestRetry)
+// pressureRefusal refuses a request and asks its caller to retry after half of the time that it
+// would have waited. Overload comes in phases, and a caller that retries at once is only refused
+// again.
+func pressureRefusal(w *queuedRequest, wait float64) Decision {
+	retry := min(max(clock.Milli(wait/2), firstExclusion), maxRetry)
 	return Decision{Action: Refused, Request: w.ID, Gate: w.Gate, Fault: fault.Overloaded, Retry: retry, Reason: "pressure"}
 }
 
-// rate is how much reading the engines do beside what is in time, in milliseconds
-// of one engine for each millisecond.
+// rate returns the prefill capacity that is left for late prompts, in engines (milliseconds of
+// prefill per millisecond).
 func (h headroom) rate() float64 {
-	return max(leastHeadroom, 1-h.busy) * float64(max(h.engines, 1))
+	return max(minHeadroom, 1-h.busy) * float64(max(h.engines, 1))
 }
 
-// hopeless reports whether a late long prompt will not be served by its deadline,
-// behind this much reading of other late ones, and how long that reading takes.
-func (p *Pool) hopeless(now clock.Milli, w *waiting, ahead float64) (Decision, bool) {
+// refuseLateLong refuses a long prompt that will not be served by its deadline behind this much
+// prefill time of other late prompts. It reports whether it did.
+func (p *Pool) refuseLateLong(now clock.Milli, w *queuedRequest, ahead float64) (Decision, bool) {
 	rate := p.headroom.rate()
 	wait := ahead / rate
-	reading := w.cost / rate
-	if float64(w.last-now) > wait+max(reading, w.least) {
+	ownTime := w.readTime / rate
+	if float64(w.latestFirst-now) > wait+max(ownTime, w.groupReadTime) {
 		return Decision{}, false
 	}
-	return refusal(w, wait+reading), true
+	return pressureRefusal(w, wait+ownTime), true
 }
--- a/lib/decide/span/health.go
+++ b/lib/decide/span/health.go
@@ -2,76 +2,77 @@
 
 import "snipeshift.example/lib/clock"
 
-// Times for which an upstream is shut out.
+// Times and counts for excluding failing upstreams.
 const (
-	// firstShut is how long an upstream that failed is left alone at first. A
-	// crashed one is back after some seconds; trying it costs one request a
-	// delay, so the first rest is short and each further one doubles.
-	firstShut clock.Milli = 500
-	// longestShut bounds the doubling: an upstream that is well again is
-	// missed for no longer than this.
-	longestShut = 4 * clock.Second
-	// strikesAllowed is how many suspicious ends in a row an upstream has before it
-	// is shut out. A single broken answer happens to sound upstreams as well.
-	strikesAllowed = 2
+	// firstExclusion is how long an upstream is excluded after a first failure. A crashed one is
+	// back after some seconds, and trying it costs one request a delay, so the first exclusion is
+	// short and each further one doubles.
+	firstExclusion clock.Milli = 500
+	// maxExclusion bounds the doubling, so that a recovered upstream is not left unused for longer.
+	maxExclusion = 4 * clock.Second
+	// failuresToExclude is how many suspicious outcomes in a row exclude an upstream. A single
+	// broken answer occurs on sound upstreams as well.
+	failuresToExclude = 2
 )
 
-// health is what the outcomes of its sends say of an upstream.
+// health is the state of an upstream as shown by the outcomes of sends.
 type health struct {
-	// strikes counts suspicious ends since the last good one.
-	strikes int
-	// until is when the next request may try it.
-	until clock.Milli
-	// last is the length of the last shutting out.
-	last clock.Milli
-	// helps is when it may be asked again to read a part for another engine, declined the length of the last
-	// time for which it was not.
-	helps, declined clock.Milli
+	// failures counts suspicious outcomes since the last success.
+	failures int
+	// excludedUntil is when the next request may try the upstream.
+	excludedUntil clock.Milli
+	// lastExclusion is the length of the last exclusion.
+	lastExclusion clock.Milli
+	// helpsFrom is when the upstream may be used as a helper again, and declinePause the length of
+	// the last pause for which it was not.
+	helpsFrom, declinePause clock.Milli
 }
 
-// open reports whether requests may be sent.
-func (h *health) open(now clock.Milli) bool { return now >= h.until }
+// available reports whether requests may be sent.
+func (h *health) available(now clock.Milli) bool { return now >= h.excludedUntil }
 
-// note takes the end of one send.
-func (h *health) note(now clock.Milli, o Outcome) {
+// record updates the state with the outcome of one send.
+func (h *health) record(now clock.Milli, o Outcome) {
 	switch o {
 	case Done:
-		*h = health{helps: h.helps, declined: h.declined}
+		*h = health{helpsFrom: h.helpsFrom, declinePause: h.declinePause}
 	case Unreachable:
-		h.shut(now)
+		h.exclude(now)
 	case Silent, Broken:
-		h.strikes++
-		if h.strikes >= strikesAllowed {
-			h.shut(now)
+		h.failures++
+		if h.failures >= failuresToExclude {
+			h.exclude(now)
 		}
 	case Failed, Full, Left:
 	}
 }
 
-// shut leaves the upstream alone, longer each time it fails again.
-func (h *health) shut(now clock.Milli) {
-	if !h.open(now) {
+// exclude excludes the upstream, for twice as long as the last time. It does nothing during an
+// exclusion.
+func (h *health) exclude(now clock.Milli) {
+	if !h.available(now) {
 		return
 	}
-	h.last = min(max(firstShut, 2*h.last), longestShut)
-	h.until = now + h.last
+	h.lastExclusion = min(max(firstExclusion, 2*h.lastExclusion), maxExclusion)
+	h.excludedUntil = now + h.lastExclusion
 }
 
-// Times for which an engine that declined to read a part for another one is not asked to.
+// Bounds of the time for which an engine that declined to be a helper is not used as one.
 const (
-	firstDeclined   = clock.Second
-	longestDeclined = 8 * clock.Second
+	firstDeclinePause = clock.Second
+	maxDeclinePause   = 8 * clock.Second
 )
 
-// decline notes that the engine did not read a part for another one.
-// Engines that are being emptied while the store is away decline parts of new prompts, and nobody knows that they leave.
-func (h *health) decline(now clock.Milli) {
-	if now < h.helps {
+// recordDecline records that the engine declined to compute a part of a prompt as a helper. Engines
+// that are being drained while the store is unavailable do so, and the owner can't learn from the
+// store that they are leaving.
+func (h *health) recordDecline(now clock.Milli) {
+	if now < h.helpsFrom {
 		return
 	}
-	h.declined = min(max(firstDeclined, 2*h.declined), longestDeclined)
-	h.helps = now + h.declined
+	h.declinePause = min(max(firstDeclinePause, 2*h.declinePause), maxDeclinePause)
+	h.helpsFrom = now + h.declinePause
 }
 
-// helped notes that it read a part.
-func (h *health) helped() { h.helps, h.declined = 0, 0 }
+// recordHelp records that the engine computed a part as a helper.
+func (h *health) recordHelp() { h.helpsFrom, h.declinePause = 0, 0 }
--- a/lib/decide/span/isolated.go
+++ b/lib/decide/span/isolated.go
@@ -11,51 +11,55 @@
 	"snipeshift.example/lib/decide"
 )
 
-// The load of this file is that of a loss of power of all VMs: they start within a third of a second, and until they have met,
-// each has callers and knows of nobody. If each waited, short requests that reach a VM that is up would be late
-// already (364 ms in the queue, where 300 are the aim); if each packed its requests as an owner of
-// all does, all of them would pack on the same first engine. So an owner that knows of nobody
-// uses a few engines of its own choice, asks only these for their load, and spreads its requests over them.
-
-// isolatedEngines is how many engines such an owner uses: in the third of a second it gets some ten short requests. Eighty-six
-// owners ask 688 times for a load, where each asking all of 78 engines would be 6,708.
+// This file handles the start after a power loss of all VMs: they start within a third of a second,
+// and until they have found each other, each has callers and knows of no other owner. If each
+// waited for the others, short requests at a VM that is up would be late (364 ms in the queue, with
+// an aim of 300 ms). If each packed its requests as a sole owner does, all owners would pack the
+// same first engine. So an isolated owner chooses a few engines by its own name, polls only these
+// for their load, and spreads its requests over them.
+
+// isolatedEngines is how many engines an isolated owner uses; in that third of a second it receives
+// about ten short requests. With 8 engines each, 86 owners poll 688 times; polling all 78 engines
+// each would take 6,708 polls.
 const isolatedEngines = 8
 
-// isolation is the way of an owner that knows of nobody.
+// isolation is set while the owner knows of no other owner.
 type isolation struct {
 	on   bool
 	seed string
 }
 
-// Isolate tells the pool whether its owner knows of no other one; seed names the owner.
+// Isolate sets whether the owner of the pool knows of no other owner. The seed is a name that is
+// unique to the owner.
 func (p *Pool) Isolate(on bool, seed string) {
 	p.isolation = isolation{on: on, seed: seed}
 }
 
-// order ranks an upstream for one owner: for each owner otherwise.
-func (i isolation) order(id decide.UpstreamID) uint64 {
+// rank returns a sort key of an upstream that differs between owners.
+func (i isolation) rank(id decide.UpstreamID) uint64 {
 	return xxhash.Sum64String(i.seed + "\x00" + string(id))
 }
 
-// own lists the upstreams that the owner uses while it knows of nobody.
-func (p *Pool) own() []*row {
-	rows := slices.DeleteFunc(slices.Clone(p.order), func(r *row) bool { return r.leaves() })
-	slices.SortFunc(rows, func(x, y *row) int { return cmp.Compare(p.isolation.order(x.ID), p.isolation.order(y.ID)) })
-	return rows[:min(isolatedEngines, len(rows))]
+// isolatedUpstreams lists the upstreams that the owner uses while it is isolated.
+func (p *Pool) isolatedUpstreams() []*upstreamState {
+	ups := slices.DeleteFunc(slices.Clone(p.packOrder), func(r *upstreamState) bool { return r.draining() })
+	slices.SortFunc(ups, func(x, y *upstreamState) int { return cmp.Compare(p.isolation.rank(x.ID), p.isolation.rank(y.ID)) })
+	return ups[:min(isolatedEngines, len(ups))]
 }
 
-// placeIsolated puts a short request on the engine of the owner's own that has fewest. Long prompts wait until
-// owners know of each other: each needs many engines, and others would give out the same.
-func (p *Pool) placeIsolated(now clock.Milli, w *waiting) (plan, bool) {
-	if w.heavy {
+// placeIsolated places a short request on the least loaded of the isolated owner's engines. Long
+// prompts wait until the owners have found each other: each needs many engines, and other owners
+// would grant the same ones.
+func (p *Pool) placeIsolated(now clock.Milli, w *queuedRequest) (plan, bool) {
+	if w.long {
 		return plan{}, false
 	}
 	var best plan
-	least := math.MaxInt
-	for _, r := range p.own() {
-		n := r.streams + r.foreign
-		if first, ok := p.fitsLight(now, &w.Ask, r, w.cost, math.MaxInt); ok && n < least {
-			best, least = plan{leader: r, part: w.cost, first: first, reason: "isolated"}, n
+	fewest := math.MaxInt
+	for _, r := range p.isolatedUpstreams() {
+		n := r.streams + r.external
+		if first, ok := p.fitsShort(now, &w.Ask, r, w.readTime, math.MaxInt); ok && n < fewest {
+			best, fewest = plan{leader: r, partRead: w.readTime, first: first, reason: "isolated"}, n
 		}
 	}
 	return best, best.leader != nil
--- a/lib/decide/span/isolated_test.go
+++ b/lib/decide/span/isolated_test.go
@@ -10,15 +10,16 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Six VMs have started after a loss of power and know nothing of each other. Each gets eight short requests in the third of a
-// second until they meet. Packed by all in the same order, 48 would meet on one engine that runs 16, and be late.
-func TestOwnersThatKnowOfNobodyDoNotMeetOnOneEngine(t *testing.T) {
+// Six VMs have started after a power loss and don't know of each other. Each gets eight short
+// requests in the third of a second until they meet. If all packed in the same order, 48 requests
+// would reach one engine that runs 16, and be late.
+func TestIsolatedOwnersSpreadOverDifferentEngines(t *testing.T) {
 	all := map[decide.UpstreamID]int{}
 	for vm := range 6 {
 		b := newBench(t, 23)
 		b.Isolate(true, fmt.Sprint("vm-", vm))
 		for range 8 {
-			g := b.granted(now, b.note(now))
+			g := b.mustGrant(now, b.shortAsk(now))
 			require.Less(t, float64(g.First), 300.0)
 			all[g.Leader.Upstream]++
 		}
@@ -29,18 +30,19 @@
 	}
 }
 
-// Such an owner asks its own engines alone for their load, and lets long prompts wait: all others would give them the same engines.
-func TestAnOwnerThatKnowsOfNobodyUsesItsOwnEngines(t *testing.T) {
+// An isolated owner polls only its own engines and lets long prompts wait: all other owners would
+// grant them the same engines.
+func TestIsolatedOwnerPollsOnlyItsEngines(t *testing.T) {
 	b := newBench(t, 23)
 	b.Doubt()
 	b.Isolate(true, "vm-1")
 	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), isolatedEngines)
 	b.Isolate(false, "vm-1")
 	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 23-isolatedEngines)
-	require.Len(t, b.Doubtful(now+pollEvery, "owner", math.MaxInt), 23)
+	require.Len(t, b.Doubtful(now+pollInterval, "owner", math.MaxInt), 23)
 	b = newBench(t, 23)
 	b.Isolate(true, "vm-1")
-	long := b.history(now, 200_000)
+	long := b.longAsk(now, 200_000)
 	_, decided := b.ask(now, long)
 	require.False(t, decided)
 	b.Isolate(false, "vm-1")
--- a/lib/decide/span/life.go
+++ b/lib/decide/span/life.go
@@ -6,30 +6,34 @@
 	"snipeshift.example/lib/decide"
 )
 
-// An engine that starts again under its id holds nothing of its earlier life, so nothing that is known of that may weigh on it.
+// An engine that restarts under its ID has none of the work of its previous incarnation, so nothing
+// that is known of the previous incarnation may affect the new one. An incarnation is identified by
+// its start time.
 
-// newer reports whether a word of a life speaks of a later one than is known. An upstream that did
-// not tell its life before has not begun a new one by telling it.
-func (r *row) newer(born decide.Born) bool { return r.Born > 0 && born > r.Born }
+// newIncarnation reports whether born is later than the known start time. An upstream that had not
+// reported a start time has not restarted when it first reports one.
+func (r *upstreamState) newIncarnation(born decide.Born) bool { return r.Born > 0 && born > r.Born }
 
-// earlier reports whether a word speaks of a life that is over.
-func (r *row) earlier(born decide.Born) bool { return born > 0 && born < r.Born }
+// pastIncarnation reports whether born belongs to an incarnation that has ended.
+func (r *upstreamState) pastIncarnation(born decide.Born) bool { return born > 0 && born < r.Born }
 
-// renew forgets what was known of the upstream's earlier life. Its grants stay in the pool's table
-// until their gates have reported how they ended, but weigh on the upstream no more.
-func (r *row) renew(born decide.Born) {
+// restart clears what was known of the previous incarnation. Its grants stay in the pool's table
+// until their gates have reported their outcomes, but no longer count toward the load of the
+// upstream.
+func (r *upstreamState) restart(born decide.Born) {
 	for _, g := range r.grants {
-		g.rows = slices.DeleteFunc(g.rows, func(x *row) bool { return x == r })
+		g.upstreams = slices.DeleteFunc(g.upstreams, func(x *upstreamState) bool { return x == r })
 	}
 	clear(r.grants)
 	u, e := r.Upstream, r.engine
 	u.Born = born
-	r.declared.renew(born, true)
-	*r = row{Upstream: u, engine: e, grants: r.grants, declared: r.declared}
+	r.declared.restart(born, true)
+	*r = upstreamState{Upstream: u, engine: e, grants: r.grants, declared: r.declared}
 }
 
-// born is the life of an upstream in which a grant was made; zero if it is not known.
-func (g *Grant) born(id decide.UpstreamID) decide.Born {
+// incarnation returns the start time, as known when the grant was made, of an upstream of the
+// grant; zero if unknown.
+func (g *Grant) incarnation(id decide.UpstreamID) decide.Born {
 	if g.Leader.Upstream == id {
 		return g.Leader.Born
 	}
--- a/lib/decide/span/order.go
+++ b/lib/decide/span/order.go
@@ -7,28 +7,30 @@
 	"snipeshift.example/lib/clock"
 )
 
-// The load of this file is a phase of long prompts of very unlike lengths, about as many as the engines can read. Read shortest
-// first, the largest wait until their aims are lost, though the others had time; read by their aims alone, each
-// one too many makes all behind it late. So large prompts are read by their aims, and where one would miss its aim behind those
-// before it, the largest of them is put back: as few as possible are late.
+// This file handles a phase of long prompts of very different lengths, about as many as the engines
+// can prefill. If the shortest went first, the largest would wait until their aims are missed
+// although the others had time; if the order were by aims alone, each prompt too many would make
+// all behind it late. So large prompts are ordered by their aims, and where one would miss its aim
+// behind those before it, the largest of them is deferred, so that as few as possible are late.
 
-// ordered is the queue in the order of placing: those that can still come in time before the late ones, since a late one is
-// worth a quarter whenever it comes; then by urgency; then what takes engines for the shortest time, which serves most callers. Large
-// prompts in time go by their aims, after all that is read sooner.
-func (p *Pool) ordered(now clock.Milli) []*waiting {
-	ws := make([]*waiting, 0, len(p.queue))
+// orderedQueue returns the queue in the order of placing. Requests that can still meet their aims
+// come before late ones, since a late answer is worth a quarter of one in time, whenever it comes;
+// then by urgency; then those that occupy engines for the shortest time, which serves most callers.
+// Large prompts in time are ordered by their aims, after all requests that are quick to read.
+func (p *Pool) orderedQueue(now clock.Milli) []*queuedRequest {
+	ws := make([]*queuedRequest, 0, len(p.queue))
 	for _, w := range p.queue {
 		ws = append(ws, w)
 	}
-	slices.SortFunc(ws, func(x, y *waiting) int { return compare(x, y, now) })
+	slices.SortFunc(ws, func(x, y *queuedRequest) int { return compare(x, y, now) })
 	ahead := 0.0
 	for from := 0; from < len(ws); {
 		to := from + 1
 		for to < len(ws) && ws[to].class(now) == ws[from].class(now) && ws[to].Urgency == ws[from].Urgency {
 			to++
 		}
-		if ws[from].class(now) == largeInTime {
-			ahead = p.putBack(now, ws[from:to], ahead)
+		if ws[from].class(now) == classLargeInTime {
+			ahead = p.deferLargest(now, ws[from:to], ahead)
 		}
 		from = to
 	}
@@ -37,95 +39,103 @@
 
 // The classes of queued requests, in the order of placing.
 const (
-	soonInTime = iota
-	largeInTime
-	late
+	classQuickInTime = iota
+	classLargeInTime
+	classLate
 )
 
-// class is that of a request now. A prompt counts as large if a whole group could not read it beside short streams: what can be
-// read there competes with short requests for moments, not with large prompts for engines.
-func (w *waiting) class(now clock.Milli) int {
+// class returns the present class of a request. A prompt counts as large if its prefill is too long
+// for a whole group beside short streams. A smaller one competes with short requests for moments of
+// engine time, not with large prompts for whole engines.
+func (w *queuedRequest) class(now clock.Milli) int {
 	switch {
 	case w.late(now):
-		return late
-	case w.heavy && w.least > interleavedRead:
-		return largeInTime
+		return classLate
+	case w.long && w.groupReadTime > interleavedRead:
+		return classLargeInTime
 	default:
-		return soonInTime
+		return classQuickInTime
 	}
 }
 
-// rank is 0 for what is in time, 1 for what is late.
-func (w *waiting) rank(now clock.Milli) int {
+// lateRank returns 0 for a request in time and 1 for a late one.
+func (w *queuedRequest) lateRank(now clock.Milli) int {
 	if w.late(now) {
 		return 1
 	}
 	return 0
 }
 
-func compare(x, y *waiting, now clock.Milli) int {
-	first := cmp.Or(cmp.Compare(x.rank(now), y.rank(now)), cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.class(now), y.class(now)))
+// compare orders queued requests as orderedQueue describes, before large prompts are deferred.
+func compare(x, y *queuedRequest, now clock.Milli) int {
+	first := cmp.Or(cmp.Compare(x.lateRank(now), y.lateRank(now)), cmp.Compare(x.Urgency, y.Urgency), cmp.Compare(x.class(now), y.class(now)))
 	if first != 0 {
 		return first
 	}
-	if x.class(now) == largeInTime {
+	if x.class(now) == classLargeInTime {
 		return cmp.Or(cmp.Compare(x.slack(now), y.slack(now)), cmp.Compare(x.ID, y.ID))
 	}
-	return cmp.Or(cmp.Compare(x.takes(), y.takes()), cmp.Compare(x.due(now), y.due(now)), cmp.Compare(x.ID, y.ID))
+	return cmp.Or(cmp.Compare(x.occupancy(), y.occupancy()), cmp.Compare(x.due(now), y.due(now)), cmp.Compare(x.ID, y.ID))
 }
 
-// takes is for how long engines are taken at the least, in milliseconds: a prompt that several read beside short streams
-// takes each for one part.
-func (w *waiting) takes() float64 {
-	if w.heavy {
-		return max(w.least, interleavedRead)
+// occupancy returns the least time in milliseconds for which engines are occupied. A prompt that
+// several engines read beside short streams occupies each for one part.
+func (w *queuedRequest) occupancy() float64 {
+	if w.long {
+		return max(w.groupReadTime, interleavedRead)
 	}
-	return w.least
+	return w.groupReadTime
 }
 
-// putBack orders large prompts, which come by their slack. It takes and returns the time in milliseconds that the engines need to read
-// what is kept before them. The order of Moore and Hodgson: with the engines taken for one that is as fast as all of
-// them, no other one has fewer late.
-func (p *Pool) putBack(now clock.Milli, large []*waiting, ahead float64) float64 {
+// deferLargest orders large prompts, which must be sorted by slack. Its argument ahead, and its
+// result, are the time in milliseconds in which the engines read the prompts that are placed
+// before. The order is that of Moore and Hodgson: with all engines taken for one machine of their
+// total speed, no other order has fewer late prompts.
+func (p *Pool) deferLargest(now clock.Milli, large []*queuedRequest, ahead float64) float64 {
 	engines := float64(max(p.headroom.engines, 1))
-	kept := make([]*waiting, 0, len(large))
-	var back []*waiting
+	kept := make([]*queuedRequest, 0, len(large))
+	var deferred []*queuedRequest
 	for _, w := range large {
 		kept = append(kept, w)
-		ahead += w.cost / engines
-		if ahead <= w.slack(now)+w.least {
+		ahead += w.readTime / engines
+		if ahead <= w.slack(now)+w.groupReadTime {
 			continue
 		}
-		i := largest(kept)
-		ahead -= kept[i].cost / engines
-		back = append(back, kept[i])
+		i := indexOfLargest(kept)
+		ahead -= kept[i].readTime / engines
+		deferred = append(deferred, kept[i])
 		kept = slices.Delete(kept, i, i+1)
 	}
-	slices.SortStableFunc(back, func(x, y *waiting) int { return cmp.Compare(x.least, y.least) })
-	copy(large, append(kept, back...))
+	slices.SortStableFunc(deferred, func(x, y *queuedRequest) int { return cmp.Compare(x.groupReadTime, y.groupReadTime) })
+	copy(large, append(kept, deferred...))
 	return ahead
 }
 
-// largest is the index of the prompt that takes engines longest.
-func largest(ws []*waiting) int {
+// indexOfLargest returns the index of the prompt with the longest prefill.
+func indexOfLargest(ws []*queuedRequest) int {
 	most := 0
 	for i, w := range ws {
-		if w.cost > ws[most].cost {
+		if w.readTime > ws[most].readTime {
 			most = i
 		}
 	}
 	return most
 }
 
-// slack is how long a long prompt can still wait, in milliseconds.
-func (w *waiting) slack(now clock.Milli) float64 { return float64(w.Aim-now) - settleTime - w.least }
+// slack returns how long a long prompt can still wait, in milliseconds.
+func (w *queuedRequest) slack(now clock.Milli) float64 {
+	return float64(w.Aim-now) - startDelay - w.groupReadTime
+}
 
-// late reports whether the aim can't be met any more.
-func (w *waiting) late(now clock.Milli) bool { return float64(w.Aim-now) < settleTime+w.least }
+// late reports whether the request can no longer meet its aim.
+func (w *queuedRequest) late(now clock.Milli) bool {
+	return float64(w.Aim-now) < startDelay+w.groupReadTime
+}
 
-func (w *waiting) due(now clock.Milli) clock.Milli {
+// due returns the aim, or the latest useful time of the first byte once the request is late.
+func (w *queuedRequest) due(now clock.Milli) clock.Milli {
 	if w.late(now) {
-		return w.last
+		return w.latestFirst
 	}
 	return w.Aim
 }
--- a/lib/decide/span/place.go
+++ b/lib/decide/span/place.go
@@ -12,126 +12,129 @@
 	"snipeshift.example/lib/route"
 )
 
-// lightPause is the longest pause in milliseconds that makes a stream a short
-// one: passes beside it must stay far below those that long reads make.
-const lightPause clock.Milli = 300
+// maxShortPause is the longest tolerated pause in milliseconds that makes a stream a short one.
+// Passes beside short streams must stay far below the length of passes with long prefills.
+const maxShortPause clock.Milli = 300
 
-// settleTime is what passes between a grant and the start of the read: the way to
+// startDelay is the time in milliseconds from a grant to the start of the prefill: the messages to
 // the gate and to the engine, and half a pass.
-const settleTime = 30.0
+const startDelay = 30.0
 
-// interleavedRead is the reading in milliseconds of one engine beside short streams, while enough engines are
-// there: about as long as the pass that writes them, so that their pauses double at the most.
+// interleavedRead is the prefill time in milliseconds of one engine beside short streams while
+// enough engines are available. It is about the length of the pass that decodes these streams, so
+// their pauses at most double.
 const interleavedRead = 60.0
 
-// firstPass is the usual time of the pass whose end brings the first event.
-const firstPass = 60.0
+// firstPassTime is the usual time in milliseconds of the pass that produces the first event.
+const firstPassTime = 60.0
 
-// plan is a way to place one request.
+// plan is one possible placement of a request.
 type plan struct {
-	leader  *row
-	helpers []*row
-	// part is the reading in milliseconds of each engine.
-	part float64
-	// first is the expected span to the first byte, in milliseconds.
+	leader  *upstreamState
+	helpers []*upstreamState
+	// partRead is the prefill time in milliseconds on each engine.
+	partRead float64
+	// first is the expected time to the first byte, in milliseconds.
 	first float64
-	// reason names the rule that chose.
+	// reason names the rule that chose the plan.
 	reason string
 }
 
-// place finds upstreams for a request, or none for now. A long prompt is read beside short
-// streams only if interleave is set.
-func (p *Pool) place(now clock.Milli, w *waiting, interleave bool) (plan, bool) {
+// place chooses upstreams for a request; it returns false if there is no room now. A long prompt is
+// interleaved with short streams only if interleave is set.
+func (p *Pool) place(now clock.Milli, w *queuedRequest, interleave bool) (plan, bool) {
 	switch {
-	case w.cost == 0:
+	case w.readTime == 0:
 		return p.placePlain(now, &w.Ask)
 	case p.isolation.on:
 		return p.placeIsolated(now, w)
-	case w.heavy:
-		return p.placeHeavy(now, w, interleave)
+	case w.long:
+		return p.placeLong(now, w, interleave)
 	default:
-		return p.placeLight(now, &w.Ask, w.cost)
+		return p.placeShort(now, &w.Ask, w.readTime)
 	}
 }
 
-// placePlain takes the upstream with the fewest requests for its slots. Its
-// queue is not used: what waits in the pool can still go elsewhere. Among equals the request's
-// id chooses, or owners that do not know of each other would all choose the first.
+// placePlain chooses the upstream with the lowest ratio of requests to slots. Requests are never
+// queued at an upstream: while they wait in the pool they can still go to another one. The search
+// starts at an upstream chosen by the hash of the request's ID; otherwise owners that don't know of
+// each other would all choose the first of several equal ones.
 func (p *Pool) placePlain(now clock.Milli, a *Ask) (plan, bool) {
-	for _, r := range p.order {
-		if r.declared.limit.Stale(now) && r.usable(now, a) && len(r.grants)+r.foreign < max(r.Slots, 1) {
+	for _, r := range p.packOrder {
+		if r.declared.limit.Stale(now) && r.accepts(now, a) && len(r.grants)+r.external < max(r.Slots, 1) {
 			return plan{leader: r, reason: "renewal"}, true
 		}
 	}
-	var best *row
-	least := math.Inf(1)
-	first := int(xxhash.Sum64String(string(a.ID)) % uint64(max(len(p.order), 1)))
-	for i := range p.order {
-		r := p.order[(first+i)%len(p.order)]
-		n := len(r.grants) + r.foreign
-		if !r.usable(now, a) || n >= max(r.Slots, 1) {
+	var best *upstreamState
+	lowest := math.Inf(1)
+	start := int(xxhash.Sum64String(string(a.ID)) % uint64(max(len(p.packOrder), 1)))
+	for i := range p.packOrder {
+		r := p.packOrder[(start+i)%len(p.packOrder)]
+		n := len(r.grants) + r.external
+		if !r.accepts(now, a) || n >= max(r.Slots, 1) {
 			continue
 		}
-		if load := float64(n) / float64(max(r.Slots, 1)); load < least {
-			best, least = r, load
+		if load := float64(n) / float64(max(r.Slots, 1)); load < lowest {
+			best, lowest = r, load
 		}
 	}
 	return plan{leader: best, reason: "fewest"}, best != nil
 }
 
-// placeLight packs short work on the first engines of a fixed order, so that the
-// others stay empty for long reads. An engine takes a request if the pass that
-// reads it stays within the shortest pause borne there.
-func (p *Pool) placeLight(now clock.Milli, a *Ask, cost float64) (plan, bool) {
-	for _, r := range p.order {
+// placeShort packs short requests on the first engines of a fixed order, so that the others stay
+// empty for long prefills. An engine accepts a request if the pass that includes its prefill stays
+// within the shortest pause tolerated by the streams there.
+func (p *Pool) placeShort(now clock.Milli, a *Ask, readTime float64) (plan, bool) {
+	for _, r := range p.packOrder {
 		if !r.declared.limit.Stale(now) {
 			continue
 		}
-		if first, ok := p.fitsLight(now, a, r, cost, math.MaxInt); ok {
-			return plan{leader: r, part: cost, first: first, reason: "renewal"}, true
+		if first, ok := p.fitsShort(now, a, r, readTime, math.MaxInt); ok {
+			return plan{leader: r, partRead: readTime, first: first, reason: "renewal"}, true
 		}
 	}
-	for _, try := range []struct {
-		most int
-		slow bool
+	for _, attempt := range []struct {
+		maxStreams int
+		slow       bool
 	}{{p.rules.Packed, false}, {math.MaxInt, false}, {math.MaxInt, true}} {
-		for _, r := range p.order {
-			if r.slow() != try.slow {
+		for _, r := range p.packOrder {
+			if r.slow() != attempt.slow {
 				continue
 			}
-			if first, ok := p.fitsLight(now, a, r, cost, try.most); ok {
-				return plan{leader: r, part: cost, first: first, reason: "packed"}, true
+			if first, ok := p.fitsShort(now, a, r, readTime, attempt.maxStreams); ok {
+				return plan{leader: r, partRead: readTime, first: first, reason: "packed"}, true
 			}
 		}
 	}
 	return plan{}, false
 }
 
-// fitsLight reports whether a short request fits on r and when its first byte comes.
-func (p *Pool) fitsLight(now clock.Milli, a *Ask, r *row, cost float64, most int) (float64, bool) {
-	if !r.usable(now, a) {
+// fitsShort reports whether a short request fits on r, and the expected time in milliseconds to its
+// first byte.
+func (p *Pool) fitsShort(now clock.Milli, a *Ask, r *upstreamState, readTime float64, maxStreams int) (float64, bool) {
+	if !r.accepts(now, a) {
 		return 0, false
 	}
-	n := r.streams + r.foreign
-	if n >= min(most, r.engine.Slots) || r.free() < a.Prompt+a.Output {
+	n := r.streams + r.external
+	if n >= min(maxStreams, r.engine.Slots) || r.freeMemory() < a.Prompt+a.Output {
 		return 0, false
 	}
 	pass := r.pass(n+1, r.context+a.Prompt)
-	read := r.debt(now) + cost*max(r.pace, 1)
-	if !p.bears(r, a, read+pass) {
+	read := r.backlog(now) + readTime*max(r.pace, 1)
+	if !p.sustains(r, a, read+pass) {
 		return 0, false
 	}
-	first := settleTime + read + 1.5*pass
-	// One that is late already takes any place: only its answer counts now.
-	if late := float64(a.Aim-now) < settleTime+cost+pass; !late && first > float64(a.Aim-now) {
+	first := startDelay + read + 1.5*pass
+	// A request that is late already accepts any engine: only its answer counts.
+	if late := float64(a.Aim-now) < startDelay+readTime+pass; !late && first > float64(a.Aim-now) {
 		return 0, false
 	}
 	return first, true
 }
 
-// bears reports whether a pass of this many milliseconds stays within what the
-// streams on r, and the request itself, bear as a pause.
-func (p *Pool) bears(r *row, a *Ask, pass float64) bool {
+// sustains reports whether a pass of this many milliseconds stays within the pauses that the
+// request and the streams on r tolerate.
+func (p *Pool) sustains(r *upstreamState, a *Ask, pass float64) bool {
 	pause := r.pause
 	if a.Gap > 0 && (pause == 0 || a.Gap < pause) {
 		pause = a.Gap
@@ -139,19 +142,19 @@
 	return pause == 0 || pass <= p.rules.Safety*float64(pause)
 }
 
-// placeHeavy spreads a long read over engines that are free of short streams and
-// of other reads, as many as there are up to one for each Part. With fewer than
-// the aim needs it waits; once the aim is lost, with fewer than its deadline needs.
-// One engine that is free would read a prompt of a million tokens for longer than its caller waits.
-func (p *Pool) placeHeavy(now clock.Milli, w *waiting, interleave bool) (plan, bool) {
-	a, cost := &w.Ask, w.cost
-	need := w.needs(now)
-	if need > p.group() {
+// placeLong spreads a long prefill over engines that have no short streams and no other prefill: as
+// many as are free, up to one for each Part. With fewer engines than its aim requires the prompt
+// waits; once the aim is missed, with fewer than its deadline requires. A single free engine would
+// take longer over a prompt of a million tokens than its caller waits.
+func (p *Pool) placeLong(now clock.Milli, w *queuedRequest, interleave bool) (plan, bool) {
+	a, cost := &w.Ask, w.readTime
+	need := w.enginesNeeded(now)
+	if need > p.maxGroup() {
 		return plan{}, false
 	}
-	free := p.large.leaves(w, p.freeForReads(now, a))
+	free := p.largeReserve.availableTo(w, p.freeForReads(now, a))
 	for n := min(int(math.Ceil(cost/p.rules.Part)), p.rules.Group, len(free)); n >= need; n-- {
-		if pl, ok := p.gather(now, a, cost/float64(n), free, n); ok {
+		if pl, ok := p.chooseGroup(now, a, cost/float64(n), free, n); ok {
 			return pl, true
 		}
 	}
@@ -161,22 +164,23 @@
 	return p.placeInterleaved(now, w, need)
 }
 
-// placeInterleaved reads a long prompt in small parts beside short streams, where too few engines are
-// free of them: each part fits into what the pauses of the streams there leave of a pass.
+// placeInterleaved computes a long prefill in small parts beside short streams if too few engines
+// are free of such streams. Each part fits into the time that the pauses of the streams there leave
+// after decoding.
 //
-// The load it is made for: a burst of short work writes on all engines. No pause bears a read of
-// 200 ms, so without this long prompts wait until the burst is over and miss their aims, though
-// the engines could read for more than half of the time.
-func (p *Pool) placeInterleaved(now clock.Milli, w *waiting, need int) (plan, bool) {
-	rows, slacks := p.slacks(now, &w.Ask)
-	for n := max(need, int(math.Ceil(w.cost/interleavedRead))); n <= min(p.group(), len(rows)); n++ {
-		part := w.cost / float64(n)
+// Under a burst of short requests all engines have short streams. No tolerated pause has room for a
+// prefill of 200 ms, so without interleaving long prompts would wait until the burst is over and
+// miss their aims, although the engines have more than half of their time left for prefill.
+func (p *Pool) placeInterleaved(now clock.Milli, w *queuedRequest, need int) (plan, bool) {
+	ups, slacks := p.engineSlacks(now, &w.Ask)
+	for n := max(need, int(math.Ceil(w.readTime/interleavedRead))); n <= min(p.maxGroup(), len(ups)); n++ {
+		part := w.readTime / float64(n)
 		if slacks[n-1] < part {
 			continue
 		}
 		fit, _ := slices.BinarySearchFunc(slacks, part, func(slack, part float64) int { return cmp.Compare(part, slack) })
 		fit = max(fit, n)
-		if pl, ok := p.gather(now, &w.Ask, part, rows[:fit], n); ok {
+		if pl, ok := p.chooseGroup(now, &w.Ask, part, ups[:fit], n); ok {
 			pl.first += pl.leader.pass(pl.leader.streams+1, pl.leader.context+w.Prompt)
 			pl.reason = "interleaved"
 			return pl, true
@@ -185,117 +189,117 @@
 	return plan{}, false
 }
 
-// slacks lists engines with how many milliseconds each may read before a pause there grows too
-// long, most first.
-func (p *Pool) slacks(now clock.Milli, a *Ask) ([]*row, []float64) {
-	type room struct {
-		row   *row
-		slack float64
+// engineSlacks lists engines, and the prefill time in milliseconds that each can add before a pause
+// there becomes too long, in descending order.
+func (p *Pool) engineSlacks(now clock.Milli, a *Ask) ([]*upstreamState, []float64) {
+	type candidate struct {
+		upstream *upstreamState
+		slack    float64
 	}
-	rooms := make([]room, 0, len(p.order))
-	avoid := p.avoidsSlow()
-	for _, r := range p.order {
-		if !r.usable(now, a) || now < r.health.helps || r.foreign > 0 || r.reading > 0 && !r.light() || avoid && r.slow() {
+	candidates := make([]candidate, 0, len(p.packOrder))
+	avoidSlow := p.avoidsSlow()
+	for _, r := range p.packOrder {
+		if !r.accepts(now, a) || now < r.health.helpsFrom || r.external > 0 || r.prefills > 0 && !r.hasShortStreams() || avoidSlow && r.slow() {
 			continue
 		}
 		slack := math.Inf(1)
 		if r.pause > 0 {
-			slack = p.rules.Interleaved*float64(r.pause) - r.pass(r.streams, r.context) - r.debt(now)
+			slack = p.rules.Interleaved*float64(r.pause) - r.pass(r.streams, r.context) - r.backlog(now)
 		}
 		if slack > 0 {
-			rooms = append(rooms, room{r, slack})
+			candidates = append(candidates, candidate{r, slack})
 		}
 	}
-	slices.SortFunc(rooms, func(x, y room) int {
-		return cmp.Or(cmp.Compare(y.slack, x.slack), cmp.Compare(y.row.ID, x.row.ID))
+	slices.SortFunc(candidates, func(x, y candidate) int {
+		return cmp.Or(cmp.Compare(y.slack, x.slack), cmp.Compare(y.upstream.ID, x.upstream.ID))
 	})
-	rows, slacks := make([]*row, len(rooms)), make([]float64, len(rooms))
-	for i, r := range rooms {
-		rows[i], slacks[i] = r.row, r.slack
+	ups, slacks := make([]*upstreamState, len(candidates)), make([]float64, len(candidates))
+	for i, r := range candidates {
+		ups[i], slacks[i] = r.upstream, r.slack
 	}
-	return rows, slacks
+	return ups, slacks
 }
 
-// group is the most engines that can read one prompt.
-func (p *Pool) group() int { return max(1, min(p.rules.Group, len(p.order))) }
+// maxGroup returns the most engines over which one prefill can be spread.
+func (p *Pool) maxGroup() int { return max(1, min(p.rules.Group, len(p.packOrder))) }
 
-// freeForReads lists engines that may read a long prompt, from the end of the fixed order.
-func (p *Pool) freeForReads(now clock.Milli, a *Ask) []*row {
-	var free []*row
-	avoid := p.avoidsSlow()
-	for i := len(p.order) - 1; i >= 0; i-- {
-		r := p.order[i]
-		if r.usable(now, a) && now >= r.health.helps && r.reading == 0 && !r.light() && !(avoid && r.slow()) {
+// freeForReads lists engines that can compute a long prefill, from the end of the fixed order.
+func (p *Pool) freeForReads(now clock.Milli, a *Ask) []*upstreamState {
+	var free []*upstreamState
+	avoidSlow := p.avoidsSlow()
+	for i := len(p.packOrder) - 1; i >= 0; i-- {
+		r := p.packOrder[i]
+		if r.accepts(now, a) && now >= r.health.helpsFrom && r.prefills == 0 && !r.hasShortStreams() && !(avoidSlow && r.slow()) {
 			free = append(free, r)
 		}
 	}
 	return free
 }
 
-// gather chooses a leader and helpers for n parts out of free engines. Engines
-// whose streams do not bear the pass that reads a part are left out. The leader
-// is the one that writes most long streams already, so that the others stay empty;
-// among short streams the one that has fewest.
-func (p *Pool) gather(now clock.Milli, a *Ask, part float64, free []*row, n int) (plan, bool) {
-	var leader *row
-	most := math.MinInt
-	fit := make([]*row, 0, len(free))
+// chooseGroup chooses a leader and n-1 helpers out of the free engines. It leaves out engines whose
+// streams do not tolerate the pass that computes a part. The leader is the engine that already
+// decodes most long streams, so that the others stay empty, or the one with fewest short streams if
+// it has to be among these.
+func (p *Pool) chooseGroup(now clock.Milli, a *Ask, part float64, free []*upstreamState, n int) (plan, bool) {
+	var leader *upstreamState
+	bestScore := math.MinInt
+	fit := make([]*upstreamState, 0, len(free))
 	for _, r := range free {
-		leads := p.bears(r, a, r.debt(now)+part+r.pass(r.streams+1, r.context+a.Prompt))
-		if r.streams > 0 && !leads && !r.light() {
+		canLead := p.sustains(r, a, r.backlog(now)+part+r.pass(r.streams+1, r.context+a.Prompt))
+		if r.streams > 0 && !canLead && !r.hasShortStreams() {
 			continue
 		}
 		fit = append(fit, r)
-		liked := r.streams
-		if r.light() {
-			liked = -1 - r.streams
+		score := r.streams
+		if r.hasShortStreams() {
+			score = -1 - r.streams
 		}
 		if r.declared.limit.Stale(now) {
-			liked = math.MaxInt
+			score = math.MaxInt
 		}
-		if (r.streams == 0 || leads) && r.streams < r.engine.Slots && liked > most && r.free() >= min(a.Prompt+a.Output, r.usual()) {
-			leader, most = r, liked
+		if (r.streams == 0 || canLead) && r.streams < r.engine.Slots && score > bestScore && r.freeMemory() >= min(a.Prompt+a.Output, r.usableMemory()) {
+			leader, bestScore = r, score
 		}
 	}
 	if leader == nil || len(fit) < n {
 		return plan{}, false
 	}
-	helpers := slices.DeleteFunc(fit, func(r *row) bool { return r == leader })
-	slices.SortStableFunc(helpers, func(x, y *row) int { return cmp.Compare(len(x.grants), len(y.grants)) })
+	helpers := slices.DeleteFunc(fit, func(r *upstreamState) bool { return r == leader })
+	slices.SortStableFunc(helpers, func(x, y *upstreamState) int { return cmp.Compare(len(x.grants), len(y.grants)) })
 	helpers = helpers[:n-1]
-	room := leader.free()
+	memory := leader.freeMemory()
 	for _, h := range helpers {
-		room += h.spare(now)
+		memory += h.reservableMemory(now)
 	}
-	if room < a.Prompt+a.Output {
+	if memory < a.Prompt+a.Output {
 		return plan{}, false
 	}
-	return plan{leader: leader, helpers: helpers, part: part, first: settleTime + part + firstPass, reason: "spread"}, true
+	return plan{leader: leader, helpers: helpers, partRead: part, first: startDelay + part + firstPassTime, reason: "spread"}, true
 }
 
-// grant writes a plan into the books.
+// grant records the grant for a plan and returns it.
 func (p *Pool) grant(now clock.Milli, a *Ask, pl plan) Grant {
 	g := Grant{
 		Request: a.ID, Gate: a.Gate, Prompt: a.Prompt, Output: a.Output, Gap: a.Gap, Stream: a.Stream,
-		Leader: Place{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.part},
+		Leader: Place{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.partRead},
 		First:  clock.Milli(pl.first),
 	}
-	over := decide.Tokens(0)
+	excess := decide.Tokens(0)
 	if pl.leader.engine != nil && a.Prompt > 0 {
-		over = a.Prompt + a.Output - pl.leader.free()
+		excess = a.Prompt + a.Output - pl.leader.freeMemory()
 	}
 	for _, h := range pl.helpers {
-		keep := min(max(over, 0), h.spare(now))
-		over -= keep
-		g.Helpers = append(g.Helpers, Place{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.part, Reserve: keep})
+		reserve := min(max(excess, 0), h.reservableMemory(now))
+		excess -= reserve
+		g.Helpers = append(g.Helpers, Place{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.partRead, Reserve: reserve})
 	}
-	for _, r := range p.adopt(now, Live{Grant: g}, *a).rows {
-		r.begins(now, a.ID)
+	for _, r := range p.addGrant(now, Live{Grant: g}, *a).upstreams {
+		r.noteGranted(now, a.ID)
 	}
 	return g
 }
 
-// engineOf returns the engine data of the pool's service.
+// engineOf returns the engine data of a service; nil for a plain service.
 func engineOf(s *route.Service) *route.Engine {
 	if s == nil {
 		return nil
--- a/lib/decide/span/pool.go
+++ b/lib/decide/span/pool.go
@@ -11,179 +11,186 @@
 	"snipeshift.example/lib/route"
 )
 
-// Times of the books.
+// Time limits of queued requests and grants.
 const (
-	// askLives is how long a queued request stays without its gate asking again.
-	// Gates ask at least twice a second; one that is silent for so long is gone, or
-	// has gone to another owner.
-	askLives clock.Milli = 1200
-	// grantLives is how long a grant stays without its gate naming it. Gates name
-	// all of them each second.
-	grantLives = 3 * clock.Second
-	// leastWork is the shortest time in which an answer can come at all, beyond
-	// the reading of its prompt.
-	leastWork clock.Milli = 5
+	// askTTL is how long a queued request is kept without its gate asking again. Gates ask at least
+	// twice a second; a gate that has not asked for this long has stopped, or asks another owner.
+	askTTL clock.Milli = 1200
+	// grantTTL is how long a grant is kept without its gate naming it. Gates name all their grants
+	// each second.
+	grantTTL = 3 * clock.Second
+	// minServiceTime is the least time in which an answer can arrive, beyond the prefill.
+	minServiceTime clock.Milli = 5
 )
 
-// Pool is the queue and the ledger of one service. It is not safe for concurrent use.
+// Pool queues and places the requests of one service and records its grants. It is not safe for
+// concurrent use.
 type Pool struct {
 	rules Rules
 	// engine is nil for a plain service.
-	engine *route.Engine
-	rows   map[decide.UpstreamID]*row
-	// order holds the rows in the fixed order in which short work is packed.
-	order []*row
-	queue map[decide.RequestID]*waiting
-	// grants holds every live grant, over when sends ended of which a question or a list may still be on its way.
-	grants map[decide.RequestID]*granted
-	over   map[decide.RequestID]clock.Milli
-	// swept is when over was swept last, expired when grants were, listed when upstreams to poll were looked for.
-	swept, expired, listed clock.Milli
+	engine    *route.Engine
+	upstreams map[decide.UpstreamID]*upstreamState
+	// packOrder lists the upstreams in the fixed order in which short requests are packed.
+	packOrder []*upstreamState
+	queue     map[decide.RequestID]*queuedRequest
+	// grants maps requests to live grants. finished maps ended sends to the times of their ends,
+	// for as long as an Ask or a list of live grants that names them may still arrive.
+	grants   map[decide.RequestID]*grantState
+	finished map[decide.RequestID]clock.Milli
+	// finishedSwept is when finished was last cleaned up, grantsExpired when grants were last
+	// checked for expiry, and pollsListed when upstreams to poll were last searched for.
+	finishedSwept, grantsExpired, pollsListed clock.Milli
 
-	headroom  headroom
-	large     largeShare
-	isolation isolation
-	declared  declarations
-	// budget bounds the sends beyond the first of each request.
+	headroom     headroom
+	largeReserve largeReserve
+	isolation    isolation
+	declared     declarations
+	// budget limits the repeated sends of requests.
 	budget *gate.Budget
 }
 
-// New returns an empty pool whose repeats are bounded by b.
+// New returns an empty pool that limits repeated sends by b.
 func New(r Rules, b *gate.Budget) *Pool {
 	return &Pool{
-		rules: r, budget: b, rows: map[decide.UpstreamID]*row{},
-		queue: map[decide.RequestID]*waiting{}, grants: map[decide.RequestID]*granted{}, over: map[decide.RequestID]clock.Milli{},
-		declared: declarations{rows: map[decide.UpstreamID]*declared{}},
+		rules: r, budget: b, upstreams: map[decide.UpstreamID]*upstreamState{},
+		queue: map[decide.RequestID]*queuedRequest{}, grants: map[decide.RequestID]*grantState{}, finished: map[decide.RequestID]clock.Milli{},
+		declared: declarations{byUpstream: map[decide.UpstreamID]*declared{}},
 	}
 }
 
-// Serve tells the pool of its service and the upstreams of it that are there.
+// Serve sets the service of the pool and its present upstreams. An upstream that is no longer
+// listed gets no new grants and is removed once its grants have ended.
 func (p *Pool) Serve(s *route.Service, us []route.Upstream) {
 	p.engine = engineOf(s)
 	seen := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
 		seen[u.ID] = true
-		r := p.rows[u.ID]
+		r := p.upstreams[u.ID]
 		if r == nil {
-			r = &row{grants: map[decide.RequestID]*granted{}, declared: p.declared.of(u.ID)}
-			r.declared.renew(u.Born, false)
-			p.rows[u.ID] = r
+			r = &upstreamState{grants: map[decide.RequestID]*grantState{}, declared: p.declared.get(u.ID)}
+			r.declared.restart(u.Born, false)
+			p.upstreams[u.ID] = r
 		}
 		switch {
-		case r.newer(u.Born):
-			r.renew(u.Born)
-		case r.earlier(u.Born):
-			// The upstream's own word of a new life came before the list's.
+		case r.newIncarnation(u.Born):
+			r.restart(u.Born)
+		case r.pastIncarnation(u.Born):
+			// A report from the upstream revealed the new incarnation before the list did.
 			u.Born = r.Born
 		}
 		r.Upstream, r.engine = u, p.engine
 	}
-	for id, r := range p.rows {
+	for id, r := range p.upstreams {
 		if !seen[id] {
 			r.Leaving = true
 			if len(r.grants) == 0 {
-				delete(p.rows, id)
+				delete(p.upstreams, id)
 			}
 		}
 	}
-	p.order = p.order[:0]
-	for _, r := range p.rows {
-		p.order = append(p.order, r)
+	p.packOrder = p.packOrder[:0]
+	for _, r := range p.upstreams {
+		p.packOrder = append(p.packOrder, r)
 	}
-	slices.SortFunc(p.order, func(x, y *row) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortFunc(p.packOrder, func(x, y *upstreamState) int { return cmp.Compare(x.ID, y.ID) })
 	for _, w := range p.queue {
-		p.weigh(w)
+		p.estimate(w)
 	}
 }
 
-// Ask queues a request, or notes that its gate still waits for it. A grant that
-// was made and whose answer was lost is given again. A question that arrives after the end of its send, since it was also put
-// by way of another VM, is not queued: nobody would use the grant.
+// Ask queues a request, or records that its gate still waits for it. If the request already has a
+// grant, whose reply must have been lost, Ask returns that grant again. An Ask that arrives after
+// the end of its send, because it was also sent by way of another VM, is not queued: nobody would
+// use the grant.
 func (p *Pool) Ask(now clock.Milli, a Ask) (Grant, bool) {
 	if g := p.grants[a.ID]; g != nil {
-		g.heard = now
+		g.namedAt = now
 		return g.Grant, true
 	}
 	if w := p.queue[a.ID]; w != nil {
-		w.heard = now
+		w.askedAt = now
 		return Grant{}, false
 	}
-	if _, over := p.over[a.ID]; over {
+	if _, over := p.finished[a.ID]; over {
 		return Grant{}, false
 	}
-	w := &waiting{Ask: a, since: now, heard: now}
-	p.weigh(w)
+	w := &queuedRequest{Ask: a, queuedAt: now, askedAt: now}
+	p.estimate(w)
 	p.queue[a.ID] = w
-	if w.heavy {
-		p.large.asks(w.cost)
+	if w.long {
+		p.largeReserve.noteAsked(w.readTime)
 	}
 	return Grant{}, false
 }
 
-// Queued reports whether a request waits here.
+// Queued reports whether the request is in the queue.
 func (p *Pool) Queued(id decide.RequestID) bool { return p.queue[id] != nil }
 
-// expire forgets what no gate asks after any more.
+// expire removes queued requests and grants that no gate has named within their time limits.
 func (p *Pool) expire(now clock.Milli) {
-	p.forget(now)
+	p.forgetAbsent(now)
 	for id, w := range p.queue {
-		if now-w.heard > askLives {
+		if now-w.askedAt > askTTL {
 			delete(p.queue, id)
 		}
 	}
-	if now-p.swept > askLives {
-		p.swept = now
-		maps.DeleteFunc(p.over, func(_ decide.RequestID, at clock.Milli) bool { return now-at > askLives })
+	if now-p.finishedSwept > askTTL {
+		p.finishedSwept = now
+		maps.DeleteFunc(p.finished, func(_ decide.RequestID, at clock.Milli) bool { return now-at > askTTL })
 	}
-	if !scans(p.expired, now, len(p.grants)) {
+	if !scanDue(p.grantsExpired, now, len(p.grants)) {
 		return
 	}
-	p.expired = now
+	p.grantsExpired = now
 	for id, g := range p.grants {
-		if now-g.heard > grantLives {
-			p.drop(now, id)
+		if now-g.namedAt > grantTTL {
+			p.dropGrant(now, id)
 		}
 	}
 }
 
-// scanRows is how many upstreams or grants are scanned in each millisecond at most. A holder of thousands gets several messages a
-// millisecond, and scans of all rows for each of them would use its processor up.
-const scanRows = 256
+// scansPerMilli is how many upstreams or grants are scanned per millisecond at most. An owner with
+// thousands of them receives several messages a millisecond; a full scan for each would use up its
+// processor.
+const scansPerMilli = 256
 
-// scans reports whether so many rows may be scanned now that were scanned at an earlier instant.
-func scans(last, now clock.Milli, rows int) bool { return now-last >= clock.Milli(rows/scanRows) }
+// scanDue reports whether a table with this many rows, last scanned at the given time, may be
+// scanned again.
+func scanDue(last, now clock.Milli, rows int) bool {
+	return now-last >= clock.Milli(rows/scansPerMilli)
+}
 
-// Withdraw takes a queued or granted request back of which nothing was sent.
+// Withdraw removes a queued or granted request for which nothing was sent.
 func (p *Pool) Withdraw(now clock.Milli, id decide.RequestID) {
 	delete(p.queue, id)
-	p.over[id] = now
-	p.drop(now, id)
+	p.finished[id] = now
+	p.dropGrant(now, id)
 }
 
-// First notes that the first byte of an answer came: its prompt is read.
+// First records that the first byte of an answer has arrived, so its prefill is done.
 func (p *Pool) First(now clock.Milli, id decide.RequestID) {
 	g := p.grants[id]
 	if g == nil || g.Writing {
 		return
 	}
-	g.suspect(now)
-	g.Writing, g.heard = true, now
-	rows := g.rows
-	for _, r := range rows {
-		r.runs(now, id, g.Grant.Gate)
+	g.suspectIfLate(now)
+	g.Writing, g.namedAt = true, now
+	ups := g.upstreams
+	for _, r := range ups {
+		r.noteServed(now, id, g.Grant.Gate)
 		if !g.leads(r) {
-			r.health.helped()
+			r.health.recordHelp()
 		}
-		if !g.leads(r) && !holds(g.Grant.Helpers, r.ID) {
+		if !g.leads(r) && !reservesOn(g.Grant.Helpers, r.ID) {
 			delete(r.grants, id)
-			r.ends(now)
+			r.noteEnded(now)
 		}
-		r.settle(now)
+		r.update(now)
 	}
 }
 
-// holds reports whether memory is reserved at an upstream.
-func holds(hs []Place, id decide.UpstreamID) bool {
+// reservesOn reports whether memory is reserved on an upstream.
+func reservesOn(hs []Place, id decide.UpstreamID) bool {
 	for _, h := range hs {
 		if h.Upstream == id {
 			return h.Reserve > 0
@@ -192,10 +199,9 @@
 	return false
 }
 
-// End notes the end of a send. The culprit, where it is known, is the upstream
-// at fault; empty means the leader.
+// End records the end of a send. The culprit is the upstream at fault; empty means the leader.
 func (p *Pool) End(now clock.Milli, id decide.RequestID, o Outcome, culprit decide.UpstreamID) {
-	p.over[id] = now
+	p.finished[id] = now
 	g := p.grants[id]
 	if g == nil {
 		return
@@ -203,86 +209,86 @@
 	if culprit == "" {
 		culprit = g.Grant.Leader.Upstream
 	}
-	if r := p.rows[culprit]; r != nil && !r.earlier(g.Grant.born(culprit)) {
-		r.health.note(now, o)
+	if r := p.upstreams[culprit]; r != nil && !r.pastIncarnation(g.Grant.incarnation(culprit)) {
+		r.health.record(now, o)
 		switch {
 		case o == Full && !g.leads(r):
-			r.health.decline(now)
-		case o == Full && now < r.declared.rest(g.Grant.Gate):
-			// It said itself for how long it has no room, so there is nothing to find out.
+			r.health.recordDecline(now)
+		case o == Full && now < r.declared.backOffUntil(g.Grant.Gate):
+			// The upstream declared itself for how long it has no room, so no report is needed.
 		case o == Full:
-			r.turned(now)
+			r.noteRejected(now)
 		case o == Done || o == Failed:
-			r.runs(now, id, g.Grant.Gate)
+			r.noteServed(now, id, g.Grant.Gate)
 		}
 	}
-	p.drop(now, id)
+	p.dropGrant(now, id)
 }
 
-// Present takes the live grants of one gate: those that are unknown here were
-// made by another owner, and those that it does not name have ended.
+// Present reconciles the grants of one gate with its list of live grants. Listed grants that are
+// unknown here were made by another owner and are added; grants that are not listed have ended.
 func (p *Pool) Present(now clock.Milli, gate decide.GateID, live []Live) {
 	named := make(map[decide.RequestID]bool, len(live))
 	for _, l := range live {
 		named[l.Grant.Request] = true
 		g := p.grants[l.Grant.Request]
-		if _, over := p.over[l.Grant.Request]; over && g == nil {
-			continue // the list was made before the end, and came after it
+		if _, over := p.finished[l.Grant.Request]; over && g == nil {
+			continue // the list was made before the send ended, and arrived after
 		}
 		if g == nil {
-			g = p.adopt(now, l, Ask{ID: l.Grant.Request, Gate: gate})
+			g = p.addGrant(now, l, Ask{ID: l.Grant.Request, Gate: gate})
 			g.presented = true
 		}
-		g.heard = now
+		g.namedAt = now
 		if l.Writing {
 			p.First(now, l.Grant.Request)
 		}
 	}
 	for id, g := range p.grants {
-		// A grant that was just made may have crossed the message.
-		if g.Grant.Gate == gate && !named[id] && now-g.at > askLives {
-			p.drop(now, id)
+		// A recent grant may have been made after the gate wrote the list.
+		if g.Grant.Gate == gate && !named[id] && now-g.grantedAt > askTTL {
+			p.dropGrant(now, id)
 		}
 	}
 }
 
-// adopt enters a grant in the books of all its upstreams.
-func (p *Pool) adopt(now clock.Milli, l Live, a Ask) *granted {
-	g := &granted{Live: l, ask: a, at: now, heard: now}
+// addGrant records a grant on all its upstreams.
+func (p *Pool) addGrant(now clock.Milli, l Live, a Ask) *grantState {
+	g := &grantState{Live: l, ask: a, grantedAt: now, namedAt: now}
 	p.grants[l.Grant.Request] = g
 	for _, pl := range append([]Place{l.Grant.Leader}, l.Grant.Helpers...) {
-		r := p.rows[pl.Upstream]
-		if r == nil || r.earlier(pl.Born) {
+		r := p.upstreams[pl.Upstream]
+		if r == nil || r.pastIncarnation(pl.Born) {
 			continue
 		}
 		read := pl.Read
 		if l.Writing {
 			read = 0
 		}
-		r.take(now, g, read)
-		g.rows = append(g.rows, r)
+		r.addGrant(now, g, read)
+		g.upstreams = append(g.upstreams, r)
 	}
 	return g
 }
 
-// drop removes a grant from the books.
-func (p *Pool) drop(now clock.Milli, id decide.RequestID) {
+// dropGrant removes a grant.
+func (p *Pool) dropGrant(now clock.Milli, id decide.RequestID) {
 	g := p.grants[id]
 	if g == nil {
 		return
 	}
 	delete(p.grants, id)
-	for _, r := range g.rows {
+	for _, r := range g.upstreams {
 		delete(r.grants, id)
-		r.ends(now)
-		r.settle(now)
+		r.noteEnded(now)
+		r.update(now)
 	}
 }
 
-// Counts are the sizes of the pool's tables.
+// Counts are the numbers of queued requests, live grants and upstreams.
 type Counts struct{ Queued, Granted, Upstreams int }
 
-// Counts returns the sizes of the tables.
+// Counts returns the sizes of the pool's tables.
 func (p *Pool) Counts() Counts {
-	return Counts{Queued: len(p.queue), Granted: len(p.grants), Upstreams: len(p.rows)}
+	return Counts{Queued: len(p.queue), Granted: len(p.grants), Upstreams: len(p.upstreams)}
 }
--- a/lib/decide/span/pool_test.go
+++ b/lib/decide/span/pool_test.go
@@ -15,14 +15,14 @@
 	"snipeshift.example/lib/route"
 )
 
-// engine is that of today's deployments, by its published figures.
+// engine has the published figures of the deployed engines.
 var engine = route.Engine{
 	Slots: 16, Memory: 450_000, Step: 0.925, Writer: 0.00483, Context: 0.00254, Read: 256, Pairs: 0.0917, Stride: 46, Hop: 0.1, Lag: 200,
 }
 
 const now clock.Milli = 1_000_000
 
-// bench is a pool with its ids counted.
+// bench is a pool that numbers the IDs of its test requests.
 type bench struct {
 	t *testing.T
 	*Pool
@@ -45,8 +45,8 @@
 	b.Serve(&route.Service{ID: "s", Engine: &engine}, us)
 }
 
-// note is a short request.
-func (b *bench) note(at clock.Milli) Ask {
+// shortAsk returns a new short request.
+func (b *bench) shortAsk(at clock.Milli) Ask {
 	b.asked++
 	return Ask{
 		ID: decide.RequestID(fmt.Sprintf("note%d", b.asked)), Gate: "g", Prompt: 5000, Output: 1600,
@@ -54,8 +54,8 @@
 	}
 }
 
-// history is a long one.
-func (b *bench) history(at clock.Milli, prompt decide.Tokens) Ask {
+// longAsk returns a new long request.
+func (b *bench) longAsk(at clock.Milli, prompt decide.Tokens) Ask {
 	b.asked++
 	return Ask{
 		ID: decide.RequestID(fmt.Sprintf("history%d", b.asked)), Gate: "g", Prompt: prompt, Output: 800,
@@ -63,7 +63,7 @@
 	}
 }
 
-// ask returns what the pool decides on a request at once.
+// ask queues a request and returns the decision if there is one at once.
 func (b *bench) ask(at clock.Milli, a Ask) (Decision, bool) {
 	b.t.Helper()
 	_, granted := b.Ask(at, a)
@@ -76,40 +76,40 @@
 	return Decision{}, false
 }
 
-// granted asks and requires a grant.
-func (b *bench) granted(at clock.Milli, a Ask) Grant {
+// mustGrant queues a request and requires an immediate grant.
+func (b *bench) mustGrant(at clock.Milli, a Ask) Grant {
 	b.t.Helper()
 	d, ok := b.ask(at, a)
-	require.True(b.t, ok, "%s is queued", a.ID)
+	require.True(b.t, ok, "%s stayed queued", a.ID)
 	require.Equal(b.t, Granted, d.Action, d.Reason)
 	return d.Grant
 }
 
-// runs asks and notes the first byte at once.
-func (b *bench) runs(a Ask) Grant {
+// mustStream requires a grant and records the first byte at once.
+func (b *bench) mustStream(a Ask) Grant {
 	b.t.Helper()
-	g := b.granted(now, a)
+	g := b.mustGrant(now, a)
 	b.First(now, a.ID)
 	return g
 }
 
-func TestShortWorkIsPacked(t *testing.T) {
+func TestShortRequestsArePacked(t *testing.T) {
 	b := newBench(t, 4)
 	used := map[decide.UpstreamID]int{}
 	for range 2 * DefaultRules.Packed {
-		used[b.runs(b.note(now)).Leader.Upstream]++
+		used[b.mustStream(b.shortAsk(now)).Leader.Upstream]++
 	}
 	require.Equal(t, map[decide.UpstreamID]int{"e00": DefaultRules.Packed, "e01": DefaultRules.Packed}, used)
 }
 
-// Twenty short requests arrive within a millisecond. An engine reads all prompts that
-// wait within one pass, so all of them on one engine would make every stream
-// there pause for half a second. A user would see text that stops and starts.
-func TestABurstDoesNotLengthenAPass(t *testing.T) {
+// Twenty short requests arrive within a millisecond. An engine prefills all prompts that wait
+// within one pass, so all of them on one engine would make every stream there pause for half a
+// second.
+func TestBurstDoesNotLengthenPasses(t *testing.T) {
 	b := newBench(t, 8)
 	read := map[decide.UpstreamID]float64{}
 	for range 20 {
-		g := b.granted(now, b.note(now))
+		g := b.mustGrant(now, b.shortAsk(now))
 		read[g.Leader.Upstream] += g.Leader.Read
 	}
 	for id, r := range read {
@@ -117,34 +117,34 @@
 	}
 }
 
-// A prompt of two hundred thousand tokens takes one engine 2.8 s, nearly all of its
-// aim. Read by one engine alone it would be late after any wait.
-func TestALongPromptIsSpread(t *testing.T) {
+// A prompt of 200,000 tokens takes one engine 2.8 s, nearly all of its aim. On one engine alone it
+// would be late after any wait.
+func TestLongPromptIsSpread(t *testing.T) {
 	b := newBench(t, 18)
-	g := b.granted(now, b.history(now, 210_000))
+	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	require.GreaterOrEqual(t, len(g.Helpers), 10)
 	require.Less(t, g.First, 400*clock.Milli(1))
-	require.Zero(t, reserved(g.Helpers), "it fits the leader")
+	require.Zero(t, totalReserved(g.Helpers), "the prompt fits into the memory of the leader")
 }
 
-// A long prompt is read on the engine where short streams are written. Each pass
-// there takes as long as the part that is read, and the streams stand still.
-func TestALongReadKeepsAwayFromShortStreams(t *testing.T) {
+// A long prefill on an engine with short streams makes each pass there as long as the part that is
+// computed, and the streams stall.
+func TestLongReadAvoidsShortStreams(t *testing.T) {
 	b := newBench(t, 3)
-	note := b.runs(b.note(now))
-	g := b.granted(now, b.history(now, 210_000))
+	note := b.mustStream(b.shortAsk(now))
+	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
 		require.NotEqual(t, note.Leader.Upstream, p.Upstream)
 	}
-	require.NotContains(t, []decide.UpstreamID{g.Leader.Upstream}, b.granted(now, b.note(now)).Leader.Upstream)
+	require.NotContains(t, []decide.UpstreamID{g.Leader.Upstream}, b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
-// A part of a long prompt is read where the answer to another one is written. The
-// caller of that answer bears a pause of 800 ms and no more.
-func TestAPartStaysWithinThePausesBorneThere(t *testing.T) {
+// A part of a long prompt is computed where the answer to another long prompt is written. That
+// stream tolerates a pause of 800 ms and no more.
+func TestPartFitsPausesOfLongStreams(t *testing.T) {
 	b := newBench(t, 2)
-	first := b.runs(b.history(now, 120_000))
-	g := b.granted(now, b.history(now, 210_000))
+	first := b.mustStream(b.longAsk(now, 120_000))
+	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
 		if p.Upstream == first.Leader.Upstream {
 			require.Less(t, p.Read+engine.Pass(2, 330_000), 800.0)
@@ -152,13 +152,13 @@
 	}
 }
 
-// Two engines are free where the aim needs four. A read that starts on two is late
-// for certain, and holds both for as long as it takes.
-func TestALongPromptWaitsForEnoughEngines(t *testing.T) {
+// Two engines are free where the aim requires four. A prefill that starts on two is certainly late,
+// and occupies both for as long as it takes.
+func TestLongPromptWaitsForEnoughEngines(t *testing.T) {
 	b := newBench(t, 4)
-	busy := b.granted(now, b.history(now, 150_000))
+	busy := b.mustGrant(now, b.longAsk(now, 150_000))
 	require.Len(t, busy.Helpers, 3)
-	a := b.history(now, 290_000)
+	a := b.longAsk(now, 290_000)
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
 	b.First(now+300, busy.Request)
@@ -168,27 +168,27 @@
 	require.Len(t, ds[0].Grant.Helpers, 3)
 }
 
-// A million tokens are more than twice an engine's memory. Sent without memory
-// reserved on others, the engine turns it away each time.
-func TestAPromptLargerThanAnEngineReservesMemory(t *testing.T) {
+// A million tokens are more than twice the memory of one engine. Without memory reserved on others,
+// the engine rejects the prompt each time.
+func TestPromptLargerThanOneEngineReservesMemory(t *testing.T) {
 	b := newBench(t, 18)
-	g := b.granted(now, b.history(now, 1_000_000))
-	require.GreaterOrEqual(t, reserved(g.Helpers)+engine.Memory, decide.Tokens(1_000_800))
+	g := b.mustGrant(now, b.longAsk(now, 1_000_000))
+	require.GreaterOrEqual(t, totalReserved(g.Helpers)+engine.Memory, decide.Tokens(1_000_800))
 	for _, h := range g.Helpers {
 		require.LessOrEqual(t, h.Reserve, engine.Memory)
 	}
 	small := newBench(t, 2)
-	d, decided := small.ask(now, small.history(now, 1_000_000))
-	require.True(t, decided, "two engines will never have room for it")
+	d, decided := small.ask(now, small.longAsk(now, 1_000_000))
+	require.True(t, decided, "two engines never have enough memory for the prompt")
 	require.Equal(t, Refused, d.Action)
 }
 
-// A prompt that missed its aim is worth a quarter to its caller. Placed as soon
-// as one engine is free, it keeps one that is in time from gathering its engines.
-func TestWhatIsLateMakesWay(t *testing.T) {
+// A prompt that missed its aim is worth a quarter to its caller. If it were placed as soon as one
+// engine is free, a prompt in time could not gather the engines that it needs.
+func TestLatePromptYieldsToPromptInTime(t *testing.T) {
 	b := newBench(t, 3)
-	busy := b.granted(now, b.history(now, 100_000))
-	late, fresh := b.history(now-4000, 100_000), b.history(now, 390_000)
+	busy := b.mustGrant(now, b.longAsk(now, 100_000))
+	late, fresh := b.longAsk(now-4000, 100_000), b.longAsk(now, 390_000)
 	_, _ = b.Ask(now, late)
 	_, _ = b.Ask(now, fresh)
 	require.Empty(t, b.Tick(now))
@@ -198,10 +198,10 @@
 	}
 }
 
-// Long prompts come twice as fast as engines can read them. Kept until their
-// deadlines they all fail at the end of their time; a caller that is refused
-// early can come back when there is room.
-func TestPressureRefusesEarly(t *testing.T) {
+// Long prompts arrive twice as fast as engines can prefill them. If all were queued until their
+// deadlines, all would fail at the end of their time. A caller that is refused early can retry when
+// there is room.
+func TestOverloadRefusesEarly(t *testing.T) {
 	b := newBench(t, 2)
 	refused, waited := 0, clock.Milli(0)
 	asked := map[decide.RequestID]clock.Milli{}
@@ -215,15 +215,15 @@
 			}
 		}
 		if (at-now)%1000 == 0 {
-			a := b.history(at, 210_000)
+			a := b.longAsk(at, 210_000)
 			asked[a.ID] = at
 			_, _ = b.Ask(at, a)
 		}
 		for id := range b.queue {
-			b.queue[id].heard = at
+			b.queue[id].askedAt = at
 		}
 		for id := range b.grants {
-			b.grants[id].heard = at
+			b.grants[id].namedAt = at
 		}
 		for _, d := range b.Tick(at) {
 			if d.Action == Granted {
@@ -237,29 +237,27 @@
 		}
 	}
 	require.Positive(t, refused)
-	require.Less(t, waited, 8*clock.Second, "of 15 s that a caller has")
+	require.Less(t, waited, 8*clock.Second, "the caller's deadline is 15 s")
 }
 
-// The answer to a question is lost on its way. The gate asks again, and must not
-// get a second place for one request while the first stays booked.
-func TestALostGrantIsGivenAgain(t *testing.T) {
+// The reply with a grant is lost, and the gate asks again. It must not get a second place for one
+// request while the first is still granted.
+func TestRepeatedAskReturnsSameGrant(t *testing.T) {
 	b := newBench(t, 2)
-	a := b.note(now)
-	g := b.granted(now, a)
+	a := b.shortAsk(now)
+	g := b.mustGrant(now, a)
 	again, ok := b.Ask(now+200, a)
 	require.True(t, ok)
 	require.Equal(t, g, again)
 	require.Equal(t, 1, b.Counts().Granted)
 }
 
-// The owner dies. Its successor's books are empty until the gates name what runs,
-// and it would give every engine out a second time.
-// A question is put by way of a second VM beside, and arrives there when its send is over already. Granted again, it would hold a slot for
-// seconds.
-func TestAQuestionAfterItsEndIsNotGranted(t *testing.T) {
+// An Ask is also sent by way of another VM, and that copy arrives when the send has ended. Granted
+// again, it would occupy a slot for seconds.
+func TestAskAfterEndIsNotGranted(t *testing.T) {
 	b := newBench(t, 1)
-	a := b.note(now)
-	b.granted(now, a)
+	a := b.shortAsk(now)
+	b.mustGrant(now, a)
 	b.End(now, a.ID, Done, "")
 	_, granted := b.Ask(now+10, a)
 	require.False(t, granted)
@@ -267,69 +265,72 @@
 	require.Equal(t, Counts{Upstreams: 1}, b.Counts())
 }
 
-// A gate lists what it has running, its request ends, and the word of the end is faster than the list. Entered again, the grant would hold
-// a slot for seconds.
-func TestAListThatTheEndOvertookBringsNothingBack(t *testing.T) {
+// A gate lists its live grants, one of them ends, and the End arrives before the list. If the list
+// added the grant again, it would occupy a slot for seconds.
+func TestPresentAfterEndIsIgnored(t *testing.T) {
 	b := newBench(t, 1)
-	g := b.granted(now, b.note(now))
+	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Done, "")
 	b.Present(now+10, "g", []Live{{Grant: g}})
 	require.Equal(t, Counts{Upstreams: 1}, b.Counts())
 }
 
-func TestASuccessorLearnsWhatRuns(t *testing.T) {
+// The owner is lost. Its successor has no grants until the gates present what runs, and without
+// these it would grant the capacity of every engine a second time.
+func TestSuccessorCountsPresentedGrants(t *testing.T) {
 	old, successor := newBench(t, 2), newBench(t, 2)
 	var live []Live
 	for range DefaultRules.Packed {
-		live = append(live, Live{Grant: old.runs(old.note(now)), Writing: true})
+		live = append(live, Live{Grant: old.mustStream(old.shortAsk(now)), Writing: true})
 	}
 	successor.asked = old.asked
 	successor.Present(now, "g", live)
-	require.Equal(t, decide.UpstreamID("e01"), successor.granted(now, successor.note(now)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e01"), successor.mustGrant(now, successor.shortAsk(now)).Leader.Upstream)
 }
 
-// A gate loses power with requests on engines. Nobody says that they ended, and
-// one would see an engine that takes less and less.
-func TestGrantsOfADeadGateLapse(t *testing.T) {
+// A gate loses power while its requests run on engines. Their ends are never reported, and without
+// expiry the engine would be given less and less work.
+func TestGrantsOfLostGateExpire(t *testing.T) {
 	b := newBench(t, 1)
-	b.runs(b.note(now))
-	b.Tick(now + grantLives + 1)
+	b.mustStream(b.shortAsk(now))
+	b.Tick(now + grantTTL + 1)
 	require.Zero(t, b.Counts().Granted)
 }
 
-// The word that a send ended is lost. The gate's next list does not name it.
-func TestWhatAGateDoesNotNameHasEnded(t *testing.T) {
+// The message that a send ended is lost. The next list of the gate does not name the grant.
+func TestGrantMissingFromPresentIsDropped(t *testing.T) {
 	b := newBench(t, 1)
-	kept, lost := b.runs(b.note(now)), b.runs(b.note(now))
-	b.Present(now+askLives+1, "g", []Live{{Grant: kept, Writing: true}})
+	kept, lost := b.mustStream(b.shortAsk(now)), b.mustStream(b.shortAsk(now))
+	b.Present(now+askTTL+1, "g", []Live{{Grant: kept, Writing: true}})
 	require.Contains(t, b.grants, kept.Request)
 	require.NotContains(t, b.grants, lost.Request)
-	require.NotContains(t, b.rows["e00"].grants, lost.Request)
+	require.NotContains(t, b.upstreams["e00"].grants, lost.Request)
 }
 
-// All VMs lose power. The engines go on writing for callers who are gone, and a
-// new owner that trusts its empty books packs all work on the fullest engine.
-func TestWorkThatNoGrantExplainsIsCounted(t *testing.T) {
+// All VMs lose power. The engines go on writing for callers who have disconnected, and a new owner
+// that assumed them to be idle would pack all requests on the fullest engine.
+func TestExternalLoadIsCounted(t *testing.T) {
 	b := newBench(t, 3)
 	b.Doubt()
 	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 3)
-	early := b.note(now)
+	early := b.shortAsk(now)
 	_, decided := b.ask(now, early)
-	require.False(t, decided, "nothing is sent to engines that may be full")
+	require.False(t, decided, "nothing is sent to engines whose load is unverified")
 	b.Withdraw(now, early.ID)
 	b.Report(now, "e00", exchange.Load{Requests: 16, Used: 200_000})
 	b.Report(now, "e01", exchange.Load{})
 	b.Report(now, "e02", exchange.Load{})
-	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
-	require.Empty(t, b.Doubtful(now+pollEvery-1, "owner", math.MaxInt), "its report would be the same")
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollEvery, "owner", math.MaxInt))
+	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
+	require.Empty(t, b.Doubtful(now+pollInterval-1, "owner", math.MaxInt), "an earlier report would be the same")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollInterval, "owner", math.MaxInt))
 	b.Report(now, "e00", exchange.Load{})
-	require.Equal(t, decide.UpstreamID("e00"), b.granted(now, b.note(now)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
-// All VMs lose power, and hundreds of engines go on writing for callers who are gone. Asked again and again, the first ones would keep the others
-// from ever being asked, and these get nothing until then.
-func TestEnginesThatGetNothingAreAskedFirst(t *testing.T) {
+// All VMs lose power, and hundreds of engines go on writing for callers who have disconnected. If
+// the first ones were polled again and again, the others, which get no requests until they have
+// reported, would never be polled.
+func TestUnverifiedEnginesArePolledFirst(t *testing.T) {
 	const engines, most = 300, 10
 	b := newBench(t, engines)
 	b.Doubt()
@@ -347,21 +348,22 @@
 		require.True(t, b.Pressing(at))
 		round()
 	}
-	require.Equal(t, engines/most, rounds, "each round asks engines that were not asked yet")
+	require.Equal(t, engines/most, rounds, "each round polls engines that were not polled yet")
 	for range engines / most {
 		round()
 	}
 	for id, n := range asked {
-		require.Equal(t, 2, n, "%s: then who was asked longest ago", id)
+		require.Equal(t, 2, n, "%s: engines polled longest ago come next", id)
 	}
 	require.Len(t, asked, engines)
 }
 
-// Each round asks a few of those in doubt. Were the others taken for asked, one that names a limit would wait for a second more each time.
-func TestWhoIsNotAskedIsNotTakenForAsked(t *testing.T) {
+// Each round polls a few of the unverified engines. If the others were marked as polled too, those
+// that declare a limit would wait a second longer each time.
+func TestUnlistedUpstreamsAreNotMarkedPolled(t *testing.T) {
 	b := newBench(t, 4)
-	for id := range b.rows {
-		b.limit(now, id, 1)
+	for id := range b.upstreams {
+		b.learnLimit(now, id, 1)
 	}
 	b.Doubt()
 	asked := map[decide.UpstreamID]bool{}
@@ -373,58 +375,58 @@
 	require.Len(t, asked, 4)
 }
 
-// An engine turns a request away although the books show room. Sent there again
-// at once, the next ones would be turned away as well.
-func TestAnEngineThatTurnsAwayIsAskedAfter(t *testing.T) {
+// An engine rejects a request although its grants leave room. Further requests sent there at once
+// would be rejected as well.
+func TestRejectingEngineIsPolled(t *testing.T) {
 	b := newBench(t, 2)
-	g := b.granted(now, b.note(now))
+	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Full, "")
 	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
-	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
-// An engine crashes. Every request sent there fails until somebody notices, and one
-// that is shut out for good would be missed when it is back.
-func TestACrashedEngineRestsAndIsTriedAgain(t *testing.T) {
+// An engine crashes. Every request sent there fails until it is excluded, and if it were excluded
+// for good, it would not be used after its recovery.
+func TestCrashedEngineIsExcludedThenRetried(t *testing.T) {
 	b := newBench(t, 2)
-	g := b.granted(now, b.note(now))
+	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Unreachable, "")
-	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
-	again := b.granted(now+firstShut, b.note(now+firstShut))
+	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
+	again := b.mustGrant(now+firstExclusion, b.shortAsk(now+firstExclusion))
 	require.Equal(t, decide.UpstreamID("e00"), again.Leader.Upstream)
-	b.End(now+firstShut, again.Request, Unreachable, "")
-	require.Equal(t, now+3*firstShut, b.rows["e00"].health.until, "the second rest is twice as long")
+	b.End(now+firstExclusion, again.Request, Unreachable, "")
+	require.Equal(t, now+3*firstExclusion, b.upstreams["e00"].health.excludedUntil, "the second exclusion is twice as long")
 }
 
-// One answer in a hundred is broken on sound engines too. Shutting out an engine for
-// each would leave none under load.
-func TestOneBrokenAnswerShutsNothingOut(t *testing.T) {
+// One answer in a hundred is broken on sound engines too. If each excluded its engine, none would
+// be left under load.
+func TestOneBrokenAnswerDoesNotExclude(t *testing.T) {
 	b := newBench(t, 1)
 	for range 5 {
-		g := b.granted(now, b.note(now))
+		g := b.mustGrant(now, b.shortAsk(now))
 		b.End(now, g.Request, Broken, "")
-		g = b.granted(now, b.note(now))
+		g = b.mustGrant(now, b.shortAsk(now))
 		b.End(now, g.Request, Done, "")
 	}
 }
 
-// The fault of a helper is told by the leader. Blamed on the leader, the dead helper
+// The fault of a helper is reported by the leader. If the leader were blamed, the crashed helper
 // would be chosen for the next prompt again.
-func TestTheCulpritRests(t *testing.T) {
+func TestCulpritIsExcluded(t *testing.T) {
 	b := newBench(t, 4)
-	g := b.granted(now, b.history(now, 210_000))
+	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	b.End(now, g.Request, Unreachable, g.Helpers[0].Upstream)
-	require.False(t, b.rows[g.Helpers[0].Upstream].health.open(now))
-	require.True(t, b.rows[g.Leader.Upstream].health.open(now))
+	require.False(t, b.upstreams[g.Helpers[0].Upstream].health.available(now))
+	require.True(t, b.upstreams[g.Leader.Upstream].health.available(now))
 }
 
-// Half of the answers are lost and each is asked for again. Without a bound the
-// engines get their load twice just when they are in trouble.
+// Half of the answers are lost, and each request is repeated. Without a bound the engines get
+// doubled load just when they are in trouble.
 func TestRepeatsAreBounded(t *testing.T) {
 	b := newBench(t, 8)
 	granted := 0
 	for range 50 {
-		a := b.note(now)
+		a := b.shortAsk(now)
 		a.Again = true
 		d, ok := b.ask(now, a)
 		require.True(t, ok)
@@ -438,9 +440,10 @@
 	require.Equal(t, 10, granted)
 }
 
-// Nothing was sent under a grant, since the upstream wants rest. Were the next one counted too, a fleet that shuns an upstream would repeat more
-// than it may, or refuse what it may repeat.
-func TestASendInPlaceOfAnotherIsCountedOnce(t *testing.T) {
+// Nothing was sent under a grant because the upstream asked for a back-off, and the request is
+// granted elsewhere. If the second grant were counted too, a fleet that avoids an upstream would
+// exceed its retry budget, or refuse repeats that are within the budget.
+func TestCountedSendIsNotCountedAgain(t *testing.T) {
 	b := newBench(t, 8)
 	granted := func(a Ask) bool {
 		d, ok := b.ask(now, a)
@@ -451,50 +454,50 @@
 		return d.Action == Granted
 	}
 	for range 50 {
-		a := b.note(now)
+		a := b.shortAsk(now)
 		a.Counted = true
 		require.True(t, granted(a))
 	}
 	repeats := 0
 	for range 50 {
-		a := b.note(now)
+		a := b.shortAsk(now)
 		a.Again = true
 		if granted(a) {
 			repeats++
 		}
-		a = b.note(now)
+		a = b.shortAsk(now)
 		a.Again, a.Counted = true, true
 		require.True(t, granted(a))
 	}
-	require.Equal(t, 10, repeats, "as many as without them")
+	require.Equal(t, 10, repeats, "as many as without the counted sends")
 }
 
-// An engine died under twelve requests, and one of them is to blame. Two of them on
-// one engine would leave open again which.
-func TestSuspectsDoNotMeet(t *testing.T) {
+// An engine crashed while twelve requests ran on it, and one of them may be the cause. If two of
+// them ran on one engine, the next crash would not show which.
+func TestSuspectRequestsAreSeparated(t *testing.T) {
 	b := newBench(t, 2)
-	a, o := b.note(now), b.note(now)
+	a, o := b.shortAsk(now), b.shortAsk(now)
 	a.Suspect, o.Suspect = true, true
-	require.NotEqual(t, b.granted(now, a).Leader.Upstream, b.granted(now, o).Leader.Upstream)
-	_, decided := b.ask(now, func() Ask { a := b.note(now); a.Suspect = true; return a }())
+	require.NotEqual(t, b.mustGrant(now, a).Leader.Upstream, b.mustGrant(now, o).Leader.Upstream)
+	_, decided := b.ask(now, func() Ask { a := b.shortAsk(now); a.Suspect = true; return a }())
 	require.False(t, decided)
 }
 
-// An engine announces that it leaves, with streams on it. They go on; nothing new comes.
-func TestALeavingEngineKeepsItsGrants(t *testing.T) {
+// An engine that declares that it is leaving keeps its streams and gets no new requests.
+func TestLeavingEngineKeepsItsGrants(t *testing.T) {
 	b := newBench(t, 2)
-	g := b.runs(b.note(now))
+	g := b.mustStream(b.shortAsk(now))
 	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
-	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 	require.Contains(t, b.grants, g.Request)
 	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
-	require.Contains(t, b.rows, decide.UpstreamID("e00"), "it has work")
+	require.Contains(t, b.upstreams, decide.UpstreamID("e00"), "an unlisted upstream stays while it has grants")
 	b.End(now, g.Request, Done, "")
 	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
-	require.NotContains(t, b.rows, decide.UpstreamID("e00"))
+	require.NotContains(t, b.upstreams, decide.UpstreamID("e00"))
 }
 
-func TestPlainWorkGoesWhereTheFewestAre(t *testing.T) {
+func TestPlainServiceUsesLeastLoadedUpstream(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
 	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 	for i := range 5 {
@@ -506,40 +509,40 @@
 	require.Len(t, p.Tick(now), 1)
 }
 
-// No upstream is there at all. Waiting would only use up the time in which the
-// caller can try another way.
-func TestWithoutUpstreamsTheRefusalIsQuick(t *testing.T) {
+// There is no upstream at all. Waiting would only use up the time in which the caller can try
+// another way.
+func TestRefusalWithoutUpstreamsIsQuick(t *testing.T) {
 	b := newBench(t, 0)
-	a := b.note(now)
+	a := b.shortAsk(now)
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
-	b.queue[a.ID].heard = now + firstShut + 1
-	ds := b.Tick(now + firstShut + 1)
+	b.queue[a.ID].askedAt = now + firstExclusion + 1
+	ds := b.Tick(now + firstExclusion + 1)
 	require.Len(t, ds, 1)
 	require.Equal(t, fault.Unavailable, ds[0].Fault)
 }
 
-// Short requests come faster than slots get free. Those that are late already stand
-// behind all that are in time; kept, they wait until their callers have left.
-func TestAFloodRefusesWhatWillNotBeServed(t *testing.T) {
+// Short requests arrive faster than slots become free. Those that are late already are placed after
+// all that are in time; if they stayed queued, they would wait until their callers disconnect.
+func TestLateShortRequestIsRefusedUnderOverload(t *testing.T) {
 	b := newBench(t, 1)
 	for range engine.Slots {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
-	a := b.note(now)
+	a := b.shortAsk(now)
 	a.Deadline = now + 2000
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
-	require.Empty(t, b.Tick(now+400), "it is not late for long")
+	require.Empty(t, b.Tick(now+400), "the request is not late for long enough")
 	ds := b.Tick(now + 600)
 	require.Len(t, ds, 1)
 	require.Equal(t, fault.Overloaded, ds[0].Fault)
-	require.GreaterOrEqual(t, ds[0].Retry, firstShut)
+	require.GreaterOrEqual(t, ds[0].Retry, firstExclusion)
 }
 
-// A plain service is full for a moment. Its requests take milliseconds, so the next
-// slot is near, and a refusal would cost the caller more than the wait.
-func TestAFullPlainServiceIsWaitedFor(t *testing.T) {
+// A plain service is full for a moment. Its requests take milliseconds, so the next slot is near,
+// and a refusal would cost the caller more than the wait.
+func TestRequestWaitsForFullPlainService(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
 	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
 	for _, id := range []decide.RequestID{"1", "2"} {
@@ -551,14 +554,14 @@
 	require.Len(t, p.Tick(now+900), 1)
 }
 
-// An urgent request and a patient one wait for the same slot. The patient one came first.
-func TestTheUrgentOneIsPlacedFirst(t *testing.T) {
+// An urgent request and a less urgent one wait for the same slot. The less urgent one came first.
+func TestUrgentRequestIsPlacedFirst(t *testing.T) {
 	b := newBench(t, 1)
 	var last Grant
 	for range engine.Slots {
-		last = b.runs(b.note(now))
+		last = b.mustStream(b.shortAsk(now))
 	}
-	patient, urgent := b.note(now), b.note(now)
+	patient, urgent := b.shortAsk(now), b.shortAsk(now)
 	patient.Urgency = 1
 	_, _ = b.Ask(now, patient)
 	_, _ = b.Ask(now, urgent)
@@ -568,116 +571,119 @@
 	require.Equal(t, urgent.ID, ds[0].Request)
 }
 
-// A prompt of 400,000 tokens missed its aim. It takes one engine nine seconds, and its caller leaves
-// in six. Of two engines for long prompts one is reading. Given to the other, the prompt would
-// keep it from everybody else for nine seconds, and its caller would get nothing.
-func TestALatePromptGetsAsManyEnginesAsItsDeadlineNeeds(t *testing.T) {
+// A prompt of 400,000 tokens missed its aim. It takes one engine nine seconds, and its caller
+// disconnects in six. Of two engines for long prompts one is reading. If the prompt got the other
+// one alone, it would occupy that engine for nine seconds, and its caller would get nothing.
+func TestLatePromptGetsEnginesItsDeadlineNeeds(t *testing.T) {
 	b := newBench(t, 8)
 	b.rules.Packed = 1
 	for range 6 {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
-	b.granted(now, b.history(now, 30_000))
-	a := b.history(now, 400_000)
+	b.mustGrant(now, b.longAsk(now, 30_000))
+	a := b.longAsk(now, 400_000)
 	a.Aim, a.Deadline = now-1, now+6000
 	d, decided := b.ask(now, a)
 	require.False(t, decided && d.Action == Granted)
 
 	b = newBench(t, 8)
-	g := b.granted(now, a)
+	g := b.mustGrant(now, a)
 	require.NotEmpty(t, g.Helpers)
 }
 
-// With four engines a prompt of a million tokens cannot be read in the ten seconds that are left of its
-// caller's time. The caller learns so at once, and not when its time is over.
-func TestAPromptThatNoGroupReadsInTimeIsRefusedAtOnce(t *testing.T) {
+// With four engines a prompt of a million tokens can't be read in the ten seconds that are left to
+// its deadline. The caller is told at once, not when its time is over.
+func TestUnreadablePromptIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, 4)
-	a := b.history(now, 1_000_000)
+	a := b.longAsk(now, 1_000_000)
 	a.Deadline = now + 10_000
 	d, decided := b.ask(now, a)
 	require.True(t, decided)
 	require.Equal(t, Refused, d.Action)
 }
 
-// The prompt of a caller with three seconds left is read within two, but its answer takes two more to
-// write. A read that ends in an answer cut off at its deadline is of no use to anybody.
-func TestTheTimeOfWritingCountsBeforeTheDeadline(t *testing.T) {
+// The prompt of a caller with three seconds left is read within two, but its answer takes two more
+// to write. A prefill whose answer is cut off at the deadline is useless.
+func TestWritingTimeCountsTowardDeadline(t *testing.T) {
 	b := newBench(t, 1)
-	a := b.history(now, 150_000)
+	a := b.longAsk(now, 150_000)
 	a.Aim, a.Deadline, a.Likely = now-1000, now+3000, 1200
 	d, decided := b.ask(now, a)
 	require.True(t, decided)
 	require.Equal(t, Refused, d.Action)
-	a = b.history(now, 150_000)
+	a = b.longAsk(now, 150_000)
 	a.Aim, a.Deadline, a.Likely = now-1000, now+3000, 100
-	b.granted(now, a)
+	b.mustGrant(now, a)
 }
 
-// A short request comes again with one second left while all slots are taken, and answers of its kind take two
-// seconds on average. Its own may be short, and trying costs 20 ms: it waits for a slot.
-func TestAShortRequestWaitsHoweverLongItsAnswerMayBe(t *testing.T) {
+// A short request is repeated with one second left while all slots are in use, and answers of its
+// kind take two seconds on average. Its own answer may be short, and a try costs 20 ms, so the
+// request waits for a slot.
+func TestShortRequestIgnoresExpectedWritingTime(t *testing.T) {
 	b := newBench(t, 1)
 	for range engine.Slots {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
-	a := b.note(now)
+	a := b.shortAsk(now)
 	a.Deadline, a.Likely = now+1000, 1600
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
 }
 
-// A burst of short work writes on every engine for ten seconds. A file of 45,000 tokens takes an
-// engine 270 ms, which no stream there bears as a pause. Kept waiting for an engine free of
-// short streams, it is late, although the engines could read for more than half of their time.
-func TestALongPromptIsReadInSmallPartsBesideShortStreams(t *testing.T) {
+// A burst of short requests has streams on every engine for ten seconds. A prompt of 45,000 tokens
+// takes an engine 270 ms, more than any stream there tolerates as a pause. If it waited for an
+// engine without short streams, it would be late, although the engines have more than half of their
+// time left for prefill.
+func TestLongPromptIsInterleavedWithShortStreams(t *testing.T) {
 	b := newBench(t, 6)
 	for range 6 * DefaultRules.Packed {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
-	g := b.granted(now, b.history(now, 45_000))
+	g := b.mustGrant(now, b.longAsk(now, 45_000))
 	require.GreaterOrEqual(t, len(g.Helpers), 3)
 	for _, pl := range append(g.Helpers, g.Leader) {
-		r := b.rows[pl.Upstream]
-		require.LessOrEqual(t, r.debt(now)+r.engine.Pass(r.streams, r.context), DefaultRules.Safety*200)
+		r := b.upstreams[pl.Upstream]
+		require.LessOrEqual(t, r.backlog(now)+r.engine.Pass(r.streams, r.context), DefaultRules.Safety*200)
 	}
 }
 
-// Short streams are written on every engine, and a short request that is due in 130 ms waits for one of
-// them to have fewer. A file read in small parts now would take what that one waits for.
-func TestNoLongPromptIsReadBesideShortStreamsWhileShortWorkWaits(t *testing.T) {
+// Every engine has short streams, and a short request that is due in 130 ms waits for one of them
+// to have fewer. A long prompt interleaved now would take the capacity that the short request waits
+// for.
+func TestNoInterleavingWhileShortRequestsWait(t *testing.T) {
 	b := newBench(t, 6)
 	b.rules.Interleaved = b.rules.Safety
 	for range 6 * DefaultRules.Packed {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
-	hurried := b.note(now)
+	hurried := b.shortAsk(now)
 	hurried.Aim = now + 130
 	_, decided := b.ask(now, hurried)
 	require.False(t, decided)
-	d, decided := b.ask(now, b.history(now, 30_000))
+	d, decided := b.ask(now, b.longAsk(now, 30_000))
 	require.False(t, decided && d.Action == Granted)
 }
 
-// Long prompts pressed for seconds, and then nobody asks any more. A prompt that comes a moment later
-// finds all engines free. Refused for the pressure that was, its caller waits for nothing.
-func TestNothingIsRefusedForPressureThatIsOver(t *testing.T) {
+// Long prompts overloaded the engines for seconds, and then no more arrive. A prompt that comes a
+// moment later finds all engines free and must not be refused for the past overload.
+func TestNoRefusalAfterOverloadEnds(t *testing.T) {
 	b := newBench(t, 4)
 	at := now
 	for ; at < now+20_000; at += 100 {
-		g := b.granted(at, b.history(at, 60_000))
+		g := b.mustGrant(at, b.longAsk(at, 60_000))
 		b.Tick(at + 99)
 		b.First(at+99, g.Request)
 		b.End(at+99, g.Request, Done, "")
 	}
 	b.headroom.busy = 0.95
-	a := b.history(at, 600_000)
+	a := b.longAsk(at, 600_000)
 	a.Deadline = at + 6000
-	b.granted(at, a)
+	b.mustGrant(at, a)
 }
 
-// Sixty VMs start at once and each places for itself. All of them choosing the first of three idle services
-// would fill its queue while the others have nothing to do.
-func TestEqualPlainServicesAreChosenByTheRequest(t *testing.T) {
+// Sixty VMs start at once and each places requests by itself. If all chose the first of three idle
+// upstreams, its queue would fill while the others are idle.
+func TestEqualPlainUpstreamsAreChosenByRequestID(t *testing.T) {
 	used := map[decide.UpstreamID]int{}
 	for i := range 60 {
 		p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
@@ -690,101 +696,106 @@
 	}
 }
 
-// An engine works four times as slowly as it should. The first prompt whose part it read is late; from then on,
-// prompts that wait for its parts would all be, and streams on it pause for too long.
-func TestASlowEngineIsAskedAndGetsWhatOthersHaveNoRoomFor(t *testing.T) {
+// An engine works four times as slowly as it should. The first prompt of which it computes a part
+// is late. After that, prompts that wait for its parts would all be late, and streams on it would
+// pause for too long.
+func TestSlowEngineIsPolledAndUsedLast(t *testing.T) {
 	b := newBench(t, 4)
-	g := b.granted(now, b.history(now, 200_000))
+	g := b.mustGrant(now, b.longAsk(now, 200_000))
 	require.Len(t, g.Helpers, 3)
 	require.Empty(t, b.Doubtful(now, "owner", math.MaxInt))
 	at := now + 2*g.First
 	b.First(at, g.Request)
 	b.End(at, g.Request, Done, "")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 4, "each of the four may be the slow one")
+	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 4, "each engine of the group may be the slow one")
 	for _, id := range []decide.UpstreamID{"e01", "e02", "e03"} {
 		b.Report(at, id, exchange.Load{Requests: 1, Pace: 1})
-		require.Zero(t, b.rows[id].foreign, "its count is older than the books")
+		require.Zero(t, b.upstreams[id].external, "the report predates the end of the request that it counts")
 	}
 	b.Report(at, "e00", exchange.Load{Pace: 4})
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollEvery, "owner", math.MaxInt), "a slow one is asked again, until it is well")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollInterval, "owner", math.MaxInt), "a slow engine is polled until it reports a normal pace")
 
-	g = b.granted(at, b.history(at, 200_000))
+	g = b.mustGrant(at, b.longAsk(at, 200_000))
 	for _, pl := range append(g.Helpers, g.Leader) {
 		require.NotEqual(t, decide.UpstreamID("e00"), pl.Upstream)
 	}
 	b.End(at, g.Request, Done, "")
-	require.NotEqual(t, decide.UpstreamID("e00"), b.granted(at, b.note(at)).Leader.Upstream)
+	require.NotEqual(t, decide.UpstreamID("e00"), b.mustGrant(at, b.shortAsk(at)).Leader.Upstream)
 	b.Report(now, "e00", exchange.Load{Pace: 1})
-	require.Equal(t, decide.UpstreamID("e00"), b.granted(at, b.note(at)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(at, b.shortAsk(at)).Leader.Upstream)
 }
 
-// A new owner's engines work for callers who are gone. Their report is 200 ms old: it counts those callers, and
-// none of the requests that were granted since. Taken for them, the engine would look free for as many more, and
-// short requests would queue there for a second.
-func TestAReportIsHeldAgainstTheBooksOfItsTime(t *testing.T) {
+// A new owner's engines work for callers who have disconnected. A load report is 200 ms old: it
+// counts that work, and none of the requests granted since. If the report were compared with the
+// present grants, the engine would seem to have room for as many more, and short requests would
+// queue there for a second.
+func TestReportIsComparedWithGrantsOfItsTime(t *testing.T) {
 	b := newBench(t, 2)
 	b.Doubt()
 	b.Report(now, "e00", exchange.Load{Requests: 10, Used: 50_000})
 	b.Report(now, "e01", exchange.Load{Requests: 10, Used: 50_000})
 	for range 4 {
-		b.runs(b.note(now))
+		b.mustStream(b.shortAsk(now))
 	}
 	for _, at := range []clock.Milli{now + 100, now + 200} {
 		b.Report(at, "e00", exchange.Load{Requests: 10, Used: 50_000})
-		require.Equal(t, 10, b.rows["e00"].foreign)
+		require.Equal(t, 10, b.upstreams["e00"].external)
 	}
 	b.Report(now+300, "e00", exchange.Load{Requests: 12, Used: 60_000})
-	require.Equal(t, 12-b.rows["e00"].streams, b.rows["e00"].foreign)
-	require.Positive(t, b.rows["e00"].streams)
+	require.Equal(t, 12-b.upstreams["e00"].streams, b.upstreams["e00"].external)
+	require.Positive(t, b.upstreams["e00"].streams)
 	for id := range b.grants {
 		b.End(now+300, id, Done, "")
 	}
 	b.Report(now+400, "e00", exchange.Load{Requests: 12, Used: 60_000})
-	require.Less(t, b.rows["e00"].foreign, 12, "some of those that it still counts have ended since")
+	require.Less(t, b.upstreams["e00"].external, 12, "some requests that the report counts have ended since")
 }
 
-// The owner of a service is killed, and gates present to the next one what runs. Those grants are older than the report that it
-// asks for, which counts them. Taken for callers who are gone, they would count twice, and engines with room for as many would look full.
-func TestPresentedGrantsAreInTheReport(t *testing.T) {
+// The owner of a service is killed, and gates present the live grants to the next one. Those grants
+// are older than the load report that the new owner polls for, which counts them. If they counted
+// as external too, engines with room for as many more would look full.
+func TestPresentedGrantsExplainReport(t *testing.T) {
 	before, b := newBench(t, 1), newBench(t, 1)
 	var live []Live
 	for range 6 {
-		live = append(live, Live{Grant: before.runs(before.note(now)), Writing: true})
+		live = append(live, Live{Grant: before.mustStream(before.shortAsk(now)), Writing: true})
 	}
 	b.Doubt()
 	b.Present(now, "g", live)
 	b.Report(now+5, "e00", exchange.Load{Requests: 6, Used: 40_000})
-	require.Zero(t, b.rows["e00"].foreign)
-	require.Equal(t, 6, b.rows["e00"].streams)
+	require.Zero(t, b.upstreams["e00"].external)
+	require.Equal(t, 6, b.upstreams["e00"].streams)
 }
 
-// An engine has more to do than the books say, or has died: a first byte is overdue. The next short request must not wait
-// behind it, though the books show room there, and its owner asks it at once what it has.
-func TestAnOverdueFirstByteMovesTheNextRequestElsewhere(t *testing.T) {
+// An engine has more work than is recorded, or has crashed: a first byte is overdue. The next short
+// request must not wait behind it, although the recorded grants leave room there, and the owner
+// polls the engine at once.
+func TestOverdueFirstByteDivertsNextRequest(t *testing.T) {
 	b := newBench(t, 2)
-	late := b.granted(now, b.note(now))
+	late := b.mustGrant(now, b.shortAsk(now))
 	require.Equal(t, decide.UpstreamID("e00"), late.Leader.Upstream)
 	at := now + late.First + lateSlack + 100
-	require.Equal(t, decide.UpstreamID("e01"), b.granted(at, b.note(at)).Leader.Upstream)
+	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(at, b.shortAsk(at)).Leader.Upstream)
 	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
 	b.First(at+10, late.Request)
-	require.Equal(t, decide.UpstreamID("e00"), b.granted(at+10, b.note(at+10)).Leader.Upstream, "it has caught up")
+	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(at+10, b.shortAsk(at+10)).Leader.Upstream, "the engine has caught up")
 }
 
-// All engines are slow. Long prompts are read all the same.
+// All engines are slow. Long prompts must be placed nevertheless.
 func TestSlowEnginesAreUsedIfThereAreNoOthers(t *testing.T) {
 	b := newBench(t, 2)
 	b.Report(now, "e00", exchange.Load{Pace: 2})
 	b.Report(now, "e01", exchange.Load{Pace: 2})
-	b.granted(now, b.history(now, 100_000))
+	b.mustGrant(now, b.longAsk(now, 100_000))
 }
 
-// A VM starts and has met no other, so it waits half a second before it asks engines for their load. A request
-// that came at once is late by then, but there is no pressure: it is served when they have answered.
-func TestANewOwnerRefusesNothingForPressure(t *testing.T) {
+// A VM starts and has met no other, so it waits half a second before it polls engines for their
+// load. A request that arrived at once is late by then, but there is no overload: it is served when
+// the engines have reported.
+func TestNewOwnerDoesNotRefuseBeforeReports(t *testing.T) {
 	b := newBench(t, 2)
 	b.Doubt()
-	a := b.note(now)
+	a := b.shortAsk(now)
 	a.Patience = now + 2000
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
--- a/lib/decide/span/property_test.go
+++ b/lib/decide/span/property_test.go
@@ -13,9 +13,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// Whatever comes in whatever order, no engine is given more streams than it has
-// slots or more memory than it has, and what has ended leaves nothing behind.
-func TestBooksStayWithinTheEngines(t *testing.T) {
+// In any order of events, no engine is granted more streams than it has slots or more memory than
+// it has, and ended requests leave nothing behind.
+func TestGrantsStayWithinEngineCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))
 		us := make([]route.Upstream, rapid.IntRange(1, 6).Draw(t, "engines"))
@@ -50,32 +50,31 @@
 					live = append(live, d.Request)
 				}
 			}
-			check(t, p)
+			requireWithinCapacity(t, p)
 		}
 		for _, id := range live {
 			p.End(at, id, Done, "")
 		}
-		for _, r := range p.rows {
-			if len(r.grants) > 0 || r.debt(at) > 0 {
-				t.Fatalf("%s keeps %d grants and %f ms after all have ended", r.ID, len(r.grants), r.debt(at))
+		for _, r := range p.upstreams {
+			if len(r.grants) > 0 || r.backlog(at) > 0 {
+				t.Fatalf("%s has %d grants and a backlog of %f ms after all requests ended", r.ID, len(r.grants), r.backlog(at))
 			}
 		}
 	})
 }
 
-func check(t *rapid.T, p *Pool) {
-	for _, r := range p.rows {
+func requireWithinCapacity(t *rapid.T, p *Pool) {
+	for _, r := range p.upstreams {
 		if r.streams > engine.Slots {
-			t.Fatalf("%s has %d streams", r.ID, r.streams)
+			t.Fatalf("%s has %d streams, more than its slots", r.ID, r.streams)
 		}
-		if r.taken > engine.Memory {
-			t.Fatalf("%s has %d tokens", r.ID, r.taken)
+		if r.grantedMemory > engine.Memory {
+			t.Fatalf("%s has %d tokens granted, more than its memory", r.ID, r.grantedMemory)
 		}
 	}
 }
 
-// BenchmarkAsk is one short request's way through the books of a pool at today's size
-// and at ten times that.
+// BenchmarkAsk measures one short request, from Ask to End, in pools of 23 and 230 engines.
 func BenchmarkAsk(b *testing.B) {
 	for _, engines := range []int{23, 230} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -100,8 +99,9 @@
 	}
 }
 
-// BenchmarkThousands is one short request's way through the books of a holder, its polls included, with a thousand others under way.
-func BenchmarkThousands(b *testing.B) {
+// BenchmarkThousandRunning measures one short request, from Ask to End, with the polls of its
+// owner, while a thousand others run.
+func BenchmarkThousandRunning(b *testing.B) {
 	for _, engines := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			p := New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))
@@ -126,7 +126,7 @@
 	}
 }
 
-// BenchmarkFlood is one more question while all engines are full and a hundred requests wait.
+// BenchmarkFlood measures one more request while all engines are full and a hundred requests wait.
 func BenchmarkFlood(b *testing.B) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))
 	us := make([]route.Upstream, 18)
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -9,48 +9,50 @@
 	"snipeshift.example/lib/fault"
 )
 
-// waiting is a queued request.
-type waiting struct {
+// queuedRequest is a request that waits for a grant.
+type queuedRequest struct {
 	Ask
-	since, heard clock.Milli
-	// cost is the reading of its prompt by one engine, and least by a whole
-	// group, in milliseconds.
-	cost, least float64
-	// heavy is set if the prompt is too long to be read among short streams.
-	heavy bool
-	// last is the latest instant at which the first byte is of use: the caller is still there, and
-	// after a long prompt what is left of its time will probably do for writing the answer.
-	// Short ones are tried all the same: it costs little, and the answer may be short.
-	last clock.Milli
+	queuedAt, askedAt clock.Milli
+	// readTime is the prefill time of the prompt on one engine, and groupReadTime on a group of the
+	// largest size, in milliseconds.
+	readTime, groupReadTime float64
+	// long is set if the prefill is too long to run beside short streams.
+	long bool
+	// latestFirst is the latest time at which the first byte is of use: the caller is still
+	// connected, and after a long prompt the time left to the deadline probably suffices for
+	// writing the answer. Short requests are tried even if it may not suffice, since a try costs
+	// little and the answer may be short.
+	latestFirst clock.Milli
 }
 
-// weigh works out what follows from the prompt's length.
-func (p *Pool) weigh(w *waiting) {
-	w.cost, w.least, w.heavy, w.last = 0, 0, false, w.Deadline
+// estimate computes the fields that depend on the length of the prompt.
+func (p *Pool) estimate(w *queuedRequest) {
+	w.readTime, w.groupReadTime, w.long, w.latestFirst = 0, 0, false, w.Deadline
 	if w.Patience > 0 {
-		w.last = min(w.last, w.Patience)
+		w.latestFirst = min(w.latestFirst, w.Patience)
 	}
 	if p.engine == nil || w.Prompt == 0 {
 		return
 	}
-	w.cost = p.engine.Reading(w.Prompt)
-	w.least = w.cost
-	if w.heavy = w.cost > p.lightest(&w.Ask); w.heavy {
-		w.least = w.cost / float64(p.group())
-		w.last = min(w.last, w.Deadline-clock.Milli(p.engine.Writing(w.Likely, w.Prompt)))
+	w.readTime = p.engine.Reading(w.Prompt)
+	w.groupReadTime = w.readTime
+	if w.long = w.readTime > p.maxShortRead(&w.Ask); w.long {
+		w.groupReadTime = w.readTime / float64(p.maxGroup())
+		w.latestFirst = min(w.latestFirst, w.Deadline-clock.Milli(p.engine.Writing(w.Likely, w.Prompt)))
 	}
 }
 
-// shortContext is the context in tokens of a short stream, for the time of a pass that writes many: a prompt of
-// 5,000 tokens and half of its answer.
+// shortContext is the context in tokens of a short stream, for estimating passes with many streams:
+// a prompt of 5,000 tokens and half of its answer.
 const shortContext = 5600
 
-// lightest is the longest read in milliseconds that is placed among short streams: what a pass that writes a packed
-// engine's streams leaves of the request's own pause, if that is short. Beside pauses of 200 ms these are some
-// 120 ms, beside 250 ms some 165.
-// Short requests that fit into the pauses of their kind would else be spread like long ones, over engines that long ones need.
-func (p *Pool) lightest(a *Ask) float64 {
-	if a.Gap <= 0 || a.Gap > lightPause {
+// maxShortRead returns the longest prefill in milliseconds that is placed beside short streams. If
+// the request's own pause is short, that is the part of the pause that remains when a packed engine
+// has decoded its streams: about 120 ms for pauses of 200 ms, 165 ms for 250 ms. Otherwise short
+// requests whose prefill fits into the pauses of their kind would be spread like long ones, over
+// engines that long prompts need.
+func (p *Pool) maxShortRead(a *Ask) float64 {
+	if a.Gap <= 0 || a.Gap > maxShortPause {
 		return p.rules.Light
 	}
 	streams := min(p.rules.Packed, p.engine.Slots)
@@ -62,39 +64,44 @@
 type round struct {
 	pool *Pool
 	now  clock.Milli
-	// before is the reading in milliseconds that engines have to do before a
-	// long prompt in time, ahead that of late ones before a late one.
-	before, ahead float64
-	// stuck counts late short requests that found no place.
-	stuck int
-	// waits is set once a long prompt in time waits for engines, short once a short request does.
-	waits, short bool
-	// full is set once no upstream has a slot left.
+	// backlogInTime is the prefill time in milliseconds that engines have to compute before a long
+	// prompt that is in time, and backlogLate that of other late prompts before a late one.
+	backlogInTime, backlogLate float64
+	// lateShort counts late short requests that could not be placed.
+	lateShort int
+	// longWaits is set once a long prompt in time could not be placed, shortWaits once a short
+	// request could not.
+	longWaits, shortWaits bool
+	// full is set once no upstream has a free slot.
 	full bool
-	// unreported is set while all engines are in doubt: nothing is known of what they can take.
-	unreported bool
-	// unplaced holds late short requests that found no place; none that needs as much does either.
-	unplaced []*waiting
-	// supply is what upstreams take where all of them name limits; behind counts the requests that wait for it.
+	// unverified is set while the loads of all engines are unverified, so that their capacity is
+	// unknown.
+	unverified bool
+	// unplaced lists late short requests that could not be placed. A request that needs at least as
+	// much as one of them can't be placed either.
+	unplaced []*queuedRequest
+	// supply is the rate at which the upstreams accept requests, if all of them declare limits.
+	// behind counts the requests that wait for that supply.
 	supply supply
 	behind int
 }
 
-// Tick places and refuses what is queued.
+// Tick places queued requests as far as there is room, refuses those that can no longer be served,
+// and returns these decisions. Requests without a decision stay queued.
 func (p *Pool) Tick(now clock.Milli) []Decision {
 	p.expire(now)
-	p.observe(now)
+	p.observeLoad(now)
 	if len(p.queue) == 0 {
 		return nil
 	}
 	var ds []Decision
-	p.large.choose(now, p.queue, p.group())
-	o := round{pool: p, now: now, before: p.debts(now), unreported: p.unreported(), supply: p.supplied(now)}
-	for _, w := range p.ordered(now) {
+	p.largeReserve.choose(now, p.queue, p.maxGroup())
+	o := round{pool: p, now: now, backlogInTime: p.totalBacklog(now), unverified: p.allUnverified(), supply: p.totalSupply(now)}
+	for _, w := range p.orderedQueue(now) {
 		if d, decided := o.decide(w); decided {
 			delete(p.queue, w.ID)
-			if w.heavy {
-				p.large.ends(w, d.Action == Refused)
+			if w.long {
+				p.largeReserve.noteDecided(w, d.Action == Refused)
 			}
 			ds = append(ds, d)
 		}
@@ -102,141 +109,143 @@
 	return ds
 }
 
-// unreported reports whether all engines are in doubt, as for a new owner until they have reported, or the owner
-// knows of nobody and uses few of them.
-// The rate at which it places late requests says nothing yet.
-func (p *Pool) unreported() bool {
+// allUnverified reports whether the loads of all engines are unverified. That is so for a new owner
+// until engines have reported, and for an isolated owner, which uses few of them. Meanwhile the
+// rate at which late requests are placed is no measure of the capacity.
+func (p *Pool) allUnverified() bool {
 	if p.isolation.on {
 		return true
 	}
-	for _, r := range p.order {
-		if !r.leaves() && !(r.doubtful && r.engine != nil) {
+	for _, r := range p.packOrder {
+		if !r.draining() && !(r.unverified && r.engine != nil) {
 			return false
 		}
 	}
 	return true
 }
 
-// decide places one request, refuses it, or leaves it in the queue. Requests come in
-// the order of placing. What finds its place now is never refused, whatever the last seconds
-// were like: an engine that is free and a caller turned away help nobody.
-func (o *round) decide(w *waiting) (Decision, bool) {
+// decide places one request, refuses it, or leaves it in the queue. It is called in the order of
+// placing. A request that can be placed now is never refused, however high the load of the last
+// seconds was: refusing it would leave an engine idle.
+func (o *round) decide(w *queuedRequest) (Decision, bool) {
 	late := w.late(o.now)
-	yields := w.heavy && late && o.waits && !w.pressing(o.now)
+	yields := w.long && late && o.longWaits && !w.nearDeadline(o.now)
 	if !yields {
 		if d, placed := o.place(w, late); placed {
-			o.count(w, late)
+			o.addBacklog(w, late)
 			return d, true
 		}
 	}
-	if w.heavy {
-		if d, hopeless := o.hopeless(w, late); hopeless && !o.unreported {
+	if w.long {
+		if d, refused := o.refuseLong(w, late); refused && !o.unverified {
 			return d, true
 		}
-		o.count(w, late)
+		o.addBacklog(w, late)
 	}
 	if yields {
 		return Decision{}, false
 	}
-	if late && !w.heavy && !o.unreported {
-		if d, stuck := o.pool.stuck(o.now, w, o.stuck); stuck {
+	if late && !w.long && !o.unverified {
+		if d, refused := o.pool.refuseLateShort(o.now, w, o.lateShort); refused {
 			return d, true
 		}
-		o.stuck++
+		o.lateShort++
 	}
-	o.waits = o.waits || w.heavy && !late
+	o.longWaits = o.longWaits || w.long && !late
 	if d, refused := o.pool.refuse(o.now, w); refused {
 		return d, true
 	}
-	return o.outpaced(w)
+	return o.refuseOverLimit(w)
 }
 
-// hopeless refuses a long prompt that is late, or will be, and will not be served by its
+// refuseLong refuses a long prompt that is late, or will be, and that will not be served by its
 // deadline.
-func (o *round) hopeless(w *waiting, late bool) (Decision, bool) {
-	if w.ID == o.pool.large.next || !late && !o.pool.willBeLate(o.now, w, o.before) {
+func (o *round) refuseLong(w *queuedRequest, late bool) (Decision, bool) {
+	if w.ID == o.pool.largeReserve.next || !late && !o.pool.willBeLate(o.now, w, o.backlogInTime) {
 		return Decision{}, false
 	}
-	return o.pool.hopeless(o.now, w, o.ahead)
+	return o.pool.refuseLateLong(o.now, w, o.backlogLate)
 }
 
-// count adds the reading of a long prompt to what those behind it wait for.
-func (o *round) count(w *waiting, late bool) {
+// addBacklog adds the prefill time of a long prompt to the backlog of the prompts behind it.
+func (o *round) addBacklog(w *queuedRequest, late bool) {
 	switch {
-	case !w.heavy:
+	case !w.long:
 	case late:
-		o.ahead += w.cost
+		o.backlogLate += w.readTime
 	default:
-		o.before += w.cost
+		o.backlogInTime += w.readTime
 	}
 }
 
-// place grants a request if it finds its place.
-func (o *round) place(w *waiting, late bool) (Decision, bool) {
-	if o.full || late && o.outweighs(w) {
+// place grants a request if there is room for it.
+func (o *round) place(w *queuedRequest, late bool) (Decision, bool) {
+	if o.full || late && o.fitsNowhere(w) {
 		return Decision{}, false
 	}
-	// What short work waits for is not given to long prompts in between.
-	pl, ok := o.pool.place(o.now, w, !o.short)
+	// Once a short request waits, long prompts are not interleaved: they would take the capacity
+	// that it waits for.
+	pl, ok := o.pool.place(o.now, w, !o.shortWaits)
 	if !ok {
-		o.noteFailed(w, late)
-		o.short = o.short || !w.heavy
+		o.noteUnplaced(w, late)
+		o.shortWaits = o.shortWaits || !w.long
 		o.full = o.pool.full(o.now)
 		return Decision{}, false
 	}
-	if late && !w.heavy {
-		o.pool.headroom.placed()
+	if late && !w.long {
+		o.pool.headroom.notePlaced()
 	}
 	return o.pool.admit(o.now, w, pl), true
 }
 
-// noteFailed remembers a late short request that found no place anywhere.
-func (o *round) noteFailed(w *waiting, late bool) {
-	if late && !w.heavy && w.cost > 0 && len(w.Avoid) == 0 && !w.Suspect && !o.pool.restsFor(o.now, w.Gate) {
+// noteUnplaced records a late short request that could not be placed on any upstream.
+func (o *round) noteUnplaced(w *queuedRequest, late bool) {
+	if late && !w.long && w.readTime > 0 && len(w.Avoid) == 0 && !w.Suspect && !o.pool.hasBackOff(o.now, w.Gate) {
 		o.unplaced = append(o.unplaced, w)
 	}
 }
 
-// outweighs reports whether a late short request needs at least as much as one that found no place in this round. Engines only
-// fill up during a round, and for a late one the time of its first byte does not matter.
-func (o *round) outweighs(w *waiting) bool {
-	return !w.heavy && w.cost > 0 && slices.ContainsFunc(o.unplaced, func(f *waiting) bool {
-		return w.Prompt >= f.Prompt && w.Prompt+w.Output >= f.Prompt+f.Output && w.gap() <= f.gap()
+// fitsNowhere reports whether a late short request needs at least as much as one that could not be
+// placed in this round. Engines only fill up during a round, and the time of the first byte no
+// longer matters for late requests.
+func (o *round) fitsNowhere(w *queuedRequest) bool {
+	return !w.long && w.readTime > 0 && slices.ContainsFunc(o.unplaced, func(f *queuedRequest) bool {
+		return w.Prompt >= f.Prompt && w.Prompt+w.Output >= f.Prompt+f.Output && w.maxPause() <= f.maxPause()
 	})
 }
 
-// gap is the longest pause that the answer bears.
-func (w *waiting) gap() clock.Milli {
+// maxPause returns the longest pause that the stream tolerates.
+func (w *queuedRequest) maxPause() clock.Milli {
 	if w.Gap <= 0 {
 		return math.MaxInt64
 	}
 	return w.Gap
 }
 
-// full reports whether no upstream has a slot left, so that nothing else in the queue
-// needs to be tried.
+// full reports whether no upstream has a free slot, so that no other queued request needs to be
+// tried.
 func (p *Pool) full(now clock.Milli) bool {
-	for _, r := range p.order {
-		if !r.leaves() && r.health.open(now) && r.streams+r.foreign < max(r.Slots, 1) && r.declared.limit.Allows(now) {
+	for _, r := range p.packOrder {
+		if !r.draining() && r.health.available(now) && r.streams+r.external < max(r.Slots, 1) && r.declared.limit.Allows(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// pressingLeft is what must be left of a late prompt's time, beyond twice its reading, for it to make way still: a group of engines comes
-// free within it.
-const pressingLeft = 1500.0
+// yieldMargin is the time in milliseconds, beyond twice its prefill, that a late prompt must have
+// left to yield to other prompts. A group of engines becomes free within it.
+const yieldMargin = 1500.0
 
-// pressing reports whether a late request has so little time left that it must not
-// make way for others any more.
-func (w *waiting) pressing(now clock.Milli) bool {
-	return float64(w.last-now) < 2*w.least+pressingLeft
+// nearDeadline reports whether a late request has so little time left that it must no longer yield
+// to others.
+func (w *queuedRequest) nearDeadline(now clock.Milli) bool {
+	return float64(w.latestFirst-now) < 2*w.groupReadTime+yieldMargin
 }
 
-// admit grants what has found its place, unless it is a repeat beyond the budget: a
-// service in trouble must not get its load twice when it has least to spare.
-func (p *Pool) admit(now clock.Milli, w *waiting, pl plan) Decision {
+// admit grants a request that can be placed, unless it is a repeat beyond the retry budget: a
+// service in trouble must not receive doubled load when it has least capacity.
+func (p *Pool) admit(now clock.Milli, w *queuedRequest, pl plan) Decision {
 	a := &w.Ask
 	d := Decision{Action: Granted, Request: a.ID, Gate: a.Gate, Reason: pl.reason}
 	switch {
@@ -252,61 +261,63 @@
 		limit := s.Aged(now, pl.leader.ID)
 		d.Limit = &limit
 	}
-	if w.heavy {
-		p.large.grants(w.ID, w.cost)
+	if w.long {
+		p.largeReserve.noteGranted(w.ID, w.readTime)
 	}
 	return d
 }
 
-// refuse reports whether a queued request can no longer be served.
-func (p *Pool) refuse(now clock.Milli, w *waiting) (Decision, bool) {
+// refuse refuses a queued request that can no longer be served, and reports whether it did.
+func (p *Pool) refuse(now clock.Milli, w *queuedRequest) (Decision, bool) {
 	d := Decision{Action: Refused, Request: w.ID, Gate: w.Gate}
-	if float64(w.last-now) < w.least+float64(leastWork) {
+	if float64(w.latestFirst-now) < w.groupReadTime+float64(minServiceTime) {
 		d.Fault, d.Reason = fault.Overloaded, "deadline"
 		return d, true
 	}
-	o := p.opening(now, &w.Ask)
+	avail := p.availability(now, &w.Ask)
 	switch {
-	case o.open:
+	case avail.open:
 		return d, false
-	case o.rests:
-		d.Fault, d.Reason, d.Retry = fault.Overloaded, "rest", max(o.others-now, firstShut)
-		return d, float64(w.last-o.at) < w.least+float64(leastWork)
-	case o.leave:
-		d.Fault, d.Reason, d.Retry = fault.Unavailable, "leaving", firstShut
+	case avail.backOff:
+		d.Fault, d.Reason, d.Retry = fault.Overloaded, "rest", max(avail.anyGateAt-now, firstExclusion)
+		return d, float64(w.latestFirst-avail.thisGateAt) < w.groupReadTime+float64(minServiceTime)
+	case avail.allLeaving:
+		d.Fault, d.Reason, d.Retry = fault.Unavailable, "leaving", firstExclusion
 		return d, true
 	default:
-		d.Fault, d.Reason, d.Retry = fault.Unavailable, "none", firstShut
-		return d, now-w.since > firstShut
+		d.Fault, d.Reason, d.Retry = fault.Unavailable, "none", firstExclusion
+		return d, now-w.queuedAt > firstExclusion
 	}
 }
 
-// opening tells when upstreams may take a request.
-type opening struct {
-	// open is set if one may now, or is only full.
+// availability describes when upstreams may accept a request.
+type availability struct {
+	// open is set if an upstream may accept the request now, or has no free slot but no other
+	// obstacle.
 	open bool
-	// rests is set if some want a rest. Then at is when the first one may get this request, and others when one may get requests of some VM:
-	// a caller that comes back probably reaches another one.
-	rests      bool
-	at, others clock.Milli
-	// leave is set if there are some and all of them said that they leave.
-	leave bool
+	// backOff is set if some upstreams asked for a back-off. thisGateAt is when the first upstream
+	// may accept this request, and anyGateAt when the first may accept requests of some gate: a
+	// caller that retries probably reaches another gate.
+	backOff               bool
+	thisGateAt, anyGateAt clock.Milli
+	// allLeaving is set if there are upstreams and all of them declared that they are leaving.
+	allLeaving bool
 }
 
-// opening finds out when some upstream may take the request.
-func (p *Pool) opening(now clock.Milli, a *Ask) opening {
-	o := opening{at: math.MaxInt64, others: math.MaxInt64, leave: len(p.order) > 0}
-	for _, r := range p.order {
-		o.leave = o.leave && r.declared.leaving.Named
-		if r.leaves() || slices.Contains(a.Avoid, r.ID) {
+// availability computes when some upstream may accept the request.
+func (p *Pool) availability(now clock.Milli, a *Ask) availability {
+	o := availability{thisGateAt: math.MaxInt64, anyGateAt: math.MaxInt64, allLeaving: len(p.packOrder) > 0}
+	for _, r := range p.packOrder {
+		o.allLeaving = o.allLeaving && r.declared.leaving.Named
+		if r.draining() || slices.Contains(a.Avoid, r.ID) {
 			continue
 		}
-		at := max(r.health.until, r.declared.rest(a.Gate))
+		at := max(r.health.excludedUntil, r.declared.backOffUntil(a.Gate))
 		if at <= now {
-			return opening{open: true}
+			return availability{open: true}
 		}
-		o.rests = o.rests || r.declared.shed || now < r.declared.rest(a.Gate)
-		o.at, o.others = min(o.at, at), min(o.others, r.health.until)
+		o.backOff = o.backOff || r.declared.shedding || now < r.declared.backOffUntil(a.Gate)
+		o.thisGateAt, o.anyGateAt = min(o.thisGateAt, at), min(o.anyGateAt, r.health.excludedUntil)
 	}
 	return o
 }
--- a/lib/decide/span/share.go
+++ b/lib/decide/span/share.go
@@ -9,145 +9,152 @@
 	"snipeshift.example/lib/decide"
 )
 
-// The load of this file is more long prompts than the engines can read, of very unlike lengths. Where some must be late
-// the largest are, which serves most callers, so these never find as many free engines as they need, and one
-// notices that they are served half as often as others. So a part of the reading is kept for
-// them: it is saved up while others are read, and once it suffices for a large prompt that waits,
-// engines that become free are held for it.
+// This file handles a load of more long prompts than the engines can prefill, of very different
+// lengths. Where some must be late, most callers are served if the largest prompts are the late
+// ones; but then these never find as many free engines as they need and are served half as often as
+// the others. So a share of the prefill time is reserved for them: it is saved up while other
+// prompts are read, and once it suffices for a waiting large prompt, engines that become free are
+// held for that prompt.
 
 const (
-	// keptShare is what is saved for large prompts of each millisecond that is read for others, while they are
-	// starved. With much less the largest are still served half as often as others; more serves the others less.
-	keptShare = 0.4
-	// keptMost bounds what is saved, in milliseconds of reading, so that a calm hour does not give large
-	// prompts all engines for a minute.
-	keptMost = 30_000.0
-	// largeFrom is from how many times the mean reading on a long prompt counts as large: about the largest
-	// sixth of a kind.
-	largeFrom = 3
-	// starvedBelow is the share of large prompts served, against that of the others, below which reading is
-	// kept for them. Where they fare better they need no help, and keeping some costs the others.
-	starvedBelow = 0.85
-	// refusalOver is over about how many prompts these shares are taken.
-	refusalOver = 20.0
-	// meanOver is over about how many long prompts the mean reading is taken.
-	meanOver = 50.0
+	// savedShare is how much is saved for large prompts per millisecond of prefill for other
+	// prompts, while large prompts are starved. With much less the largest are still served half as
+	// often as others; more serves the others less.
+	savedShare = 0.4
+	// maxSaved bounds the saved prefill time in milliseconds, so that after a period of low load
+	// large prompts do not get all engines for a minute.
+	maxSaved = 30_000.0
+	// largeFactor is the multiple of the mean prefill time of long prompts from which on a prompt
+	// counts as large: about the largest sixth of the prompts of one kind.
+	largeFactor = 3
+	// starvedRatio is the ratio of the shares of large and of other prompts that are served, below
+	// which prefill time is reserved for large prompts. Above it they need no help, and the
+	// reservation would cost the others.
+	starvedRatio = 0.85
+	// refusalWindow is the number of prompts over which the shares of refused prompts are averaged.
+	refusalWindow = 20.0
+	// meanWindow is the number of long prompts over which the mean prefill time is averaged.
+	meanWindow = 50.0
 )
 
-// largeShare saves reading for large prompts.
-type largeShare struct {
-	// saved is the reading in milliseconds that is kept for them.
-	saved float64
-	// mean is the mean reading of the long prompts asked for, in milliseconds.
-	mean float64
-	// large and others are what became of the last long prompts of either size.
+// largeReserve saves prefill time for large prompts.
+type largeReserve struct {
+	// savedRead is the prefill time in milliseconds that is saved.
+	savedRead float64
+	// meanRead is the mean prefill time of the requested long prompts, in milliseconds.
+	meanRead float64
+	// large and others are the refusal rates of the last long prompts, large ones and the others.
 	large, others refusals
-	// next is the prompt that is next; empty for none.
+	// next is the large prompt for which engines are held; empty for none.
 	next decide.RequestID
-	// urgency is that of next: engines are held from no work that is more urgent.
+	// urgency is the urgency of next: prompts that are more urgent may use the held engines.
 	urgency decide.Urgency
-	// held is how many engines are held for it.
-	held int
+	// heldEngines is how many engines are held for next.
+	heldEngines int
 }
 
-// refusals is how often the last prompts of one size were refused.
+// refusals is the refusal rate of the last prompts of one size class.
 type refusals struct {
-	// refused is the share of them that was refused, from 0 to 1.
+	// refused is the moving average of the share that was refused, from 0 to 1.
 	refused float64
 }
 
-// ends takes what became of one more prompt.
-func (r *refusals) ends(refused bool) {
+// add includes the result of one more prompt.
+func (r *refusals) add(refused bool) {
 	share := 0.0
 	if refused {
 		share = 1
 	}
-	r.refused += (share - r.refused) / refusalOver
+	r.refused += (share - r.refused) / refusalWindow
 }
 
-// ends takes what became of a long prompt.
-func (t *largeShare) ends(w *waiting, refused bool) {
+// noteDecided records whether a long prompt was refused.
+func (t *largeReserve) noteDecided(w *queuedRequest, refused bool) {
 	if t.isLarge(w) {
-		t.large.ends(refused)
+		t.large.add(refused)
 		return
 	}
-	t.others.ends(refused)
+	t.others.add(refused)
 }
 
 // starved reports whether large prompts are served much less often than others.
-func (t *largeShare) starved() bool { return 1-t.large.refused < starvedBelow*(1-t.others.refused) }
+func (t *largeReserve) starved() bool { return 1-t.large.refused < starvedRatio*(1-t.others.refused) }
 
-// asks takes a new long prompt into the mean.
-func (t *largeShare) asks(cost float64) {
-	if t.mean == 0 {
-		t.mean = cost
+// noteAsked includes a new long prompt in the mean.
+func (t *largeReserve) noteAsked(cost float64) {
+	if t.meanRead == 0 {
+		t.meanRead = cost
 	}
-	t.mean += (cost - t.mean) / meanOver
+	t.meanRead += (cost - t.meanRead) / meanWindow
 }
 
-// grants notes that a long prompt is read.
-func (t *largeShare) grants(id decide.RequestID, cost float64) {
+// noteGranted records the grant of a long prompt: next uses up savings, other prompts add to them
+// while large prompts are starved.
+func (t *largeReserve) noteGranted(id decide.RequestID, cost float64) {
 	if id == t.next {
-		t.next, t.held = "", 0
-		t.saved = max(0, t.saved-cost)
+		t.next, t.heldEngines = "", 0
+		t.savedRead = max(0, t.savedRead-cost)
 		return
 	}
 	if t.starved() {
-		t.saved = min(t.saved+keptShare*cost, keptMost)
+		t.savedRead = min(t.savedRead+savedShare*cost, maxSaved)
 	}
 }
 
-// isLarge reports whether a long prompt is one of those for which reading is kept.
-func (t *largeShare) isLarge(w *waiting) bool { return w.heavy && w.cost >= largeFrom*t.mean }
+// isLarge reports whether prefill time is reserved for prompts of this length.
+func (t *largeReserve) isLarge(w *queuedRequest) bool {
+	return w.long && w.readTime >= largeFactor*t.meanRead
+}
 
-// choose finds that is next: the largest prompt that can be in time, once enough is saved for it. Smaller ones do not
-// use up meanwhile what is saved: they find engines sooner by themselves. One that has waited for most of its aim
-// needs more engines at once than come free until then, and is passed over.
-func (t *largeShare) choose(now clock.Milli, queue map[decide.RequestID]*waiting, group int) {
-	t.next, t.held = "", 0
-	var largest *waiting
+// choose sets next to the largest prompt that can still be in time, once enough is saved for it.
+// Smaller ones do not use up the savings meanwhile, since they find enough engines sooner without
+// help. A prompt that has waited for most of its aim needs more engines at once than become free
+// until then, and is skipped.
+func (t *largeReserve) choose(now clock.Milli, queue map[decide.RequestID]*queuedRequest, maxGroup int) {
+	t.next, t.heldEngines = "", 0
+	var largest *queuedRequest
 	for _, w := range queue {
-		if !t.isLarge(w) || w.late(now) || w.needs(now) > max(group/2, 1) {
+		if !t.isLarge(w) || w.late(now) || w.enginesNeeded(now) > max(maxGroup/2, 1) {
 			continue
 		}
 		if largest == nil || t.before(w, largest, now) {
 			largest = w
 		}
 	}
-	if largest != nil && largest.cost <= t.saved {
-		t.next, t.urgency, t.held = largest.ID, largest.Urgency, largest.needs(now)
+	if largest != nil && largest.readTime <= t.savedRead {
+		t.next, t.urgency, t.heldEngines = largest.ID, largest.Urgency, largest.enginesNeeded(now)
 	}
 }
 
 // before orders large prompts: the largest first, then the one that needs fewest engines.
-func (t *largeShare) before(x, y *waiting, now clock.Milli) bool {
-	return cmp.Or(cmp.Compare(y.cost, x.cost), cmp.Compare(x.needs(now), y.needs(now)), cmp.Compare(x.ID, y.ID)) < 0
+func (t *largeReserve) before(x, y *queuedRequest, now clock.Milli) bool {
+	return cmp.Or(cmp.Compare(y.readTime, x.readTime), cmp.Compare(x.enginesNeeded(now), y.enginesNeeded(now)), cmp.Compare(x.ID, y.ID)) < 0
 }
 
-// needs is how many engines must read a long prompt for it to come by its aim, or by its deadline
-// once it is late.
-func (w *waiting) needs(now clock.Milli) int {
+// enginesNeeded returns over how many engines the prefill must be spread to be done by the aim, or
+// by the latest useful first byte once the request is late.
+func (w *queuedRequest) enginesNeeded(now clock.Milli) int {
 	by := w.Aim
 	if w.late(now) {
-		by = w.last
+		by = w.latestFirst
 	}
-	left := float64(by-now) - settleTime
+	left := float64(by-now) - startDelay
 	if left <= 0 {
 		return math.MaxInt
 	}
-	return int(math.Ceil(w.cost / left))
+	return int(math.Ceil(w.readTime / left))
 }
 
-// leaves are the free engines that a long prompt may have: those not held for the one that is next. Those are
-// held that write nothing: its parts are longer than the pauses that other streams bear. Short requests and more
-// urgent prompts are not bound by it.
-func (t *largeShare) leaves(w *waiting, free []*row) []*row {
+// availableTo returns the free engines that a long prompt may use: those not held for next. Only
+// engines without streams are held, because the parts of next are longer than the pauses that other
+// streams tolerate. Short requests and more urgent prompts are not restricted.
+func (t *largeReserve) availableTo(w *queuedRequest, free []*upstreamState) []*upstreamState {
 	if t.next == "" || t.next == w.ID || w.Urgency < t.urgency {
 		return free
 	}
 	held := 0
-	return slices.DeleteFunc(free, func(r *row) bool {
-		if r.streams > 0 || held >= t.held {
+	return slices.DeleteFunc(free, func(r *upstreamState) bool {
+		if r.streams > 0 || held >= t.heldEngines {
 			return false
 		}
 		held++
--- a/lib/decide/span/short_test.go
+++ b/lib/decide/span/short_test.go
@@ -8,28 +8,29 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Half of the short requests have prompts of 23,000 tokens, which take 155 ms, on engines whose streams bear 250 ms. They fit beside
-// other short streams. Spread over engines that are free, each would be a short stream there.
-func TestLongerShortRequestsArePackedToo(t *testing.T) {
+// Half of the short requests have prompts of 23,000 tokens, which take 155 ms, on engines whose
+// streams tolerate pauses of 250 ms. They fit beside other short streams. Spread over free engines,
+// each would put a short stream there.
+func TestShortRequestsNearThePauseLimitArePacked(t *testing.T) {
 	b := newBench(t, 8)
 	slower := engine
 	slower.Read, slower.Pairs = 206, 0.138
-	for _, r := range b.order {
+	for _, r := range b.packOrder {
 		r.engine = &slower
 	}
 	b.engine = &slower
 	used := map[decide.UpstreamID]bool{}
 	for range 8 {
-		a := b.note(now)
+		a := b.shortAsk(now)
 		a.Prompt, a.Gap = 23_000, 250
-		g := b.runs(a)
+		g := b.mustStream(a)
 		require.Empty(t, g.Helpers)
 		used[g.Leader.Upstream] = true
 	}
 	require.Len(t, used, 1)
-	a := b.note(now)
+	a := b.shortAsk(now)
 	a.Prompt = 23_000
 	d, ok := b.ask(now, a)
 	require.True(t, ok)
-	require.Equal(t, "spread", d.Reason, "beside pauses of 200 ms it is too long")
+	require.Equal(t, "spread", d.Reason, "the prefill is too long beside pauses of 200 ms")
 }
