--- a/lib/decide/span/span.go
+++ b/lib/decide/span/span.go
@@ -1,18 +1,21 @@
-// Package span decides which upstream of a service answers a request, and over
-// how many engines the reading of a long prompt is spread.
+// Package span decides which upstream of a service runs a request, and over how many engines the
+// prefill of a long prompt is spread.
 //
-// The load it is made for: prompts of five thousand tokens, read in 20 ms and due
-// in 300 ms, share the engines with prompts of two hundred thousand, which take one
-// engine 2.8 s and are due in 3 s. Engines read and write in passes, so a long read
-// beside short streams stalls all of them for its whole length. The decisions
-// keep each pass shorter than the shortest pause that any stream on the engine
-// bears, pack short work on few engines so that the others stay free for long
-// reads, and spread a long read over as many free engines as its aim needs.
+// The workload: prompts of 5,000 tokens, whose prefill takes 20 ms and whose first byte is due in
+// 300 ms, share the engines with prompts of 200,000 tokens, whose prefill takes one engine 2.8 s
+// and whose first byte is due in 3 s. Engines prefill and decode in passes (batch iterations), so a
+// long prefill beside short streams stalls all of them for its whole length. The package keeps each
+// pass shorter than the shortest pause that any stream on the engine tolerates, packs short
+// requests on few engines so that the others stay free for long prefills, and spreads a long
+// prefill over as many free engines as its aim requires.
 //
-// A Pool has no sockets, no goroutines and no clock: the time is an argument, and
-// its tables of upstreams, queued requests and grants are its only state. One
-// Pool owns a service; what it granted is all that it knows of an engine's load,
-// since engines' own reports lag behind by longer than a short request takes.
+// A Pool uses no sockets, goroutines or clock: the time is an argument, and its tables of
+// upstreams, queued requests and grants are its only state. One Pool owns a service. It estimates
+// the load of an engine from its own grants, because the engines' load reports lag behind by longer
+// than a short request takes.
+//
+// A gate is the VM that holds the client's connection of a request. An owner is the VM whose Pool
+// places the requests of a service.
 package span
 
 import (
@@ -22,108 +25,114 @@
 	"snipeshift.example/lib/fault"
 )
 
-// Ask is what the pool knows of one send of a request. It never holds the prompt.
+// Ask describes one send of a request to be placed. It does not contain the prompt.
 type Ask struct {
-	// ID is unique over all gates and over the sends of a request.
+	// ID is unique over all gates and over all sends of a request.
 	ID        decide.RequestID
 	Gate      decide.GateID
 	Workspace decide.WorkspaceID
 	Urgency   decide.Urgency
-	// Prompt and Output are token counts; both zero for a plain service.
+	// Prompt and Output are token counts: the length of the prompt and the most tokens of the
+	// answer. Both are zero for a plain service.
 	Prompt, Output decide.Tokens
-	// Aim is the instant by which the first byte should come, Patience the one at which the
-	// caller leaves if none has come, zero for the Deadline, and Deadline the one by which
-	// the whole answer must be there. All are of the pool's clock.
+	// Aim is the instant by which the first byte should arrive. Patience is the instant at which
+	// the caller disconnects if no byte has arrived; zero means the Deadline. Deadline is the
+	// instant by which the whole answer must have arrived. All are times of the pool's clock.
 	Aim, Patience, Deadline clock.Milli
-	// Likely is how many tokens the answer will probably have; zero if nothing is known.
+	// Likely is the expected length of the answer in tokens; zero if unknown.
 	Likely decide.Tokens
-	// Gap is the longest pause between two events that the stream bears; zero for any.
+	// Gap is the longest pause between two events that the stream tolerates; zero for no bound.
 	Gap clock.Milli
-	// Stream is set where the answer is a series of events.
+	// Stream is set if the answer is a stream of events.
 	Stream bool
-	// Avoid lists upstreams where an earlier send failed.
+	// Avoid lists upstreams on which an earlier send failed.
 	Avoid []decide.UpstreamID
-	// Suspect is set for a request that an upstream died of. No two share an upstream:
-	// if it dies, one of them is known to be at fault.
+	// Suspect is set for a request that was running on an upstream when the upstream crashed. No
+	// two such requests are placed on one upstream, so that the next crash shows which of them is
+	// at fault.
 	Suspect bool
 	// Again is set for every send of a request but the first.
 	Again bool
-	// Counted is set if nothing was sent under the request's grant before: the budget of repeats has counted this send with it.
+	// Counted is set if nothing was sent under the previous grant of the request. The retry budget
+	// counted this send with that grant.
 	Counted bool
 }
 
-// Grant lets one send run.
+// Grant is the permission for one send to run.
 type Grant struct {
 	Request decide.RequestID
 	Gate    decide.GateID
-	// Leader is sent the request, and writes the answer.
+	// Leader is the upstream that is sent the request and writes the answer.
 	Leader Place
-	// Helpers read their parts of the prompt, in this order.
+	// Helpers compute their parts of the prefill, in this order.
 	Helpers []Place
-	// First is the span within which the first byte is expected.
+	// First is the time from the grant within which the first byte is expected.
 	First clock.Milli
-	// Prompt, Output, Gap and Stream are those of the Ask, so that a grant can be
-	// presented to another owner.
+	// Prompt, Output, Gap and Stream are copied from the Ask, so that the grant can be presented to
+	// another owner.
 	Prompt, Output decide.Tokens
 	Gap            clock.Milli
 	Stream         bool
 }
 
-// Place is an upstream with the work that a grant puts on it.
+// Place is an upstream with the load that a grant puts on it.
 type Place struct {
 	Upstream decide.UpstreamID
-	// Born is the upstream's life that was known when the place was chosen.
+	// Born is the start time of the upstream's incarnation that was known when the grant was made;
+	// zero if unknown.
 	Born    decide.Born
 	Address string
-	// Reserve is the KV memory in tokens that must be reserved there before the
-	// request is sent; zero for none.
+	// Reserve is the KV memory in tokens that must be reserved on the upstream before the request
+	// is sent; zero for none.
 	Reserve decide.Tokens
-	// Read is the reading in milliseconds that the grant adds.
+	// Read is the prefill time in milliseconds that the grant adds.
 	Read float64
 }
 
-// Action tells what a Decision is.
+// Action is the kind of a Decision.
 type Action uint8
 
-// The kinds of decision.
+// The kinds of Decision.
 const (
 	Granted Action = iota
 	Refused
 )
 
-// Decision is one result of a tick.
+// Decision is the result of a Tick for one request.
 type Decision struct {
 	Action  Action
 	Request decide.RequestID
 	Gate    decide.GateID
 	Grant   Grant
-	// Fault and Retry belong to a refusal; Retry is when coming back may help.
+	// Fault and Retry are set for a refusal. Retry is the time after which the caller should try
+	// again.
 	Fault fault.Kind
 	Retry clock.Milli
 	// Reason names the rule that decided, for the log.
 	Reason string
-	// Limit is what is known of the limit of the upstream that leads; nil for nothing.
+	// Limit is the last known rate limit of the leader; nil if it declared none.
 	Limit *statement.Aged
 }
 
-// Outcome tells how a send ended, as far as it says something of the upstream.
+// Outcome is the way a send ended, as far as it bears on the health of the upstream.
 type Outcome uint8
 
-// The ways a send ends.
+// The outcomes of a send.
 const (
-	// Done is a whole answer, also one that tells of a failure.
+	// Done is a complete answer. It may report a failure of the request.
 	Done Outcome = iota
-	// Failed is an answer of the upstream's own that tells of its failure.
+	// Failed is an answer of the upstream that reports its own failure.
 	Failed
-	// Full is an upstream's word that it had no room and ran nothing.
+	// Full is an upstream's answer that it had no room and ran nothing.
 	Full
-	// Broken is an answer that was cut off, garbled or somebody else's.
+	// Broken is an answer that was cut off, garbled or from another server.
 	Broken
-	// Silent is an upstream that did not answer, or stopped in the middle.
+	// Silent is an upstream that did not answer, or stopped in the middle of the answer.
 	Silent
-	// Refused connections and upstreams that are somebody else.
+	// Unreachable is a refused connection, or an address at which another server answers.
 	Unreachable
-	// Left says nothing: the caller went away or the send never happened.
+	// Left carries no information on the upstream: the caller disconnected or the send never
+	// happened.
 	Left
 )
 
@@ -131,7 +140,7 @@
 	Done: "done", Failed: "failed", Full: "full", Broken: "broken", Silent: "silent", Unreachable: "unreachable", Left: "left",
 }
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -139,32 +148,32 @@
 	return outcomeNames[o]
 }
 
-// Live is a grant in use, presented by its gate.
+// Live is a grant in use, as its gate presents it.
 type Live struct {
 	Grant Grant
-	// Writing is set once the first byte came.
+	// Writing is set once the first byte has arrived.
 	Writing bool
 }
 
-// Rules are the pool's limits.
+// Rules are the limits by which a Pool places requests.
 type Rules struct {
-	// Light is the longest read in milliseconds that is placed among short
-	// streams. It is what fits into the pass of an engine whose streams bear
-	// pauses of 200 ms: the pass itself takes 55.
+	// Light is the longest prefill in milliseconds that is placed beside short streams. It fits
+	// into the pass of an engine whose streams tolerate pauses of 200 ms: the decoding in that pass
+	// takes 55 ms.
 	Light float64
-	// Packed is how many short streams an engine takes while others have room.
+	// Packed is how many short streams an engine receives while other engines have room.
 	Packed int
-	// Part is the reading in milliseconds that one engine takes of a long
-	// prompt while enough engines are free.
+	// Part is the prefill time in milliseconds of one engine's part of a long prompt while enough
+	// engines are free.
 	Part float64
-	// Group is the most engines that read one prompt.
+	// Group is the most engines over which one prefill is spread.
 	Group int
-	// Safety is the share of a pause that a pass may fill.
+	// Safety is the fraction of a tolerated pause that a pass may take.
 	Safety float64
-	// Interleaved is that share for a pass which reads a part of a long prompt beside short
-	// streams: the rest is for short prompts that come meanwhile.
+	// Interleaved is that fraction for a pass that computes a part of a long prefill beside short
+	// streams. The remainder is left for short prompts that arrive meanwhile.
 	Interleaved float64
 }
 
-// DefaultRules are explained at each field of Rules.
+// DefaultRules are the usual rules. The fields of Rules explain the values.
 var DefaultRules = Rules{Light: 120, Packed: 12, Part: 200, Group: 16, Safety: 0.9, Interleaved: 0.7}
--- a/lib/decide/span/wave_test.go
+++ b/lib/decide/span/wave_test.go
@@ -13,8 +13,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// wave is a pool of 195 engines that all read short prompts, and 300 more that wait: callers whose streams were cut come back together.
-func wave() *Pool {
+// newWavePool returns a pool of 195 engines that all prefill short prompts, with 300 more requests
+// queued, as when callers whose streams were cut reconnect together.
+func newWavePool() *Pool {
 	const engines, waiting = 195, 300
 	p := New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))
 	us := make([]route.Upstream, engines)
@@ -32,17 +33,18 @@
 	return p
 }
 
-// BenchmarkWave is one look at the queue while nothing in it finds a place.
-func BenchmarkWave(b *testing.B) {
-	p := wave()
+// BenchmarkTickNothingFits measures one scan of the queue while no request can be placed.
+func BenchmarkTickNothingFits(b *testing.B) {
+	p := newWavePool()
 	b.ResetTimer()
 	for range b.N {
 		p.Tick(now)
 	}
 }
 
-// A round leaves requests out that need as much as one that found no place. One left out wrongly would wait beside a free engine.
-func TestWhatStillWaitsFindsNoPlace(t *testing.T) {
+// A round skips requests that need as much as one that could not be placed. A request skipped
+// wrongly would wait beside a free engine.
+func TestLateRequestsLeftInQueueFitNowhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
 		b := &bench{Pool: New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))}
@@ -61,25 +63,26 @@
 			at += clock.Milli(rapid.IntRange(0, 30).Draw(t, "pass"))
 			b.Tick(at)
 			for _, w := range b.queue {
-				if _, found := b.place(at, w, false); found && !w.heavy {
-					require.False(t, w.late(at), "late request %s waits though it finds its place", w.ID)
+				if _, found := b.place(at, w, false); found && !w.long {
+					require.False(t, w.late(at), "late request %s is queued although it can be placed", w.ID)
 				}
 			}
 		}
 	})
 }
 
-// All streams were cut, and their callers come back in one moment after seconds in which nobody was late. Engines take them within a
-// second; by the pace of the seconds before they would all be refused.
-func TestCallersThatComeBackTogetherAreServed(t *testing.T) {
+// All streams were cut, and their callers reconnect in one moment after seconds without late
+// requests. The engines accept them within a second; at the placing rate of the seconds before all
+// of them would be refused.
+func TestReconnectingCallersAreServed(t *testing.T) {
 	b := newBench(t, 40)
 	at := now
-	for range 400 { // calm
+	for range 400 { // low load
 		at += 10
 		b.Tick(at)
 	}
 	for range 300 {
-		a := b.note(at)
+		a := b.shortAsk(at)
 		a.Aim, a.Patience = at-1700, at+2000
 		b.Ask(at, a)
 	}
@@ -89,7 +92,7 @@
 			b.First(at, id)
 		}
 		for _, d := range b.Tick(at) {
-			require.Equal(t, Granted, d.Action, "%d ms after they came, with %d served", at-end+2*clock.Second, served)
+			require.Equal(t, Granted, d.Action, "refused %d ms after reconnecting, with %d served", at-end+2*clock.Second, served)
 			served++
 			read := at + 100
 			reading[read] = append(reading[read], d.Request)
