--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -200,10 +200,10 @@
 	x.head = head
 	x.awaitKnowledge()
 	v := g.Knowledge.View()
-	if v.Table == nil || v.UpstreamsAt == 0 {
+	if v.Table == nil || v.UpstreamsVerified == 0 {
 		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(startRetry)
 	}
-	x.story.revision, x.story.age = uint64(v.Table.Revision()), max(x.arrived-v.TableAt, 0)
+	x.story.revision, x.story.age = uint64(v.Table.Revision()), max(x.arrived-v.TableVerified, 0)
 	if err != nil {
 		return fault.New(fault.Malformed, "%v", err)
 	}
@@ -247,7 +247,7 @@
 	if !x.keyed || x.route.Public {
 		return nil
 	}
-	age := x.gate.Clock.Now() - v.TableAt
+	age := x.gate.Clock.Now() - v.TableVerified
 	if float64(age) > keyShare*float64(x.gate.bounds.Revoke) {
 		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(startRetry)
 	}
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -242,7 +242,7 @@
 	now := clock.Boot{}.Now()
 	w.table = t
 	w.known.set(&registry.View{
-		Table: t, TableAt: now, UpstreamsAt: now, Generation: 1, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams},
+		Table: t, TableVerified: now, UpstreamsVerified: now, Generation: 1, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams},
 	})
 }
 
