--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -48,7 +48,7 @@
 	// Hear takes what an answer says of its upstream.
 	Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
 	// Binding returns a statement of an upstream by which this VM must not send to it now, if there is one.
-	Binding(s route.ServiceID, p span.Place) (statement.Statement, bool)
+	Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool)
 }
 
 // Knowledge is what is known of routes and upstreams.
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -89,7 +89,7 @@
 	during func()
 	refuse fault.Kind
 	// helpers are those of every grant.
-	helpers []span.Place
+	helpers []span.Placement
 }
 
 func (p *inTurn) Ask(ctx context.Context, _ route.ServiceID, a span.Ask) (placer.AskReply, error) {
@@ -115,7 +115,7 @@
 	}
 	for _, u := range p.upstreams {
 		if !slices.Contains(a.Avoid, u.ID) {
-			return placer.AskReply{Decided: true, Grant: span.Grant{Request: a.ID, Leader: span.Place{Upstream: u.ID, Address: u.Address}, Helpers: p.helpers, First: 100}}, nil
+			return placer.AskReply{Decided: true, Grant: span.Grant{Request: a.ID, Leader: span.Placement{Upstream: u.ID, Address: u.Address}, Helpers: p.helpers, First: 100}}, nil
 		}
 	}
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
@@ -137,7 +137,7 @@
 	p.said.Learn(u, st)
 }
 
-func (p *inTurn) Binding(_ route.ServiceID, l span.Place) (statement.Statement, bool) {
+func (p *inTurn) Binding(_ route.ServiceID, l span.Placement) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.said.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
--- a/daemon/relay/reserve.go
+++ b/daemon/relay/reserve.go
@@ -42,7 +42,7 @@
 
 // held is memory at one helper.
 type held struct {
-	place  span.Place
+	place  span.Placement
 	ticket string
 }
 
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -55,7 +55,7 @@
 // giant is a prompt that needs memory on one helper.
 func (w *world) giant(m *memory) {
 	w.needs.Memory = m
-	w.placer.helpers = []span.Place{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
+	w.placer.helpers = []span.Placement{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
 	w.start()
 }
 
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "alone it is tried four times")
 
-	w.placer.helpers = []span.Place{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
+	w.placer.helpers = []span.Placement{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
 	resp, body, err := w.call("POST", "/again/x", "prompt")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -164,9 +164,9 @@
 	return changed
 }
 
-// Divide sets the fraction of each rate limit that this pool may grant. The rest is left for VMs
-// that can't be reached and may grant requests at the same upstreams.
-func (p *Pool) Divide(now clock.Milli, share float64) {
+// SetLimitShare sets the fraction of each rate limit that this pool may grant. The rest is left for
+// VMs that can't be reached and may grant requests at the same upstreams.
+func (p *Pool) SetLimitShare(now clock.Milli, share float64) {
 	if p.declared.share == share {
 		return
 	}
--- a/lib/decide/span/declared_test.go
+++ b/lib/decide/span/declared_test.go
@@ -90,7 +90,7 @@
 // time is over.
 func TestRequestBeyondLimitsIsRefusedAtOnce(t *testing.T) {
 	b := &bench{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
-	b.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Service: "s", Slots: 6}, {ID: "b", Service: "s", Slots: 6}})
+	b.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Service: "s", Slots: 6}, {ID: "b", Service: "s", Slots: 6}})
 	b.learnLimit(now, "a", 1)
 	b.learnLimit(now, "b", 1)
 	at := now + 5*clock.Second
@@ -156,7 +156,7 @@
 	b, next := newBench(t, 2), newBench(t, 2)
 	b.learnLimit(now, "e00", 8)
 	b.runShort(now, now+clock.Second, 20)
-	next.Restore(now+clock.Second, b.Books(now+clock.Second))
+	next.Restore(now+clock.Second, b.Snapshot(now+clock.Second))
 	require.LessOrEqual(t, next.runShort(now+clock.Second, now+clock.Second+100, 10)["e00"], 1)
 	require.InDelta(t, 16, next.runShort(now+1100, now+3100, 20)["e00"], 2)
 }
@@ -165,10 +165,10 @@
 func TestLimitedEngineIsPolledRarely(t *testing.T) {
 	b := newBench(t, 2)
 	b.learnLimit(now, "e00", 1)
-	b.Doubt()
+	b.MarkUnverified()
 	polls := map[decide.UpstreamID]int{}
 	for at := now + clock.Second; at < now+5*clock.Second; at += 100 {
-		for _, id := range b.Doubtful(at, "owner", math.MaxInt) {
+		for _, id := range b.TakeDuePolls(at, "owner", math.MaxInt) {
 			polls[id]++
 		}
 	}
@@ -315,13 +315,13 @@
 	b := newBench(t, 0)
 	us := []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: 5}, {ID: "e01", Service: "s", Slots: engine.Slots, Born: 5}}
 	s := &route.Service{ID: "s", Engine: &engine}
-	b.Serve(s, us)
+	b.SetUpstreams(s, us)
 	b.Learn(now, "e00", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "g", Born: 5, At: now})
-	b.Serve(s, us[1:])
-	b.Serve(s, us)
+	b.SetUpstreams(s, us[1:])
+	b.SetUpstreams(s, us)
 	require.Zero(t, b.runShort(now+clock.Second, now+3*clock.Second, 50)["e00"])
 	us[0].Born = 6
-	b.Serve(s, us)
+	b.SetUpstreams(s, us)
 	require.NotZero(t, b.runShort(now+4*clock.Second, now+5*clock.Second, 50)["e00"], "a later incarnation has not declared that it is leaving")
 }
 
@@ -333,11 +333,11 @@
 	list := func(born decide.Born) []route.Upstream {
 		return []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: born}}
 	}
-	b.Serve(s, list(5))
+	b.SetUpstreams(s, list(5))
 	b.Learn(now, "e00", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "g", Born: 5, At: now})
 	b.learnBackOff(now, "e00", "g", clock.Minute)
-	b.Serve(s, nil)
-	b.Serve(s, list(6))
+	b.SetUpstreams(s, nil)
+	b.SetUpstreams(s, list(6))
 	d, _ := b.ask(now+clock.Second, b.shortAsk(now+clock.Second))
 	require.Equal(t, "rest", d.Reason, "a back-off without a start time may belong to the new incarnation")
 	b.upstreams["e00"].declared.backOffs = nil
@@ -367,7 +367,7 @@
 	b, next := newBench(t, 3), newBench(t, 3)
 	b.learnLeaving("e00", "g")
 	b.learnBackOff(now, "e01", "g", 3*clock.Second)
-	next.Restore(now+100, b.Books(now+100))
+	next.Restore(now+100, b.Snapshot(now+100))
 	at := now + 200
 	led := map[decide.UpstreamID]int{}
 	for ; at < now+3*clock.Second; at += 50 {
@@ -386,10 +386,10 @@
 // back-off, or is leaving, must not be polled.
 func TestBackOffAndLeavingStopPolls(t *testing.T) {
 	b := newBench(t, 3)
-	b.Doubt()
+	b.MarkUnverified()
 	b.learnBackOff(now, "e00", "owner", clock.Second)
 	b.learnLeaving("e01", "g")
-	require.Equal(t, []decide.UpstreamID{"e02"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e02"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	_, decided := b.ask(now+firstExclusion, b.shortAskFrom(now+firstExclusion, "h"))
 	require.True(t, decided, "other gates still use the engine")
 }
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -40,7 +40,7 @@
 
 // grantState is a grant and what the pool records about it.
 type grantState struct {
-	Live
+	LiveGrant
 	ask       Ask
 	grantedAt clock.Milli
 	// presented is set for a grant that another owner made: it is older than grantedAt.
@@ -139,7 +139,7 @@
 func (r *upstreamState) usedMemory() decide.Tokens { return r.externalUsed + r.grantedMemory }
 
 // totalReserved returns the sum of the KV memory in tokens that is reserved at these places.
-func totalReserved(ps []Place) decide.Tokens {
+func totalReserved(ps []Placement) decide.Tokens {
 	var sum decide.Tokens
 	for _, p := range ps {
 		sum += p.Reserve
--- a/lib/decide/span/foreign.go
+++ b/lib/decide/span/external.go
@@ -25,13 +25,13 @@
 // and each poll costs the upstream a little.
 const pollInterval = 300 * clock.Milli(1)
 
-// Doubtful lists up to limit upstreams to be polled for their load and marks them as polled. These
-// are: upstreams whose load is unverified, which includes all of a new owner's and those that
+// TakeDuePolls returns up to limit upstreams to be polled for their load and marks them as polled.
+// These are: upstreams whose load is unverified, which includes all of a new owner's and those that
 // rejected a request; upstreams with external load; and those that are slow or suspected to be.
 // Unverified engines get no requests until they have reported, or are known not to report, so they
 // come first. Within each group the one polled longest ago comes first. The gate is that of the
 // polling VM, which does not poll upstreams that asked it for a back-off.
-func (p *Pool) Doubtful(now clock.Milli, gate decide.GateID, limit int) []decide.UpstreamID {
+func (p *Pool) TakeDuePolls(now clock.Milli, gate decide.GateID, limit int) []decide.UpstreamID {
 	if !scanDue(p.pollsListed, now, len(p.packOrder)) {
 		return nil
 	}
@@ -42,7 +42,7 @@
 		case !r.unverified && r.external == 0 && !r.reportWanted && !r.slow():
 		case r.draining() || !r.pollable(now):
 		case now < r.declared.backOffUntil(gate):
-			p.Unreported(r.ID)
+			p.AssumeVerified(r.ID)
 		default:
 			ups = append(ups, r)
 		}
@@ -72,9 +72,9 @@
 	return 1
 }
 
-// Pressing reports whether polls are due of upstreams that get no requests, or fewer than they
-// could accept, until they report.
-func (p *Pool) Pressing(now clock.Milli) bool {
+// UrgentPollsDue reports whether polls are due of upstreams that get no requests, or fewer than
+// they could accept, until they report.
+func (p *Pool) UrgentPollsDue(now clock.Milli) bool {
 	return slices.ContainsFunc(p.pollCandidates(), func(r *upstreamState) bool {
 		return (r.unverified || r.external > 0) && !r.draining() && r.pollable(now)
 	})
@@ -97,8 +97,8 @@
 	return r.polledAt == 0 || now-r.polledAt >= least
 }
 
-// Doubt marks the load of all upstreams as unverified, because the pool has a new owner.
-func (p *Pool) Doubt() {
+// MarkUnverified marks the load of all upstreams as unverified, because the pool has a new owner.
+func (p *Pool) MarkUnverified() {
 	for _, r := range p.packOrder {
 		r.unverified = true
 	}
@@ -171,8 +171,9 @@
 	r.recentEnds = append(r.recentEnds[outdated:], now)
 }
 
-// Unreported accepts an upstream that does not report its load as verified, without external load.
-func (p *Pool) Unreported(id decide.UpstreamID) {
+// AssumeVerified accepts an upstream that does not report its load as verified, without external
+// load.
+func (p *Pool) AssumeVerified(id decide.UpstreamID) {
 	if r := p.upstreams[id]; r != nil {
 		r.unverified, r.reportWanted, r.external, r.externalUsed = false, false, 0, 0
 	}
--- a/lib/decide/span/life_test.go
+++ b/lib/decide/span/incarnation_test.go
@@ -12,7 +12,7 @@
 
 // serveIncarnation serves one engine in the incarnation that started at born.
 func (b *bench) serveIncarnation(born decide.Born) {
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
 }
 
 // The only engine crashes with all its slots in use and restarts under its ID within a second. The
@@ -38,7 +38,7 @@
 	b.End(now+10, first.Request, Unreachable, "")
 	require.True(t, r.health.available(now+10), "the crash of the earlier incarnation does not exclude the new one")
 	require.Equal(t, 1, r.streams)
-	b.Present(now+20, "g", []Live{{Grant: first, Writing: true}})
+	b.Present(now+20, "g", []LiveGrant{{Grant: first, Writing: true}})
 	require.Equal(t, 1, r.streams, "a grant on the earlier incarnation does not count")
 	b.serveIncarnation(5)
 	require.EqualValues(t, 6, r.Born, "a list with an older incarnation changes nothing")
@@ -49,7 +49,7 @@
 func TestReportRevealsNewIncarnation(t *testing.T) {
 	b := newBench(t, 0)
 	b.serveIncarnation(5)
-	b.Doubt()
+	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 9, Used: 400_000, Pace: 4, Born: 5})
 	r := b.upstreams["e00"]
 	require.True(t, r.slow())
--- a/lib/decide/span/isolated.go
+++ b/lib/decide/span/isolated.go
@@ -29,9 +29,9 @@
 	seed string
 }
 
-// Isolate sets whether the owner of the pool knows of no other owner. The seed is a name that is
-// unique to the owner.
-func (p *Pool) Isolate(on bool, seed string) {
+// SetIsolated sets whether the owner of the pool knows of no other owner. The seed is a name that
+// is unique to the owner.
+func (p *Pool) SetIsolated(on bool, seed string) {
 	p.isolation = isolation{on: on, seed: seed}
 }
 
--- a/lib/decide/span/isolated_test.go
+++ b/lib/decide/span/isolated_test.go
@@ -17,7 +17,7 @@
 	all := map[decide.UpstreamID]int{}
 	for vm := range 6 {
 		b := newBench(t, 23)
-		b.Isolate(true, fmt.Sprint("vm-", vm))
+		b.SetIsolated(true, fmt.Sprint("vm-", vm))
 		for range 8 {
 			g := b.mustGrant(now, b.shortAsk(now))
 			require.Less(t, float64(g.First), 300.0)
@@ -34,17 +34,17 @@
 // grant them the same engines.
 func TestIsolatedOwnerPollsOnlyItsEngines(t *testing.T) {
 	b := newBench(t, 23)
-	b.Doubt()
-	b.Isolate(true, "vm-1")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), isolatedEngines)
-	b.Isolate(false, "vm-1")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 23-isolatedEngines)
-	require.Len(t, b.Doubtful(now+pollInterval, "owner", math.MaxInt), 23)
+	b.MarkUnverified()
+	b.SetIsolated(true, "vm-1")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), isolatedEngines)
+	b.SetIsolated(false, "vm-1")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 23-isolatedEngines)
+	require.Len(t, b.TakeDuePolls(now+pollInterval, "owner", math.MaxInt), 23)
 	b = newBench(t, 23)
-	b.Isolate(true, "vm-1")
+	b.SetIsolated(true, "vm-1")
 	long := b.longAsk(now, 200_000)
 	_, decided := b.ask(now, long)
 	require.False(t, decided)
-	b.Isolate(false, "vm-1")
+	b.SetIsolated(false, "vm-1")
 	require.Len(t, b.Tick(now), 1)
 }
--- a/lib/decide/span/place.go
+++ b/lib/decide/span/place.go
@@ -96,7 +96,7 @@
 	for _, attempt := range []struct {
 		maxStreams int
 		slow       bool
-	}{{p.rules.Packed, false}, {math.MaxInt, false}, {math.MaxInt, true}} {
+	}{{p.rules.PackedStreams, false}, {math.MaxInt, false}, {math.MaxInt, true}} {
 		for _, r := range p.packOrder {
 			if r.slow() != attempt.slow {
 				continue
@@ -139,7 +139,7 @@
 	if a.Gap > 0 && (pause == 0 || a.Gap < pause) {
 		pause = a.Gap
 	}
-	return pause == 0 || pass <= p.rules.Safety*float64(pause)
+	return pause == 0 || pass <= p.rules.PauseFraction*float64(pause)
 }
 
 // placeLong spreads a long prefill over engines that have no short streams and no other prefill: as
@@ -153,7 +153,7 @@
 		return plan{}, false
 	}
 	free := p.largeReserve.availableTo(w, p.freeForReads(now, a))
-	for n := min(int(math.Ceil(cost/p.rules.Part)), p.rules.Group, len(free)); n >= need; n-- {
+	for n := min(int(math.Ceil(cost/p.rules.PartRead)), p.rules.MaxGroup, len(free)); n >= need; n-- {
 		if pl, ok := p.chooseGroup(now, a, cost/float64(n), free, n); ok {
 			return pl, true
 		}
@@ -204,7 +204,7 @@
 		}
 		slack := math.Inf(1)
 		if r.pause > 0 {
-			slack = p.rules.Interleaved*float64(r.pause) - r.pass(r.streams, r.context) - r.backlog(now)
+			slack = p.rules.InterleavedFraction*float64(r.pause) - r.pass(r.streams, r.context) - r.backlog(now)
 		}
 		if slack > 0 {
 			candidates = append(candidates, candidate{r, slack})
@@ -221,7 +221,7 @@
 }
 
 // maxGroup returns the most engines over which one prefill can be spread.
-func (p *Pool) maxGroup() int { return max(1, min(p.rules.Group, len(p.packOrder))) }
+func (p *Pool) maxGroup() int { return max(1, min(p.rules.MaxGroup, len(p.packOrder))) }
 
 // freeForReads lists engines that can compute a long prefill, from the end of the fixed order.
 func (p *Pool) freeForReads(now clock.Milli, a *Ask) []*upstreamState {
@@ -281,7 +281,7 @@
 func (p *Pool) grant(now clock.Milli, a *Ask, pl plan) Grant {
 	g := Grant{
 		Request: a.ID, Gate: a.Gate, Prompt: a.Prompt, Output: a.Output, Gap: a.Gap, Stream: a.Stream,
-		Leader: Place{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.partRead},
+		Leader: Placement{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.partRead},
 		First:  clock.Milli(pl.first),
 	}
 	excess := decide.Tokens(0)
@@ -291,9 +291,9 @@
 	for _, h := range pl.helpers {
 		reserve := min(max(excess, 0), h.reservableMemory(now))
 		excess -= reserve
-		g.Helpers = append(g.Helpers, Place{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.partRead, Reserve: reserve})
+		g.Helpers = append(g.Helpers, Placement{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.partRead, Reserve: reserve})
 	}
-	for _, r := range p.addGrant(now, Live{Grant: g}, *a).upstreams {
+	for _, r := range p.addGrant(now, LiveGrant{Grant: g}, *a).upstreams {
 		r.noteGranted(now, a.ID)
 	}
 	return g
--- a/lib/decide/span/pool.go
+++ b/lib/decide/span/pool.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Serve sets the service of the pool and its present upstreams. An upstream that is no longer
-// listed gets no new grants and is removed once its grants have ended.
-func (p *Pool) Serve(s *route.Service, us []route.Upstream) {
+// SetUpstreams sets the service of the pool and its present upstreams. An upstream that is no
+// longer listed gets no new grants and is removed once its grants have ended.
+func (p *Pool) SetUpstreams(s *route.Service, us []route.Upstream) {
 	p.engine = engineOf(s)
 	seen := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
@@ -190,7 +190,7 @@
 }
 
 // reservesOn reports whether memory is reserved on an upstream.
-func reservesOn(hs []Place, id decide.UpstreamID) bool {
+func reservesOn(hs []Placement, id decide.UpstreamID) bool {
 	for _, h := range hs {
 		if h.Upstream == id {
 			return h.Reserve > 0
@@ -227,7 +227,7 @@
 
 // Present reconciles the grants of one gate with its list of live grants. Listed grants that are
 // unknown here were made by another owner and are added; grants that are not listed have ended.
-func (p *Pool) Present(now clock.Milli, gate decide.GateID, live []Live) {
+func (p *Pool) Present(now clock.Milli, gate decide.GateID, live []LiveGrant) {
 	named := make(map[decide.RequestID]bool, len(live))
 	for _, l := range live {
 		named[l.Grant.Request] = true
@@ -253,10 +253,10 @@
 }
 
 // addGrant records a grant on all its upstreams.
-func (p *Pool) addGrant(now clock.Milli, l Live, a Ask) *grantState {
-	g := &grantState{Live: l, ask: a, grantedAt: now, namedAt: now}
+func (p *Pool) addGrant(now clock.Milli, l LiveGrant, a Ask) *grantState {
+	g := &grantState{LiveGrant: l, ask: a, grantedAt: now, namedAt: now}
 	p.grants[l.Grant.Request] = g
-	for _, pl := range append([]Place{l.Grant.Leader}, l.Grant.Helpers...) {
+	for _, pl := range append([]Placement{l.Grant.Leader}, l.Grant.Helpers...) {
 		r := p.upstreams[pl.Upstream]
 		if r == nil || r.pastIncarnation(pl.Born) {
 			continue
--- a/lib/decide/span/pool_test.go
+++ b/lib/decide/span/pool_test.go
@@ -42,7 +42,7 @@
 		id := decide.UpstreamID(fmt.Sprintf("e%02d", i))
 		us[i] = route.Upstream{ID: id, Service: "s", Address: string(id), Slots: engine.Slots}
 	}
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, us)
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, us)
 }
 
 // shortAsk returns a new short request.
@@ -96,10 +96,10 @@
 func TestShortRequestsArePacked(t *testing.T) {
 	b := newBench(t, 4)
 	used := map[decide.UpstreamID]int{}
-	for range 2 * DefaultRules.Packed {
+	for range 2 * DefaultRules.PackedStreams {
 		used[b.mustStream(b.shortAsk(now)).Leader.Upstream]++
 	}
-	require.Equal(t, map[decide.UpstreamID]int{"e00": DefaultRules.Packed, "e01": DefaultRules.Packed}, used)
+	require.Equal(t, map[decide.UpstreamID]int{"e00": DefaultRules.PackedStreams, "e01": DefaultRules.PackedStreams}, used)
 }
 
 // Twenty short requests arrive within a millisecond. An engine prefills all prompts that wait
@@ -133,7 +133,7 @@
 	b := newBench(t, 3)
 	note := b.mustStream(b.shortAsk(now))
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
-	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
+	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
 		require.NotEqual(t, note.Leader.Upstream, p.Upstream)
 	}
 	require.NotContains(t, []decide.UpstreamID{g.Leader.Upstream}, b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
@@ -145,7 +145,7 @@
 	b := newBench(t, 2)
 	first := b.mustStream(b.longAsk(now, 120_000))
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
-	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
+	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
 		if p.Upstream == first.Leader.Upstream {
 			require.Less(t, p.Read+engine.Pass(2, 330_000), 800.0)
 		}
@@ -271,7 +271,7 @@
 	b := newBench(t, 1)
 	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Done, "")
-	b.Present(now+10, "g", []Live{{Grant: g}})
+	b.Present(now+10, "g", []LiveGrant{{Grant: g}})
 	require.Equal(t, Counts{Upstreams: 1}, b.Counts())
 }
 
@@ -279,9 +279,9 @@
 // these it would grant the capacity of every engine a second time.
 func TestSuccessorCountsPresentedGrants(t *testing.T) {
 	old, successor := newBench(t, 2), newBench(t, 2)
-	var live []Live
-	for range DefaultRules.Packed {
-		live = append(live, Live{Grant: old.mustStream(old.shortAsk(now)), Writing: true})
+	var live []LiveGrant
+	for range DefaultRules.PackedStreams {
+		live = append(live, LiveGrant{Grant: old.mustStream(old.shortAsk(now)), Writing: true})
 	}
 	successor.asked = old.asked
 	successor.Present(now, "g", live)
@@ -301,7 +301,7 @@
 func TestGrantMissingFromPresentIsDropped(t *testing.T) {
 	b := newBench(t, 1)
 	kept, lost := b.mustStream(b.shortAsk(now)), b.mustStream(b.shortAsk(now))
-	b.Present(now+askTTL+1, "g", []Live{{Grant: kept, Writing: true}})
+	b.Present(now+askTTL+1, "g", []LiveGrant{{Grant: kept, Writing: true}})
 	require.Contains(t, b.grants, kept.Request)
 	require.NotContains(t, b.grants, lost.Request)
 	require.NotContains(t, b.upstreams["e00"].grants, lost.Request)
@@ -311,8 +311,8 @@
 // that assumed them to be idle would pack all requests on the fullest engine.
 func TestExternalLoadIsCounted(t *testing.T) {
 	b := newBench(t, 3)
-	b.Doubt()
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 3)
+	b.MarkUnverified()
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 3)
 	early := b.shortAsk(now)
 	_, decided := b.ask(now, early)
 	require.False(t, decided, "nothing is sent to engines whose load is unverified")
@@ -321,8 +321,8 @@
 	b.Report(now, "e01", exchange.Load{})
 	b.Report(now, "e02", exchange.Load{})
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
-	require.Empty(t, b.Doubtful(now+pollInterval-1, "owner", math.MaxInt), "an earlier report would be the same")
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollInterval, "owner", math.MaxInt))
+	require.Empty(t, b.TakeDuePolls(now+pollInterval-1, "owner", math.MaxInt), "an earlier report would be the same")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now+pollInterval, "owner", math.MaxInt))
 	b.Report(now, "e00", exchange.Load{})
 	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
@@ -333,11 +333,11 @@
 func TestUnverifiedEnginesArePolledFirst(t *testing.T) {
 	const engines, most = 300, 10
 	b := newBench(t, engines)
-	b.Doubt()
+	b.MarkUnverified()
 	at, rounds := now, 0
 	asked := map[decide.UpstreamID]int{}
 	round := func() {
-		for _, id := range b.Doubtful(at, "owner", most) {
+		for _, id := range b.TakeDuePolls(at, "owner", most) {
 			asked[id]++
 			b.Report(at, id, exchange.Load{Requests: 4, Used: 10_000})
 		}
@@ -345,7 +345,7 @@
 		rounds++
 	}
 	for len(asked) < engines && rounds < engines {
-		require.True(t, b.Pressing(at))
+		require.True(t, b.UrgentPollsDue(at))
 		round()
 	}
 	require.Equal(t, engines/most, rounds, "each round polls engines that were not polled yet")
@@ -365,10 +365,10 @@
 	for id := range b.upstreams {
 		b.learnLimit(now, id, 1)
 	}
-	b.Doubt()
+	b.MarkUnverified()
 	asked := map[decide.UpstreamID]bool{}
 	for range 4 {
-		for _, id := range b.Doubtful(now+clock.Second, "owner", 1) {
+		for _, id := range b.TakeDuePolls(now+clock.Second, "owner", 1) {
 			asked[id] = true
 		}
 	}
@@ -381,7 +381,7 @@
 	b := newBench(t, 2)
 	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Full, "")
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
@@ -487,19 +487,19 @@
 func TestLeavingEngineKeepsItsGrants(t *testing.T) {
 	b := newBench(t, 2)
 	g := b.mustStream(b.shortAsk(now))
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 	require.Contains(t, b.grants, g.Request)
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
 	require.Contains(t, b.upstreams, decide.UpstreamID("e00"), "an unlisted upstream stays while it has grants")
 	b.End(now, g.Request, Done, "")
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
 	require.NotContains(t, b.upstreams, decide.UpstreamID("e00"))
 }
 
 func TestPlainServiceUsesLeastLoadedUpstream(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
+	p.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 	for i := range 5 {
 		_, _ = p.Ask(now, Ask{ID: decide.RequestID(fmt.Sprint(i)), Gate: "g", Aim: now + 100, Deadline: now + 1500})
 	}
@@ -544,7 +544,7 @@
 // and a refusal would cost the caller more than the wait.
 func TestRequestWaitsForFullPlainService(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
+	p.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
 	for _, id := range []decide.RequestID{"1", "2"} {
 		_, _ = p.Ask(now, Ask{ID: id, Gate: "g", Aim: now + 100, Deadline: now + 1500})
 	}
@@ -576,7 +576,7 @@
 // one alone, it would occupy that engine for nine seconds, and its caller would get nothing.
 func TestLatePromptGetsEnginesItsDeadlineNeeds(t *testing.T) {
 	b := newBench(t, 8)
-	b.rules.Packed = 1
+	b.rules.PackedStreams = 1
 	for range 6 {
 		b.mustStream(b.shortAsk(now))
 	}
@@ -636,14 +636,14 @@
 // time left for prefill.
 func TestLongPromptIsInterleavedWithShortStreams(t *testing.T) {
 	b := newBench(t, 6)
-	for range 6 * DefaultRules.Packed {
+	for range 6 * DefaultRules.PackedStreams {
 		b.mustStream(b.shortAsk(now))
 	}
 	g := b.mustGrant(now, b.longAsk(now, 45_000))
 	require.GreaterOrEqual(t, len(g.Helpers), 3)
 	for _, pl := range append(g.Helpers, g.Leader) {
 		r := b.upstreams[pl.Upstream]
-		require.LessOrEqual(t, r.backlog(now)+r.engine.Pass(r.streams, r.context), DefaultRules.Safety*200)
+		require.LessOrEqual(t, r.backlog(now)+r.engine.Pass(r.streams, r.context), DefaultRules.PauseFraction*200)
 	}
 }
 
@@ -652,8 +652,8 @@
 // for.
 func TestNoInterleavingWhileShortRequestsWait(t *testing.T) {
 	b := newBench(t, 6)
-	b.rules.Interleaved = b.rules.Safety
-	for range 6 * DefaultRules.Packed {
+	b.rules.InterleavedFraction = b.rules.PauseFraction
+	for range 6 * DefaultRules.PackedStreams {
 		b.mustStream(b.shortAsk(now))
 	}
 	hurried := b.shortAsk(now)
@@ -687,7 +687,7 @@
 	used := map[decide.UpstreamID]int{}
 	for i := range 60 {
 		p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-		p.Serve(nil, []route.Upstream{{ID: "a", Slots: 6}, {ID: "b", Slots: 6}, {ID: "c", Slots: 6}})
+		p.SetUpstreams(nil, []route.Upstream{{ID: "a", Slots: 6}, {ID: "b", Slots: 6}, {ID: "c", Slots: 6}})
 		_, _ = p.Ask(now, Ask{ID: decide.RequestID(fmt.Sprint("vm-", i)), Gate: "g", Aim: now + 100, Deadline: now + 1000})
 		used[p.Tick(now)[0].Grant.Leader.Upstream]++
 	}
@@ -703,17 +703,17 @@
 	b := newBench(t, 4)
 	g := b.mustGrant(now, b.longAsk(now, 200_000))
 	require.Len(t, g.Helpers, 3)
-	require.Empty(t, b.Doubtful(now, "owner", math.MaxInt))
+	require.Empty(t, b.TakeDuePolls(now, "owner", math.MaxInt))
 	at := now + 2*g.First
 	b.First(at, g.Request)
 	b.End(at, g.Request, Done, "")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 4, "each engine of the group may be the slow one")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 4, "each engine of the group may be the slow one")
 	for _, id := range []decide.UpstreamID{"e01", "e02", "e03"} {
 		b.Report(at, id, exchange.Load{Requests: 1, Pace: 1})
 		require.Zero(t, b.upstreams[id].external, "the report predates the end of the request that it counts")
 	}
 	b.Report(at, "e00", exchange.Load{Pace: 4})
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollInterval, "owner", math.MaxInt), "a slow engine is polled until it reports a normal pace")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now+pollInterval, "owner", math.MaxInt), "a slow engine is polled until it reports a normal pace")
 
 	g = b.mustGrant(at, b.longAsk(at, 200_000))
 	for _, pl := range append(g.Helpers, g.Leader) {
@@ -731,7 +731,7 @@
 // queue there for a second.
 func TestReportIsComparedWithGrantsOfItsTime(t *testing.T) {
 	b := newBench(t, 2)
-	b.Doubt()
+	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 10, Used: 50_000})
 	b.Report(now, "e01", exchange.Load{Requests: 10, Used: 50_000})
 	for range 4 {
@@ -756,11 +756,11 @@
 // as external too, engines with room for as many more would look full.
 func TestPresentedGrantsExplainReport(t *testing.T) {
 	before, b := newBench(t, 1), newBench(t, 1)
-	var live []Live
+	var live []LiveGrant
 	for range 6 {
-		live = append(live, Live{Grant: before.mustStream(before.shortAsk(now)), Writing: true})
+		live = append(live, LiveGrant{Grant: before.mustStream(before.shortAsk(now)), Writing: true})
 	}
-	b.Doubt()
+	b.MarkUnverified()
 	b.Present(now, "g", live)
 	b.Report(now+5, "e00", exchange.Load{Requests: 6, Used: 40_000})
 	require.Zero(t, b.upstreams["e00"].external)
@@ -776,7 +776,7 @@
 	require.Equal(t, decide.UpstreamID("e00"), late.Leader.Upstream)
 	at := now + late.First + lateSlack + 100
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(at, b.shortAsk(at)).Leader.Upstream)
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	b.First(at+10, late.Request)
 	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(at+10, b.shortAsk(at+10)).Leader.Upstream, "the engine has caught up")
 }
@@ -794,7 +794,7 @@
 // the engines have reported.
 func TestNewOwnerDoesNotRefuseBeforeReports(t *testing.T) {
 	b := newBench(t, 2)
-	b.Doubt()
+	b.MarkUnverified()
 	a := b.shortAsk(now)
 	a.Patience = now + 2000
 	_, decided := b.ask(now, a)
--- a/lib/decide/span/books.go
+++ b/lib/decide/span/snapshot.go
@@ -10,11 +10,10 @@
 // to wait up to a second until the gates have presented their live grants. Times are passed as
 // durations because the clocks of two VMs differ.
 
-// Books is a snapshot of the state of an owner that another owner can't obtain from gates and
-// upstreams.
-type Books struct {
-	Grants    []BookedGrant
-	Upstreams []Condition
+// Snapshot is the state of an owner that its successor can't obtain from gates and upstreams.
+type Snapshot struct {
+	Grants    []GrantSnapshot
+	Upstreams []UpstreamSnapshot
 	// Busy and Served are averages of the spare time of engines: the share that is busy, and the
 	// rate at which late short requests are placed.
 	Busy, Served float64
@@ -24,18 +23,18 @@
 	Saved, Mean, LargeRefused, OthersRefused float64
 }
 
-// BookedGrant is one live grant in a snapshot.
-type BookedGrant struct {
-	Live Live
+// GrantSnapshot is one live grant in a snapshot.
+type GrantSnapshot struct {
+	Live LiveGrant
 	// Age is the time since the grant was made, Unheard the time since its gate last named it.
 	Age, Unheard clock.Milli
 	Workspace    decide.WorkspaceID
 	Suspect      bool
 }
 
-// Condition is the state of one upstream in a snapshot, derived from outcomes, reports and
+// UpstreamSnapshot is the state of one upstream in a snapshot, derived from outcomes, reports and
 // statements.
-type Condition struct {
+type UpstreamSnapshot struct {
 	Upstream decide.UpstreamID
 	Born     decide.Born
 	// Debt is the backlog of prefill time in milliseconds.
@@ -60,20 +59,20 @@
 	Shed bool
 }
 
-// Books returns a snapshot for the next owner.
-func (p *Pool) Books(now clock.Milli) Books {
+// Snapshot returns the state for the next owner.
+func (p *Pool) Snapshot(now clock.Milli) Snapshot {
 	p.expire(now)
-	b := Books{
+	b := Snapshot{
 		Busy: p.headroom.busy, Served: p.headroom.placeRate,
 		Saved: p.largeReserve.savedRead, Mean: p.largeReserve.meanRead, LargeRefused: p.largeReserve.large.refused, OthersRefused: p.largeReserve.others.refused,
 	}
 	for _, g := range p.grants {
-		b.Grants = append(b.Grants, BookedGrant{
-			Live: g.Live, Age: now - g.grantedAt, Unheard: now - g.namedAt, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
+		b.Grants = append(b.Grants, GrantSnapshot{
+			Live: g.LiveGrant, Age: now - g.grantedAt, Unheard: now - g.namedAt, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
 		})
 	}
 	for _, r := range p.packOrder {
-		c := Condition{
+		c := UpstreamSnapshot{
 			Upstream: r.ID, Born: r.Born, Debt: max(0, r.readUntil-float64(now)),
 			Strikes: r.health.failures, Shut: max(0, r.health.excludedUntil-now), Rest: r.health.lastExclusion,
 			Helps: max(0, r.health.helpsFrom-now), Declined: r.health.declinePause,
@@ -87,7 +86,7 @@
 
 // Restore adds the snapshot of the previous owner. Grants that are known here already are not added
 // again.
-func (p *Pool) Restore(now clock.Milli, b Books) {
+func (p *Pool) Restore(now clock.Milli, b Snapshot) {
 	for _, l := range b.Grants {
 		g := p.grants[l.Live.Grant.Request]
 		if g == nil {
@@ -123,9 +122,9 @@
 	p.largeReserve.large.refused, p.largeReserve.others.refused = b.LargeRefused, b.OthersRefused
 }
 
-// Suspect requests load reports of all engines and uses them meanwhile. It is for a new owner whose
-// predecessor was lost, perhaps together with gates whose requests still run.
-func (p *Pool) Suspect() {
+// RequestReports requests load reports of all engines and uses them meanwhile. It is for a new
+// owner whose predecessor was lost, perhaps together with gates whose requests still run.
+func (p *Pool) RequestReports() {
 	for _, r := range p.packOrder {
 		r.unverified, r.reportWanted = false, r.engine != nil
 	}
--- a/lib/decide/span/books_test.go
+++ b/lib/decide/span/snapshot_test.go
@@ -15,11 +15,11 @@
 // streams.
 func TestSuccessorContinuesPacking(t *testing.T) {
 	before, after := newBench(t, 4), newBench(t, 4)
-	for range DefaultRules.Packed {
+	for range DefaultRules.PackedStreams {
 		require.Equal(t, decide.UpstreamID("e00"), before.mustStream(before.shortAsk(now)).Leader.Upstream)
 	}
 	before.upstreams["e01"].health.exclude(now)
-	after.Restore(now+5, before.Books(now))
+	after.Restore(now+5, before.Snapshot(now))
 	require.Equal(t, before.Counts().Granted, after.Counts().Granted)
 	after.asked = before.asked
 	require.Equal(t, decide.UpstreamID("e02"), after.mustGrant(now+5, after.shortAsk(now+5)).Leader.Upstream, "e00 is packed, e01 is excluded")
@@ -30,8 +30,8 @@
 func TestSnapshotDoesNotCountPresentedGrantsTwice(t *testing.T) {
 	before, after := newBench(t, 2), newBench(t, 2)
 	g := before.mustStream(before.shortAsk(now))
-	after.Present(now, "g", []Live{{Grant: g, Writing: true}})
-	after.Restore(now, before.Books(now))
+	after.Present(now, "g", []LiveGrant{{Grant: g, Writing: true}})
+	after.Restore(now, before.Snapshot(now))
 	require.Equal(t, 1, after.Counts().Granted)
 	require.Equal(t, 1, after.upstreams["e00"].streams)
 }
@@ -59,7 +59,7 @@
 	require.False(t, helps(now+10, leaving))
 	require.False(t, helps(now+firstDeclinePause-10, leaving))
 	require.True(t, helps(now+firstDeclinePause, leaving))
-	require.NotContains(t, b.Doubtful(now, "owner", math.MaxInt), leaving, "its load is verified")
+	require.NotContains(t, b.TakeDuePolls(now, "owner", math.MaxInt), leaving, "its load is verified")
 	short := b.shortAsk(now + 10)
 	_, decided := b.ask(now+10, short)
 	require.True(t, decided, "short requests are still placed")
--- a/lib/decide/span/span.go
+++ b/lib/decide/span/span.go
@@ -63,9 +63,9 @@
 	Request decide.RequestID
 	Gate    decide.GateID
 	// Leader is the upstream that is sent the request and writes the answer.
-	Leader Place
+	Leader Placement
 	// Helpers compute their parts of the prefill, in this order.
-	Helpers []Place
+	Helpers []Placement
 	// First is the time from the grant within which the first byte is expected.
 	First clock.Milli
 	// Prompt, Output, Gap and Stream are copied from the Ask, so that the grant can be presented to
@@ -75,8 +75,8 @@
 	Stream         bool
 }
 
-// Place is an upstream with the load that a grant puts on it.
-type Place struct {
+// Placement is an upstream with the load that a grant puts on it.
+type Placement struct {
 	Upstream decide.UpstreamID
 	// Born is the start time of the upstream's incarnation that was known when the grant was made;
 	// zero if unknown.
@@ -148,8 +148,8 @@
 	return outcomeNames[o]
 }
 
-// Live is a grant in use, as its gate presents it.
-type Live struct {
+// LiveGrant is a grant in use, as its gate presents it.
+type LiveGrant struct {
 	Grant Grant
 	// Writing is set once the first byte has arrived.
 	Writing bool
@@ -157,23 +157,23 @@
 
 // Rules are the limits by which a Pool places requests.
 type Rules struct {
-	// Light is the longest prefill in milliseconds that is placed beside short streams. It fits
-	// into the pass of an engine whose streams tolerate pauses of 200 ms: the decoding in that pass
-	// takes 55 ms.
-	Light float64
-	// Packed is how many short streams an engine receives while other engines have room.
-	Packed int
-	// Part is the prefill time in milliseconds of one engine's part of a long prompt while enough
-	// engines are free.
-	Part float64
-	// Group is the most engines over which one prefill is spread.
-	Group int
-	// Safety is the fraction of a tolerated pause that a pass may take.
-	Safety float64
-	// Interleaved is that fraction for a pass that computes a part of a long prefill beside short
-	// streams. The remainder is left for short prompts that arrive meanwhile.
-	Interleaved float64
+	// MaxShortRead is the longest prefill in milliseconds that is placed beside short streams. It
+	// fits into the pass of an engine whose streams tolerate pauses of 200 ms: the decoding in that
+	// pass takes 55 ms.
+	MaxShortRead float64
+	// PackedStreams is how many short streams an engine receives while other engines have room.
+	PackedStreams int
+	// PartRead is the prefill time in milliseconds of one engine's part of a long prompt while
+	// enough engines are free.
+	PartRead float64
+	// MaxGroup is the most engines over which one prefill is spread.
+	MaxGroup int
+	// PauseFraction is the fraction of a tolerated pause that a pass may take.
+	PauseFraction float64
+	// InterleavedFraction is that fraction for a pass that computes a part of a long prefill beside
+	// short streams. The remainder is left for short prompts that arrive meanwhile.
+	InterleavedFraction float64
 }
 
 // DefaultRules are the usual rules. The fields of Rules explain the values.
-var DefaultRules = Rules{Light: 120, Packed: 12, Part: 200, Group: 16, Safety: 0.9, Interleaved: 0.7}
+var DefaultRules = Rules{MaxShortRead: 120, PackedStreams: 12, PartRead: 200, MaxGroup: 16, PauseFraction: 0.9, InterleavedFraction: 0.7}
