--- a/daemon/relay/body.go
+++ b/daemon/relay/body.go
@@ -10,40 +10,41 @@
 	"snipeshift.example/lib/fault"
 )
 
-// bodyLimit is the largest body in bytes where the document sets no limit.
-const bodyLimit = 4 << 20
+// defaultBodyLimit is the largest request body in bytes if the document sets no limit.
+const defaultBodyLimit = 4 << 20
 
-// limit is the largest body that is taken, in bytes.
-func (x *flight) limit() int64 {
+// maxBody returns the size of the largest request body that is accepted, in bytes.
+func (x *request) maxBody() int64 {
 	if t := x.gate.Knowledge.View().Table; t != nil && t.Document().Limits.Body > 0 {
 		return int64(t.Document().Limits.Body)
 	}
-	return bodyLimit
+	return defaultBodyLimit
 }
 
-// room makes sure that the body fits into what is held at once.
-// A body whose length is not given counts as the largest: bodies held at once must not fill the process's memory.
-func (x *flight) room() (release func(), err *fault.Error) {
+// reserveBody counts the request body against the bound on all bodies that the process buffers
+// at a time, and refuses the request if the bound is exceeded. A body of undeclared length counts
+// as one of the largest size, so that buffered bodies cannot fill the process's memory.
+func (x *request) reserveBody() (release func(), err *fault.Error) {
 	size := x.r.ContentLength
-	if size < 0 || size > x.limit() {
-		size = x.limit()
+	if size < 0 || size > x.maxBody() {
+		size = x.maxBody()
 	}
 	g := x.gate
 	if held := g.bodies.Add(size); held > g.bounds.Bodies {
 		g.bodies.Add(-size)
-		return nil, fault.New(fault.Overloaded, "%d bytes of requests are held here", held-size).WithRetry(startRetry)
+		return nil, fault.New(fault.Overloaded, "%d bytes of requests are held here", held-size).WithRetry(notReadyRetry)
 	}
 	return func() { g.bodies.Add(-size) }, nil
 }
 
-// read takes the whole body, so that it can be sent again and the caller's
-// leaving is noticed.
-func (x *flight) read() *fault.Error {
-	limit := x.limit()
+// readBody buffers the whole request body. The request can then be sent again, and net/http can
+// detect that the client closes its connection.
+func (x *request) readBody() *fault.Error {
+	limit := x.maxBody()
 	control := http.NewResponseController(x.w)
-	// A caller that trickles its body would hold room for nothing. A connection without
-	// deadlines is only found in tests.
-	_ = control.SetReadDeadline(x.clockDeadline())
+	// Without a deadline, a client that sends its body very slowly would occupy buffer space.
+	// Only connections in tests do not support deadlines.
+	_ = control.SetReadDeadline(x.runtimeDeadline())
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	var large *http.MaxBytesError
 	switch {
@@ -54,7 +55,7 @@
 	case err != nil:
 		return fault.New(fault.Canceled, "the body did not come whole: %v", err)
 	}
-	_ = control.SetReadDeadline(time.Time{}) // from now on a read notices that the caller leaves
+	_ = control.SetReadDeadline(time.Time{}) // from here on net/http reads to detect a closed connection
 	x.body = body
 	return nil
 }
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -1,7 +1,8 @@
-// Package relay is the gate for requests of opaque bytes: it admits a request,
-// asks its service's owner for a place, sends it there, judges the answer, and
-// sends it once more elsewhere where its route allows. What the bytes mean is the
-// callers' and upstreams' matter; a Codec reads what a gate must know from the header.
+// Package relay implements the gate, the VM that holds the client's connection of a request, for
+// requests whose bodies it does not interpret. The gate admits a request, asks the owner of the
+// service (the VM that queues and places its requests) for a grant, sends the request to the
+// granted upstream, checks the response, and retries on another upstream where the route allows.
+// A Codec reads the header fields that the gate needs.
 package relay
 
 import (
@@ -25,57 +26,65 @@
 	"snipeshift.example/lib/route"
 )
 
-// Codec reads and writes the headers of one protocol.
+// Codec reads and writes the header fields of one protocol.
 type Codec interface {
-	// Head reads a caller's header.
+	// Head reads the header of a client's request.
 	Head(h http.Header) (exchange.Head, error)
-	// Forward makes the header that an upstream is sent.
+	// Forward returns the header of the request to the upstream.
 	Forward(from http.Header, s exchange.Send) http.Header
-	// Word reads what an answer to the request id says of itself.
+	// Word reads the header of an upstream's response to the request with this id.
 	Word(resp *http.Response, id string) exchange.Word
-	// Answer copies the header of an upstream's answer for the caller.
+	// Answer copies the header of an upstream's response into the response to the client.
 	Answer(to, from http.Header)
-	// Refuse writes the header of an answer of our own.
+	// Refuse writes the header of a refusal by the gate itself; retry is the Retry-After time.
 	Refuse(to http.Header, id string, retry clock.Milli)
 }
 
-// Placer asks owners for places.
+// Placer asks the owners of services for grants and passes the statements of upstreams on to them.
 type Placer interface {
 	Ask(ctx context.Context, s route.ServiceID, a span.Ask) (placer.AskReply, error)
+	// First reports that the first byte of the response has arrived.
 	First(id decide.RequestID)
+	// End reports the end of the send under a grant, and the upstream at fault if it is not the leader.
 	End(id decide.RequestID, o span.Outcome, culprit decide.UpstreamID)
+	// Withdraw cancels an Ask that has not been answered.
 	Withdraw(s route.ServiceID, id decide.RequestID)
-	// Hear takes what an answer says of its upstream.
+	// Hear records a statement that upstream u has made about itself in a response.
 	Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
-	// Binding returns a statement of an upstream by which this VM must not send to it now, if there is one.
+	// Binding returns a statement of an upstream that forbids this VM to send to it now, if there
+	// is one.
 	Binding(s route.ServiceID, p span.Place) (statement.Statement, bool)
 }
 
-// Knowledge is what is known of routes and upstreams.
+// Knowledge provides the routes and upstreams that this VM knows.
 type Knowledge interface {
 	View() *registry.View
-	// Known is closed once there are routes and upstreams.
+	// Known returns a channel that is closed once routes and upstreams are available.
 	Known() <-chan struct{}
 }
 
-// Suspects remembers requests that were on an upstream when it died.
+// Suspects tracks requests that were running on an upstream when it crashed. Such a request may
+// be the cause, and is quarantined after repeated crashes.
 type Suspects interface {
 	Check(fingerprint uint64) gate.Verdict
+	// Begin reports whether the request may be sent now. A suspect must not run twice at a time.
 	Begin(fingerprint uint64) bool
+	// End reports the end of a send; whole is set if the client received a complete response.
 	End(fingerprint uint64, whole bool)
+	// Died reports that an upstream crashed while it ran the request.
 	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
 }
 
-// Memory reserves KV memory on engines.
+// Memory reserves and releases KV memory on engines.
 type Memory interface {
 	Reserve(ctx context.Context, address, id string, tokens decide.Tokens, hold clock.Milli) (exchange.Reserved, error)
 	Release(ctx context.Context, address, id string) (exchange.Said, error)
 }
 
-// Clock reads a clock that goes on while the VM is suspended.
+// Clock reads a clock that continues while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Needs are what a Gate works with.
+// Needs are the collaborators of a Gate.
 type Needs struct {
 	Clock     Clock
 	Log       *log.Logger
@@ -84,186 +93,189 @@
 	Knowledge Knowledge
 	Suspects  Suspects
 	Memory    Memory
-	// Kept keeps connections to upstreams between requests; Fresh opens one for each.
+	// Kept reuses connections to upstreams; Fresh opens a connection for each request.
 	Kept, Fresh http.RoundTripper
 }
 
-// Bounds are the deployment's, in milliseconds.
+// Bounds are limits that the deployment sets. Times are in milliseconds.
 type Bounds struct {
-	// Revoke is the time within which a withdrawn key must be refused, whatever
-	// the way to the store does.
+	// Revoke is the time within which a revoked key must be refused, even if the store cannot
+	// be reached.
 	Revoke clock.Milli
-	// Config is the time within which a document must be in force.
+	// Config is the time within which a new document must be in force.
 	Config clock.Milli
-	// Bodies is how many bytes of requests are held at once.
+	// Bodies is the total size of the request bodies that are buffered at a time, in bytes.
 	Bodies int64
 }
 
-// Gate serves callers.
+// Gate is the HTTP handler that serves clients.
 type Gate struct {
 	Needs
 	bounds Bounds
 	id     decide.GateID
-	// started is when this life of the VM began.
+	// started is the time at which this process started.
 	started clock.Milli
 	serial  atomic.Uint64
-	// bodies is how many bytes of requests are held.
+	// bodies is the total size of the request bodies that are buffered, in bytes.
 	bodies atomic.Int64
-	// stopping asks callers to open their next connection elsewhere.
+	// stopping makes each response close its connection, so that clients reconnect to another VM.
 	stopping atomic.Bool
-	// unknown are names of header fields in answers that nobody reads, unreadable are fields with values that cannot be read.
-	unknown, unreadable names
+	// unknown are the names of response header fields that the codec does not recognize, unreadable are
+	// fields whose values cannot be parsed. Each is logged once.
+	unknown, unreadable nameSet
 	metrics             *metrics
 }
 
-// New returns a gate; id names this VM in this life.
+// New returns a gate. The id identifies this process: the VM and its incarnation.
 func New(n Needs, b Bounds, id decide.GateID) *Gate {
 	return &Gate{Needs: n, bounds: b, id: id, started: n.Clock.Now(), metrics: newMetrics()}
 }
 
-// Stop asks callers to open their next connection elsewhere.
+// Stop makes each further response close its connection, so that clients reconnect to another VM.
 func (g *Gate) Stop() { g.stopping.Store(true) }
 
-// keyShare is the share of Bounds.Revoke up to which the word of the store may be
-// old: what is left is for the request to reach its upstream.
-const keyShare = 0.8
+// keyAgeShare is the maximum age of the known keys as a share of Bounds.Revoke. The remainder is
+// the time that the request needs to reach its upstream.
+const keyAgeShare = 0.8
 
-// flight is one request on its way.
-type flight struct {
-	gate    *Gate
-	w       http.ResponseWriter
-	r       *http.Request
-	head    exchange.Head
-	route   *route.Route
-	holder  *route.Workspace
-	service route.ServiceID
-	body    []byte
-	// keyed is set where callers prove themselves by a key.
-	keyed   bool
-	arrived clock.Milli
-	// deadline is when the final answer is due.
+// request is one client request while the gate handles it.
+type request struct {
+	gate      *Gate
+	w         http.ResponseWriter
+	r         *http.Request
+	head      exchange.Head
+	route     *route.Route
+	workspace *route.Workspace
+	service   route.ServiceID
+	body      []byte
+	// keyRequired is set if clients authenticate by a key.
+	keyRequired bool
+	arrived     clock.Milli
+	// deadline is the time by which the final response must be sent.
 	deadline    clock.Milli
 	fingerprint uint64
-	// story is what the log line at the end tells.
-	story story
-	// begun is set once a byte of the answer went to the caller.
-	begun bool
-	// last is the id of the last event that the caller has whole.
-	last  string
-	avoid []decide.UpstreamID
+	// record collects the values of the log line that is written when the request ends.
+	record record
+	// started is set once the response to the client has begun.
+	started bool
+	// lastEventID is the id of the last event that was passed to the client completely.
+	lastEventID string
+	avoid       []decide.UpstreamID
 }
 
 // ServeHTTP serves one request.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &flight{gate: g, w: w, r: r, arrived: g.Clock.Now()}
+	x := &request{gate: g, w: w, r: r, arrived: g.Clock.Now()}
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	err := x.serve()
-	if err != nil && !x.begun {
+	if err != nil && !x.started {
 		x.refuse(err)
 	}
 	x.logEnd(err)
-	if err != nil && x.begun {
-		// Only a broken connection tells the caller that its answer is not whole.
+	if err != nil && x.started {
+		// Only a broken connection shows the client that its response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serve admits and runs the request. An error has not been answered yet.
-func (x *flight) serve() *fault.Error {
+// serve admits and runs the request. If it returns an error, the error has not been sent to the
+// client yet.
+func (x *request) serve() *fault.Error {
 	if err := x.admit(); err != nil {
 		return err
 	}
-	release, err := x.room()
+	release, err := x.reserveBody()
 	if err != nil {
 		return err
 	}
 	defer release()
-	if err := x.read(); err != nil {
+	if err := x.readBody(); err != nil {
 		return err
 	}
 	x.fingerprint = x.hash()
-	x.story.read = x.passed()
-	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.clockDeadline(), errDeadline)
+	x.record.read = x.elapsed()
+	ctx, cancel := context.WithDeadlineCause(x.r.Context(), x.runtimeDeadline(), errDeadline)
 	defer cancel()
 	return x.run(ctx)
 }
 
-// passed is the time since the request's arrival.
-func (x *flight) passed() clock.Milli { return x.gate.Clock.Now() - x.arrived }
+// elapsed returns the time since the request's arrival.
+func (x *request) elapsed() clock.Milli { return x.gate.Clock.Now() - x.arrived }
 
-// admit finds the route and proves the workspace.
-func (x *flight) admit() *fault.Error {
+// admit finds the route and checks the client's key.
+func (x *request) admit() *fault.Error {
 	g := x.gate
 	head, err := g.Codec.Head(x.r.Header)
 	x.head = head
-	x.awaitKnowledge()
+	x.awaitDocument()
 	v := g.Knowledge.View()
 	if v.Table == nil || v.UpstreamsAt == 0 {
-		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(startRetry)
+		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(notReadyRetry)
 	}
-	x.story.revision, x.story.age = uint64(v.Table.Revision()), max(x.arrived-v.TableAt, 0)
+	x.record.revision, x.record.age = uint64(v.Table.Revision()), max(x.arrived-v.TableAt, 0)
 	if err != nil {
 		return fault.New(fault.Malformed, "%v", err)
 	}
-	stale := x.story.age > g.bounds.Config
+	stale := x.record.age > g.bounds.Config
 	path, _, _ := strings.Cut(x.r.RequestURI, "?")
 	x.route = v.Table.Find(x.r.Host, path)
 	if x.route == nil {
-		return x.absent(stale, fault.New(fault.Unknown, "no route for %s%s", x.r.Host, path))
+		return x.notFound(stale, fault.New(fault.Unknown, "no route for %s%s", x.r.Host, path))
 	}
 	x.service = x.route.Pick(xxhash.Sum64String(head.ID))
 	x.deadline = x.arrived + x.route.Timeout
 	if head.Left > 0 {
 		x.deadline = min(x.deadline, x.arrived+head.Left)
 	}
-	x.keyed = v.Table.Keyed()
-	if !x.keyed {
+	x.keyRequired = v.Table.Keyed()
+	if !x.keyRequired {
 		return nil
 	}
-	x.holder = v.Table.Holder(head.Key)
+	x.workspace = v.Table.Holder(head.Key)
 	if x.route.Public {
 		return nil
 	}
-	if x.holder == nil {
-		return x.absent(stale, fault.New(fault.Unauthorized, "no workspace holds this key"))
+	if x.workspace == nil {
+		return x.notFound(stale, fault.New(fault.Unauthorized, "no workspace holds this key"))
 	}
-	return x.fresh(v)
+	return x.checkKey(v)
 }
 
-// absent answers what the document does not hold. A document that may be out of date proves nothing:
-// the operator may have added the route or key since.
-func (x *flight) absent(stale bool, err *fault.Error) *fault.Error {
+// notFound returns the fault for a route or key that the document does not contain. If the document
+// may be out of date, the fault is Unavailable instead: the operator may have added the entry since.
+func (x *request) notFound(stale bool, err *fault.Error) *fault.Error {
 	if stale {
-		return fault.New(fault.Unavailable, "the document is too old to tell: %s", err.Text).WithRetry(startRetry)
+		return fault.New(fault.Unavailable, "the document is too old to tell: %s", err.Text).WithRetry(notReadyRetry)
 	}
 	return err
 }
 
-// fresh refuses a key that may have been withdrawn without our knowledge.
-// The way to the store may be silent while the operator takes a key away, so what is known must be young enough each time that one is used.
-func (x *flight) fresh(v *registry.View) *fault.Error {
-	if !x.keyed || x.route.Public {
+// checkKey refuses a key that may have been revoked without this VM's knowledge. The operator can
+// revoke a key while the store does not respond, so the age of the known keys is checked
+// before each send.
+func (x *request) checkKey(v *registry.View) *fault.Error {
+	if !x.keyRequired || x.route.Public {
 		return nil
 	}
 	age := x.gate.Clock.Now() - v.TableAt
-	if float64(age) > keyShare*float64(x.gate.bounds.Revoke) {
-		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(startRetry)
+	if float64(age) > keyAgeShare*float64(x.gate.bounds.Revoke) {
+		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(notReadyRetry)
 	}
-	if x.holder != nil && v.Table.Holder(x.head.Key) != x.holder {
-		if x.holder = v.Table.Holder(x.head.Key); x.holder == nil {
+	if x.workspace != nil && v.Table.Holder(x.head.Key) != x.workspace {
+		if x.workspace = v.Table.Holder(x.head.Key); x.workspace == nil {
 			return fault.New(fault.Unauthorized, "the key was withdrawn")
 		}
 	}
 	return nil
 }
 
-// hash is equal for requests with the same content.
-func (x *flight) hash() uint64 {
+// hash returns the fingerprint of the request: method, host, URI, workspace and body.
+func (x *request) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	for _, s := range []string{x.r.Method, x.r.Host, x.r.RequestURI, string(x.workspace())} {
+	for _, s := range []string{x.r.Method, x.r.Host, x.r.RequestURI, string(x.workspaceID())} {
 		_, _ = d.WriteString(s)
 		_, _ = d.Write([]byte{0})
 	}
@@ -271,10 +283,10 @@
 	return d.Sum64()
 }
 
-// workspace is the team that is charged; empty on routes that need no key.
-func (x *flight) workspace() decide.WorkspaceID {
-	if x.holder == nil {
+// workspaceID returns the workspace that is charged; empty if the request carries no known key.
+func (x *request) workspaceID() decide.WorkspaceID {
+	if x.workspace == nil {
 		return ""
 	}
-	return x.holder.ID
+	return x.workspace.ID
 }
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -31,7 +31,7 @@
 	"snipeshift.example/lib/route"
 )
 
-// testCodec is a protocol of few headers, so that these tests know no platform's names.
+// testCodec is a minimal protocol, so that these tests do not depend on header names of a platform.
 type testCodec struct{}
 
 func (testCodec) Head(h http.Header) (exchange.Head, error) {
@@ -51,15 +51,15 @@
 }
 
 func (testCodec) Word(resp *http.Response, id string) exchange.Word {
-	word := exchange.Word{Mine: resp.Header.Get("Id") == id, Genuine: resp.Header.Get("Mark") != "", Idle: resp.Header.Get("Idle") != ""}
+	head := exchange.Word{Mine: resp.Header.Get("Id") == id, Genuine: resp.Header.Get("Mark") != "", Idle: resp.Header.Get("Idle") != ""}
 	if rate, err := strconv.ParseFloat(resp.Header.Get("Limit"), 64); err == nil {
-		word.Said.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
+		head.Said.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
 	}
-	if rest, err := strconv.ParseInt(resp.Header.Get("Rest"), 10, 64); err == nil {
-		word.Said.Rest = clock.Milli(rest)
+	if backOff, err := strconv.ParseInt(resp.Header.Get("Rest"), 10, 64); err == nil {
+		head.Said.Rest = clock.Milli(backOff)
 	}
-	word.Said.Leaving = resp.Header.Get("Leaving") != ""
-	return word
+	head.Said.Leaving = resp.Header.Get("Leaving") != ""
+	return head
 }
 
 func (testCodec) Answer(to, from http.Header) {
@@ -76,23 +76,23 @@
 	}
 }
 
-// inTurn places sends on upstreams in turn, leaving out those to avoid.
-type inTurn struct {
+// testPlacer grants each request the first upstream of its list that the request does not avoid.
+type testPlacer struct {
 	mu        sync.Mutex
 	upstreams []route.Upstream
 	outcomes  []span.Outcome
-	// again holds for each question whether something had been sent before, counted whether nothing was sent under the last grant.
+	// again and counted record the fields Again and Counted of each Ask.
 	again, counted []bool
-	said           *statement.Table
-	// wait is how long a place takes to come, during which during is called.
+	statements     *statement.Table
+	// wait is how long each Ask takes; during is called before it.
 	wait   time.Duration
 	during func()
 	refuse fault.Kind
-	// helpers are those of every grant.
+	// helpers are the helpers in each grant.
 	helpers []span.Place
 }
 
-func (p *inTurn) Ask(ctx context.Context, _ route.ServiceID, a span.Ask) (placer.AskReply, error) {
+func (p *testPlacer) Ask(ctx context.Context, _ route.ServiceID, a span.Ask) (placer.AskReply, error) {
 	if p.during != nil {
 		p.during()
 	}
@@ -121,41 +121,41 @@
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
 }
 
-func (p *inTurn) First(decide.RequestID) {}
+func (p *testPlacer) First(decide.RequestID) {}
 
-func (p *inTurn) End(_ decide.RequestID, o span.Outcome, _ decide.UpstreamID) {
+func (p *testPlacer) End(_ decide.RequestID, o span.Outcome, _ decide.UpstreamID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, o)
 }
 
-func (p *inTurn) Withdraw(route.ServiceID, decide.RequestID) {}
+func (p *testPlacer) Withdraw(route.ServiceID, decide.RequestID) {}
 
-func (p *inTurn) Hear(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+func (p *testPlacer) Hear(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.said.Learn(u, st)
+	p.statements.Learn(u, st)
 }
 
-func (p *inTurn) Binding(_ route.ServiceID, l span.Place) (statement.Statement, bool) {
+func (p *testPlacer) Binding(_ route.ServiceID, l span.Place) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.said.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
+	return p.statements.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
 }
 
-// fixed is knowledge that a test sets.
-type fixed struct {
+// testRegistry is a Registry whose view a test sets.
+type testRegistry struct {
 	mu   sync.Mutex
 	view *registry.View
-	// known is closed once a document was set.
+	// known is closed once a document has been set.
 	known chan struct{}
 }
 
-func (f *fixed) View() *registry.View { f.mu.Lock(); defer f.mu.Unlock(); return f.view }
+func (f *testRegistry) View() *registry.View { f.mu.Lock(); defer f.mu.Unlock(); return f.view }
 
-func (f *fixed) Known() <-chan struct{} { return f.known }
+func (f *testRegistry) Known() <-chan struct{} { return f.known }
 
-func (f *fixed) set(v *registry.View) {
+func (f *testRegistry) set(v *registry.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Table == nil && v.Table != nil {
@@ -164,38 +164,40 @@
 	f.view = v
 }
 
-// unknown is the knowledge of a VM that has just started.
-func unknown() *fixed { return &fixed{view: &registry.View{}, known: make(chan struct{})} }
+// emptyRegistry returns the registry of a VM that has just started.
+func emptyRegistry() *testRegistry {
+	return &testRegistry{view: &registry.View{}, known: make(chan struct{})}
+}
 
-// noSuspects finds every request the same, and notes which of its sends were whole.
-type noSuspects struct {
+// testSuspects gives the same verdict on every request, and records the argument whole of each End.
+type testSuspects struct {
 	check gate.Verdict
 	whole *[]bool
 }
 
-func (n noSuspects) Check(uint64) gate.Verdict { return n.check }
-func (noSuspects) Begin(uint64) bool           { return true }
-func (n noSuspects) End(_ uint64, whole bool) {
+func (n testSuspects) Check(uint64) gate.Verdict { return n.check }
+func (testSuspects) Begin(uint64) bool           { return true }
+func (n testSuspects) End(_ uint64, whole bool) {
 	if n.whole != nil {
 		*n.whole = append(*n.whole, whole)
 	}
 }
-func (noSuspects) Died(uint64, decide.UpstreamID, decide.Born) {}
-
-// world is a gate before upstreams that a test scripts.
-type world struct {
-	t      *testing.T
-	placer *inTurn
-	known  *fixed
-	gate   *Gate
-	server *httptest.Server
-	// upstreams are the servers behind the placer's.
+func (testSuspects) Died(uint64, decide.UpstreamID, decide.Born) {}
+
+// fixture is a gate with upstreams whose responses a test defines.
+type fixture struct {
+	t        *testing.T
+	placer   *testPlacer
+	registry *testRegistry
+	gate     *Gate
+	server   *httptest.Server
+	// upstreams are the servers of the placer's upstreams.
 	upstreams []*httptest.Server
 	table     *route.Table
 	needs     Needs
 }
 
-// routes are one of each kind, under paths of their names.
+// routes returns one route of each kind, under a prefix equal to its name.
 func routes(timeout clock.Milli) []route.Route {
 	r := func(name string, repeat route.Repeat, stream bool) route.Route {
 		return route.Route{
@@ -206,9 +208,9 @@
 	return []route.Route{r("once", route.Once, false), r("again", route.Repeatable, false), r("stream", route.Resumable, true), r("stream1", route.Once, true)}
 }
 
-func newWorld(t *testing.T, upstreams ...http.HandlerFunc) *world {
+func newFixture(t *testing.T, upstreams ...http.HandlerFunc) *fixture {
 	t.Helper()
-	w := &world{t: t, placer: &inTurn{said: statement.NewTable()}, known: unknown()}
+	w := &fixture{t: t, placer: &testPlacer{statements: statement.NewTable()}, registry: emptyRegistry()}
 	for i, h := range upstreams {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
@@ -217,48 +219,48 @@
 			ID: decide.UpstreamID(fmt.Sprint("u", i)), Service: "s", Address: strings.TrimPrefix(s.URL, "http://"),
 		})
 	}
-	w.learn(2*clock.Second, "key")
+	w.setDocument(2*clock.Second, "key")
 	transport := &http.Transport{DisableCompression: true, DialContext: DialLives((&net.Dialer{}).DialContext)}
 	t.Cleanup(transport.CloseIdleConnections)
 	w.needs = Needs{
-		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Knowledge: w.known,
-		Suspects: noSuspects{}, Kept: transport, Fresh: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Knowledge: w.registry,
+		Suspects: testSuspects{}, Kept: transport, Fresh: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}
 	w.start()
 	return w
 }
 
-func (w *world) start() {
+func (w *fixture) start() {
 	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, Bodies: 1 << 16}, "vm.1")
 	w.server = httptest.NewServer(w.gate)
 	w.t.Cleanup(w.server.Close)
 }
 
-// learn puts a document in force that gives the workspace ward these keys.
-func (w *world) learn(timeout clock.Milli, keys ...route.Key) {
+// setDocument puts a document in force in which the workspace "ward" has these keys.
+func (w *fixture) setDocument(timeout clock.Milli, keys ...route.Key) {
 	d := &route.Document{Revision: 1, Routes: routes(timeout), Workspaces: []route.Workspace{{ID: "ward", Keys: keys}}}
 	t, err := route.Index(d)
 	require.NoError(w.t, err)
 	now := clock.Boot{}.Now()
 	w.table = t
-	w.known.set(&registry.View{
+	w.registry.set(&registry.View{
 		Table: t, TableAt: now, UpstreamsAt: now, Generation: 1, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams},
 	})
 }
 
-// leave puts a list in force in which an upstream leaves; the placer keeps the earlier one.
-func (w *world) leave(id decide.UpstreamID) {
-	v := *w.known.View()
+// markLeaving sets a list of upstreams in which one is leaving; the placer keeps its earlier list.
+func (w *fixture) markLeaving(id decide.UpstreamID) {
+	v := *w.registry.View()
 	us := slices.Clone(w.placer.upstreams)
 	for i := range us {
 		us[i].Leaving = us[i].Leaving || us[i].ID == id
 	}
 	v.Upstreams = map[route.ServiceID][]route.Upstream{"s": us}
-	w.known.set(&v)
+	w.registry.set(&v)
 }
 
-// call sends one request and returns its answer.
-func (w *world) call(method, path, body string) (*http.Response, string, error) {
+// call sends one request and returns its response and the response body.
+func (w *fixture) call(method, path, body string) (*http.Response, string, error) {
 	w.t.Helper()
 	r, err := http.NewRequest(method, w.server.URL+path, strings.NewReader(body))
 	require.NoError(w.t, err)
@@ -274,8 +276,8 @@
 	return resp, string(b), err
 }
 
-// whole answers as a sound upstream does.
-func whole(body string) http.HandlerFunc {
+// respond returns a handler that sends a complete, valid response.
+func respond(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Mark", "m")
@@ -283,8 +285,9 @@
 	}
 }
 
-// raw answers with bytes of the test's own and closes the connection, resetting it if told.
-func raw(t *testing.T, reset bool, answer func(r *http.Request) string) http.HandlerFunc {
+// respondRaw returns a handler that sends arbitrary bytes and closes the connection, with a TCP
+// reset if reset is set.
+func respondRaw(t *testing.T, reset bool, answer func(r *http.Request) string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		c, buffer, err := w.(http.Hijacker).Hijack()
@@ -302,16 +305,16 @@
 	}
 }
 
-// counted counts the requests that reach an upstream.
-func counted(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
+// counting wraps h and counts its requests.
+func counting(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
 		h(w, r)
 	}
 }
 
-// stream writes a stream's events from one id to another.
-func stream(from, to int) string {
+// eventText returns the events of a stream with the ids from and to, and those between them.
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -319,10 +322,10 @@
 	return b.String()
 }
 
-func streamed(text string) http.HandlerFunc {
+func respondStream(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
-		whole(text)(w, r)
+		respond(text)(w, r)
 	}
 }
 
@@ -334,15 +337,15 @@
 	return out
 }
 
-// sheds turns every request away and asks for rest.
-func sheds(w http.ResponseWriter, _ *http.Request) {
+// rejectWithBackOff rejects a request without running it, and asks for a back-off of 3 s.
+func rejectWithBackOff(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Idle", "1")
 	w.Header().Set("Rest", "3000")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// leaving answers as h does, and says that the upstream leaves.
-func leaving(h http.HandlerFunc) http.HandlerFunc {
+// declareLeaving wraps h and declares in each response that the upstream is leaving.
+func declareLeaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
 		h(w, r)
--- a/daemon/relay/life.go
+++ b/daemon/relay/life.go
@@ -10,24 +10,26 @@
 	"snipeshift.example/lib/dial"
 )
 
-// An engine that crashes behind a cut and starts again under its id and address leaves connections that look open: the first request on each
-// would be lost. So the transport, which pools connections by host, is given hosts that name the life.
+// If an engine crashes during a network partition and restarts under the same id and address, the
+// connections to its earlier incarnation still look open, and the first request on each of them would
+// be lost. http.Transport pools connections by host, so the host contains the incarnation.
 
-// lifeMark begins the host of an upstream whose life is known.
-const lifeMark = "life-"
+// incarnationPrefix begins the host of an upstream whose incarnation is known.
+const incarnationPrefix = "life-"
 
-// host is the name under which connections to one life of an upstream are pooled.
-func host(address string, born decide.Born) string {
-	if born == 0 || strings.HasPrefix(address, "[") { // brackets must come first in a host
+// poolHost returns the host under which connections to one incarnation of an upstream are pooled.
+func poolHost(address string, born decide.Born) string {
+	if born == 0 || strings.HasPrefix(address, "[") { // a host with an IPv6 address must begin with the bracket
 		return address
 	}
-	return lifeMark + strconv.FormatInt(int64(born), 36) + "." + address
+	return incarnationPrefix + strconv.FormatInt(int64(born), 36) + "." + address
 }
 
-// DialLives makes a dial of addresses into one that takes hosts of lives as well.
+// DialLives wraps a dial function for plain addresses so that it also accepts hosts made by poolHost,
+// whose incarnation prefix is removed before dialing.
 func DialLives(d dial.Dial) dial.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if rest, ok := strings.CutPrefix(address, lifeMark); ok {
+		if rest, ok := strings.CutPrefix(address, incarnationPrefix); ok {
 			_, address, _ = strings.Cut(rest, ".")
 		}
 		return d(ctx, network, address)
--- a/daemon/relay/metrics.go
+++ b/daemon/relay/metrics.go
@@ -11,13 +11,13 @@
 	"snipeshift.example/lib/decide/statement"
 )
 
-// metrics are the counters and histograms of a gate.
+// metrics holds the counters and histograms of a gate.
 type metrics struct{ set *vm.Set }
 
 func newMetrics() *metrics { return &metrics{set: vm.NewSet()} }
 
-// request counts one request.
-func (m *metrics) request(route, outcome string, first, queued, total clock.Milli) {
+// countRequest counts one request at its end.
+func (m *metrics) countRequest(route, outcome string, first, queued, total clock.Milli) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`snipeshift_requests_total{outcome=%q}`, outcome)).Inc()
 	if first > 0 {
 		m.set.GetOrCreateHistogram(fmt.Sprintf(`snipeshift_first_byte_seconds{route=%q}`, route)).Update(first.Duration().Seconds())
@@ -26,13 +26,13 @@
 	m.set.GetOrCreateHistogram(`snipeshift_request_seconds`).Update(total.Duration().Seconds())
 }
 
-// send counts one send.
-func (m *metrics) send(o span.Outcome) {
+// countSend counts one attempt to send a request to an upstream, by its outcome.
+func (m *metrics) countSend(o span.Outcome) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`snipeshift_sends_total{outcome=%q}`, o)).Inc()
 }
 
-// withheld counts one send that did not happen.
-func (m *metrics) withheld(k statement.Kind) {
+// countWithheld counts one send that a statement of its upstream prevented.
+func (m *metrics) countWithheld(k statement.Kind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`snipeshift_sends_withheld_total{statement=%q}`, k)).Inc()
 }
 
--- a/daemon/relay/refuse.go
+++ b/daemon/relay/refuse.go
@@ -11,32 +11,32 @@
 	"snipeshift.example/lib/fault"
 )
 
-// Times after which refused callers are asked to come back.
+// Retry-After times of refusals.
 const (
-	// startRetry is for a VM that does not know enough yet or any more: another
-	// VM takes the repeat, so it can come soon.
-	startRetry clock.Milli = 200
-	// busyRetry is for a service without room: some streams end within it.
+	// notReadyRetry is for a VM whose data is missing or out of date, or whose buffers are full.
+	// Another VM serves the retry, so the time is short.
+	notReadyRetry clock.Milli = 200
+	// busyRetry is for a service without free capacity: some streams end within this time.
 	busyRetry clock.Milli = 500
 )
 
-// Causes of the end of a send.
+// Causes with which the context of a send is canceled.
 var (
-	errDeadline = errors.New("the time is over")
-	errSilent   = errors.New("the upstream is silent")
+	errDeadline     = errors.New("the time is over")
+	errUnresponsive = errors.New("the upstream is silent")
 )
 
-// clockDeadline is the deadline as an instant of the runtime's clock.
-func (x *flight) clockDeadline() time.Time {
+// runtimeDeadline returns the deadline as a time of the Go runtime's clock.
+func (x *request) runtimeDeadline() time.Time {
 	return time.Now().Add((x.deadline - x.gate.Clock.Now()).Duration())
 }
 
-// left is what remains until the final answer is due.
-func (x *flight) left() clock.Milli { return x.deadline - x.gate.Clock.Now() }
+// timeLeft returns the time that remains until the deadline.
+func (x *request) timeLeft() clock.Milli { return x.deadline - x.gate.Clock.Now() }
 
-// status is the HTTP status of a fault. A request that is kept off engines because it
-// killed some is kept apart from one that is wrong in itself: it did not run this
-// time, and nothing else about it is known.
+// status returns the HTTP status of a fault. A quarantined request (one suspected of crashing
+// upstreams) gets 503 here, not a status for invalid requests: it certainly did not
+// run this time, and nothing else about it is known.
 func status(err *fault.Error) int {
 	if err.Kind == fault.Quarantined {
 		return http.StatusServiceUnavailable
@@ -44,8 +44,8 @@
 	return fault.Lookup(err.Kind).Status
 }
 
-// refuse answers with a fault.
-func (x *flight) refuse(err *fault.Error) {
+// refuse sends a fault to the client.
+func (x *request) refuse(err *fault.Error) {
 	if err.Kind == fault.Canceled {
 		return
 	}
@@ -55,12 +55,13 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	x.w.WriteHeader(status(err))
-	_, _ = x.w.Write([]byte(text)) // a caller that went away has nobody to tell
-	x.story.status = status(err)
+	_, _ = x.w.Write([]byte(text)) // an error means that the client has disconnected
+	x.record.status = status(err)
 }
 
-// ended tells why a context is over.
-func (x *flight) ended(ctx context.Context, sent bool) *fault.Error {
+// endFault returns the fault for a request whose context has ended; sent is set if the request may
+// have run.
+func (x *request) endFault(ctx context.Context, sent bool) *fault.Error {
 	if !errors.Is(context.Cause(ctx), errDeadline) && x.r.Context().Err() != nil {
 		return fault.New(fault.Canceled, "the caller went away")
 	}
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -23,15 +23,15 @@
 	"snipeshift.example/lib/route"
 )
 
-func TestAnAnswerIsPassedOnWhole(t *testing.T) {
-	w := newWorld(t, func(w http.ResponseWriter, r *http.Request) {
+func TestResponseIsPassedOnUnchanged(t *testing.T) {
+	w := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Seen", r.Method+" "+r.RequestURI+" "+string(body)+" "+r.Header.Get("Workspace")+r.Header.Get("Key"))
 		_, has := r.Header["User-Agent"]
 		w.Header().Set("Agent", fmt.Sprint(has))
 		_, has = r.Header["Accept-Encoding"]
 		w.Header().Set("Encoding", fmt.Sprint(has))
-		whole("fine")(w, r)
+		respond("fine")(w, r)
 	})
 	r, err := http.NewRequest(http.MethodPut, w.server.URL+"/once/a%2Fb//c/../d?x=%20&y", strings.NewReader("body"))
 	require.NoError(t, err)
@@ -50,13 +50,14 @@
 	require.Equal(t, "false", resp.Header.Get("Encoding"))
 }
 
-// An upstream takes a notice and its connection breaks. Nobody knows whether it went
-// out. Sent again, residents get two; told "not run", the caller sends it again.
-func TestWhatMayHaveRunOnceIsNotSentAgain(t *testing.T) {
+// An upstream accepts a notice to residents, and the connection breaks, so it is unknown whether
+// the notice was sent out. If the gate retried, or reported "not run" so that the client retries,
+// residents could get it twice.
+func TestNonRepeatableRequestIsNotRetried(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		var runs atomic.Int64
-		h := counted(&runs, raw(t, reset, func(*http.Request) string { return "" }))
-		w := newWorld(t, h, h)
+		h := counting(&runs, respondRaw(t, reset, func(*http.Request) string { return "" }))
+		w := newFixture(t, h, h)
 		resp, _, err := w.call(http.MethodPost, "/once/x", "notice")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusBadGateway, resp.StatusCode)
@@ -64,9 +65,9 @@
 	}
 }
 
-// The same break for what may be repeated is no reason to bother the caller.
-func TestWhatMayBeRepeatedIsSentElsewhere(t *testing.T) {
-	w := newWorld(t, raw(t, true, func(*http.Request) string { return "" }), whole("fine"))
+// The connection breaks during a request that may be repeated. The client must not notice.
+func TestRepeatableRequestIsRetriedElsewhere(t *testing.T) {
+	w := newFixture(t, respondRaw(t, true, func(*http.Request) string { return "" }), respond("fine"))
 	resp, body, err := w.call(http.MethodGet, "/again/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
@@ -74,33 +75,32 @@
 	require.Equal(t, []span.Outcome{span.Broken, span.Done}, w.placer.outcomes)
 }
 
-// A kept connection is closed by the upstream just as the next request is written to it.
-// The HTTP client of the library sends such a request again by itself, which no
-// budget counts and no limit of attempts knows.
-func TestTheLibrarySendsNothingAgainByItself(t *testing.T) {
+// The upstream closes a pooled connection just as the next request is written to it. The transport of
+// net/http would retry such a request by itself, bypassing the retry budget and the limit of attempts.
+func TestTransportDoesNotRetry(t *testing.T) {
 	var runs atomic.Int64
-	h := counted(&runs, func(w http.ResponseWriter, r *http.Request) {
+	h := counting(&runs, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/again/first" {
-			whole("fine")(w, r)
+			respond("fine")(w, r)
 			return
 		}
-		raw(t, true, func(*http.Request) string { return "" })(w, r)
+		respondRaw(t, true, func(*http.Request) string { return "" })(w, r)
 	})
-	w := newWorld(t, h)
+	w := newFixture(t, h)
 	_, _, err := w.call(http.MethodGet, "/again/first", "")
 	require.NoError(t, err)
 	_, _, err = w.call(http.MethodGet, "/again/second", "")
 	require.NoError(t, err)
-	require.EqualValues(t, 2, runs.Load(), "the first, and the second once")
+	require.EqualValues(t, 2, runs.Load(), "each request must be sent once")
 }
 
-// A late second answer of an upstream lies on a kept connection where the next
-// answer is expected. Its caller would read somebody else's.
-func TestAnAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	foreign := raw(t, false, func(*http.Request) string {
+// An upstream sends a late second response on a pooled connection, where the next response is expected.
+// The next client would receive the response to another client's request.
+func TestResponseToAnotherRequestIsNotPassedOn(t *testing.T) {
+	mismatched := respondRaw(t, false, func(*http.Request) string {
 		return "HTTP/1.1 200 OK\r\nId: other\r\nMark: m\r\nContent-Length: 6\r\n\r\nsecret"
 	})
-	w := newWorld(t, foreign, whole("mine"))
+	w := newFixture(t, mismatched, respond("mine"))
 	_, body, err := w.call(http.MethodGet, "/again/x", "")
 	require.NoError(t, err)
 	require.Equal(t, "mine", body)
@@ -110,40 +110,41 @@
 	require.NotContains(t, body, "secret")
 }
 
-// Something between the ends answers 200 in the upstream's place. Nothing ran, and
-// the caller would believe that its notice went out.
-func TestAnAnswerWithoutTheUpstreamsMarkIsNotPassedOn(t *testing.T) {
-	forged := func(w http.ResponseWriter, r *http.Request) {
+// An intermediary responds with 200 in place of the upstream. Nothing ran, but the client would
+// assume that its notice was sent out.
+func TestUnsignedResponseIsNotPassedOn(t *testing.T) {
+	unsigned := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		_, _ = io.WriteString(w, "ok")
 	}
-	w := newWorld(t, forged)
+	w := newFixture(t, unsigned)
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
-// An upstream stops in the middle of its answer. Passed on as it is, the half looks whole.
-func TestATornAnswerIsNotPassedOn(t *testing.T) {
-	torn := raw(t, false, func(r *http.Request) string {
+// An upstream stops in the middle of its response. If the gate passed the part on, it would look
+// complete.
+func TestTruncatedResponseIsNotPassedOn(t *testing.T) {
+	truncated := respondRaw(t, false, func(r *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: m\r\nContent-Length: 60\r\n\r\nhalf of"
 	})
-	w := newWorld(t, torn)
+	w := newFixture(t, truncated)
 	resp, body, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 	require.NotContains(t, body, "half")
 }
 
-// An upstream's own failure is its answer, also where nothing better comes.
-func TestAFailureOfTheUpstreamIsPassedOn(t *testing.T) {
+// An upstream's error response is passed on to the client, also after a retry that fails as well.
+func TestUpstreamErrorResponseIsPassedOn(t *testing.T) {
 	failing := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Mark", "m")
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "broken")
 	}
-	w := newWorld(t, failing, failing)
+	w := newFixture(t, failing, failing)
 	for _, path := range []string{"/once/x", "/again/x"} {
 		resp, body, err := w.call(http.MethodPost, path, "")
 		require.NoError(t, err)
@@ -153,39 +154,40 @@
 	}
 }
 
-// A full upstream says that it ran nothing. That is no run, also for what must run once.
-func TestWhatWasTurnedAwayGoesElsewhere(t *testing.T) {
+// A full upstream declares that it did not run the request. The request may then be sent to another
+// upstream, even if it must run at most once.
+func TestRejectedRequestIsSentElsewhere(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Idle", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	w := newWorld(t, full, whole("fine"))
+	w := newFixture(t, full, respond("fine"))
 	_, body, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, "fine", body)
-	w = newWorld(t, full, full)
+	w = newFixture(t, full, full)
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// An engine dies in the middle of a stream, and in the middle of an event. The
-// caller must get each event once, and notice nothing.
-func TestAStreamIsContinuedElsewhere(t *testing.T) {
+// An engine crashes in the middle of a stream and of an event. The client must receive each event
+// exactly once.
+func TestStreamIsContinuedElsewhere(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		half := raw(t, reset, func(r *http.Request) string {
+		half := respondRaw(t, reset, func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: first\r\nTransfer-Encoding: chunked\r\n\r\n" +
-				chunked(stream(1, 3)+"id: 4\nda")
+				chunked(eventText(1, 3)+"id: 4\nda")
 		})
 		var last string
-		w := newWorld(t, half, func(w http.ResponseWriter, r *http.Request) {
+		w := newFixture(t, half, func(w http.ResponseWriter, r *http.Request) {
 			last = r.Header.Get("Last")
-			streamed(stream(4, 6))(w, r)
+			respondStream(eventText(4, 6))(w, r)
 		})
 		resp, body, err := w.call(http.MethodPost, "/stream/x", "")
 		require.NoError(t, err)
-		require.Equal(t, stream(1, 6), body)
+		require.Equal(t, eventText(1, 6), body)
 		require.Equal(t, "3", last)
 		require.Equal(t, "first", resp.Header.Get("Mark"), "the header is that of the first upstream")
 	}
@@ -193,64 +195,64 @@
 
 func chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// The same death for a stream that cannot be continued. The caller must see that it
-// is not whole: its connection breaks.
-func TestAStreamThatCannotBeContinuedBreaks(t *testing.T) {
-	half := raw(t, true, func(r *http.Request) string {
-		return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(stream(1, 3))
+// An engine crashes in the middle of a stream that cannot be continued. The connection to the
+// client must break, so that the client sees that the stream is incomplete.
+func TestNonResumableStreamBreaks(t *testing.T) {
+	half := respondRaw(t, true, func(r *http.Request) string {
+		return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(eventText(1, 3))
 	})
-	w := newWorld(t, half, streamed(stream(1, 6)))
+	w := newFixture(t, half, respondStream(eventText(1, 6)))
 	_, body, err := w.call(http.MethodPost, "/stream1/x", "")
 	require.Error(t, err)
 	require.NotContains(t, body, "piece 4")
 }
 
-// The first engine answers with a failure of its own, which is kept in case nothing better comes. The
-// second one begins the stream and dies. The kept failure must not be written behind the
-// events: the caller would see a stream that ends in order, and take it for whole.
-func TestAStreamThatBreaksAfterAFailureIsNotEndedByIt(t *testing.T) {
+// The first engine sends an error response, which is kept in case no retry succeeds. The second
+// engine begins the stream and crashes. The kept response must not be written after the events: the
+// client would see a stream that ends regularly and take it for complete.
+func TestBrokenStreamIsNotEndedByKeptErrorResponse(t *testing.T) {
 	failing := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Mark", "first")
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "broken")
 	}
-	half := raw(t, true, func(r *http.Request) string {
-		return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(stream(1, 3))
+	half := respondRaw(t, true, func(r *http.Request) string {
+		return "HTTP/1.1 200 OK\r\nId: " + r.Header.Get("Id") + "\r\nMark: m\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(eventText(1, 3))
 	})
-	w := newWorld(t, failing, half)
+	w := newFixture(t, failing, half)
 	_, body, err := w.call(http.MethodPost, "/stream/x", "")
 	require.Error(t, err)
 	require.NotContains(t, body, "broken")
 }
 
-// An engine goes silent in the middle of a stream, and its machine answers no new
-// connection. Callers leave after two seconds.
-func TestASilentStreamIsContinuedElsewhere(t *testing.T) {
+// An engine stops responding in the middle of a stream, and its machine accepts no new connection.
+// Clients disconnect after a pause of two seconds.
+func TestStalledStreamIsContinuedElsewhere(t *testing.T) {
 	stop := make(chan struct{})
 	silent := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		streamed(stream(1, 2))(w, r)
+		respondStream(eventText(1, 2))(w, r)
 		_ = http.NewResponseController(w).Flush()
 		select {
 		case <-stop:
 		case <-r.Context().Done():
 		}
 	}
-	w := newWorld(t, silent, streamed(stream(3, 4)))
+	w := newFixture(t, silent, respondStream(eventText(3, 4)))
 	defer close(stop)
 	began := time.Now()
 	_, body, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
-	require.Equal(t, stream(1, 4), body)
+	require.Equal(t, eventText(1, 4), body)
 	require.Less(t, time.Since(began), 1900*time.Millisecond)
 }
 
-// A caller leaves while its request runs. The engine would work on for nobody.
-func TestTheUpstreamIsStoppedWhenTheCallerLeaves(t *testing.T) {
+// A client disconnects while its request runs. The request to the engine must be canceled.
+func TestUpstreamRequestIsCanceledWhenClientDisconnects(t *testing.T) {
 	stopped := make(chan struct{})
-	w := newWorld(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // the server looks at the connection once the body is read
+	w := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body is read
 		<-r.Context().Done()
 		close(stopped)
 	})
@@ -268,17 +270,17 @@
 	select {
 	case <-stopped:
 	case <-time.After(500 * time.Millisecond):
-		require.Fail(t, "the upstream still works for a caller who left")
+		require.Fail(t, "the upstream still runs the request of a client that has disconnected")
 	}
 }
 
-// An upstream hangs. The operator's time for the route is the caller's last word.
-func TestTheFinalAnswerComesAtTheRoutesTime(t *testing.T) {
-	w := newWorld(t, func(_ http.ResponseWriter, r *http.Request) {
+// An upstream hangs. The client must get its final response at the timeout of the route.
+func TestFinalResponseComesAtRouteTimeout(t *testing.T) {
+	w := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
-	w.learn(300, "key")
+	w.setDocument(300, "key")
 	began := time.Now()
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
@@ -290,28 +292,29 @@
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "nothing was sent")
 }
 
-// The operator takes a key away while a request with it waits for its place. Sent all
-// the same, it would be charged to a team that was shut out.
-func TestAKeyWithdrawnInTheQueueIsNotServed(t *testing.T) {
+// The operator revokes a key while a request with it waits for its grant. If the request were sent, it
+// would be charged to a workspace that no longer has access.
+func TestKeyRevokedInQueueIsNotServed(t *testing.T) {
 	var runs atomic.Int64
-	w := newWorld(t, counted(&runs, whole("fine")))
-	w.placer.during = func() { w.learn(2*clock.Second, "other") }
+	w := newFixture(t, counting(&runs, respond("fine")))
+	w.placer.during = func() { w.setDocument(2*clock.Second, "other") }
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 	require.Zero(t, runs.Load())
 }
 
-// An upstream runs a request and its answer is lost. Before the second send the way to the store has been
-// silent for too long to go on using the key. The caller must not be told that nothing ran.
-func TestARefusalBeforeTheSecondSendDoesNotClaimThatNothingRan(t *testing.T) {
-	w := newWorld(t, raw(t, true, func(*http.Request) string { return "HTTP/1.1 200 OK\r\nCont" }), whole("fine"))
+// An upstream runs a request and its response is lost. Before the second send, the keys known from
+// the store have become too old to be used. The client must not be told that the request did not
+// run.
+func TestRefusalAfterSendDoesNotClaimNotRun(t *testing.T) {
+	w := newFixture(t, respondRaw(t, true, func(*http.Request) string { return "HTTP/1.1 200 OK\r\nCont" }), respond("fine"))
 	asked := 0
 	w.placer.during = func() {
 		if asked++; asked == 2 {
-			v := *w.known.View()
+			v := *w.registry.View()
 			v.TableAt -= 4500
-			w.known.set(&v)
+			w.registry.set(&v)
 		}
 	}
 	resp, _, err := w.call(http.MethodPost, "/again/x", "")
@@ -320,29 +323,29 @@
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
-// A key moves from one team to another while a request with it waits.
-func TestAKeyThatMovedIsChargedToItsNewHolder(t *testing.T) {
-	w := newWorld(t, func(w http.ResponseWriter, r *http.Request) { whole(r.Header.Get("Workspace"))(w, r) })
+// A key is moved from one workspace to another while a request with it waits.
+func TestMovedKeyIsChargedToNewWorkspace(t *testing.T) {
+	w := newFixture(t, func(w http.ResponseWriter, r *http.Request) { respond(r.Header.Get("Workspace"))(w, r) })
 	w.placer.during = func() {
 		d := &route.Document{Revision: 2, Routes: routes(clock.Second), Workspaces: []route.Workspace{{ID: "desk", Keys: []route.Key{"key"}}}}
 		tb, err := route.Index(d)
 		require.NoError(t, err)
-		v := *w.known.View()
+		v := *w.registry.View()
 		v.Table = tb
-		w.known.set(&v)
+		w.registry.set(&v)
 	}
 	_, body, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, "desk", body)
 }
 
-// The way to the store is silent for seconds. Keys may have been withdrawn and
-// routes added without our knowledge.
-func TestOldKnowledgeProvesNothing(t *testing.T) {
-	w := newWorld(t, whole("fine"))
+// The store has not responded for seconds. Keys may have been revoked and routes added without this
+// VM's knowledge.
+func TestRequestsWithOutdatedDocument(t *testing.T) {
+	w := newFixture(t, respond("fine"))
 	age := func(ms clock.Milli) {
 		now := clock.Boot{}.Now()
-		w.known.set(&registry.View{Table: w.table, TableAt: now - ms, UpstreamsAt: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
+		w.registry.set(&registry.View{Table: w.table, TableAt: now - ms, UpstreamsAt: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
 	}
 	status := func(path string) int {
 		resp, _, err := w.call(http.MethodPost, path, "")
@@ -355,45 +358,46 @@
 	require.Equal(t, http.StatusOK, status("/once/"))
 	age(4500)
 	require.Equal(t, http.StatusServiceUnavailable, status("/once/"))
-	w.known.set(&registry.View{})
+	w.registry.set(&registry.View{})
 	require.Equal(t, http.StatusServiceUnavailable, status("/once/"))
 }
 
-// The owner's list is older than ours: it names an upstream that has left.
-func TestAnUpstreamThatLeftGetsNothingNew(t *testing.T) {
+// The owner's list of upstreams is older than this VM's and contains an upstream that has left.
+func TestNothingIsSentToUpstreamThatLeft(t *testing.T) {
 	var runs atomic.Int64
-	w := newWorld(t, counted(&runs, whole("gone")), whole("fine"))
-	v := *w.known.View()
+	w := newFixture(t, counting(&runs, respond("gone")), respond("fine"))
+	v := *w.registry.View()
 	v.Upstreams = map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams[1:]}
-	w.known.set(&v)
+	w.registry.set(&v)
 	_, body, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, "fine", body)
 	require.Zero(t, runs.Load())
 }
 
-// A request has killed two engines, and its caller sends it again.
-func TestAQuarantinedRequestIsNotSent(t *testing.T) {
+// A request has crashed two engines, and its client sends it again.
+func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	var runs atomic.Int64
-	w := newWorld(t, counted(&runs, whole("fine")))
-	w.needs.Suspects = noSuspects{check: gate.Quarantined}
+	w := newFixture(t, counting(&runs, respond("fine")))
+	w.needs.Suspects = testSuspects{check: gate.Quarantined}
 	w.start()
 	resp, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Empty(t, resp.Header.Get("Retry-After"), "coming back does not help")
+	require.Empty(t, resp.Header.Get("Retry-After"), "a retry does not help")
 	require.Zero(t, runs.Load())
 }
 
-// Callers send large bodies all at once. Held without bound they would take the VM down.
-func TestBodiesBeyondTheRoomAreRefused(t *testing.T) {
+// Many clients send large bodies at the same time. Buffered without a bound, they would exhaust the
+// VM's memory.
+func TestBodiesBeyondBufferBoundAreRefused(t *testing.T) {
 	hold := make(chan struct{})
 	in := make(chan struct{}, 1)
-	w := newWorld(t, func(w http.ResponseWriter, r *http.Request) {
+	w := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		in <- struct{}{}
 		<-hold
-		whole("fine")(w, r)
+		respond("fine")(w, r)
 	})
 	large := strings.Repeat("x", 40<<10)
 	first := make(chan string, 1)
@@ -413,11 +417,11 @@
 	require.Eventually(t, func() bool { return w.gate.bodies.Load() == 0 }, time.Second, time.Millisecond)
 }
 
-// A caller sends half of its body and then nothing. The request has not run, and must
-// not hold its place for ever.
-func TestATrickledBodyIsRefusedInTime(t *testing.T) {
-	w := newWorld(t, whole("fine"))
-	w.learn(300, "key")
+// A client sends half of its request body and then nothing. The request has not run, and must not
+// occupy buffer space for ever.
+func TestIncompleteBodyIsRefusedAtTimeout(t *testing.T) {
+	w := newFixture(t, respond("fine"))
+	w.setDocument(300, "key")
 	c, err := net.Dial("tcp", w.server.Listener.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
@@ -431,8 +435,8 @@
 	require.Zero(t, w.gate.bodies.Load())
 }
 
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
-	w := newWorld(t, whole("fine"))
+func TestRefusalHasRetryAfter(t *testing.T) {
+	w := newFixture(t, respond("fine"))
 	w.placer.refuse = fault.Overloaded
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
@@ -440,7 +444,7 @@
 	require.Equal(t, "0.5", resp.Header.Get("Retry-After"))
 }
 
-func TestEventsAreReadWhole(t *testing.T) {
+func TestEventsAreReadCompletely(t *testing.T) {
 	es := newEvents(strings.NewReader("id: 7\r\ndata: x\r\n\r\n: comment\n\ndata: " + strings.Repeat("y", 9000) + "\nid:8\n\nid: 9\ndata"))
 	for _, want := range []string{"7", "7", "8"} {
 		event, err := es.next()
@@ -449,7 +453,7 @@
 		require.Equal(t, want, es.id)
 	}
 	_, err := es.next()
-	require.ErrorIs(t, err, errTorn)
+	require.ErrorIs(t, err, errTruncated)
 }
 
 func FuzzEvents(f *testing.F) {
@@ -469,9 +473,9 @@
 	})
 }
 
-// An upstream names its limit while it turns requests away, fails, or has only begun a stream. A gate that reads whole answers alone
-// would flood it.
-func TestEveryAnswerOfAnUpstreamMayNameItsLimit(t *testing.T) {
+// An upstream declares its rate limit in a rejection, in an error response, or at the beginning of
+// a stream. A gate that evaluated only complete responses would exceed the limit.
+func TestRateLimitInResponsesOfAnyKind(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"turned away": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Idle", "1")
@@ -482,33 +486,33 @@
 			w.Header().Set("Mark", "m")
 			w.WriteHeader(http.StatusInternalServerError)
 		},
-		"stream": streamed(stream(1, 2)),
+		"stream": respondStream(eventText(1, 2)),
 	} {
-		w := newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
+		w := newFixture(t, func(rw http.ResponseWriter, r *http.Request) {
 			rw.Header().Set("Limit", "2.5")
 			answer(rw, r)
 		})
 		_, _, _ = w.call(http.MethodPost, "/stream/", "")
-		s, ok := w.placer.said.Of("u0", statement.Limit)
+		s, ok := w.placer.statements.Of("u0", statement.Limit)
 		require.True(t, ok, name)
 		require.True(t, s.Named, name)
 		require.InDelta(t, 2.5, float64(s.Rate), 0, name)
 	}
 }
 
-// An answer without a limit is on its way while another one names it. Its request was sent before, so it does not say that the
-// limit is over.
-func TestAnOvertakenAnswerEndsNoLimit(t *testing.T) {
+// A response without a limit arrives after another one that declares a limit. Its request was sent
+// earlier, so it must not end the limit.
+func TestOvertakenResponseDoesNotEndLimit(t *testing.T) {
 	release := make(chan struct{})
 	var calls atomic.Int64
-	w := newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
+	w := newFixture(t, func(rw http.ResponseWriter, r *http.Request) {
 		switch calls.Add(1) {
 		case 1:
 			<-release
 		case 2:
 			rw.Header().Set("Limit", "2.5")
 		}
-		whole("answer")(rw, r)
+		respond("answer")(rw, r)
 	})
 	done := make(chan struct{})
 	go func() {
@@ -519,11 +523,11 @@
 	_, _, _ = w.call(http.MethodPost, "/once/", "")
 	close(release)
 	<-done
-	s, _ := w.placer.said.Of("u0", statement.Limit)
+	s, _ := w.placer.statements.Of("u0", statement.Limit)
 	require.True(t, s.Named)
 	require.Eventually(t, func() bool {
 		_, _, _ = w.call(http.MethodPost, "/once/", "")
-		s, _ = w.placer.said.Of("u0", statement.Limit)
+		s, _ = w.placer.statements.Of("u0", statement.Limit)
 		return !s.Named
-	}, time.Second, time.Millisecond, "requests that are sent later are answered without a limit")
+	}, time.Second, time.Millisecond, "responses to later requests without a limit must end it")
 }
--- a/daemon/relay/reserve.go
+++ b/daemon/relay/reserve.go
@@ -18,47 +18,48 @@
 	"snipeshift.example/lib/route"
 )
 
-// Times of reserved memory.
+// Times for reserved memory.
 const (
-	// reserveHold is how long an engine keeps memory without a renewal. A VM that loses
-	// power cannot free what it reserved; engines want it back within four
-	// seconds after the last request that used it.
+	// reserveHold is how long an engine keeps reserved memory without a renewal. A VM that
+	// loses power cannot release its reservations, and engines require reserved memory
+	// to be released within four seconds after the last request that used it.
 	reserveHold = 2500 * clock.Milli(1)
-	// renewEvery leaves room for one lost renewal.
-	renewEvery = time.Second
-	// reserveTimeout bounds an order; an engine answers within milliseconds.
+	// renewInterval is short enough that the reservation survives one lost renewal.
+	renewInterval = time.Second
+	// reserveTimeout bounds one call to reserve or release; an engine responds within milliseconds.
 	reserveTimeout = 250 * time.Millisecond
 )
 
-// reservation is KV memory that helpers hold for one send.
+// reservation is KV memory reserved on the helpers of one send. Helpers are the engines that
+// compute parts of the prefill for the leader of a group.
 type reservation struct {
 	gate    *Gate
 	id      string
 	service route.ServiceID
-	held    []held
+	parts   []helperMemory
 	stop    context.CancelFunc
 	done    sync.WaitGroup
 }
 
-// held is memory at one helper.
-type held struct {
+// helperMemory is the memory reserved on one helper.
+type helperMemory struct {
 	place  span.Place
 	ticket string
 }
 
-// reserve sets memory aside on the helpers that must hold a part of the prompt,
-// on all of them or on none. If one of them does not give it, it is named.
-func (x *flight) reserve(ctx context.Context, grant span.Grant) (*reservation, decide.UpstreamID) {
+// reserve reserves memory on the helpers that must store a part of the prompt, on all of them or
+// on none. It returns the id of a helper that failed, or "".
+func (x *request) reserve(ctx context.Context, grant span.Grant) (*reservation, decide.UpstreamID) {
 	r := &reservation{gate: x.gate, id: x.head.ID, service: x.service, stop: func() {}}
 	for i, p := range grant.Helpers {
 		if p.Reserve > 0 {
-			r.held = append(r.held, held{p, ticket(grant.Request, i)})
+			r.parts = append(r.parts, helperMemory{p, ticket(grant.Request, i)})
 		}
 	}
-	if len(r.held) == 0 {
+	if len(r.parts) == 0 {
 		return r, ""
 	}
-	if culprit := r.all(ctx); culprit != "" {
+	if culprit := r.reserveAll(ctx); culprit != "" {
 		r.free()
 		return r, culprit
 	}
@@ -68,72 +69,73 @@
 	return r, ""
 }
 
-// all orders all memory at once, and names a helper that did not give it.
-func (r *reservation) all(ctx context.Context) decide.UpstreamID {
+// reserveAll reserves or renews the memory of all helpers concurrently. It returns the id of a
+// helper that failed, or "".
+func (r *reservation) reserveAll(ctx context.Context) decide.UpstreamID {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var g errgroup.Group
-	failed := make([]bool, len(r.held))
-	for i, h := range r.held {
+	failed := make([]bool, len(r.parts))
+	for i, h := range r.parts {
 		g.Go(func() error {
 			answer, err := r.gate.Memory.Reserve(ctx, h.place.Address, h.ticket, h.place.Reserve, reserveHold)
-			r.gate.hear(r.service, h.place, &answer.Said)
+			r.gate.reportStatements(r.service, h.place, &answer.Said)
 			if err == nil && !answer.Held {
 				err = errReserve
 			}
 			if err != nil {
 				failed[i] = true
 				r.gate.Log.Warn().Str(logline.Key, logline.Reserve).Str("id", r.id).Str("upstream", string(h.place.Upstream)).
-					Int64("tokens", int64(h.place.Reserve)).Err(err).Msg("no memory reserved")
+					Int64("tokens", int64(h.place.Reserve)).Err(err).Msg("reserving KV memory on a helper failed")
 			}
 			return err
 		})
 	}
-	_ = g.Wait() // each failure is logged
+	_ = g.Wait() // each failure is logged above
 	if i := slices.Index(failed, true); i >= 0 {
-		return r.held[i].place.Upstream
+		return r.parts[i].place.Upstream
 	}
 	return ""
 }
 
-// renew keeps the memory until the send is over.
+// renew extends the reservations until the send ends.
 func (r *reservation) renew(ctx context.Context) {
-	// An engine that refuses a renewal cuts the request off, which the send notices.
-	guard.Every(ctx, renewEvery, func() { r.all(ctx) })
+	// An engine that refuses a renewal also cuts off the request, so the send fails by itself.
+	guard.Every(ctx, renewInterval, func() { r.reserveAll(ctx) })
 }
 
-// free gives the memory back, without making the caller wait for it. No renewal is
-// under way any more, so none can come after the release and take it again.
+// free releases the memory in the background, so that the client does not wait. It first waits
+// until renewals have stopped: a renewal after the release would reserve the memory again.
 func (r *reservation) free() {
 	r.stop()
-	if len(r.held) == 0 {
+	if len(r.parts) == 0 {
 		return
 	}
 	go func() {
 		r.done.Wait()
-		for _, h := range r.held {
+		for _, h := range r.parts {
 			r.release(h)
 		}
 	}()
 }
 
-func (r *reservation) release(h held) {
+func (r *reservation) release(h helperMemory) {
 	ctx, cancel := context.WithTimeout(context.Background(), reserveTimeout)
 	defer cancel()
-	said, err := r.gate.Memory.Release(ctx, h.place.Address, h.ticket)
-	r.gate.hear(r.service, h.place, &said)
+	declared, err := r.gate.Memory.Release(ctx, h.place.Address, h.ticket)
+	r.gate.reportStatements(r.service, h.place, &declared)
 	if err != nil {
 		r.gate.Log.Warn().Str(logline.Key, logline.Release).Str("id", r.id).Str("upstream", string(h.place.Upstream)).
-			Str("ticket", h.ticket).Err(err).Msg("memory could not be freed; it lapses by itself")
+			Str("ticket", h.ticket).Err(err).Msg("releasing reserved KV memory failed; the reservation expires by itself")
 	}
 }
 
-// helpers lists the engines that read parts of the prompt.
+// helpers returns the engines that compute parts of the prefill.
 func (r *reservation) helpers(grant span.Grant) []exchange.Helper {
 	hs := make([]exchange.Helper, len(grant.Helpers))
 	for i, p := range grant.Helpers {
 		hs[i].Address = p.Address
-		for _, h := range r.held {
+		for _, h := range r.parts {
 			if h.place.Upstream == p.Upstream {
 				hs[i].Ticket = h.ticket
 			}
@@ -142,7 +144,8 @@
 	return hs
 }
 
-// ticket names memory for one grant.
+// ticket returns the name of the reservation on the i-th helper of a grant: the request id with
+// "/", "#" and "," replaced, and a letter for the helper.
 func ticket(id decide.RequestID, i int) string {
 	return strings.NewReplacer("/", "-", "#", "-", ",", "-").Replace(string(id)) + "-" + string(rune('a'+i))
 }
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -17,18 +17,18 @@
 	"snipeshift.example/lib/exchange"
 )
 
-// memory counts the orders about reserved memory.
-type memory struct {
+// testMemory counts the calls that reserve and release memory.
+type testMemory struct {
 	mu                 sync.Mutex
 	reserved, released int
 	longest            clock.Milli
 	full               bool
-	said               exchange.Said
+	declared           exchange.Said
 	// during is called while memory is being reserved.
 	during func()
 }
 
-func (m *memory) Reserve(_ context.Context, _, _ string, _ decide.Tokens, hold clock.Milli) (exchange.Reserved, error) {
+func (m *testMemory) Reserve(_ context.Context, _, _ string, _ decide.Tokens, hold clock.Milli) (exchange.Reserved, error) {
 	if m.during != nil {
 		m.during()
 	}
@@ -36,96 +36,99 @@
 	defer m.mu.Unlock()
 	m.reserved++
 	m.longest = max(m.longest, hold)
-	return exchange.Reserved{Held: !m.full, Said: m.said}, nil
+	return exchange.Reserved{Held: !m.full, Said: m.declared}, nil
 }
 
-func (m *memory) Release(context.Context, string, string) (exchange.Said, error) {
+func (m *testMemory) Release(context.Context, string, string) (exchange.Said, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.released++
 	return exchange.Said{}, nil
 }
 
-func (m *memory) counts() (reserved, released int) {
+func (m *testMemory) counts() (reserved, released int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reserved, m.released
 }
 
-// giant is a prompt that needs memory on one helper.
-func (w *world) giant(m *memory) {
+// addHelper makes every grant require memory on one helper.
+func (w *fixture) addHelper(m *testMemory) {
 	w.needs.Memory = m
 	w.placer.helpers = []span.Place{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
 	w.start()
 }
 
-func TestReservedMemoryIsRenewedAndFreed(t *testing.T) {
-	m := &memory{}
-	w := newWorld(t, func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(renewEvery + 200*time.Millisecond)
-		streamed(stream(1, 2))(w, r)
+func TestReservedMemoryIsRenewedAndReleased(t *testing.T) {
+	m := &testMemory{}
+	w := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
+		time.Sleep(renewInterval + 200*time.Millisecond)
+		respondStream(eventText(1, 2))(w, r)
 	})
-	w.learn(5*clock.Second, "key")
-	w.giant(m)
+	w.setDocument(5*clock.Second, "key")
+	w.addHelper(m)
 	_, body, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
-	require.Equal(t, stream(1, 2), body)
+	require.Equal(t, eventText(1, 2), body)
 	require.Eventually(t, func() bool { _, released := m.counts(); return released == 1 }, time.Second, 5*time.Millisecond)
 	reserved, _ := m.counts()
-	require.Equal(t, 2, reserved, "once, and renewed once")
-	require.LessOrEqual(t, m.longest, 3*clock.Second, "a VM that dies leaves nothing behind for long")
+	require.Equal(t, 2, reserved, "reserved once and renewed once")
+	require.LessOrEqual(t, m.longest, 3*clock.Second, "the reservation of a VM that crashes must expire soon")
 }
 
-// The leader loses power in the middle of a long read: its address takes no connection, and
-// nothing closes the one that is open. Memory that a helper holds for it is of no use to anybody.
-func TestMemoryIsFreedWhenTheLeaderIsDark(t *testing.T) {
-	m := &memory{}
+// The leader loses power during a long prefill: its address accepts no new connection, and the open one
+// is never closed. The memory reserved for it on a helper must be released.
+func TestMemoryIsReleasedWhenLeaderLosesPower(t *testing.T) {
+	m := &testMemory{}
 	stop := make(chan struct{})
-	w := newWorld(t, func(_ http.ResponseWriter, r *http.Request) {
+	w := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		select {
 		case <-stop:
 		case <-r.Context().Done():
 		}
-	}, streamed(stream(1, 2)))
+	}, respondStream(eventText(1, 2)))
 	defer close(stop)
-	w.learn(8*clock.Second, "key")
-	w.giant(m)
-	// The leader's door closes once the request is in; what is open stays open.
+	w.setDocument(8*clock.Second, "key")
+	w.addHelper(m)
+	// The listener of the leader closes once the request has arrived; the open connection stays open.
 	time.AfterFunc(100*time.Millisecond, func() { _ = w.upstreams[0].Listener.Close() })
 	began := time.Now()
 	_, body, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
-	require.Equal(t, stream(1, 2), body)
+	require.Equal(t, eventText(1, 2), body)
 	require.Less(t, time.Since(began), 1500*time.Millisecond)
 	require.Eventually(t, func() bool { _, released := m.counts(); return released == 2 }, time.Second, 5*time.Millisecond)
 }
 
-// An engine that only helps gets no requests, and names its limit in answers to orders alone. Not heard there, it would go on helping.
-func TestAHelperNamesItsLimitInItsAnswersToOrders(t *testing.T) {
-	w := newWorld(t, streamed(stream(1, 2)))
-	w.giant(&memory{said: exchange.Said{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
+// An engine that is only used as a helper gets no requests, and so declares its rate limit only in
+// responses to reservations. If those were ignored, the engine would be used beyond its limit.
+func TestRateLimitInResponseToReservation(t *testing.T) {
+	w := newFixture(t, respondStream(eventText(1, 2)))
+	w.addHelper(&testMemory{declared: exchange.Said{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
 	_, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
-	s, ok := w.placer.said.Of("h", statement.Limit)
+	s, ok := w.placer.statements.Of("h", statement.Limit)
 	require.True(t, ok)
 	require.InDelta(t, 2.5, float64(s.Rate), 0)
 }
 
-// A helper has less memory than its owner's books say. The request has not run.
-func TestWithoutMemoryNothingIsSent(t *testing.T) {
-	m := &memory{full: true}
-	w := newWorld(t, streamed(stream(1, 2)))
-	w.giant(m)
+// A helper has less free memory than the owner's accounting assumes. The request has not run.
+func TestRequestIsNotSentIfReservationFails(t *testing.T) {
+	m := &testMemory{full: true}
+	w := newFixture(t, respondStream(eventText(1, 2)))
+	w.addHelper(m)
 	resp, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Equal(t, []span.Outcome{span.Full}, w.placer.outcomes)
 }
 
-// A prompt is spread over engines of which many leave without anybody knowing: each time one of them turns the whole away, within milliseconds. Others
-// could read it for seconds still. A caller that is told after four tries that there is no room comes back to the same.
-func TestASpreadPromptIsTriedUntilItFindsEnginesThatStay(t *testing.T) {
+// A prompt is spread over a group of engines, many of which are leaving without this VM's
+// knowledge. Each attempt is rejected by one of them within milliseconds, while other engines could
+// still do the prefill, which takes seconds. If the request were refused after four attempts, the
+// client's retry would meet the same engines.
+func TestGroupRequestSurvivesManyRejections(t *testing.T) {
 	leaving := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Idle", "1")
@@ -135,10 +138,10 @@
 	for i := range handlers {
 		handlers[i] = leaving
 	}
-	w := newWorld(t, append(handlers, whole("body"))...)
+	w := newFixture(t, append(handlers, respond("body"))...)
 	resp, _, err := w.call("POST", "/again/x", "prompt")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "alone it is tried four times")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "a request on a single engine is tried four times")
 
 	w.placer.helpers = []span.Place{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
 	resp, body, err := w.call("POST", "/again/x", "prompt")
--- a/daemon/relay/said.go
+++ b/daemon/relay/said.go
@@ -12,46 +12,51 @@
 	"snipeshift.example/lib/route"
 )
 
-// hear passes on what an answer says of its upstream. Any answer may say something, also one that turns the request away; that a limit is
-// over shows in a whole one alone. Sent is when the request was sent.
-func (x *flight) hear(word *exchange.Word, leader span.Place, sent clock.Milli) {
-	if word.Stranger {
+// reportStatements passes the statements in a response header on to the placer. Any response may
+// contain statements, also a rejection. That a rate limit has ended is only concluded from a
+// regular response that declares none; the end holds as of sent, the time at which the request was
+// sent.
+func (x *request) reportStatements(head *exchange.Word, leader span.Place, sent clock.Milli) {
+	if head.Stranger {
 		return
 	}
-	x.gate.hear(x.service, leader, &word.Said)
-	limit := word.Said.Limit
-	if !limit.Named && limit.Unreadable == "" && word.Mine && word.Genuine && !word.Idle {
+	x.gate.reportStatements(x.service, leader, &head.Said)
+	limit := head.Said.Limit
+	if !limit.Named && limit.Unreadable == "" && head.Mine && head.Genuine && !head.Idle {
 		x.gate.Placer.Hear(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
 	}
 }
 
-// hear passes on what an answer that came now says of its upstream.
-func (g *Gate) hear(s route.ServiceID, p span.Place, said *exchange.Said) {
-	unreadable := said.Unreadable
-	if said.Limit.Unreadable != "" {
-		unreadable = append(unreadable, "limit: "+said.Limit.Unreadable)
+// reportStatements passes the statements in a response that has just arrived on to the placer, and
+// logs header fields that cannot be parsed or are not recognized.
+func (g *Gate) reportStatements(s route.ServiceID, p span.Place, declared *exchange.Said) {
+	unreadable := declared.Unreadable
+	if declared.Limit.Unreadable != "" {
+		unreadable = append(unreadable, "limit: "+declared.Limit.Unreadable)
 	}
 	for _, field := range unreadable {
-		if !g.unreadable.first(field) {
+		if !g.unreadable.add(field) {
 			continue
 		}
 		g.Log.Warn().Str(logline.Key, logline.Unreadable).Str("service", string(s)).Str("upstream", string(p.Upstream)).
-			Str("field", field[:min(len(field), knownBytes)]).Msg("an upstream says something of itself that cannot be read")
+			Str("field", field[:min(len(field), maxNameBytes)]).Msg("cannot parse a statement in an upstream's response; ignored")
 	}
-	for _, name := range said.Unknown {
-		if g.unknown.first(name) {
+	for _, name := range declared.Unknown {
+		if g.unknown.add(name) {
 			g.Log.Warn().Str(logline.Key, logline.Unknown).Str("service", string(s)).Str("upstream", string(p.Upstream)).
-				Str("field", name[:min(len(name), knownBytes)]).Msg("answers have a header field that nobody reads")
+				Str("field", name[:min(len(name), maxNameBytes)]).Msg("unrecognized header field in an upstream's response")
 		}
 	}
-	for _, st := range said.Statements(g.Clock.Now(), g.id, p.Born) {
+	for _, st := range declared.Statements(g.Clock.Now(), g.id, p.Born) {
 		g.Placer.Hear(s, p.Upstream, st)
 	}
 }
 
-// withheld reports whether an upstream of the grant has said to this VM that it must get nothing now. The owner may not have heard of it
-// yet, and a VM that decides for itself may have nobody to hear it from.
-func (x *flight) withheld(grant span.Grant) (result, bool) {
+// checkStatements reports whether a statement of an upstream of the grant forbids this VM to send
+// to it now, and if so the result of the send. The owner that issued the grant may not have
+// received the statement yet, and a VM that places requests by itself may receive statements from
+// no other VM.
+func (x *request) checkStatements(grant span.Grant) (result, bool) {
 	g := x.gate
 	for i, p := range append([]span.Place{grant.Leader}, grant.Helpers...) {
 		st, bound := g.Placer.Binding(x.service, p)
@@ -59,31 +64,32 @@
 			continue
 		}
 		g.Log.Info().Str(logline.Key, logline.Withheld).Str("id", x.head.ID).Str("service", string(x.service)).Str("upstream", string(p.Upstream)).
-			Str("statement", st.Kind.String()).Int64("age", int64(g.Clock.Now()-st.At)).Msg("nothing is sent")
-		g.metrics.withheld(st.Kind)
-		return result{verdict: idle, outcome: span.Left, culprit: p.Upstream, err: errWithheld, withheld: true}, true
+			Str("statement", st.Kind.String()).Int64("age", int64(g.Clock.Now()-st.At)).Msg("request not sent: a statement of the upstream forbids it")
+		g.metrics.countWithheld(st.Kind)
+		return result{verdict: notRun, outcome: span.Left, culprit: p.Upstream, err: errWithheld, withheld: true}, true
 	}
 	return result{}, false
 }
 
-// knownNames bounds the names that are remembered, logged and counted, knownBytes the length to which one is told from others.
+// maxNames bounds how many names are stored, logged and counted; maxNameBytes is the length to
+// which names are truncated before they are compared.
 const (
-	knownNames = 64
-	knownBytes = 128
+	maxNames     = 64
+	maxNameBytes = 128
 )
 
-// names remembers which names were seen.
-type names struct {
+// nameSet is a bounded set of names. It is safe for concurrent use.
+type nameSet struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-// first reports whether a name is seen for the first time, as long as there is room to remember it.
-func (n *names) first(name string) bool {
-	name = name[:min(len(name), knownBytes)]
+// add adds a name and reports whether it was new. A full set accepts no further names.
+func (n *nameSet) add(name string) bool {
+	name = name[:min(len(name), maxNameBytes)]
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.seen[name] || len(n.seen) >= knownNames {
+	if n.seen[name] || len(n.seen) >= maxNames {
 		return false
 	}
 	if n.seen == nil {
@@ -93,5 +99,5 @@
 	return true
 }
 
-// count is how many names were seen.
-func (n *names) count() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.seen) }
+// count returns the number of names in the set.
+func (n *nameSet) count() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.seen) }
--- a/daemon/relay/said_test.go
+++ b/daemon/relay/said_test.go
@@ -16,21 +16,22 @@
 	"snipeshift.example/lib/exchange"
 )
 
-// An upstream says in any answer that it leaves, and the owner, who has not heard of it, grants there again.
-func TestNothingIsSentToWhoSaidThatItLeaves(t *testing.T) {
+// An upstream declares in a response of any kind that it is leaving, and the owner, which has not
+// received this statement yet, grants the upstream again.
+func TestNothingIsSentAfterLeavingStatement(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
-		"whole":       whole("answer"),
-		"turned away": sheds,
+		"whole":       respond("answer"),
+		"turned away": rejectWithBackOff,
 		"failed": func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
 			w.Header().Set("Mark", "m")
 			w.WriteHeader(http.StatusInternalServerError)
 		},
-		"stream": streamed(stream(1, 2)),
+		"stream": respondStream(eventText(1, 2)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			var first, second atomic.Int64
-			w := newWorld(t, counted(&first, leaving(answer)), counted(&second, streamed(stream(1, 2))))
+			w := newFixture(t, counting(&first, declareLeaving(answer)), counting(&second, respondStream(eventText(1, 2))))
 			_, _, _ = w.call(http.MethodPost, "/stream/", "")
 			for range 3 {
 				resp, _, err := w.call(http.MethodPost, "/stream/", "")
@@ -43,10 +44,11 @@
 	}
 }
 
-// An upstream turns a request away and asks for rest. The owner, who has not heard of it, grants there again.
-func TestNothingIsSentToWhoWantsRest(t *testing.T) {
+// An upstream rejects a request and asks for a back-off. The owner, which has not received this
+// statement yet, grants the upstream again.
+func TestNothingIsSentDuringBackOff(t *testing.T) {
 	var first, second atomic.Int64
-	w := newWorld(t, counted(&first, sheds), counted(&second, whole("answer")))
+	w := newFixture(t, counting(&first, rejectWithBackOff), counting(&second, respond("answer")))
 	for range 4 {
 		resp, _, err := w.call(http.MethodPost, "/once/", "")
 		require.NoError(t, err)
@@ -56,26 +58,28 @@
 	require.EqualValues(t, 4, second.Load())
 }
 
-// A send that never happened is no use of the budget of repeats, and no reason to shut its upstream out.
-func TestASendThatIsWithheldIsNoRepeat(t *testing.T) {
-	w := newWorld(t, sheds, whole("answer"))
+// A send that was withheld must not use up the retry budget, and must not cause its upstream to be
+// excluded.
+func TestWithheldSendIsNotCountedAsRetry(t *testing.T) {
+	w := newFixture(t, rejectWithBackOff, respond("answer"))
 	var ends []bool
-	w.needs.Suspects = noSuspects{whole: &ends}
+	w.needs.Suspects = testSuspects{whole: &ends}
 	w.start()
 	_, _, _ = w.call(http.MethodPost, "/once/", "")
 	w.placer.outcomes, w.placer.again, w.placer.counted, ends = nil, nil, nil, nil
 	_, _, _ = w.call(http.MethodPost, "/once/", "")
 	require.Equal(t, []span.Outcome{span.Left, span.Done}, w.placer.outcomes)
 	require.Equal(t, []bool{false, false}, w.placer.again)
-	require.Equal(t, []bool{false, true}, w.placer.counted, "and no further first send, which would let more be repeated")
-	require.Equal(t, []bool{false, true}, ends, "a suspect that was not sent is not cleared")
+	require.Equal(t, []bool{false, true}, w.placer.counted, "counted as a further first send, it would increase the retry budget")
+	require.Equal(t, []bool{false, true}, ends, "a suspect that was not sent must not be cleared")
 }
 
-// The store has told this VM that an upstream leaves, and not yet the owner. Each request that is granted there would use up a repeat, and
-// those that need one are refused.
-func TestAGrantThatIsOutOfDateIsNoRepeat(t *testing.T) {
-	w := newWorld(t, whole("answer"), whole("answer"))
-	w.leave("u0")
+// This VM has learned from the store that an upstream is leaving; the owner has not. If each grant
+// for that upstream used up a part of the retry budget, requests that need a retry would be
+// refused.
+func TestGrantOfLeavingUpstreamIsNotCountedAsRetry(t *testing.T) {
+	w := newFixture(t, respond("answer"), respond("answer"))
+	w.markLeaving("u0")
 	resp, _, err := w.call(http.MethodPost, "/once/", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
@@ -83,64 +87,68 @@
 	require.Equal(t, []bool{false, true}, w.placer.counted)
 }
 
-// While memory is being reserved the answer to another request says that the upstream leaves.
-func TestTheLastCheckComesAfterTheReservation(t *testing.T) {
+// While memory is being reserved, the response to another request declares that the upstream is
+// leaving.
+func TestStatementsAreCheckedAfterReservation(t *testing.T) {
 	var sent atomic.Int64
-	w := newWorld(t, counted(&sent, streamed(stream(1, 2))))
-	m := &memory{during: func() {
-		w.gate.hear("s", span.Place{Upstream: "u0"}, &exchange.Said{Leaving: true})
+	w := newFixture(t, counting(&sent, respondStream(eventText(1, 2))))
+	m := &testMemory{during: func() {
+		w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Leaving: true})
 	}}
-	w.giant(m)
+	w.addHelper(m)
 	resp, _, err := w.call(http.MethodPost, "/stream/", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.Zero(t, sent.Load())
-	require.Eventually(t, func() bool { _, released := m.counts(); return released == 1 }, time.Second, 5*time.Millisecond, "what was reserved is freed")
+	require.Eventually(t, func() bool { _, released := m.counts(); return released == 1 }, time.Second, 5*time.Millisecond, "the reserved memory must be released")
 }
 
-// An engine that helps says in the answer to an order that it wants rest. Another order would reach it within that.
-func TestAnOrdersAnswerAsksForRest(t *testing.T) {
-	w := newWorld(t, streamed(stream(1, 2)))
-	m := &memory{full: true, said: exchange.Said{Rest: 3000}}
-	w.giant(m)
+// A helper asks for a back-off in its response to a reservation. A second reservation would reach it
+// within the back-off.
+func TestBackOffInResponseToReservation(t *testing.T) {
+	w := newFixture(t, respondStream(eventText(1, 2)))
+	m := &testMemory{full: true, declared: exchange.Said{Rest: 3000}}
+	w.addHelper(m)
 	for range 2 {
 		_, _, _ = w.call(http.MethodPost, "/stream/", "")
 	}
 	reserved, _ := m.counts()
 	require.Equal(t, 1, reserved)
-	s, ok := w.placer.said.Of("h", statement.Rest)
+	s, ok := w.placer.statements.Of("h", statement.Rest)
 	require.True(t, ok)
 	require.EqualValues(t, w.gate.id, s.Gate)
 }
 
-// Upstreams begin to say something of themselves that nobody reads. Each answer has it, and the log must not grow with them.
-func TestAFieldThatNobodyReadsIsLoggedOnce(t *testing.T) {
+// Upstreams begin to send a header field that the codec does not recognize. Each response contains
+// the field, and the log must not grow with each response.
+func TestUnrecognizedFieldIsLoggedOnce(t *testing.T) {
 	var lines strings.Builder
-	w := newWorld(t, whole("answer"))
+	w := newFixture(t, respond("answer"))
 	w.needs.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
 	w.start()
-	for i := range 3 * knownNames {
+	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.hear("s", span.Place{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
+			w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
 		}
 	}
-	require.Equal(t, knownNames, strings.Count(lines.String(), `"unknown"`))
-	require.Equal(t, knownNames, w.gate.unknown.count())
+	require.Equal(t, maxNames, strings.Count(lines.String(), `"unknown"`))
+	require.Equal(t, maxNames, w.gate.unknown.count())
 }
 
-// An upstream says something that cannot be read in each of its answers, or something else each time, or something endless.
-func TestWhatCannotBeReadIsLoggedOnce(t *testing.T) {
+// An upstream sends statements that cannot be parsed: the same one in each response, a different
+// one each time, and very long ones. The log must stay bounded.
+func TestUnparsableStatementIsLoggedOnce(t *testing.T) {
 	var lines strings.Builder
-	w := newWorld(t, whole("answer"))
+	w := newFixture(t, respond("answer"))
 	w.needs.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
 	w.start()
 	long := strings.Repeat("9", 1<<16)
-	for i := range 3 * knownNames {
+	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.hear("s", span.Place{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
+			w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
 		}
 	}
-	require.Equal(t, knownNames, strings.Count(lines.String(), `"unreadable"`))
-	require.Equal(t, knownNames, w.gate.unreadable.count())
-	require.Less(t, lines.Len(), 4*knownNames*knownBytes)
+	require.Equal(t, maxNames, strings.Count(lines.String(), `"unreadable"`))
+	require.Equal(t, maxNames, w.gate.unreadable.count())
+	require.Less(t, lines.Len(), 4*maxNames*maxNameBytes)
 }
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -20,199 +20,202 @@
 	"snipeshift.example/lib/route"
 )
 
-// What is seen of sends that go wrong.
+// Reasons why a send fails.
 var (
-	errForeign  = errs.New("the answer belongs to another request")
-	errForged   = errs.New("the answer bears no upstream's mark")
-	errTurned   = errs.New("the upstream turned it away")
-	errStranger = errs.New("the address belongs to another upstream")
-	errReserve  = errs.New("no memory could be reserved")
-	errTorn     = errs.New("the answer stopped in the middle")
-	errStale    = errs.New("the upstream is leaving")
-	errWithheld = errs.New("withheld by what the upstream says of itself")
+	errMismatch    = errs.New("the answer belongs to another request")
+	errUnsigned    = errs.New("the answer bears no upstream's mark")
+	errRejected    = errs.New("the upstream turned it away")
+	errMisdirected = errs.New("the address belongs to another upstream")
+	errReserve     = errs.New("no memory could be reserved")
+	errTruncated   = errs.New("the answer stopped in the middle")
+	errLeaving     = errs.New("the upstream is leaving")
+	errWithheld    = errs.New("withheld by what the upstream says of itself")
 )
 
-// wholeLimit is the largest answer that is held back until it is whole, so that a
-// broken one can be replaced. Larger ones are passed on as they come.
-const wholeLimit = 1 << 20
+// bufferLimit is the size in bytes of the largest response that is buffered before it is passed on,
+// so that an incomplete one can be replaced by a retry. Larger responses are passed on as they arrive.
+const bufferLimit = 1 << 20
 
-// answer is a whole answer of an upstream.
+// answer is a buffered response of an upstream.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// send sends the request to where the grant says, once.
-func (x *flight) send(ctx context.Context, grant span.Grant) result {
+// send sends the request once, to the upstreams of the grant.
+func (x *request) send(ctx context.Context, grant span.Grant) result {
 	g := x.gate
 	v := g.Knowledge.View()
-	if err := x.fresh(v); err != nil {
-		return result{verdict: idle, outcome: span.Left, err: err, final: err}
+	if err := x.checkKey(v); err != nil {
+		return result{verdict: notRun, outcome: span.Left, err: err, final: err}
 	}
 	u := v.Upstream(x.service, func(u *route.Upstream) bool { return u.ID == grant.Leader.Upstream })
 	if u == nil || u.Leaving {
-		// The owner's knowledge is older than ours. What left must not get new work.
-		return result{verdict: idle, outcome: span.Left, err: errStale, withheld: true}
+		// The owner's list of upstreams is older than this VM's. A leaving upstream must not get
+		// new requests.
+		return result{verdict: notRun, outcome: span.Left, err: errLeaving, withheld: true}
 	}
 	if !g.Suspects.Begin(x.fingerprint) {
-		return result{verdict: idle, outcome: span.Left, err: errs.New("a copy of this suspect runs")}
+		return result{verdict: notRun, outcome: span.Left, err: errs.New("a copy of this suspect runs")}
 	}
 	var res result
 	defer func() { g.Suspects.End(x.fingerprint, res.verdict == answered) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var withheld bool
-	if res, withheld = x.withheld(grant); withheld {
+	if res, withheld = x.checkStatements(grant); withheld {
 		return res
 	}
 	memory, culprit := x.reserve(ctx, grant)
 	if culprit != "" {
-		res = result{verdict: idle, outcome: span.Full, err: errReserve, culprit: culprit}
+		res = result{verdict: notRun, outcome: span.Full, err: errReserve, culprit: culprit}
 		return res
 	}
 	defer memory.free()
-	// To reserve takes a while, in which an answer to another request may have come.
-	if res, withheld = x.withheld(grant); withheld {
+	// Check again: while memory was reserved, the response to another request may have declared
+	// something.
+	if res, withheld = x.checkStatements(grant); withheld {
 		return res
 	}
-	res = x.exchange(ctx, cancel, grant, host(u.Address, u.Born), memory.helpers(grant), v)
-	if res.suspicious && g.died(grant.Leader.Address) {
+	res = x.roundTrip(ctx, cancel, grant, poolHost(u.Address, u.Born), memory.helpers(grant), v)
+	if res.suspicious && g.probeFails(grant.Leader.Address) {
 		g.Suspects.Died(x.fingerprint, u.ID, u.Born)
 		res.outcome = span.Unreachable
 	}
 	return res
 }
 
-// exchange is one request and its answer on one connection.
-func (x *flight) exchange(ctx context.Context, cancel context.CancelCauseFunc, grant span.Grant, host string, helpers []exchange.Helper, v *registry.View) result {
-	w := newWatchdog(x.gate, grant.Leader.Address, x.firstLimits(grant), func() { cancel(errSilent) })
+// roundTrip sends one request to the leader and handles its response.
+func (x *request) roundTrip(ctx context.Context, cancel context.CancelCauseFunc, grant span.Grant, host string, helpers []exchange.Helper, v *registry.View) result {
+	w := newWatchdog(x.gate, grant.Leader.Address, x.firstByteLimits(grant), func() { cancel(errUnresponsive) })
 	defer w.stop()
 	var wrote atomic.Bool
 	trace := &httptrace.ClientTrace{
 		WroteHeaders: func() { wrote.Store(true) },
 		GotConn: func(httptrace.GotConnInfo) {
 			wrote.Store(true)
-			x.story.connected.Store(int64(x.passed()))
+			x.record.connected.Store(int64(x.elapsed()))
 		},
-		WroteRequest: func(httptrace.WroteRequestInfo) { x.story.sent.Store(int64(x.passed())) },
+		WroteRequest: func(httptrace.WroteRequestInfo) { x.record.sent.Store(int64(x.elapsed())) },
 	}
-	r := x.outgoing(httptrace.WithClientTrace(ctx, trace), grant, host, helpers)
+	r := x.upstreamRequest(httptrace.WithClientTrace(ctx, trace), grant, host, helpers)
 	sent := x.gate.Clock.Now()
 	resp, err := x.transport().RoundTrip(r)
 	if err != nil {
-		return x.broken(ctx, err, wrote.Load())
+		return x.classifyError(ctx, err, wrote.Load())
 	}
 	defer resp.Body.Close()
-	word := x.gate.Codec.Word(resp, x.head.ID)
-	x.hear(&word, grant.Leader, sent)
-	if culprit := v.Upstream(x.service, func(u *route.Upstream) bool { return u.Address == word.Culprit }); culprit != nil {
-		res := x.judge(ctx, resp, word, grant, w)
+	head := x.gate.Codec.Word(resp, x.head.ID)
+	x.reportStatements(&head, grant.Leader, sent)
+	if culprit := v.Upstream(x.service, func(u *route.Upstream) bool { return u.Address == head.Culprit }); culprit != nil {
+		res := x.handleResponse(ctx, resp, head, grant, w)
 		res.culprit = culprit.ID
 		return res
 	}
-	return x.judge(ctx, resp, word, grant, w)
+	return x.handleResponse(ctx, resp, head, grant, w)
 }
 
-// judge decides what an answer is worth by its header, and passes it on.
-func (x *flight) judge(ctx context.Context, resp *http.Response, word exchange.Word, grant span.Grant, w *watchdog) result {
+// handleResponse checks the header of a response, and passes the response on if it is valid.
+func (x *request) handleResponse(ctx context.Context, resp *http.Response, head exchange.Word, grant span.Grant, w *watchdog) result {
 	switch {
-	case word.Stranger:
-		return result{verdict: idle, outcome: span.Unreachable, err: errStranger}
-	case word.Idle:
+	case head.Stranger:
+		return result{verdict: notRun, outcome: span.Unreachable, err: errMisdirected}
+	case head.Idle:
 		drain(resp.Body)
-		return result{verdict: idle, outcome: span.Full, err: errTurned, rests: word.Said.Rest > 0}
-	case !word.Mine:
-		return result{verdict: ran, outcome: span.Broken, err: errForeign}
-	case !word.Genuine:
-		return result{verdict: ran, outcome: span.Broken, err: errForged}
+		return result{verdict: notRun, outcome: span.Full, err: errRejected, backOff: head.Said.Rest > 0}
+	case !head.Mine:
+		return result{verdict: mayHaveRun, outcome: span.Broken, err: errMismatch}
+	case !head.Genuine:
+		return result{verdict: mayHaveRun, outcome: span.Broken, err: errUnsigned}
 	}
 	if resp.StatusCode == http.StatusOK && x.route.Stream {
-		return x.stream(ctx, resp, grant, w)
+		return x.passStream(ctx, resp, grant, w)
 	}
-	return x.whole(ctx, resp, grant, w)
+	return x.passWhole(ctx, resp, grant, w)
 }
 
-// whole takes an answer to its end before any of it is passed on.
-func (x *flight) whole(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeLimit+1))
+// passWhole reads a response to its end, up to bufferLimit, before any of it is passed on.
+func (x *request) passWhole(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit+1))
 	if err != nil {
-		return x.broken(ctx, err, true)
+		return x.classifyError(ctx, err, true)
 	}
 	a := &answer{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		res := result{verdict: ran, outcome: span.Failed, err: errs.New("the upstream answered %d", resp.StatusCode)}
-		if !x.begun {
+		res := result{verdict: mayHaveRun, outcome: span.Failed, err: errs.New("the upstream answered %d", resp.StatusCode)}
+		if !x.started {
 			res.failure = a
 		}
 		return res
 	}
 	x.gate.Placer.First(grant.Request)
-	if x.begun {
-		return result{verdict: ran, outcome: span.Broken, err: errs.New("a stream was continued with status %d", resp.StatusCode)}
+	if x.started {
+		return result{verdict: mayHaveRun, outcome: span.Broken, err: errs.New("a stream was continued with status %d", resp.StatusCode)}
 	}
-	if len(body) <= wholeLimit {
+	if len(body) <= bufferLimit {
 		x.deliver(a)
 		return result{verdict: answered, outcome: span.Done}
 	}
-	return x.rest(ctx, a, resp.Body, w)
+	return x.passLarge(ctx, a, resp.Body, w)
 }
 
-// rest passes on an answer that is too large to be held back.
-func (x *flight) rest(ctx context.Context, a *answer, rest io.Reader, w *watchdog) result {
-	x.start(a.status, a.header)
+// passLarge passes on a response that is too large to be buffered.
+func (x *request) passLarge(ctx context.Context, a *answer, rest io.Reader, w *watchdog) result {
+	x.startResponse(a.status, a.header)
 	_, _ = x.w.Write(a.body)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := rest.Read(buffer)
-		w.touch(x.nextLimits())
+		w.reset(x.pauseLimits())
 		if _, werr := x.w.Write(buffer[:n]); werr != nil {
-			return result{verdict: ran, outcome: span.Left, err: werr}
+			return result{verdict: mayHaveRun, outcome: span.Left, err: werr}
 		}
 		if errors.Is(err, io.EOF) {
 			return result{verdict: answered, outcome: span.Done}
 		}
 		if err != nil {
-			return x.broken(ctx, err, true)
+			return x.classifyError(ctx, err, true)
 		}
 	}
 }
 
-// deliver gives the caller a whole answer.
-func (x *flight) deliver(a *answer) {
-	x.start(a.status, a.header)
-	_, _ = x.w.Write(a.body) // a caller that went away has nobody to tell
+// deliver writes a buffered response to the client.
+func (x *request) deliver(a *answer) {
+	x.startResponse(a.status, a.header)
+	_, _ = x.w.Write(a.body) // an error means that the client has disconnected
 }
 
-// start writes the header of an upstream's answer.
-func (x *flight) start(status int, from http.Header) {
-	x.begun = true
-	x.story.begin(x.gate.Clock.Now()-x.arrived, status)
+// startResponse writes the header of an upstream's response to the client.
+func (x *request) startResponse(status int, from http.Header) {
+	x.started = true
+	x.record.beginResponse(x.gate.Clock.Now()-x.arrived, status)
 	x.gate.Codec.Answer(x.w.Header(), from)
 	x.w.WriteHeader(status)
 }
 
-// broken judges an exchange that ended without an answer.
-func (x *flight) broken(ctx context.Context, err error, wrote bool) result {
+// classifyError returns the result of a send that ended without a complete response; wrote is set if
+// the request or a part of it may have reached the upstream.
+func (x *request) classifyError(ctx context.Context, err error, wrote bool) result {
 	var dial *net.OpError
 	switch {
-	case errors.Is(context.Cause(ctx), errSilent):
-		return result{verdict: ran, outcome: span.Silent, err: errSilent, suspicious: true}
+	case errors.Is(context.Cause(ctx), errUnresponsive):
+		return result{verdict: mayHaveRun, outcome: span.Silent, err: errUnresponsive, suspicious: true}
 	case ctx.Err() != nil:
-		return result{verdict: ran, outcome: span.Left, err: context.Cause(ctx)}
+		return result{verdict: mayHaveRun, outcome: span.Left, err: context.Cause(ctx)}
 	case !wrote && errors.As(err, &dial) && dial.Op == "dial":
-		return result{verdict: idle, outcome: span.Unreachable, err: err}
+		return result{verdict: notRun, outcome: span.Unreachable, err: err}
 	case !wrote:
-		return result{verdict: idle, outcome: span.Silent, err: err}
+		return result{verdict: notRun, outcome: span.Silent, err: err}
 	default:
-		return result{verdict: ran, outcome: span.Broken, err: err, suspicious: true}
+		return result{verdict: mayHaveRun, outcome: span.Broken, err: err, suspicious: true}
 	}
 }
 
-// outgoing is the request for an upstream. Its body cannot be rewound, so that
-// http.Transport never sends it a second time by itself when a kept connection
-// turns out closed: only the flight decides on a second send.
-func (x *flight) outgoing(ctx context.Context, grant span.Grant, host string, helpers []exchange.Helper) *http.Request {
+// upstreamRequest returns the request for an upstream. Its body cannot be rewound, so that
+// http.Transport never sends the request a second time when a pooled connection turns out to be
+// closed: only run decides on retries.
+func (x *request) upstreamRequest(ctx context.Context, grant span.Grant, host string, helpers []exchange.Helper) *http.Request {
 	u := &url.URL{Scheme: "http", Host: host, Opaque: x.r.RequestURI}
 	if strings.HasPrefix(x.r.RequestURI, "//") {
 		path, query, has := strings.Cut(x.r.RequestURI, "?")
@@ -223,7 +226,7 @@
 		u = &url.URL{Scheme: "http", Host: host, Path: plain, RawPath: path, RawQuery: query, ForceQuery: has}
 	}
 	send := exchange.Send{
-		Upstream: grant.Leader.Upstream, Workspace: x.workspace(), Left: x.left(), Keyed: x.keyed, Helpers: helpers, Last: x.last,
+		Upstream: grant.Leader.Upstream, Workspace: x.workspaceID(), Left: x.timeLeft(), Keyed: x.keyRequired, Helpers: helpers, Last: x.lastEventID,
 	}
 	r := &http.Request{
 		Method: x.r.Method, URL: u, Host: x.r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -237,14 +240,14 @@
 	return r.WithContext(ctx)
 }
 
-// transport chooses the connection. A request that must not run twice gets a
-// fresh one: a kept one that turns out closed leaves open whether it ran.
-func (x *flight) transport() http.RoundTripper {
+// transport returns the transport for the request. A request that must not run twice gets a new
+// connection: if a pooled connection turns out to be closed, it is unknown whether the request ran.
+func (x *request) transport() http.RoundTripper {
 	if x.route.Repeat == route.Once {
 		return x.gate.Fresh
 	}
 	return x.gate.Kept
 }
 
-// drain reads the short rest of an answer, so that its connection can be kept.
+// drain reads the remainder of a short response, so that its connection can be reused.
 func drain(r io.Reader) { _, _ = io.Copy(io.Discard, io.LimitReader(r, 4<<10)) }
--- a/daemon/relay/start.go
+++ b/daemon/relay/start.go
@@ -7,17 +7,20 @@
 )
 
 const (
-	// startHold is how long after its start a VM holds requests for its first document. Of 295 VMs that start together
-	// each has it after 0.04 to 0.8 s. One that has none by then cannot reach the store, and other VMs serve better.
+	// startHold is how long after its start a VM holds requests until it has its first document.
+	// When 295 VMs start together, each has its document after 0.04 to 0.8 s. A VM without one by
+	// the end of startHold cannot reach the store, and other VMs serve its requests sooner.
 	startHold = clock.Second
-	// holdPart is the part of what a caller has left, one in so many, for which its request is held: callers that see
-	// their request unread for a third of their time give it up, and what is refused early is served elsewhere.
-	holdPart = 4
+	// holdDivisor limits the hold to a quarter of the time that the client will wait: clients give
+	// up if their request is not read within a third of that time, and a request that is refused
+	// early is served by another VM.
+	holdDivisor = 4
 )
 
-// awaitKnowledge holds the request while a VM that has just started does not know its document yet.
-// After a loss of power of all VMs each would refuse what comes in its first moments, and callers come back once only.
-func (x *flight) awaitKnowledge() {
+// awaitDocument holds the request while a VM that has just started does not have its document yet.
+// Without the hold, each VM would refuse its first requests after a power loss of all VMs, and
+// clients retry only once.
+func (x *request) awaitDocument() {
 	g := x.gate
 	select {
 	case <-g.Knowledge.Known():
@@ -26,7 +29,7 @@
 	}
 	wait := g.started + startHold - x.arrived
 	if x.head.Left > 0 {
-		wait = min(wait, x.head.Left/holdPart)
+		wait = min(wait, x.head.Left/holdDivisor)
 	}
 	if wait <= 0 {
 		return
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -10,15 +10,15 @@
 	"snipeshift.example/lib/clock"
 )
 
-// All VMs lose power and start again, and callers come in the half second before this one knows its
-// document. Refused, they come back once, to another VM that is as young, and are lost.
-func TestARequestAtTheStartIsHeldForTheDocument(t *testing.T) {
-	w := newWorld(t, whole("fine"))
-	known := w.known
-	w.known = unknown()
-	w.needs.Knowledge = w.known
+// All VMs restart after a power loss, and requests arrive in the half second before this VM has its
+// document. Clients retry a refused request only once, on another VM that has no document yet either.
+func TestRequestAtStartWaitsForDocument(t *testing.T) {
+	w := newFixture(t, respond("fine"))
+	known := w.registry
+	w.registry = emptyRegistry()
+	w.needs.Knowledge = w.registry
 	w.start()
-	learn := time.AfterFunc(100*time.Millisecond, func() { w.known.set(known.View()) })
+	learn := time.AfterFunc(100*time.Millisecond, func() { w.registry.set(known.View()) })
 	defer learn.Stop()
 	resp, body, err := w.call(http.MethodPost, "/once/x", "body")
 	require.NoError(t, err)
@@ -26,11 +26,12 @@
 	require.Equal(t, "fine", body)
 }
 
-// The store is away while a VM starts. Whoever is held there for long could have been served by another VM.
-func TestARequestIsNotHeldForADocumentThatDoesNotCome(t *testing.T) {
-	w := newWorld(t, whole("fine"))
-	w.known = unknown()
-	w.needs.Knowledge = w.known
+// The store is unavailable while a VM starts. Requests must not be held for long, since another VM
+// could serve them.
+func TestWaitForDocumentIsBounded(t *testing.T) {
+	w := newFixture(t, respond("fine"))
+	w.registry = emptyRegistry()
+	w.needs.Knowledge = w.registry
 	w.start()
 	began := time.Now()
 	resp, _, err := w.call(http.MethodPost, "/once/x", "body")
@@ -43,5 +44,5 @@
 	resp, _, err = w.call(http.MethodPost, "/once/x", "body")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Less(t, clock.Of(time.Since(began)), startHold/2, "a VM that is up for long refuses at once")
+	require.Less(t, clock.Of(time.Since(began)), startHold/2, "a VM that started long ago must refuse at once")
 }
--- a/daemon/relay/story.go
+++ b/daemon/relay/story.go
@@ -13,19 +13,20 @@
 	"snipeshift.example/lib/route"
 )
 
-// story is what one log line tells of a request.
-type story struct {
+// record collects the values of the log line of one request.
+type record struct {
 	revision uint64
-	// age is that of the document when the request came.
+	// age is the age of the document when the request arrived.
 	age clock.Milli
-	// read is when the whole request was here and its key looked up, as a span since its arrival; so are placed, connected and sent
-	// of the last send: its place was given, its connection was there, its bytes were written.
+	// Times since the request's arrival. read: the request body was read and its key checked. For
+	// the last send, placed: the grant was received; connected: the connection was open; sent: the
+	// request was written.
 	read                    clock.Milli
 	placed, connected, sent atomic.Int64
-	// queued is the time spent waiting for places.
+	// queued is the total time spent waiting for grants.
 	queued clock.Milli
 	reason string
-	// waiting and running are the owner's counts at the decision.
+	// waiting and running are the numbers of queued and granted requests at the owner when it decided.
 	waiting, running int
 	first            clock.Milli
 	status           int
@@ -34,18 +35,18 @@
 	sends            []string
 }
 
-// place notes that a place was given: the next send begins.
-func (s *story) place(after clock.Milli) {
+// beginSend records that a grant was received and the next send begins.
+func (s *record) beginSend(after clock.Milli) {
 	s.placed.Store(int64(after))
 	s.connected.Store(0)
 	s.sent.Store(0)
 }
 
-// begin notes the first byte of an answer.
-func (s *story) begin(after clock.Milli, status int) { s.first, s.status = after, status }
+// beginResponse records the first byte of a response.
+func (s *record) beginResponse(after clock.Milli, status int) { s.first, s.status = after, status }
 
-// event notes one event of a stream.
-func (s *story) event(now clock.Milli) {
+// addEvent records one event of a stream.
+func (s *record) addEvent(now clock.Milli) {
 	s.events++
 	if s.lastEvent > 0 {
 		s.pause = max(s.pause, now-s.lastEvent)
@@ -53,8 +54,8 @@
 	s.lastEvent = now
 }
 
-// send notes the end of one send.
-func (s *story) send(g span.Grant, res result) {
+// endSend records the end of one send.
+func (s *record) endSend(g span.Grant, res result) {
 	text := string(g.Leader.Upstream) + "+" + strconv.Itoa(len(g.Helpers))
 	if res.err != nil {
 		text += " " + res.err.Error()
@@ -65,10 +66,10 @@
 	s.sends = append(s.sends, text)
 }
 
-// logEnd writes the one line of a request.
-func (x *flight) logEnd(err *fault.Error) {
+// logEnd writes the log line of the request.
+func (x *request) logEnd(err *fault.Error) {
 	g := x.gate
-	s := &x.story
+	s := &x.record
 	total := g.Clock.Now() - x.arrived
 	e := g.Log.Info()
 	name := "ok"
@@ -81,11 +82,11 @@
 	var urgency decide.Urgency
 	if x.route != nil {
 		routeName, aim, gap, due = x.route.Name, x.route.Aim, x.route.Gap, x.deadline-x.arrived
-		urgency = route.Urgency(x.route, x.holder)
+		urgency = route.Urgency(x.route, x.workspace)
 	}
-	g.metrics.request(routeName, name, s.first, s.queued, total)
+	g.metrics.countRequest(routeName, name, s.first, s.queued, total)
 	e = e.Str(logline.Key, logline.Request).Str("id", x.head.ID).Str("route", routeName).Str("service", string(x.service)).
-		Str("workspace", string(x.workspace())).Uint64("revision", s.revision).Int64("age", int64(s.age)).
+		Str("workspace", string(x.workspaceID())).Uint64("revision", s.revision).Int64("age", int64(s.age)).
 		Int64("prompt", int64(x.head.Prompt)).Int64("output", int64(x.head.Output)).Int64("aim", int64(aim)).Int64("gap", int64(gap)).
 		Int64("due", int64(due)).Int("urgency", int(urgency)).Int64("left", int64(x.head.Left)).Str("last", x.head.Last).Int64("queued", int64(s.queued)).Str("reason", s.reason).
 		Int64("read", int64(s.read)).Int64("placed", s.placed.Load()).Int64("connected", s.connected.Load()).Int64("sent", s.sent.Load()).
--- a/daemon/relay/stream.go
+++ b/daemon/relay/stream.go
@@ -11,21 +11,22 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// eventLimit is the largest event that is taken; engines send some hundred bytes.
+// eventLimit is the size in bytes of the largest event that is accepted; events of engines have a
+// few hundred bytes.
 const eventLimit = 1 << 20
 
-// events reads whole events of a text/event-stream.
+// events reads complete events from a text/event-stream.
 type events struct {
 	reader *bufio.Reader
 	event  bytes.Buffer
-	// id is that of the last whole event that had one.
+	// id is the id of the last complete event that had one.
 	id string
 }
 
 func newEvents(r io.Reader) *events { return &events{reader: bufio.NewReaderSize(r, 4<<10)} }
 
-// next returns the bytes of the next whole event, up to and with the empty line.
-// Its error is io.EOF only at the end of the stream after a whole event.
+// next returns the bytes of the next complete event, including the empty line at its end.
+// The error is io.EOF only if the stream ends after a complete event.
 func (e *events) next() ([]byte, error) {
 	e.event.Reset()
 	id := e.id
@@ -37,12 +38,12 @@
 		e.event.Write(line)
 		if err != nil {
 			if errors.Is(err, io.EOF) && e.event.Len() > 0 {
-				return nil, errTorn
+				return nil, errTruncated
 			}
 			return nil, err
 		}
 		if e.event.Len() > eventLimit {
-			return nil, errTorn
+			return nil, errTruncated
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if value, ok := bytes.CutPrefix(text, []byte("id:")); ok {
@@ -55,50 +56,51 @@
 	}
 }
 
-// stream passes the events of an answer on as they come. Only whole events are
+// passStream passes the events of a response on as they arrive. Only complete events are
 // passed on, so that another engine can continue after the last one.
-func (x *flight) stream(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
+func (x *request) passStream(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
 	es := newEvents(resp.Body)
 	first := true
 	for {
 		event, err := es.next()
 		if errors.Is(err, io.EOF) {
-			return x.complete(resp, first)
+			return x.endStream(resp, first)
 		}
 		if err != nil {
-			return x.broken(ctx, err, true)
+			return x.classifyError(ctx, err, true)
 		}
-		w.touch(x.nextLimits())
+		w.reset(x.pauseLimits())
 		if first {
 			first = false
 			x.gate.Placer.First(grant.Request)
 		}
-		if !x.begun {
+		if !x.started {
 			header := resp.Header.Clone()
 			header.Del("Content-Length")
-			x.start(resp.StatusCode, header)
+			x.startResponse(resp.StatusCode, header)
 		}
-		if err := x.pass(event); err != nil {
-			return result{verdict: ran, outcome: span.Left, err: err}
+		if err := x.passEvent(event); err != nil {
+			return result{verdict: mayHaveRun, outcome: span.Left, err: err}
 		}
-		x.last = es.id
+		x.lastEventID = es.id
 	}
 }
 
-// pass writes one event to the caller.
-func (x *flight) pass(event []byte) error {
+// passEvent writes one event to the client.
+func (x *request) passEvent(event []byte) error {
 	if _, err := x.w.Write(event); err != nil {
 		return err
 	}
-	x.story.event(x.gate.Clock.Now())
+	x.record.addEvent(x.gate.Clock.Now())
 	return http.NewResponseController(x.w).Flush()
 }
 
-// complete judges a stream that ended after a whole event.
-func (x *flight) complete(resp *http.Response, empty bool) result {
-	if empty && !x.begun {
+// endStream returns the result of a stream that ended after a complete event. A stream without events
+// still gets its response header.
+func (x *request) endStream(resp *http.Response, empty bool) result {
+	if empty && !x.started {
 		header := resp.Header.Clone()
-		x.start(resp.StatusCode, header)
+		x.startResponse(resp.StatusCode, header)
 	}
 	return result{verdict: answered, outcome: span.Done}
 }
--- a/daemon/relay/watchdog.go
+++ b/daemon/relay/watchdog.go
@@ -13,76 +13,76 @@
 	"snipeshift.example/lib/route"
 )
 
-// Patience with silent upstreams.
+// Time limits for upstreams that do not respond.
 const (
-	// firstFactor times the expected time, and firstSlack more, is how long the
-	// first byte of a stream may take from an engine that still takes connections:
-	// engines need 1.5 s to notice that a helper is gone, and say so.
-	firstFactor             = 2
-	firstSlack  clock.Milli = 1800
-	// silenceShare of its caller's patience, within silenceLeast and silenceMost, is how
-	// long a stream may pause whose engine takes connections: a pass with a long read
-	// takes a second now and then, and a stream that is cut for it may find no other
-	// engine. What is left of the patience is for the engine that continues.
-	silenceShare             = 0.75
-	silenceLeast clock.Milli = 1000
-	silenceMost  clock.Milli = 3000
-	// aimFactor times its aim, and patienceLeast at least, is how long a plain
-	// service may take to answer what may be repeated.
-	aimFactor                 = 2
-	patienceLeast clock.Milli = 150
-	// probeAfter is how long after the expected time the first probe of a silent
-	// engine comes, and probeEvery the time between two.
-	probeAfter clock.Milli = 300
-	probeEvery clock.Milli = 600
-	// deathWait bounds a probe: whether a new connection is taken.
-	deathWait = 150 * time.Millisecond
+	// The first byte of a stream may take firstByteFactor times the expected time plus
+	// firstByteSlack while the engine still accepts connections: engines need 1.5 s to
+	// detect and report that a helper is gone.
+	firstByteFactor             = 2
+	firstByteSlack  clock.Milli = 1800
+	// A stream may pause for pauseShare of the client's patience, at least minPause and at
+	// most maxPause, while its engine still accepts connections: a pass (batch iteration)
+	// with a long prefill sometimes takes a second, and a stream that is cut off for it may
+	// get no other engine. The remaining patience is for the engine that continues the stream.
+	pauseShare             = 0.75
+	minPause   clock.Milli = 1000
+	maxPause   clock.Milli = 3000
+	// A plain service may take aimFactor times the route's aim, and at least minResponseTime,
+	// to respond to a request that may be repeated.
+	aimFactor                   = 2
+	minResponseTime clock.Milli = 150
+	// probeDelay is the time from the expected response to the first probe of an engine that
+	// does not respond, and probeInterval the time between two probes.
+	probeDelay    clock.Milli = 300
+	probeInterval clock.Milli = 600
+	// probeTimeout bounds a probe, which tests whether the upstream accepts a new connection.
+	probeTimeout = 150 * time.Millisecond
 )
 
-// limits are the times of one silence.
+// limits bound one period without a response, both counted from its start.
 type limits struct {
-	// probe is when the upstream is probed, and again every probeEvery; zero for never.
+	// probe is the time of the first probe, repeated every probeInterval; zero for no probes.
 	probe clock.Milli
-	// most is when the silence is taken for a failure whatever the probes say.
-	most clock.Milli
+	// timeout is when the send fails regardless of the probes.
+	timeout clock.Milli
 }
 
-// firstLimits bound the wait for the first byte of an answer. A request that must not
-// run twice has nowhere to go, so it waits.
-func (x *flight) firstLimits(grant span.Grant) limits {
+// firstByteLimits returns the limits for the first byte of a response. A request that must not
+// run twice cannot be retried, so it waits until its deadline.
+func (x *request) firstByteLimits(grant span.Grant) limits {
 	switch {
 	case x.route.Repeat == route.Once:
-		return limits{most: x.left() + clock.Second}
+		return limits{timeout: x.timeLeft() + clock.Second}
 	case x.route.Stream:
-		return limits{probe: grant.First + probeAfter, most: firstFactor*grant.First + firstSlack}
+		return limits{probe: grant.First + probeDelay, timeout: firstByteFactor*grant.First + firstByteSlack}
 	default:
-		return limits{most: max(aimFactor*x.route.Aim, patienceLeast)}
+		return limits{timeout: max(aimFactor*x.route.Aim, minResponseTime)}
 	}
 }
 
-// nextLimits bound a pause within an answer.
-func (x *flight) nextLimits() limits {
-	return limits{probe: x.route.Gap + probeAfter, most: min(max(clock.Milli(silenceShare*float64(x.route.Patience)), silenceLeast), silenceMost)}
+// pauseLimits returns the limits for a pause within a response.
+func (x *request) pauseLimits() limits {
+	return limits{probe: x.route.Gap + probeDelay, timeout: min(max(clock.Milli(pauseShare*float64(x.route.Patience)), minPause), maxPause)}
 }
 
-// watchdog ends a send whose upstream is silent.
-// Nothing closes the connection of an engine that lost power, and one that is merely busy is silent as well. So a silent one is probed by a new
-// connection, and only one that takes none is given up early.
+// watchdog ends a send whose upstream does not respond. The connection to an engine that lost power is
+// never closed, and an engine that is merely busy does not respond either. So the upstream is probed
+// with a new connection, and the send is given up early only if the upstream does not accept it.
 type watchdog struct {
 	gate    *Gate
 	address string
 	giveUp  func()
 
-	mu    sync.Mutex
-	probe *time.Timer
-	most  *time.Timer
-	ended bool
+	mu      sync.Mutex
+	probe   *time.Timer
+	timeout *time.Timer
+	ended   bool
 }
 
-// newWatchdog starts with the wait for the first byte.
+// newWatchdog returns a running watchdog; l bounds the wait for the first byte.
 func newWatchdog(g *Gate, address string, l limits, giveUp func()) *watchdog {
 	w := &watchdog{gate: g, address: address, giveUp: giveUp}
-	w.most = time.AfterFunc(l.most.Duration(), giveUp)
+	w.timeout = time.AfterFunc(l.timeout.Duration(), giveUp)
 	if l.probe > 0 {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -91,41 +91,41 @@
 	return w
 }
 
-// touch starts the next silence.
-func (w *watchdog) touch(l limits) {
+// reset restarts the timers after a part of the response has arrived.
+func (w *watchdog) reset(l limits) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended {
 		return
 	}
-	w.most.Reset(l.most.Duration())
+	w.timeout.Reset(l.timeout.Duration())
 	if w.probe != nil {
 		w.probe.Reset(l.probe.Duration())
 	}
 }
 
-// gone reports whether two probes in a row fail: a single packet may be lost.
-func (g *Gate) gone(address string) bool {
+// unreachable reports whether two probes in a row fail: in a single probe, a packet may be lost.
+func (g *Gate) unreachable(address string) bool {
 	for range 2 {
-		if !g.died(address) {
+		if !g.probeFails(address) {
 			return false
 		}
 	}
 	return true
 }
 
-// check probes the upstream.
+// check probes the upstream, and gives up the send if the upstream is unreachable.
 func (w *watchdog) check() {
-	defer guard.Report(w.gate.Log, "probe of a silent upstream")
-	if w.gate.gone(w.address) {
-		w.gate.Log.Warn().Str(logline.Key, logline.Silent).Str("address", w.address).Msg("a silent upstream takes no connection")
+	defer guard.Report(w.gate.Log, "probe of an upstream that does not respond")
+	if w.gate.unreachable(w.address) {
+		w.gate.Log.Warn().Str(logline.Key, logline.Silent).Str("address", w.address).Msg("upstream does not respond and accepts no connection; send given up")
 		w.giveUp()
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.ended {
-		w.probe.Reset(probeEvery.Duration())
+		w.probe.Reset(probeInterval.Duration())
 	}
 }
 
@@ -133,16 +133,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ended = true
-	w.most.Stop()
+	w.timeout.Stop()
 	if w.probe != nil {
 		w.probe.Stop()
 	}
 }
 
-// died finds out whether an upstream is gone: a new connection is refused or not
-// answered, while one that merely cut an answer takes it.
-func (g *Gate) died(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), deathWait)
+// probeFails reports whether an upstream refuses a new connection or does not accept it within
+// probeTimeout. An upstream that merely cut off a response accepts it.
+func (g *Gate) probeFails(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", address)
