--- a/lib/door/door.go
+++ b/lib/door/door.go
@@ -1,11 +1,11 @@
 // Package door opens the listeners and connections of the peer and operator
 // protocols under mutual TLS.
 //
-// Both ends show a certificate that the deployment's authority signed. The
-// names in certificates are not compared with addresses: VMs are replaced at
-// any time and get new IP numbers, and what admits a process is that the
-// deployment gave it a certificate. Without certificate files a door is open
-// to all, so it may only bind to loopback.
+// Both ends present a certificate that the deployment's certificate authority
+// has signed. The names in certificates are not compared with addresses: VMs
+// are replaced at any time and get new IP addresses, and a process is admitted
+// because the deployment issued a certificate to it. Without certificate files
+// anyone could connect, so listeners may then only bind to loopback.
 package door
 
 import (
@@ -23,30 +23,30 @@
 // Class is the error class of this package.
 var Class = errs.Class("door")
 
-// dialTimeout bounds connect and handshake together; peers are milliseconds away.
+// dialTimeout bounds connecting and the handshake together; the latency to peers is a few milliseconds.
 const dialTimeout = 2 * time.Second
 
-// Files names PEM files. All three are set, or none.
+// Files are the paths of PEM files. Either all three are set or none.
 type Files struct {
-	// Authority holds the certificates that sign the deployment's members and operators.
+	// Authority contains the certificates of the authority that signs those of VMs and operators.
 	Authority string
-	// Certificate and Key are this process's own.
+	// Certificate and Key are those of this process.
 	Certificate string
 	Key         string
 }
 
-// Empty tells whether no file is named.
+// Empty reports whether no file is set.
 func (f Files) Empty() bool { return f == Files{} }
 
-// Door opens listeners and connections. It may be used by any number of goroutines.
+// Door opens listeners and connections. It is safe for concurrent use.
 type Door struct {
-	// files is nil without certificates.
-	files *files
+	// certificates is nil if no certificate files are set.
+	certificates *certificates
 }
 
-// New reads the files; without any it returns a door for loopback only.
-// Report is told, once for each change, when files that changed cannot be used;
-// the door then goes on with the ones it has.
+// New reads the files. If none is set, it returns an endpoint without TLS, which listens on loopback
+// only. Files that change later are read again; if they cannot be used, report is called once for
+// each change, and the endpoint continues with the certificates that it has.
 func New(f Files, report func(error)) (*Door, error) {
 	if f.Empty() {
 		return &Door{}, nil
@@ -54,21 +54,21 @@
 	if f.Authority == "" || f.Certificate == "" || f.Key == "" {
 		return nil, Class.New("tls needs authority, certificate and key: name all three files or none")
 	}
-	fs, err := newFiles(f, report)
+	fs, err := newCertificates(f, report)
 	if err != nil {
 		return nil, err
 	}
-	return &Door{files: fs}, nil
+	return &Door{certificates: fs}, nil
 }
 
-// Secure tells whether the door asks for certificates.
-func (d *Door) Secure() bool { return d.files != nil }
+// Secure reports whether connections use mutual TLS.
+func (d *Door) Secure() bool { return d.certificates != nil }
 
-// Listen binds to address, an IP number and a port. The handshake runs with the
-// first read of a connection, so the server's own read timeout bounds it.
+// Listen binds to address, an IP address and a port. The handshake runs with the
+// first read of a connection, so the read timeout of the server bounds it.
 func (d *Door) Listen(ctx context.Context, address string) (net.Listener, error) {
 	if !d.Secure() && !loopback(address) {
-		return nil, Class.New("%s is no loopback address and there are no certificates: "+
+		return nil, Class.New("%s is not a loopback address and there are no certificates: "+
 			"name the tls files in the settings, or bind to 127.0.0.1", address)
 	}
 	var c net.ListenConfig
@@ -79,7 +79,7 @@
 	if !d.Secure() {
 		return l, nil
 	}
-	return tls.NewListener(l, d.files.server(tls.RequireAnyClientCert)), nil
+	return tls.NewListener(l, d.certificates.server(tls.RequireAnyClientCert)), nil
 }
 
 func loopback(address string) bool {
@@ -87,7 +87,7 @@
 	return err == nil && a.Addr().IsLoopback()
 }
 
-// Dial connects to a door and shakes hands.
+// Dial connects to the listener of another endpoint and completes the TLS handshake.
 func (d *Door) Dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -95,43 +95,45 @@
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		return c, Class.Wrap(err)
 	}
-	c, err := (&tls.Dialer{Config: d.files.client()}).DialContext(ctx, "tcp", address)
+	c, err := (&tls.Dialer{Config: d.certificates.client()}).DialContext(ctx, "tcp", address)
 	return c, Class.Wrap(err)
 }
 
-// Transport returns an HTTP transport through the door, for URLs that begin with "http".
+// Transport returns an HTTP transport that connects with Dial. URLs have the scheme "http", since
+// Dial adds the TLS layer.
 func (d *Door) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return d.Dial(ctx, address)
 		},
-		// Each call dials: a connection kept open may have gone silent for good.
+		// Each request opens a connection: a pooled one may be dead without having been closed.
 		DisableKeepAlives: true,
 	}
 }
 
-// Callers returns the TLS configuration for callers' connections, which show
-// no certificate; the pair is re-read when it changes.
+// Callers returns the server-side TLS configuration for connections of clients, which
+// present no certificate. The files are read again when they change; report is called if they
+// cannot be used.
 func Callers(certificate, key string, report func(error)) (*tls.Config, error) {
-	fs, err := newFiles(Files{Certificate: certificate, Key: key}, report)
+	fs, err := newCertificates(Files{Certificate: certificate, Key: key}, report)
 	if err != nil {
 		return nil, err
 	}
 	return fs.server(tls.NoClientCert), nil
 }
 
-// verify checks that a peer's certificate was signed by the authority for this use.
+// verify returns a check that the peer's certificate was signed by the authority for this use.
 func verify(roots *x509.CertPool, use x509.ExtKeyUsage) func(tls.ConnectionState) error {
 	return func(s tls.ConnectionState) error {
 		if len(s.PeerCertificates) == 0 {
-			return Class.New("the other end showed no certificate")
+			return Class.New("the peer presented no certificate")
 		}
-		rest := x509.NewCertPool()
+		intermediates := x509.NewCertPool()
 		for _, c := range s.PeerCertificates[1:] {
-			rest.AddCert(c)
+			intermediates.AddCert(c)
 		}
 		_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{
-			Roots: roots, Intermediates: rest, KeyUsages: []x509.ExtKeyUsage{use},
+			Roots: roots, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use},
 		})
 		return Class.Wrap(err)
 	}
--- a/lib/door/door_test.go
+++ b/lib/door/door_test.go
@@ -20,7 +20,7 @@
 
 var quiet = log.New(io.Discard, "", 0)
 
-// newAuthority makes an authority for one test.
+// newAuthority returns a certificate authority for one test.
 func newAuthority(t *testing.T) *doortest.Authority {
 	a, err := doortest.NewAuthority()
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	return d
 }
 
-// serve answers "hello" on the door and returns its address.
+// serve starts a server that responds "hello" and returns its address.
 func serve(t *testing.T, d *door.Door) string {
 	l, err := d.Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
@@ -72,9 +72,9 @@
 	require.NoError(t, get(t, member(t, a, later), serve(t, member(t, a, later))))
 }
 
-// Somebody with network access but without the deployment's certificates tries
-// the peer or operator port. If it answered, they could drain VMs or take grants.
-func TestStrangersAreKeptOut(t *testing.T) {
+// A client without the deployment's certificates connects to the peer or operator port. If it were
+// admitted, it could drain VMs or acquire grants.
+func TestPeersWithoutValidCertificateAreRejected(t *testing.T) {
 	a, other := newAuthority(t), newAuthority(t)
 	later := time.Now().Add(time.Hour)
 	address := serve(t, member(t, a, later))
@@ -84,9 +84,9 @@
 	require.Error(t, get(t, member(t, a, later), serve(t, member(t, other, later))), "another deployment's server")
 }
 
-// Certificates are renewed under running daemons. One that kept the old ones
-// until a restart would drop out of the deployment on the day they expire.
-func TestChangedFilesAreInUseWithoutARestart(t *testing.T) {
+// Certificates are renewed while daemons run. A daemon that used the old ones until its restart would
+// be excluded from the deployment once they expire.
+func TestChangedFilesAreReloaded(t *testing.T) {
 	a := newAuthority(t)
 	f := filesIn(t)
 	require.NoError(t, a.Issue(f, time.Now().Add(-time.Minute)))
@@ -105,8 +105,8 @@
 	require.Eventually(t, func() bool { return get(t, client, address) == nil }, 10*time.Second, 50*time.Millisecond)
 }
 
-// A daemon is started without certificates on an address that the whole
-// network reaches. It must say so at start rather than serve everybody.
+// A daemon is started without certificates on an address that the whole network can reach. It must
+// fail at the start instead of serving everyone.
 func TestWithoutCertificatesOnlyLoopback(t *testing.T) {
 	d, err := door.New(door.Files{}, nil)
 	require.NoError(t, err)
@@ -117,14 +117,14 @@
 	require.NoError(t, get(t, d, serve(t, d)))
 }
 
-func TestHalfNamedFilesAreRefused(t *testing.T) {
+func TestIncompleteFilesAreRefused(t *testing.T) {
 	_, err := door.New(door.Files{Authority: "a"}, nil)
 	require.ErrorContains(t, err, "all three")
 	_, err = door.New(door.Files{"a", "b", "c"}, nil)
 	require.Error(t, err)
 }
 
-func TestCallersNeedNoCertificate(t *testing.T) {
+func TestClientsNeedNoCertificate(t *testing.T) {
 	a := newAuthority(t)
 	f := filesIn(t)
 	require.NoError(t, a.Issue(f, time.Now().Add(time.Hour)))
--- a/lib/door/doortest/authority.go
+++ b/lib/door/doortest/authority.go
@@ -1,4 +1,4 @@
-// Package doortest makes certificates for tests of doors: an authority and what it signs.
+// Package doortest issues certificates for tests of package door, signed by an authority of the test.
 package doortest
 
 import (
@@ -17,16 +17,16 @@
 	"snipeshift.example/lib/door"
 )
 
-// lives is how long an authority is valid.
-const lives = 24 * time.Hour
+// authorityLifetime is how long an authority's certificate is valid.
+const authorityLifetime = 24 * time.Hour
 
-// Authority signs certificates of one deployment.
+// Authority is a certificate authority that signs the certificates of one deployment.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority with a key of its own.
+// NewAuthority returns an authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	c := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"},
-		NotAfter: time.Now().Add(lives), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+		NotAfter: time.Now().Add(authorityLifetime), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, c, c, &key.PublicKey, key)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return &Authority{cert, key}, err
 }
 
-// FilesIn names the files that Issue writes into a folder.
+// FilesIn returns the paths in dir to which Issue can write its files.
 func FilesIn(dir string) door.Files {
 	return door.Files{
 		Authority:   filepath.Join(dir, "authority.pem"),
@@ -53,8 +53,8 @@
 	}
 }
 
-// Issue writes the files of a member whose certificate is valid until a time:
-// the authority's certificate, the member's own and its key.
+// Issue writes the authority's certificate, and a new certificate with its key for one member of the
+// deployment. The member's certificate is valid until the given time, which may have passed.
 func (a *Authority) Issue(f door.Files, until time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: "member"},
-		NotBefore: until.Add(-2 * lives), NotAfter: until,
+		NotBefore: until.Add(-2 * authorityLifetime), NotAfter: until,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
 	}, a.cert, &key.PublicKey, a.key)
 	if err != nil {
--- a/lib/door/files.go
+++ b/lib/door/files.go
@@ -8,90 +8,90 @@
 	"time"
 )
 
-// recheck is how often handshakes look whether the files changed. A renewed
-// certificate is in use a second later, and a flood of handshakes does not
-// become a flood of file reads.
-const recheck = time.Second
+// recheckInterval is the minimum time between two checks of the files for changes, which handshakes
+// trigger. A renewed certificate is in use within a second, and many handshakes do not cause as many
+// file reads.
+const recheckInterval = time.Second
 
-// files holds what the named files contain and reads them again when they change.
-type files struct {
-	names  Files
+// certificates holds the contents of the files and reads them again when they change.
+type certificates struct {
+	paths  Files
 	report func(error)
 
 	mu     sync.Mutex
-	loaded loaded
-	// marks are the files' changes as of the last attempt to read them.
-	marks   [3]mark
-	checked time.Time
+	loaded material
+	// versions are those of the files at the last attempt to read them.
+	versions [3]fileVersion
+	checked  time.Time
 }
 
-// loaded is one consistent reading of the files.
-type loaded struct {
+// material is a certificate with its key and the authority's certificates, read together.
+type material struct {
 	pair  tls.Certificate
 	roots *x509.CertPool
 }
 
-// mark tells whether a file changed.
-type mark struct {
-	size    int64
-	changed time.Time
+// fileVersion is used to detect that a file has changed.
+type fileVersion struct {
+	size     int64
+	modified time.Time
 }
 
-func newFiles(names Files, report func(error)) (*files, error) {
-	f := &files{names: names, report: report, checked: time.Now()}
-	f.marks = f.look()
-	l, err := read(names)
+func newCertificates(paths Files, report func(error)) (*certificates, error) {
+	f := &certificates{paths: paths, report: report, checked: time.Now()}
+	f.versions = f.stat()
+	l, err := load(paths)
 	f.loaded = l
 	return f, err
 }
 
-func read(names Files) (loaded, error) {
-	var l loaded
-	pair, err := tls.LoadX509KeyPair(names.Certificate, names.Key)
+func load(paths Files) (material, error) {
+	var l material
+	pair, err := tls.LoadX509KeyPair(paths.Certificate, paths.Key)
 	if err != nil {
-		return l, Class.New("cannot use %s with %s: %v", names.Certificate, names.Key, err)
+		return l, Class.New("cannot use %s with %s: %v", paths.Certificate, paths.Key, err)
 	}
 	l.pair = pair
-	if names.Authority == "" {
+	if paths.Authority == "" {
 		return l, nil
 	}
-	text, err := os.ReadFile(names.Authority)
+	text, err := os.ReadFile(paths.Authority)
 	if err != nil {
 		return l, Class.Wrap(err)
 	}
 	l.roots = x509.NewCertPool()
 	if !l.roots.AppendCertsFromPEM(text) {
-		return l, Class.New("%s holds no certificate in PEM: put the authority's there", names.Authority)
+		return l, Class.New("%s contains no PEM certificate: put the certificate of the authority there", paths.Authority)
 	}
 	return l, nil
 }
 
-func (f *files) look() (marks [3]mark) {
-	for i, name := range []string{f.names.Authority, f.names.Certificate, f.names.Key} {
+func (f *certificates) stat() (marks [3]fileVersion) {
+	for i, name := range []string{f.paths.Authority, f.paths.Certificate, f.paths.Key} {
 		s, err := os.Stat(name)
 		if err == nil {
-			marks[i] = mark{s.Size(), s.ModTime()}
+			marks[i] = fileVersion{s.Size(), s.ModTime()}
 		}
 	}
 	return marks
 }
 
-// current returns the newest usable reading. While certificate and key are
-// being replaced one after the other they do not fit each other; the earlier
-// reading stays in use until they do, so that no handshake fails meanwhile.
-func (f *files) current() loaded {
+// current returns the newest usable contents of the files. While certificate and key are being
+// replaced one after the other they do not match; the earlier contents stay in use until they do,
+// so that no handshake fails in between.
+func (f *certificates) current() material {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checked) < recheck {
+	if time.Since(f.checked) < recheckInterval {
 		return f.loaded
 	}
 	f.checked = time.Now()
-	marks := f.look()
-	if marks == f.marks {
+	marks := f.stat()
+	if marks == f.versions {
 		return f.loaded
 	}
-	f.marks = marks
-	l, err := read(f.names)
+	f.versions = marks
+	l, err := load(f.paths)
 	if err != nil {
 		f.report(err)
 		return f.loaded
@@ -100,8 +100,8 @@
 	return l
 }
 
-// server returns the listening side's configuration.
-func (f *files) server(auth tls.ClientAuthType) *tls.Config {
+// server returns the TLS configuration of the listening side.
+func (f *certificates) server(auth tls.ClientAuthType) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -110,7 +110,7 @@
 				MinVersion:   tls.VersionTLS13,
 				Certificates: []tls.Certificate{l.pair},
 				ClientAuth:   auth,
-				// A resumed session would skip the check against an authority that was replaced.
+				// A resumed session would not be verified against an authority that has been replaced.
 				SessionTicketsDisabled: true,
 				NextProtos:             []string{"http/1.1"},
 			}
@@ -122,13 +122,13 @@
 	}
 }
 
-// client returns the dialing side's configuration.
-func (f *files) client() *tls.Config {
+// client returns the TLS configuration of the dialing side.
+func (f *certificates) client() *tls.Config {
 	l := f.current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{l.pair},
-		// The name is not compared, see the package comment; the chain is checked below.
+		// Server names are not compared, see the package comment; VerifyConnection checks the chain.
 		InsecureSkipVerify: true,
 		VerifyConnection:   verify(l.roots, x509.ExtKeyUsageServerAuth),
 	}
