--- a/lib/exchange/exchange.go
+++ b/lib/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange describes one request and its answer apart from the protocol
-// that carries them: what a gate must know to admit, place, send, judge and
-// refuse. A codec of each protocol fills and reads these types.
+// Package exchange describes a request and its response independently of the protocol:
+// the data with which a gate (the VM that holds the client's connection) admits, places, sends,
+// checks and refuses a request. A codec for each protocol translates these types.
 package exchange
 
 import (
@@ -9,77 +9,80 @@
 	"snipeshift.example/lib/route"
 )
 
-// Head is what the header of a caller's request says.
+// Head is the data in the header of a client's request.
 type Head struct {
-	// ID names this attempt of the caller's; each repeat has another. Empty if none came.
+	// ID identifies this attempt of the client; each retry has a different one. Empty if absent.
 	ID string
-	// Key proves the workspace; empty if none came.
+	// Key is the API key that identifies the workspace; empty if absent.
 	Key route.Key
-	// Left is how long the caller will wait from the arrival on; zero if it did not say.
+	// Left is how long the client will wait, counted from the arrival; zero if not declared.
 	Left clock.Milli
-	// Prompt and Output are the tokens of the prompt and the most that are written.
+	// Prompt is the length of the prompt, and Output the maximum length of the response, in tokens.
 	Prompt, Output decide.Tokens
-	// Hint is the caller's guess of the tokens that will be written; zero if it gave none. Half
-	// of the guesses are too low, and some are far off.
+	// Hint is the client's estimate of the length of the response, in tokens; zero if it gave none.
+	// Half of the estimates are too low, and some are far off.
 	Hint decide.Tokens
-	// Last is the id of the last event that the caller has of this stream; empty
-	// for a stream from the start.
+	// Last is the id of the last event of this stream that the client has; empty for a
+	// stream from the start.
 	Last string
 }
 
-// Send is what an upstream is told beside the caller's own header.
+// Send is the data that the gate adds to the client's header in the request to an upstream.
 type Send struct {
 	Upstream  decide.UpstreamID
 	Workspace decide.WorkspaceID
-	// Left is how long the caller still waits; the upstream stops then.
+	// Left is how long the client still waits; after that the upstream stops.
 	Left clock.Milli
-	// Keyed is set where callers prove themselves by a key, which is not passed on.
+	// Keyed is set if clients authenticate by a key, which must not be passed on.
 	Keyed bool
-	// Helpers read parts of the prompt.
+	// Helpers are the engines that compute parts of the prefill.
 	Helpers []Helper
-	// Last is the id of the last event that the caller has; empty for all of them.
+	// Last is the id of the last event that the client has; empty for a stream from the start.
 	Last string
 }
 
-// Helper is an engine that reads a part of a prompt.
+// Helper is an engine that computes a part of the prefill for the leader of a group.
 type Helper struct {
 	Address string
-	// Ticket names memory reserved there; empty for none.
+	// Ticket is the name of the memory reservation on the helper; empty for none.
 	Ticket string
 }
 
-// Load is an upstream's own word on its work, some hundred milliseconds old.
+// Load is an upstream's own report on its load, which is some hundred milliseconds old.
 type Load struct {
-	// Requests are those that run and those that wait.
+	// Requests is the number of running and waiting requests.
 	Requests int
-	// Used is the KV memory that cannot yield.
+	// Used is the KV memory in use that cannot be evicted.
 	Used decide.Tokens
-	// Pace is how many times as long as usual its work takes; zero if it does not say.
+	// Pace is the current duration of the upstream's work relative to the usual duration (2 means half
+	// as fast); zero if not reported.
 	Pace float64
-	// Born is the life that speaks; zero if it does not say.
+	// Born is the start time of the upstream's incarnation that reports; zero if not reported.
 	Born decide.Born
 	Said Said
 }
 
-// Reserved is an engine's answer to an order that sets memory aside.
+// Reserved is an engine's response to a request to reserve KV memory.
 type Reserved struct {
-	// Held is false if it has not so much free.
+	// Held is false if the engine does not have enough free memory.
 	Held bool
 	Said Said
 }
 
-// Word is what the header of an upstream's answer says of itself.
+// Word is the data in the header of an upstream's response.
 type Word struct {
-	// Mine is set if the answer says that it belongs to the request that was sent.
-	// Without it the bytes may belong to an earlier request on the connection.
+	// Mine is set if the response carries the id of the request that was sent. Otherwise it may
+	// be the response to an earlier request on the connection.
 	Mine bool
-	// Genuine is set if an upstream vouches for the answer.
+	// Genuine is set if the response carries an upstream's signature. Without one, it may come
+	// from an intermediary.
 	Genuine bool
-	// Idle is set if the upstream says that it ran nothing of the request.
+	// Idle is set if the upstream declares that it did not run any part of the request.
 	Idle bool
-	// Stranger is set if the address belongs to another upstream than the one meant.
+	// Stranger is set if the address now belongs to a different upstream than the intended one.
 	Stranger bool
-	// Culprit is the address of the upstream at fault, where the answer names another one.
+	// Culprit is the address of the upstream that caused the failure, if the response names another
+	// upstream than the sender; otherwise empty.
 	Culprit string
 	Said    Said
 }
--- a/lib/exchange/said.go
+++ b/lib/exchange/said.go
@@ -6,30 +6,36 @@
 	"snipeshift.example/lib/decide/statement"
 )
 
-// Said is what any answer of an upstream, to a request, an order or a poll, says of the upstream itself.
+// Said is what an upstream declares about itself in a response of any kind: to a client's
+// request, a memory reservation or a load poll.
 type Said struct {
 	Limit Limit
-	// Leaving is set if the upstream ends soon.
+	// Leaving is set if the upstream will end soon.
 	Leaving bool
-	// Rest is for how long it wants nothing from the VM that it answers; zero if it does not say.
+	// Rest is how long the VM that receives the response must not send to the upstream; zero if
+	// not declared.
 	Rest clock.Milli
-	// Unreadable lists header fields, with their values quoted, that should tell of a rest or a leaving and do not.
+	// Unreadable lists the header fields for a back-off or for leaving whose values cannot be parsed,
+	// with the values quoted.
 	Unreadable []string
-	// Unknown names header fields that nobody here reads.
+	// Unknown lists the names of header fields that the codec does not recognize.
 	Unknown []string
 }
 
-// Limit is what an answer says of the requests that its upstream takes from all VMs together.
+// Limit is the rate limit that an upstream declares in a response. It applies to the requests of
+// all VMs together.
 type Limit struct {
-	// Named is set if the answer names a limit, of Rate.
+	// Named is set if the response declares a limit; Rate is its value.
 	Named bool
 	Rate  statement.PerSecond
-	// Unreadable is what stands in place of a rate, quoted, if it is none.
+	// Unreadable is the quoted value of the field for the rate if it cannot be parsed; otherwise empty.
 	Unreadable string
 }
 
-// Statements are those of an answer that came now, to a VM in one life, from a life of the upstream; born is zero if that is not known. That a
-// limit is over is not among them: an answer that names none may have been overtaken.
+// Statements returns the statements in a response that arrived at the time now. The gate identifies
+// the VM that received it, and born the upstream's incarnation that sent it (zero if unknown). The
+// end of a rate limit is never among the statements: a response without a limit may have been
+// overtaken by a later one that declares it.
 func (s *Said) Statements(now clock.Milli, gate decide.GateID, born decide.Born) []statement.Statement {
 	var out []statement.Statement
 	if s.Limit.Named {
--- a/lib/retryafter/retryafter.go
+++ b/lib/retryafter/retryafter.go
@@ -1,4 +1,5 @@
-// Package retryafter reads the header Retry-After of HTTP, by which a server that turns a request away says for how long it wants none.
+// Package retryafter parses the HTTP header field Retry-After, with which a server that rejects a
+// request declares for how long it must not be sent further requests.
 package retryafter
 
 import (
@@ -13,11 +14,13 @@
 // Header is the name of the header field.
 const Header = "Retry-After"
 
-// Longest is the longest span that is believed: what is longer is a mistake.
+// Longest is the longest span that is accepted. Longer values are assumed to be mistakes and are
+// cut to it.
 const Longest = 24 * 60 * clock.Minute
 
-// Parse returns the longest span that an answer's fields name, and the values that cannot be read. A value is a number of seconds, fractions
-// allowed, or an instant beside the Date of the answer itself.
+// Parse returns the longest span in the Retry-After fields of a response, and the values that
+// cannot be parsed. A value is a number of seconds, which may have a fraction, or an HTTP date,
+// which is taken relative to the Date field of the response.
 func Parse(h http.Header) (span clock.Milli, unreadable []string) {
 	for _, v := range h[Header] {
 		s, ok := parse(textproto.TrimString(v), h.Get("Date"))
@@ -29,7 +32,8 @@
 	return span, unreadable
 }
 
-// TurnsAway reports whether a status says that a request was not taken, so that Retry-After speaks of the server and not of the request.
+// TurnsAway reports whether a status means that the server did not accept the request, so that
+// Retry-After applies to the server and not only to this request.
 func TurnsAway(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/lib/route/cost.go
+++ b/lib/route/cost.go
@@ -2,30 +2,31 @@
 
 import "snipeshift.example/lib/decide"
 
-// Reading is the time in milliseconds that one engine alone needs to read a
-// prompt: linear in its tokens, and quadratic since each token attends to all
-// earlier ones. k engines that read even parts need a k-th each.
+// Reading returns the time in milliseconds that a single engine needs for the
+// prefill of a prompt. It has a linear part, and a quadratic one since each token
+// attends to all earlier tokens. Each of k engines with equal parts needs 1/k of it.
 func (e *Engine) Reading(prompt decide.Tokens) float64 {
 	n := float64(prompt)
 	return n/e.Read + e.Pairs*n*n/2/1e6
 }
 
 const (
-	// usualWriters is how many streams an engine writes beside one more, most of the time.
-	usualWriters = 4
-	// stalls is by how much the reads of other requests lengthen the writing of an answer.
-	stalls = 1.3
+	// typicalStreams is how many other streams an engine usually decodes at the same time.
+	typicalStreams = 4
+	// prefillSlowdown is the factor by which the prefills of other requests prolong decoding.
+	prefillSlowdown = 1.3
 )
 
-// Writing is the time in milliseconds that it probably takes to write an answer of this
-// many tokens after a prompt of this length.
+// Writing estimates the time in milliseconds that an engine takes to generate the given
+// number of tokens after a prompt of the given length.
 func (e *Engine) Writing(tokens, prompt decide.Tokens) float64 {
-	step := e.Step + e.Writer*usualWriters + e.Context*float64(prompt)/1000
-	return stalls * step * float64(tokens)
+	step := e.Step + e.Writer*typicalStreams + e.Context*float64(prompt)/1000
+	return prefillSlowdown * step * float64(tokens)
 }
 
-// Pass is the time in milliseconds of one pass that writes streams with this many
-// tokens of context together, without what is read meanwhile.
+// Pass returns the time in milliseconds of one pass (batch iteration) that decodes the given
+// number of streams, whose contexts have the given number of tokens in total. It excludes
+// the time of any prefill in the same pass.
 func (e *Engine) Pass(streams int, context decide.Tokens) float64 {
 	if streams == 0 {
 		return e.Step
--- a/lib/route/doc.go
+++ b/lib/route/doc.go
@@ -1,8 +1,8 @@
-// Package route is the table of routes in force: which service answers a
-// request of opaque bytes, who may send it, how often it may run and by when.
+// Package route describes the routes in force: which service serves a request,
+// who may send it, how often it may run and within what time.
 //
-// A Document is plain data, as it came from the operator; a Table is one
-// document indexed for the path of a request. Both never change once made.
+// A Document is the configuration as the operator wrote it; a Table is a document
+// indexed for looking up requests. Both are immutable.
 package route
 
 import (
@@ -12,38 +12,39 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Names and units.
+// Names and version numbers.
 type (
-	// Revision numbers documents; a larger one is newer.
+	// Revision is the version number of a document; a larger one is newer.
 	Revision uint64
-	// Mark is a revision of the store. Those of one era compare: a larger one is later.
+	// Mark is a revision number of the platform's store. Within one era, a larger number is later.
 	Mark uint64
-	// Era counts the copies that the store came back from. Revisions are given out anew in each; zero where
-	// the store does not tell its era.
+	// Era is the number of a history of the store. It rises when the store restarts from an older copy,
+	// after which the store assigns revision numbers again; zero if the store does not report its era.
 	Era uint64
-	// ServiceID names a service: the upstreams among which any may answer.
+	// ServiceID names a service: a set of interchangeable upstreams.
 	ServiceID string
-	// Domain names a failure domain.
+	// Domain is the name of a failure domain.
 	Domain string
-	// Key is a secret by which a caller proves its workspace.
+	// Key is a secret that identifies and authenticates a client's workspace.
 	Key string
 )
 
-// Repeat tells how often a request may run.
+// Repeat defines how often a request may run.
 type Repeat uint8
 
-// The rules of repeating.
+// Values of Repeat.
 const (
-	// Once means that it may run once at most: a second run would send a notice twice.
+	// Once means that the request must run at most once, since a second run has an effect of its
+	// own, such as sending a notice twice.
 	Once Repeat = iota
-	// Repeatable means that a second run does no harm.
+	// Repeatable means that the request is idempotent.
 	Repeatable
-	// Resumable means that a stream may be continued by another upstream after
-	// the last event that arrived whole.
+	// Resumable means that another upstream may continue a stream after the last event that
+	// arrived completely.
 	Resumable
 )
 
-// Document is what the operator says, whole.
+// Document is the operator's complete configuration of routes, services, workspaces and limits.
 type Document struct {
 	Revision   Revision
 	Routes     []Route
@@ -52,123 +53,129 @@
 	Limits     Limits
 }
 
-// Route says what becomes of requests to one host under one path prefix.
+// Route defines how requests to one host under one path prefix are handled.
 type Route struct {
 	Name string
 	// Host is compared without regard to case and without a port.
 	Host string
-	// Prefix begins and ends with a slash; of several that fit the longest holds.
+	// Prefix begins and ends with a slash; the longest matching prefix applies.
 	Prefix string
 	// Targets has at least one entry.
 	Targets []Target
 	Repeat  Repeat
-	// Stream is set where the answer is a series of events.
+	// Stream is set if the response is a stream of events.
 	Stream bool
-	// Timeout is the longest that a caller is kept waiting, from its request's arrival.
+	// Timeout is the maximum time from a request's arrival to its complete response.
 	Timeout clock.Milli
-	// Aim is the time to the first byte within which an answer is worth most.
+	// Aim is the target for the time to the first byte; a response within it has its full value.
 	Aim clock.Milli
-	// Patience is how long a caller waits for the next event of a stream, or for the
-	// first, before it leaves; zero if it waits out its time.
+	// Patience is how long a client waits for the first or the next event of a stream
+	// before it disconnects; zero if it waits until the timeout.
 	Patience clock.Milli
-	// Gap is the longest pause between two events of an answer that is on time; zero for no bound.
+	// Gap is the target for the longest pause between two events of a response; zero for no target.
 	Gap clock.Milli
-	// Attempts is how many upstreams one request may be sent to; at least 1.
+	// Attempts is the maximum number of sends after which a request may have run; at least 1.
 	Attempts int
-	// Urgency is the rank, 0 first.
+	// Urgency is the priority in queues; 0 is served first.
 	Urgency int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
 }
 
-// Target is one service of a route with its share of the requests.
+// Target is a service to which a route sends a share of its requests.
 type Target struct {
 	Service ServiceID
 	// Weight is the share relative to the other targets; at least 1.
 	Weight int
 }
 
-// Service is a set of upstreams that serve the same.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	ID ServiceID
-	// Connections is how many one upstream takes from all VMs together; zero for no bound.
+	// Connections is the maximum number of connections to one upstream from all VMs together; zero
+	// for no bound.
 	Connections int
-	// Engine is the cost of work at one upstream; nil for a plain service.
+	// Engine is the cost model of the service's engines; nil for a plain service.
 	Engine *Engine
 }
 
-// Engine says how fast a language-model engine works. It runs its requests in
-// passes: each step of a pass writes one token of every stream, and reads a
-// piece of the prompts that wait.
+// Engine is the cost model of a language-model engine. The engine works in passes (batch
+// iterations): each step of a pass decodes one token of every stream, and prefills a
+// part of the waiting prompts.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Memory is KV memory in tokens.
+	// Memory is the capacity of the KV memory in tokens.
 	Memory decide.Tokens
-	// Step is the time of one step; Writer is added for each stream, and
-	// Context for each 1,000 tokens of a stream's context. All in milliseconds.
+	// Step is the base time of one step. Writer is added for each stream that is decoded, and
+	// Context for each 1,000 tokens of a stream's context. All are in milliseconds.
 	Step, Writer, Context float64
-	// Read is prompt tokens read in a millisecond.
+	// Read is the linear part of the prefill speed, in prompt tokens per millisecond.
 	Read float64
-	// Pairs is milliseconds for a million pairs of a token and an earlier one.
+	// Pairs is the quadratic part of the prefill time: milliseconds per million pairs of a token and
+	// an earlier token.
 	Pairs float64
-	// Stride is how many steps a pass has while any stream is written.
+	// Stride is the number of steps in a pass while any stream is decoded.
 	Stride int
-	// Hop is milliseconds added to each step of a prompt that spans engines.
+	// Hop is the time in milliseconds that each step takes longer for a prompt spread over several
+	// engines.
 	Hop float64
-	// Lag is how old an engine's own report on its load is.
+	// Lag is the age of an engine's load report when it is received.
 	Lag clock.Milli
 }
 
-// Workspace is a team that is charged, with its keys.
+// Workspace is a customer, which is charged for its requests, with its keys.
 type Workspace struct {
 	ID   decide.WorkspaceID
 	Keys []Key
-	// Urgency, where it is set, goes before that of the route.
+	// Urgency overrides that of the route; nil for no override.
 	Urgency *int
 }
 
-// Limits bound what a caller may send. Zero means no bound.
+// Limits bound the requests and connections of clients. Zero means no bound.
 type Limits struct {
-	// Header and Body are bytes.
+	// Header and Body are the maximum sizes in bytes.
 	Header, Body int
-	// Reading is the longest that a header may take, Idle the longest that a
-	// connection is kept without a request.
+	// Reading is the maximum time for receiving a header, Idle the maximum time that a connection
+	// stays open without a request.
 	Reading, Idle clock.Milli
 }
 
-// Upstream is one process that serves a service, in one life.
+// Upstream is one incarnation of a process that serves a service.
 type Upstream struct {
 	ID decide.UpstreamID
-	// Born tells its lives apart: an upstream that crashed may come back under its ID.
+	// Born is the start time of the incarnation: an upstream that crashed may restart under the
+	// same ID.
 	Born    decide.Born
 	Service ServiceID
-	// Address may serve another upstream once this one is gone.
+	// Address may be reused by another upstream after this one has ended.
 	Address string
 	Domain  Domain
-	// Slots is how many requests it runs at once.
+	// Slots is the maximum number of requests that it runs concurrently.
 	Slots int
-	// Leaving is set once it has announced that it will end; it takes no new request.
+	// Leaving is set once the upstream has announced that it will end; it accepts no new requests.
 	Leaving bool
 }
 
-// ErrDocument means that what stands in the place of the document is none.
+// ErrDocument means that the stored object is not a valid document.
 var ErrDocument = errs.New("the document cannot be read")
 
-// Unusable is an entry that names no upstream to use.
+// Unusable is an entry of the store that does not describe a usable upstream.
 type Unusable struct {
 	ID decide.UpstreamID
-	// Reason says what is wrong with the entry.
+	// Reason describes the error in the entry.
 	Reason string
 }
 
-// News is what the platform's store says of upstreams: all of them in a list, or what changed.
+// News is an update on upstreams from the platform's store: a complete list, or the changes since
+// an earlier update.
 type News struct {
 	Upstreams []Upstream
-	// Gone are those whose entries were removed; empty in a list.
+	// Gone are the upstreams whose entries were removed; empty in a complete list.
 	Gone []decide.UpstreamID
-	// Unusable are entries that somebody wrote and that name no upstream to use.
+	// Unusable are entries that do not describe a usable upstream.
 	Unusable []Unusable
-	// Doubted are entries of which a peer that tells its list does not know whether they still hold; its Upstreams lack them.
+	// Doubted are upstreams in a list from a peer that the peer could not confirm to be still
+	// valid. They are not contained in Upstreams.
 	Doubted []Upstream
 }
--- a/lib/route/position.go
+++ b/lib/route/position.go
@@ -2,18 +2,19 @@
 
 import "cmp"
 
-// Position is a place in the store's history: a revision, in the era that gave it out. The zero Position is
-// before everything.
+// Position is a point in the store's history: a revision number and the era in which it was
+// assigned. The zero Position is before all others.
 type Position struct {
 	Era  Era
 	Mark Mark
 }
 
-// After reports whether p is later than o. The store may come back from an older copy of itself: what it writes then is later than
-// all that was before, though its revisions are lower.
+// After reports whether p is later than o. When the store has restarted from an older copy, its
+// writes are later than all earlier ones, although their revision numbers may be lower; so the era
+// is compared first.
 func (p Position) After(o Position) bool { return p.compare(o) > 0 }
 
-// Later is the later of two positions.
+// Later returns the later of two positions.
 func Later(p, o Position) Position {
 	if o.After(p) {
 		return o
--- a/lib/route/table.go
+++ b/lib/route/table.go
@@ -15,13 +15,13 @@
 // Table is a Document indexed for requests. It is safe for concurrent use.
 type Table struct {
 	document *Document
-	// hosts holds the routes of each host by prefix.
+	// hosts maps a host in lower case to its routes by prefix.
 	hosts    map[string]map[string]*Route
 	services map[ServiceID]*Service
 	keys     map[Key]*Workspace
 }
 
-// Index checks and indexes a document.
+// Index checks and indexes a document. It returns an error if a route has no target.
 func Index(d *Document) (*Table, error) {
 	t := &Table{
 		document: d,
@@ -54,13 +54,13 @@
 	return t, nil
 }
 
-// Document is what the table was made from. It must not be changed.
+// Document returns the document that the table indexes. It must not be modified.
 func (t *Table) Document() *Document { return t.document }
 
-// Revision is the document's.
+// Revision returns the revision of the document.
 func (t *Table) Revision() Revision { return t.document.Revision }
 
-// Find returns the route of a request, nil if there is none.
+// Find returns the route for a host and path, nil if there is none.
 func (t *Table) Find(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -74,16 +74,16 @@
 	return nil
 }
 
-// Keyed tells whether callers must show a key where a route is not public.
+// Keyed reports whether clients must present a key on routes that are not public.
 func (t *Table) Keyed() bool { return len(t.document.Workspaces) > 0 }
 
-// Holder returns the workspace that holds a key, nil if none does.
+// Holder returns the workspace to which a key belongs, nil if there is none.
 func (t *Table) Holder(k Key) *Workspace { return t.keys[k] }
 
-// Service returns a service, nil if the document does not name it.
+// Service returns a service, nil if the document does not contain it.
 func (t *Table) Service(id ServiceID) *Service { return t.services[id] }
 
-// Urgency is the rank of a request: that of its workspace, else that of its route.
+// Urgency returns the urgency of a request: that of its workspace if set, or else that of its route.
 func Urgency(r *Route, w *Workspace) decide.Urgency {
 	u := r.Urgency
 	if w != nil && w.Urgency != nil {
@@ -92,8 +92,8 @@
 	return decide.Urgency(min(max(u, 0), 255))
 }
 
-// Pick chooses a target by weight; point is uniform over all values of its type,
-// so that the same request always gets the same one.
+// Pick returns the service of a target chosen by weight. The same point always gives the same target;
+// points should be uniformly distributed hashes of requests.
 func (r *Route) Pick(point uint64) ServiceID {
 	total := 0
 	for _, t := range r.Targets {
--- a/lib/route/table_test.go
+++ b/lib/route/table_test.go
@@ -16,7 +16,7 @@
 	return tb
 }
 
-func TestTheLongestPrefixHolds(t *testing.T) {
+func TestLongestPrefixApplies(t *testing.T) {
 	tb := table(t, Route{Name: "all", Host: "a.example", Prefix: "/"}, Route{Name: "deep", Host: "a.example", Prefix: "/x/y/"},
 		Route{Name: "flat", Host: "a.example", Prefix: "/x/"})
 	for path, name := range map[string]string{"/x/y/z": "deep", "/x/y/": "deep", "/x/y": "flat", "/x/": "flat", "/x": "all", "/": "all", "/x//y/": "flat"} {
@@ -37,16 +37,16 @@
 	require.Equal(t, map[ServiceID]int{"a": 900, "b": 100}, count)
 }
 
-// An operator's tool writes a route that leads nowhere. Taken as it is, each of
-// its requests would crash or hang; the document is refused and the last one stays.
-func TestARouteWithoutTargetIsRefused(t *testing.T) {
+// An operator's tool writes a route without a target. If the document were accepted, each request
+// on the route would crash or hang; so it is refused, and the last document stays in force.
+func TestRouteWithoutTargetIsRefused(t *testing.T) {
 	_, err := Index(&Document{Revision: 7, Routes: []Route{{Name: "r"}}})
 	require.ErrorContains(t, err, `revision 7: route "r" has no target`)
 }
 
-// A prompt of a million tokens costs an engine fifty seconds; the part that grows
-// with the square must not be lost in the estimate, or it would be placed alone.
-func TestReadingGrowsWithTheSquare(t *testing.T) {
+// The prefill of a prompt of a million tokens takes an engine fifty seconds. If the estimate
+// omitted the quadratic part, the prompt would be placed on a single engine.
+func TestPrefillTimeIsQuadratic(t *testing.T) {
 	e := &Engine{Read: 256, Pairs: 0.0917}
 	require.InDelta(t, 20.5, e.Reading(4960), 0.5)
 	require.InDelta(t, 2842, e.Reading(210_000), 2)
