--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -178,13 +178,13 @@
 	by := math.Exp2(rng.Float64()*2 - 1)
 	switch rng.IntN(4) {
 	case 0:
-		r.Part *= by
+		r.PartRead *= by
 	case 1:
-		r.Packed = max(1, int(float64(r.Packed)*by))
+		r.PackedStreams = max(1, int(float64(r.PackedStreams)*by))
 	case 2:
-		r.Light *= by
+		r.MaxShortRead *= by
 	default:
-		r.Interleaved = min(0.9, r.Interleaved*by)
+		r.InterleavedFraction = min(0.9, r.InterleavedFraction*by)
 	}
 	return r
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -202,7 +202,7 @@
 // spawn runs a part; when it fails the daemon stops.
 func (d *daemon) spawn(g *errgroup.Group, name string, f func() error) {
 	g.Go(func() error {
-		defer guard.Report(d.log, name)
+		defer guard.ReportPanic(d.log, name)
 		err := f()
 		if err != nil {
 			d.log.Error().Str("part", name).Err(err).Msg("part failed")
--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -73,7 +73,7 @@
 
 // use is a grant in use.
 type use struct {
-	span.Live
+	span.LiveGrant
 	service route.ServiceID
 }
 
@@ -110,20 +110,20 @@
 
 // grouped lists the live grants by service. Services whose last grant has just
 // ended are among them, so that their owners learn of it.
-func (c *Client) grouped() map[route.ServiceID][]span.Live {
+func (c *Client) grouped() map[route.ServiceID][]span.LiveGrant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make(map[route.ServiceID][]span.Live, len(c.asked))
+	out := make(map[route.ServiceID][]span.LiveGrant, len(c.asked))
 	for s := range c.asked {
 		out[s] = nil
 	}
 	for _, u := range c.live {
-		out[u.service] = append(out[u.service], u.Live)
+		out[u.service] = append(out[u.service], u.LiveGrant)
 	}
 	return out
 }
 
-func (c *Client) present(ctx context.Context, s route.ServiceID, live []span.Live) {
+func (c *Client) present(ctx context.Context, s route.ServiceID, live []span.LiveGrant) {
 	args := &PresentArgs{Service: s, Gate: c.gate, Live: live}
 	unsaid := c.pending(s)
 	args.Statements = unsaid.Statements
@@ -190,7 +190,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.live[reply.Grant.Request] = &use{Live: span.Live{Grant: reply.Grant}, service: s}
+	c.live[reply.Grant.Request] = &use{LiveGrant: span.LiveGrant{Grant: reply.Grant}, service: s}
 	c.mu.Unlock()
 	if l := reply.Limit; l != nil {
 		c.heard.Learn(s, l.Upstream, l.Statement(c.clock.Now()), statements.FromOwner)
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -186,7 +186,7 @@
 	}
 	h := o.host(s)
 	h.gathering = true
-	h.pool.Suspect()
+	h.pool.RequestReports()
 	h.mu.Unlock()
 	x, ok := o.Holders.take(s, before, cause)
 	if !ok {
@@ -285,7 +285,7 @@
 		return
 	}
 	h := o.host(s)
-	books := h.pool.Books(o.Clock.Now())
+	books := h.pool.Snapshot(o.Clock.Now())
 	h.mu.Unlock()
 	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: books}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -136,13 +136,13 @@
 	}
 	o.mu.Unlock()
 	h.mu.Lock()
-	h.pool.Isolate(o.Alone() && o.Clock.Now()-h.born < AloneWait, o.Name)
+	h.pool.SetIsolated(o.Alone() && o.Clock.Now()-h.born < AloneWait, o.Name)
 	if v := o.Knowledge.View(); v.Generation != h.generation && v.Table != nil {
 		first := h.generation == 0
 		h.generation = v.Generation
-		h.pool.Serve(v.Table.Service(s), v.Upstreams[s])
+		h.pool.SetUpstreams(v.Table.Service(s), v.Upstreams[s])
 		if first {
-			h.pool.Doubt()
+			h.pool.MarkUnverified()
 		}
 	}
 	return h
@@ -158,7 +158,7 @@
 		a.Patience += now
 	}
 	h := o.host(args.Service)
-	h.pool.Divide(now, o.part(args))
+	h.pool.SetLimitShare(now, o.part(args))
 	o.learn(args.Service, h, now, args.Statements)
 	h.asked = now
 	o.pollReports(args.Service, h)
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -41,7 +41,7 @@
 }
 
 // Binding returns a statement by which this VM must not send to a place now, if there is one.
-func (c *Client) Binding(s route.ServiceID, p span.Place) (statement.Statement, bool) {
+func (c *Client) Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool) {
 	return c.heard.Binding(s, p.Upstream, p.Born)
 }
 
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -160,7 +160,7 @@
 	b.learnDocument(document(9), b.clock.Now(), "store")
 	b.learnDocument(document(7), b.clock.Now()+1, "peer")
 	require.EqualValues(t, 9, b.View().Table.Revision())
-	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older one proves nothing")
+	require.Equal(t, b.clock.Now(), b.View().TableVerified, "the older one proves nothing")
 }
 
 // A document leads nowhere. The last good one goes on being served.
@@ -177,20 +177,20 @@
 // end of a watch without news, until a good one is there again.
 func TestADocumentThatCannotBeReadProvesNothing(t *testing.T) {
 	b := newBench(t)
-	known := b.View().TableAt
+	known := b.View().TableVerified
 	b.clock.forward(100)
 	b.store.unread = true
 	b.list()
-	require.False(t, b.Lost())
+	require.False(t, b.StoreDown())
 	require.EqualValues(t, 1, b.View().Table.Revision())
 	for range 3 {
 		b.clock.forward(watchWait)
 		b.watch()
 	}
-	require.Equal(t, known, b.View().TableAt)
+	require.Equal(t, known, b.View().TableVerified)
 	b.store.unread = false
 	b.list()
-	require.Greater(t, b.View().TableAt, known)
+	require.Greater(t, b.View().TableVerified, known)
 }
 
 // The end of a watch without news proves what is known up to the end of the wait, and
@@ -218,7 +218,7 @@
 	b := newBench(t)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.clock.forward(5 * clock.Second)
 	b.store.down, b.store.upstreams = false, nil
 	b.list()
@@ -255,8 +255,8 @@
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
 	well.Fill("", beat)
 	cut.Learn(beat, false)
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().TableAt, "the same document, known to be new")
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().UpstreamsAt)
+	require.Equal(t, cut.clock.Now()-beatTime, cut.View().TableVerified, "the same document, known to be new")
+	require.Equal(t, cut.clock.Now()-beatTime, cut.View().UpstreamsVerified)
 
 	cut.clock.forward(4 * clock.Second)
 	well.store.at.Mark += 10
@@ -280,10 +280,10 @@
 	b.large(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.there())
 }
 
@@ -296,16 +296,16 @@
 	b.large(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.store.down = false
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	ctx, cancel := context.WithTimeout(b.ctx, 300*time.Millisecond)
 	defer cancel()
 	none := func(context.Context) (route.Position, error) { return route.Position{Mark: 1}, nil }
 	b.follow(ctx, feed{name: "upstreams", list: none, watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
 		return route.Position{Mark: 1}, nil
 	}})
-	require.False(t, b.Lost(), "while it rests, readers vouch for what it knows")
+	require.False(t, b.StoreDown(), "while it rests, readers vouch for what it knows")
 	b.clock.forward(restLimit + 1)
 	require.False(t, b.rests(b.documents()))
 	b.store.upstreams = upstreams("b")
@@ -363,11 +363,11 @@
 // knowledge look fresh.
 func TestAnOldWordProvesNothing(t *testing.T) {
 	b := newBench(t)
-	at := b.View().TableAt
+	at := b.View().TableVerified
 	b.clock.forward(6 * clock.Second)
 	b.Learn(&peer.BeatArgs{Registry: peer.RegistryWord{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
-	require.Equal(t, at, b.View().TableAt)
-	require.Equal(t, at, b.View().UpstreamsAt)
+	require.Equal(t, at, b.View().TableVerified)
+	require.Equal(t, at, b.View().UpstreamsVerified)
 }
 
 // A failed call may have lost events with its answer, so the next one lists anew.
@@ -435,11 +435,11 @@
 // readers of a test: one other, or this VM itself.
 func (b *bench) readBy(other *Registry, self bool) {
 	b.peers = direct{other}
-	b.ReadBy(func() Roster {
+	b.SetReaders(func() Roster {
 		if self {
-			return Roster{Others: []peer.Member{{VM: "reader"}}, Self: true}
+			return Roster{Sources: []peer.Member{{VM: "reader"}}, Primary: true}
 		}
-		return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1}
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1}
 	})
 }
 
@@ -511,8 +511,8 @@
 // large lets one other read for a fleet in which VMs keep no watches.
 func (b *bench) large(reader *Registry) {
 	b.peers = direct{reader}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, LargeFleet: true}
 	})
 }
 
@@ -524,14 +524,14 @@
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
 	require.False(t, b.rests(b.documents()), "no reader has answered yet")
-	turn := b.askReaders(b.ctx, b.readers().Others, 0)
+	turn := b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.True(t, b.rests(b.documents()))
 
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.clock.forward(pollEvery)
 	require.True(t, b.due(b.readers()))
-	b.askReaders(b.ctx, b.readers().Others, turn)
+	b.askReaders(b.ctx, b.readers().Sources, turn)
 	require.Equal(t, 1, b.there())
 
 	b.clock.forward(pollExpiry + 1)
@@ -545,7 +545,7 @@
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
 	b.clock.forward(restLimit + 1)
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.False(t, b.rests(b.documents()))
 	b.list()
 	require.True(t, b.rests(b.documents()))
@@ -557,13 +557,13 @@
 	b, shut, well := newBench(t), newBench(t), newBench(t)
 	shut.Registry.clock, well.Registry.clock = b.clock, b.clock
 	b.peers = byAddress{"shut": shut.Registry, "well": well.Registry}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, LargeFleet: true}
 	})
 	b.clock.forward(readerAge + 1)
 	well.store.upstreams, well.store.at = upstreams("b"), mark(50)
 	well.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.there())
 }
 
@@ -586,7 +586,9 @@
 	began = time.Now()
 	self := time.AfterFunc(50*time.Millisecond, func() { b.promoted.Store(true) })
 	defer self.Stop()
-	b.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1, Self: b.promoted.Load()} })
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1, Primary: b.promoted.Load()}
+	})
 	b.backOff(b.ctx, 5)
 	require.Less(t, time.Since(began), 4*retryWait)
 }
@@ -609,7 +611,7 @@
 	require.Equal(t, 1, b.there())
 	b.changeUpstreams(broken("no state", "a"), mark(10), b.clock.Now())
 	b.changeUpstreams(broken("no address", "a", "x"), mark(11), b.clock.Now())
-	require.EqualValues(t, 3, b.Barred(), "once for each reason and entry")
+	require.EqualValues(t, 3, b.UnusableCount(), "once for each reason and entry")
 	b.changeUpstreams(list(upstreams("a")), mark(12), b.clock.Now())
 	require.Equal(t, 2, b.there())
 
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -195,7 +195,7 @@
 		if old, known := r.upstreams[u.ID]; known {
 			delete(r.upstreams, u.ID)
 			delete(r.gone, u.ID)
-			r.changes.Take(old)
+			r.changes.Remove(old)
 			r.generation++
 		}
 		if r.unusable[u.ID] == u.Reason {
@@ -211,8 +211,8 @@
 	}
 }
 
-// Barred counts the entries that named no upstream, each once for each reason.
-func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.barred }
+// UnusableCount counts the entries that named no upstream, each once for each reason.
+func (r *Registry) UnusableCount() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.barred }
 
 // remove takes an upstream out, at once or, shortly after the store was away, a
 // while later. The lock is held.
@@ -245,7 +245,7 @@
 		delete(r.gone, id)
 		u := r.upstreams[id]
 		r.left[id] = leaver{now, u.Born}
-		r.changes.Take(u)
+		r.changes.Remove(u)
 		delete(r.upstreams, id)
 		r.generation++
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream is gone")
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -53,7 +53,7 @@
 	Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
 	// Binding returns a statement of an upstream that forbids this VM to send to it now, if there
 	// is one.
-	Binding(s route.ServiceID, p span.Place) (statement.Statement, bool)
+	Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool)
 }
 
 // Knowledge provides the routes and upstreams that this VM knows.
@@ -211,10 +211,10 @@
 	x.head = head
 	x.awaitDocument()
 	v := g.Knowledge.View()
-	if v.Table == nil || v.UpstreamsAt == 0 {
+	if v.Table == nil || v.UpstreamsVerified == 0 {
 		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(notReadyRetry)
 	}
-	x.record.revision, x.record.age = uint64(v.Table.Revision()), max(x.arrived-v.TableAt, 0)
+	x.record.revision, x.record.age = uint64(v.Table.Revision()), max(x.arrived-v.TableVerified, 0)
 	if err != nil {
 		return fault.New(fault.Malformed, "%v", err)
 	}
@@ -259,7 +259,7 @@
 	if !x.keyRequired || x.route.Public {
 		return nil
 	}
-	age := x.gate.Clock.Now() - v.TableAt
+	age := x.gate.Clock.Now() - v.TableVerified
 	if float64(age) > keyAgeShare*float64(x.gate.bounds.Revoke) {
 		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(notReadyRetry)
 	}
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -89,7 +89,7 @@
 	during func()
 	refuse fault.Kind
 	// helpers are the helpers in each grant.
-	helpers []span.Place
+	helpers []span.Placement
 }
 
 func (p *testPlacer) Ask(ctx context.Context, _ route.ServiceID, a span.Ask) (placer.AskReply, error) {
@@ -115,7 +115,7 @@
 	}
 	for _, u := range p.upstreams {
 		if !slices.Contains(a.Avoid, u.ID) {
-			return placer.AskReply{Decided: true, Grant: span.Grant{Request: a.ID, Leader: span.Place{Upstream: u.ID, Address: u.Address}, Helpers: p.helpers, First: 100}}, nil
+			return placer.AskReply{Decided: true, Grant: span.Grant{Request: a.ID, Leader: span.Placement{Upstream: u.ID, Address: u.Address}, Helpers: p.helpers, First: 100}}, nil
 		}
 	}
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
@@ -137,7 +137,7 @@
 	p.statements.Learn(u, st)
 }
 
-func (p *testPlacer) Binding(_ route.ServiceID, l span.Place) (statement.Statement, bool) {
+func (p *testPlacer) Binding(_ route.ServiceID, l span.Placement) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.statements.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
@@ -244,7 +244,7 @@
 	now := clock.Boot{}.Now()
 	w.table = t
 	w.registry.set(&registry.View{
-		Table: t, TableAt: now, UpstreamsAt: now, Generation: 1, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams},
+		Table: t, TableVerified: now, UpstreamsVerified: now, Generation: 1, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams},
 	})
 }
 
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -313,7 +313,7 @@
 	w.placer.during = func() {
 		if asked++; asked == 2 {
 			v := *w.registry.View()
-			v.TableAt -= 4500
+			v.TableVerified -= 4500
 			w.registry.set(&v)
 		}
 	}
@@ -345,7 +345,7 @@
 	w := newFixture(t, respond("fine"))
 	age := func(ms clock.Milli) {
 		now := clock.Boot{}.Now()
-		w.registry.set(&registry.View{Table: w.table, TableAt: now - ms, UpstreamsAt: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
+		w.registry.set(&registry.View{Table: w.table, TableVerified: now - ms, UpstreamsVerified: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
 	}
 	status := func(path string) int {
 		resp, _, err := w.call(http.MethodPost, path, "")
--- a/daemon/relay/reserve.go
+++ b/daemon/relay/reserve.go
@@ -43,7 +43,7 @@
 
 // helperMemory is the memory reserved on one helper.
 type helperMemory struct {
-	place  span.Place
+	place  span.Placement
 	ticket string
 }
 
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -55,7 +55,7 @@
 // addHelper makes every grant require memory on one helper.
 func (w *fixture) addHelper(m *testMemory) {
 	w.needs.Memory = m
-	w.placer.helpers = []span.Place{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
+	w.placer.helpers = []span.Placement{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
 	w.start()
 }
 
@@ -143,7 +143,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "a request on a single engine is tried four times")
 
-	w.placer.helpers = []span.Place{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
+	w.placer.helpers = []span.Placement{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
 	resp, body, err := w.call("POST", "/again/x", "prompt")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/daemon/relay/said.go
+++ b/daemon/relay/said.go
@@ -16,7 +16,7 @@
 // contain statements, also a rejection. That a rate limit has ended is only concluded from a
 // regular response that declares none; the end holds as of sent, the time at which the request was
 // sent.
-func (x *request) reportStatements(head *exchange.Word, leader span.Place, sent clock.Milli) {
+func (x *request) reportStatements(head *exchange.Word, leader span.Placement, sent clock.Milli) {
 	if head.Stranger {
 		return
 	}
@@ -29,7 +29,7 @@
 
 // reportStatements passes the statements in a response that has just arrived on to the placer, and
 // logs header fields that cannot be parsed or are not recognized.
-func (g *Gate) reportStatements(s route.ServiceID, p span.Place, declared *exchange.Said) {
+func (g *Gate) reportStatements(s route.ServiceID, p span.Placement, declared *exchange.Said) {
 	unreadable := declared.Unreadable
 	if declared.Limit.Unreadable != "" {
 		unreadable = append(unreadable, "limit: "+declared.Limit.Unreadable)
@@ -58,7 +58,7 @@
 // no other VM.
 func (x *request) checkStatements(grant span.Grant) (result, bool) {
 	g := x.gate
-	for i, p := range append([]span.Place{grant.Leader}, grant.Helpers...) {
+	for i, p := range append([]span.Placement{grant.Leader}, grant.Helpers...) {
 		st, bound := g.Placer.Binding(x.service, p)
 		if helps := i > 0; !bound || helps && st.Kind == statement.Rest && p.Reserve == 0 {
 			continue
--- a/daemon/relay/said_test.go
+++ b/daemon/relay/said_test.go
@@ -93,7 +93,7 @@
 	var sent atomic.Int64
 	w := newFixture(t, counting(&sent, respondStream(eventText(1, 2))))
 	m := &testMemory{during: func() {
-		w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Leaving: true})
+		w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Leaving: true})
 	}}
 	w.addHelper(m)
 	resp, _, err := w.call(http.MethodPost, "/stream/", "")
@@ -128,7 +128,7 @@
 	w.start()
 	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
+			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
 		}
 	}
 	require.Equal(t, maxNames, strings.Count(lines.String(), `"unknown"`))
@@ -145,7 +145,7 @@
 	long := strings.Repeat("9", 1<<16)
 	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.reportStatements("s", span.Place{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
+			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
 		}
 	}
 	require.Equal(t, maxNames, strings.Count(lines.String(), `"unreadable"`))
--- a/daemon/relay/watchdog.go
+++ b/daemon/relay/watchdog.go
@@ -116,7 +116,7 @@
 
 // check probes the upstream, and gives up the send if the upstream is unreachable.
 func (w *watchdog) check() {
-	defer guard.Report(w.gate.Log, "probe of an upstream that does not respond")
+	defer guard.ReportPanic(w.gate.Log, "probe of an upstream that does not respond")
 	if w.gate.unreachable(w.address) {
 		w.gate.Log.Warn().Str(logline.Key, logline.Silent).Str("address", w.address).Msg("upstream does not respond and accepts no connection; send given up")
 		w.giveUp()
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -39,7 +39,7 @@
 
 // granted is a grant in the pool's books.
 type granted struct {
-	Live
+	LiveGrant
 	ask Ask
 	at  clock.Milli
 	// presented is set for a grant of another owner's: it is older than at.
@@ -135,7 +135,7 @@
 // used is the KV memory in tokens that is taken here.
 func (r *row) used() decide.Tokens { return r.foreignUsed + r.taken }
 
-func reserved(ps []Place) decide.Tokens {
+func reserved(ps []Placement) decide.Tokens {
 	var sum decide.Tokens
 	for _, p := range ps {
 		sum += p.Reserve
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -51,11 +51,11 @@
 // Short requests that fit into the pauses of their kind would else be spread like long ones, over engines that long ones need.
 func (p *Pool) lightest(a *Ask) float64 {
 	if a.Gap <= 0 || a.Gap > lightPause {
-		return p.rules.Light
+		return p.rules.MaxShortRead
 	}
-	streams := min(p.rules.Packed, p.engine.Slots)
+	streams := min(p.rules.PackedStreams, p.engine.Slots)
 	pass := p.engine.Pass(streams, decide.Tokens(streams)*shortContext)
-	return max(p.rules.Light, p.rules.Safety*float64(a.Gap)-pass)
+	return max(p.rules.MaxShortRead, p.rules.PauseFraction*float64(a.Gap)-pass)
 }
 
 // round is one scan of the whole queue.
