--- a/daemon/relay/body.go
+++ b/daemon/relay/body.go
@@ -15,7 +15,7 @@
 
 // maxBody returns the size of the largest request body that is accepted, in bytes.
 func (x *request) maxBody() int64 {
-	if t := x.gate.Knowledge.View().Table; t != nil && t.Document().Limits.Body > 0 {
+	if t := x.gate.Registry.View().Table; t != nil && t.Document().Limits.Body > 0 {
 		return int64(t.Document().Limits.Body)
 	}
 	return defaultBodyLimit
@@ -30,7 +30,7 @@
 		size = x.maxBody()
 	}
 	g := x.gate
-	if held := g.bodies.Add(size); held > g.bounds.Bodies {
+	if held := g.bodies.Add(size); held > g.bounds.BodyBytes {
 		g.bodies.Add(-size)
 		return nil, fault.New(fault.Overloaded, "%d bytes of requests are held here", held-size).WithRetry(notReadyRetry)
 	}
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -28,12 +28,12 @@
 
 // Codec reads and writes the header fields of one protocol.
 type Codec interface {
-	// Head reads the header of a client's request.
-	Head(h http.Header) (exchange.Head, error)
+	// RequestHead reads the header of a client's request.
+	RequestHead(h http.Header) (exchange.RequestHead, error)
 	// Forward returns the header of the request to the upstream.
 	Forward(from http.Header, s exchange.Send) http.Header
-	// Word reads the header of an upstream's response to the request with this id.
-	Word(resp *http.Response, id string) exchange.Word
+	// ResponseHead reads the header of an upstream's response to the request with this id.
+	ResponseHead(resp *http.Response, id string) exchange.ResponseHead
 	// Answer copies the header of an upstream's response into the response to the client.
 	Answer(to, from http.Header)
 	// Refuse writes the header of a refusal by the gate itself; retry is the Retry-After time.
@@ -56,8 +56,8 @@
 	Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool)
 }
 
-// Knowledge provides the routes and upstreams that this VM knows.
-type Knowledge interface {
+// Registry provides the routes and upstreams that this VM knows.
+type Registry interface {
 	View() *registry.View
 	// Known returns a channel that is closed once routes and upstreams are available.
 	Known() <-chan struct{}
@@ -78,23 +78,23 @@
 // Memory reserves and releases KV memory on engines.
 type Memory interface {
 	Reserve(ctx context.Context, address, id string, tokens decide.Tokens, hold clock.Milli) (exchange.Reserved, error)
-	Release(ctx context.Context, address, id string) (exchange.Said, error)
+	Release(ctx context.Context, address, id string) (exchange.Declared, error)
 }
 
 // Clock reads a clock that continues while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Needs are the collaborators of a Gate.
-type Needs struct {
-	Clock     Clock
-	Log       *log.Logger
-	Codec     Codec
-	Placer    Placer
-	Knowledge Knowledge
-	Suspects  Suspects
-	Memory    Memory
-	// Kept reuses connections to upstreams; Fresh opens a connection for each request.
-	Kept, Fresh http.RoundTripper
+// Dependencies are the collaborators of a Gate.
+type Dependencies struct {
+	Clock    Clock
+	Log      *log.Logger
+	Codec    Codec
+	Placer   Placer
+	Registry Registry
+	Suspects Suspects
+	Memory   Memory
+	// Pooled reuses connections to upstreams; Unpooled opens a connection for each request.
+	Pooled, Unpooled http.RoundTripper
 }
 
 // Bounds are limits that the deployment sets. Times are in milliseconds.
@@ -104,13 +104,13 @@
 	Revoke clock.Milli
 	// Config is the time within which a new document must be in force.
 	Config clock.Milli
-	// Bodies is the total size of the request bodies that are buffered at a time, in bytes.
-	Bodies int64
+	// BodyBytes is the total size of the request bodies that are buffered at a time, in bytes.
+	BodyBytes int64
 }
 
 // Gate is the HTTP handler that serves clients.
 type Gate struct {
-	Needs
+	Dependencies
 	bounds Bounds
 	id     decide.GateID
 	// started is the time at which this process started.
@@ -127,8 +127,8 @@
 }
 
 // New returns a gate. The id identifies this process: the VM and its incarnation.
-func New(n Needs, b Bounds, id decide.GateID) *Gate {
-	return &Gate{Needs: n, bounds: b, id: id, started: n.Clock.Now(), metrics: newMetrics()}
+func New(n Dependencies, b Bounds, id decide.GateID) *Gate {
+	return &Gate{Dependencies: n, bounds: b, id: id, started: n.Clock.Now(), metrics: newMetrics()}
 }
 
 // Stop makes each further response close its connection, so that clients reconnect to another VM.
@@ -143,7 +143,7 @@
 	gate      *Gate
 	w         http.ResponseWriter
 	r         *http.Request
-	head      exchange.Head
+	head      exchange.RequestHead
 	route     *route.Route
 	workspace *route.Workspace
 	service   route.ServiceID
@@ -207,10 +207,10 @@
 // admit finds the route and checks the client's key.
 func (x *request) admit() *fault.Error {
 	g := x.gate
-	head, err := g.Codec.Head(x.r.Header)
+	head, err := g.Codec.RequestHead(x.r.Header)
 	x.head = head
 	x.awaitDocument()
-	v := g.Knowledge.View()
+	v := g.Registry.View()
 	if v.Table == nil || v.UpstreamsVerified == 0 {
 		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(notReadyRetry)
 	}
@@ -226,14 +226,14 @@
 	}
 	x.service = x.route.Pick(xxhash.Sum64String(head.ID))
 	x.deadline = x.arrived + x.route.Timeout
-	if head.Left > 0 {
-		x.deadline = min(x.deadline, x.arrived+head.Left)
+	if head.TimeLeft > 0 {
+		x.deadline = min(x.deadline, x.arrived+head.TimeLeft)
 	}
-	x.keyRequired = v.Table.Keyed()
+	x.keyRequired = v.Table.KeyRequired()
 	if !x.keyRequired {
 		return nil
 	}
-	x.workspace = v.Table.Holder(head.Key)
+	x.workspace = v.Table.WorkspaceByKey(head.Key)
 	if x.route.Public {
 		return nil
 	}
@@ -263,8 +263,8 @@
 	if float64(age) > keyAgeShare*float64(x.gate.bounds.Revoke) {
 		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(notReadyRetry)
 	}
-	if x.workspace != nil && v.Table.Holder(x.head.Key) != x.workspace {
-		if x.workspace = v.Table.Holder(x.head.Key); x.workspace == nil {
+	if x.workspace != nil && v.Table.WorkspaceByKey(x.head.Key) != x.workspace {
+		if x.workspace = v.Table.WorkspaceByKey(x.head.Key); x.workspace == nil {
 			return fault.New(fault.Unauthorized, "the key was withdrawn")
 		}
 	}
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -34,31 +34,31 @@
 // testCodec is a minimal protocol, so that these tests do not depend on header names of a platform.
 type testCodec struct{}
 
-func (testCodec) Head(h http.Header) (exchange.Head, error) {
-	return exchange.Head{ID: h.Get("Id"), Key: route.Key(h.Get("Key")), Last: h.Get("Last")}, nil
+func (testCodec) RequestHead(h http.Header) (exchange.RequestHead, error) {
+	return exchange.RequestHead{ID: h.Get("Id"), Key: route.Key(h.Get("Key")), LastEventID: h.Get("Last")}, nil
 }
 
 func (testCodec) Forward(from http.Header, s exchange.Send) http.Header {
 	h := from.Clone()
 	h.Del("Key")
 	h.Set("Workspace", string(s.Workspace))
-	h.Set("Left", fmt.Sprint(int64(s.Left)))
-	if s.Last != "" {
-		h.Set("Last", s.Last)
+	h.Set("Left", fmt.Sprint(int64(s.TimeLeft)))
+	if s.LastEventID != "" {
+		h.Set("Last", s.LastEventID)
 	}
 	h["User-Agent"] = nil
 	return h
 }
 
-func (testCodec) Word(resp *http.Response, id string) exchange.Word {
-	head := exchange.Word{Mine: resp.Header.Get("Id") == id, Genuine: resp.Header.Get("Mark") != "", Idle: resp.Header.Get("Idle") != ""}
+func (testCodec) ResponseHead(resp *http.Response, id string) exchange.ResponseHead {
+	head := exchange.ResponseHead{Matches: resp.Header.Get("Id") == id, Signed: resp.Header.Get("Mark") != "", NotRun: resp.Header.Get("Idle") != ""}
 	if rate, err := strconv.ParseFloat(resp.Header.Get("Limit"), 64); err == nil {
-		head.Said.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
+		head.Declared.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
 	}
 	if backOff, err := strconv.ParseInt(resp.Header.Get("Rest"), 10, 64); err == nil {
-		head.Said.Rest = clock.Milli(backOff)
+		head.Declared.BackOff = clock.Milli(backOff)
 	}
-	head.Said.Leaving = resp.Header.Get("Leaving") != ""
+	head.Declared.Leaving = resp.Header.Get("Leaving") != ""
 	return head
 }
 
@@ -194,7 +194,7 @@
 	// upstreams are the servers of the placer's upstreams.
 	upstreams []*httptest.Server
 	table     *route.Table
-	needs     Needs
+	needs     Dependencies
 }
 
 // routes returns one route of each kind, under a prefix equal to its name.
@@ -220,18 +220,18 @@
 		})
 	}
 	w.setDocument(2*clock.Second, "key")
-	transport := &http.Transport{DisableCompression: true, DialContext: DialLives((&net.Dialer{}).DialContext)}
+	transport := &http.Transport{DisableCompression: true, DialContext: DialPoolHost((&net.Dialer{}).DialContext)}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.needs = Needs{
-		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Knowledge: w.registry,
-		Suspects: testSuspects{}, Kept: transport, Fresh: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+	w.needs = Dependencies{
+		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Registry: w.registry,
+		Suspects: testSuspects{}, Pooled: transport, Unpooled: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}
 	w.start()
 	return w
 }
 
 func (w *fixture) start() {
-	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, Bodies: 1 << 16}, "vm.1")
+	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, BodyBytes: 1 << 16}, "vm.1")
 	w.server = httptest.NewServer(w.gate)
 	w.t.Cleanup(w.server.Close)
 }
--- a/daemon/relay/life.go
+++ b/daemon/relay/incarnation.go
@@ -25,9 +25,9 @@
 	return incarnationPrefix + strconv.FormatInt(int64(born), 36) + "." + address
 }
 
-// DialLives wraps a dial function for plain addresses so that it also accepts hosts made by poolHost,
+// DialPoolHost wraps a dial function for plain addresses so that it also accepts hosts made by poolHost,
 // whose incarnation prefix is removed before dialing.
-func DialLives(d dial.Dial) dial.Dial {
+func DialPoolHost(d dial.Dial) dial.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if rest, ok := strings.CutPrefix(address, incarnationPrefix); ok {
 			_, address, _ = strings.Cut(rest, ".")
--- a/daemon/relay/life_test.go
+++ b/daemon/relay/incarnation_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, "[::1]:80", poolHost("[::1]:80", 7))
 	require.NotEqual(t, poolHost("10.0.0.1:80", 7), poolHost("10.0.0.1:80", 8))
 	var dialed []string
-	d := DialLives(func(_ context.Context, _, address string) (net.Conn, error) {
+	d := DialPoolHost(func(_ context.Context, _, address string) (net.Conn, error) {
 		dialed = append(dialed, address)
 		return nil, errors.New("test")
 	})
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -23,7 +23,7 @@
 	reserved, released int
 	longest            clock.Milli
 	full               bool
-	declared           exchange.Said
+	declared           exchange.Declared
 	// during is called while memory is being reserved.
 	during func()
 }
@@ -36,14 +36,14 @@
 	defer m.mu.Unlock()
 	m.reserved++
 	m.longest = max(m.longest, hold)
-	return exchange.Reserved{Held: !m.full, Said: m.declared}, nil
+	return exchange.Reserved{Accepted: !m.full, Declared: m.declared}, nil
 }
 
-func (m *testMemory) Release(context.Context, string, string) (exchange.Said, error) {
+func (m *testMemory) Release(context.Context, string, string) (exchange.Declared, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.released++
-	return exchange.Said{}, nil
+	return exchange.Declared{}, nil
 }
 
 func (m *testMemory) counts() (reserved, released int) {
@@ -105,7 +105,7 @@
 // responses to reservations. If those were ignored, the engine would be used beyond its limit.
 func TestRateLimitInResponseToReservation(t *testing.T) {
 	w := newFixture(t, respondStream(eventText(1, 2)))
-	w.addHelper(&testMemory{declared: exchange.Said{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
+	w.addHelper(&testMemory{declared: exchange.Declared{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
 	_, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
 	s, ok := w.placer.statements.Of("h", statement.Limit)
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -46,7 +46,7 @@
 // send sends the request once, to the upstreams of the grant.
 func (x *request) send(ctx context.Context, grant span.Grant) result {
 	g := x.gate
-	v := g.Knowledge.View()
+	v := g.Registry.View()
 	if err := x.checkKey(v); err != nil {
 		return result{verdict: notRun, outcome: span.Left, err: err, final: err}
 	}
@@ -106,7 +106,7 @@
 		return x.classifyError(ctx, err, wrote.Load())
 	}
 	defer resp.Body.Close()
-	head := x.gate.Codec.Word(resp, x.head.ID)
+	head := x.gate.Codec.ResponseHead(resp, x.head.ID)
 	x.reportStatements(&head, grant.Leader, sent)
 	if culprit := v.Upstream(x.service, func(u *route.Upstream) bool { return u.Address == head.Culprit }); culprit != nil {
 		res := x.handleResponse(ctx, resp, head, grant, w)
@@ -117,16 +117,16 @@
 }
 
 // handleResponse checks the header of a response, and passes the response on if it is valid.
-func (x *request) handleResponse(ctx context.Context, resp *http.Response, head exchange.Word, grant span.Grant, w *watchdog) result {
+func (x *request) handleResponse(ctx context.Context, resp *http.Response, head exchange.ResponseHead, grant span.Grant, w *watchdog) result {
 	switch {
-	case head.Stranger:
+	case head.Misdirected:
 		return result{verdict: notRun, outcome: span.Unreachable, err: errMisdirected}
-	case head.Idle:
+	case head.NotRun:
 		drain(resp.Body)
-		return result{verdict: notRun, outcome: span.Full, err: errRejected, backOff: head.Said.Rest > 0}
-	case !head.Mine:
+		return result{verdict: notRun, outcome: span.Full, err: errRejected, backOff: head.Declared.BackOff > 0}
+	case !head.Matches:
 		return result{verdict: mayHaveRun, outcome: span.Broken, err: errMismatch}
-	case !head.Genuine:
+	case !head.Signed:
 		return result{verdict: mayHaveRun, outcome: span.Broken, err: errUnsigned}
 	}
 	if resp.StatusCode == http.StatusOK && x.route.Stream {
@@ -226,7 +226,7 @@
 		u = &url.URL{Scheme: "http", Host: host, Path: plain, RawPath: path, RawQuery: query, ForceQuery: has}
 	}
 	send := exchange.Send{
-		Upstream: grant.Leader.Upstream, Workspace: x.workspaceID(), Left: x.timeLeft(), Keyed: x.keyRequired, Helpers: helpers, Last: x.lastEventID,
+		Upstream: grant.Leader.Upstream, Workspace: x.workspaceID(), TimeLeft: x.timeLeft(), KeyRequired: x.keyRequired, Helpers: helpers, LastEventID: x.lastEventID,
 	}
 	r := &http.Request{
 		Method: x.r.Method, URL: u, Host: x.r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -244,9 +244,9 @@
 // connection: if a pooled connection turns out to be closed, it is unknown whether the request ran.
 func (x *request) transport() http.RoundTripper {
 	if x.route.Repeat == route.Once {
-		return x.gate.Fresh
+		return x.gate.Unpooled
 	}
-	return x.gate.Kept
+	return x.gate.Pooled
 }
 
 // drain reads the remainder of a short response, so that its connection can be reused.
--- a/daemon/relay/start.go
+++ b/daemon/relay/start.go
@@ -23,13 +23,13 @@
 func (x *request) awaitDocument() {
 	g := x.gate
 	select {
-	case <-g.Knowledge.Known():
+	case <-g.Registry.Known():
 		return
 	default:
 	}
 	wait := g.started + startHold - x.arrived
-	if x.head.Left > 0 {
-		wait = min(wait, x.head.Left/holdDivisor)
+	if x.head.TimeLeft > 0 {
+		wait = min(wait, x.head.TimeLeft/holdDivisor)
 	}
 	if wait <= 0 {
 		return
@@ -37,7 +37,7 @@
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
-	case <-g.Knowledge.Known():
+	case <-g.Registry.Known():
 	case <-t.C:
 	case <-x.r.Context().Done():
 	}
--- a/daemon/relay/said.go
+++ b/daemon/relay/statements.go
@@ -16,20 +16,20 @@
 // contain statements, also a rejection. That a rate limit has ended is only concluded from a
 // regular response that declares none; the end holds as of sent, the time at which the request was
 // sent.
-func (x *request) reportStatements(head *exchange.Word, leader span.Placement, sent clock.Milli) {
-	if head.Stranger {
+func (x *request) reportStatements(head *exchange.ResponseHead, leader span.Placement, sent clock.Milli) {
+	if head.Misdirected {
 		return
 	}
-	x.gate.reportStatements(x.service, leader, &head.Said)
-	limit := head.Said.Limit
-	if !limit.Named && limit.Unreadable == "" && head.Mine && head.Genuine && !head.Idle {
+	x.gate.reportStatements(x.service, leader, &head.Declared)
+	limit := head.Declared.Limit
+	if !limit.Named && limit.Unreadable == "" && head.Matches && head.Signed && !head.NotRun {
 		x.gate.Placer.Hear(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
 	}
 }
 
 // reportStatements passes the statements in a response that has just arrived on to the placer, and
 // logs header fields that cannot be parsed or are not recognized.
-func (g *Gate) reportStatements(s route.ServiceID, p span.Placement, declared *exchange.Said) {
+func (g *Gate) reportStatements(s route.ServiceID, p span.Placement, declared *exchange.Declared) {
 	unreadable := declared.Unreadable
 	if declared.Limit.Unreadable != "" {
 		unreadable = append(unreadable, "limit: "+declared.Limit.Unreadable)
--- a/daemon/relay/said_test.go
+++ b/daemon/relay/statements_test.go
@@ -93,7 +93,7 @@
 	var sent atomic.Int64
 	w := newFixture(t, counting(&sent, respondStream(eventText(1, 2))))
 	m := &testMemory{during: func() {
-		w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Leaving: true})
+		w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Leaving: true})
 	}}
 	w.addHelper(m)
 	resp, _, err := w.call(http.MethodPost, "/stream/", "")
@@ -107,7 +107,7 @@
 // within the back-off.
 func TestBackOffInResponseToReservation(t *testing.T) {
 	w := newFixture(t, respondStream(eventText(1, 2)))
-	m := &testMemory{full: true, declared: exchange.Said{Rest: 3000}}
+	m := &testMemory{full: true, declared: exchange.Declared{BackOff: 3000}}
 	w.addHelper(m)
 	for range 2 {
 		_, _, _ = w.call(http.MethodPost, "/stream/", "")
@@ -128,7 +128,7 @@
 	w.start()
 	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
+			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Unknown: []string{fmt.Sprint("Field", i)}})
 		}
 	}
 	require.Equal(t, maxNames, strings.Count(lines.String(), `"unknown"`))
@@ -145,7 +145,7 @@
 	long := strings.Repeat("9", 1<<16)
 	for i := range 3 * maxNames {
 		for range 3 {
-			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
+			w.gate.reportStatements("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
 		}
 	}
 	require.Equal(t, maxNames, strings.Count(lines.String(), `"unreadable"`))
--- a/lib/door/door.go
+++ b/lib/door/door.go
@@ -38,8 +38,8 @@
 // Empty reports whether no file is set.
 func (f Files) Empty() bool { return f == Files{} }
 
-// Door opens listeners and connections. It is safe for concurrent use.
-type Door struct {
+// Endpoint opens listeners and connections. It is safe for concurrent use.
+type Endpoint struct {
 	// certificates is nil if no certificate files are set.
 	certificates *certificates
 }
@@ -47,9 +47,9 @@
 // New reads the files. If none is set, it returns an endpoint without TLS, which listens on loopback
 // only. Files that change later are read again; if they cannot be used, report is called once for
 // each change, and the endpoint continues with the certificates that it has.
-func New(f Files, report func(error)) (*Door, error) {
+func New(f Files, report func(error)) (*Endpoint, error) {
 	if f.Empty() {
-		return &Door{}, nil
+		return &Endpoint{}, nil
 	}
 	if f.Authority == "" || f.Certificate == "" || f.Key == "" {
 		return nil, Class.New("tls needs authority, certificate and key: name all three files or none")
@@ -58,15 +58,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Door{certificates: fs}, nil
+	return &Endpoint{certificates: fs}, nil
 }
 
 // Secure reports whether connections use mutual TLS.
-func (d *Door) Secure() bool { return d.certificates != nil }
+func (d *Endpoint) Secure() bool { return d.certificates != nil }
 
 // Listen binds to address, an IP address and a port. The handshake runs with the
 // first read of a connection, so the read timeout of the server bounds it.
-func (d *Door) Listen(ctx context.Context, address string) (net.Listener, error) {
+func (d *Endpoint) Listen(ctx context.Context, address string) (net.Listener, error) {
 	if !d.Secure() && !loopback(address) {
 		return nil, Class.New("%s is not a loopback address and there are no certificates: "+
 			"name the tls files in the settings, or bind to 127.0.0.1", address)
@@ -88,7 +88,7 @@
 }
 
 // Dial connects to the listener of another endpoint and completes the TLS handshake.
-func (d *Door) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (d *Endpoint) Dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if !d.Secure() {
@@ -101,7 +101,7 @@
 
 // Transport returns an HTTP transport that connects with Dial. URLs have the scheme "http", since
 // Dial adds the TLS layer.
-func (d *Door) Transport() *http.Transport {
+func (d *Endpoint) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return d.Dial(ctx, address)
@@ -111,10 +111,10 @@
 	}
 }
 
-// Callers returns the server-side TLS configuration for connections of clients, which
+// ClientListenerConfig returns the server-side TLS configuration for connections of clients, which
 // present no certificate. The files are read again when they change; report is called if they
 // cannot be used.
-func Callers(certificate, key string, report func(error)) (*tls.Config, error) {
+func ClientListenerConfig(certificate, key string, report func(error)) (*tls.Config, error) {
 	fs, err := newCertificates(Files{Certificate: certificate, Key: key}, report)
 	if err != nil {
 		return nil, err
--- a/lib/exchange/said.go
+++ b/lib/exchange/declared.go
@@ -6,15 +6,15 @@
 	"snipeshift.example/lib/decide/statement"
 )
 
-// Said is what an upstream declares about itself in a response of any kind: to a client's
+// Declared is what an upstream declares about itself in a response of any kind: to a client's
 // request, a memory reservation or a load poll.
-type Said struct {
+type Declared struct {
 	Limit Limit
 	// Leaving is set if the upstream will end soon.
 	Leaving bool
-	// Rest is how long the VM that receives the response must not send to the upstream; zero if
+	// BackOff is how long the VM that receives the response must not send to the upstream; zero if
 	// not declared.
-	Rest clock.Milli
+	BackOff clock.Milli
 	// Unreadable lists the header fields for a back-off or for leaving whose values cannot be parsed,
 	// with the values quoted.
 	Unreadable []string
@@ -36,13 +36,13 @@
 // the VM that received it, and born the upstream's incarnation that sent it (zero if unknown). The
 // end of a rate limit is never among the statements: a response without a limit may have been
 // overtaken by a later one that declares it.
-func (s *Said) Statements(now clock.Milli, gate decide.GateID, born decide.Born) []statement.Statement {
+func (s *Declared) Statements(now clock.Milli, gate decide.GateID, born decide.Born) []statement.Statement {
 	var out []statement.Statement
 	if s.Limit.Named {
 		out = append(out, statement.Statement{Kind: statement.Limit, Named: true, Rate: s.Limit.Rate, Born: born, At: now})
 	}
-	if s.Rest > 0 {
-		out = append(out, statement.Statement{Kind: statement.Rest, Named: true, Gate: gate, Born: born, At: now, Until: now + s.Rest})
+	if s.BackOff > 0 {
+		out = append(out, statement.Statement{Kind: statement.Rest, Named: true, Gate: gate, Born: born, At: now, Until: now + s.BackOff})
 	}
 	if s.Leaving {
 		out = append(out, statement.Statement{Kind: statement.Leaving, Named: true, Gate: gate, Born: born, At: now})
--- a/lib/exchange/exchange.go
+++ b/lib/exchange/exchange.go
@@ -9,36 +9,36 @@
 	"snipeshift.example/lib/route"
 )
 
-// Head is the data in the header of a client's request.
-type Head struct {
+// RequestHead is the data in the header of a client's request.
+type RequestHead struct {
 	// ID identifies this attempt of the client; each retry has a different one. Empty if absent.
 	ID string
 	// Key is the API key that identifies the workspace; empty if absent.
 	Key route.Key
-	// Left is how long the client will wait, counted from the arrival; zero if not declared.
-	Left clock.Milli
+	// TimeLeft is how long the client will wait, counted from the arrival; zero if not declared.
+	TimeLeft clock.Milli
 	// Prompt is the length of the prompt, and Output the maximum length of the response, in tokens.
 	Prompt, Output decide.Tokens
 	// Hint is the client's estimate of the length of the response, in tokens; zero if it gave none.
 	// Half of the estimates are too low, and some are far off.
 	Hint decide.Tokens
-	// Last is the id of the last event of this stream that the client has; empty for a
+	// LastEventID is the id of the last event of this stream that the client has; empty for a
 	// stream from the start.
-	Last string
+	LastEventID string
 }
 
 // Send is the data that the gate adds to the client's header in the request to an upstream.
 type Send struct {
 	Upstream  decide.UpstreamID
 	Workspace decide.WorkspaceID
-	// Left is how long the client still waits; after that the upstream stops.
-	Left clock.Milli
-	// Keyed is set if clients authenticate by a key, which must not be passed on.
-	Keyed bool
+	// TimeLeft is how long the client still waits; after that the upstream stops.
+	TimeLeft clock.Milli
+	// KeyRequired is set if clients authenticate by a key, which must not be passed on.
+	KeyRequired bool
 	// Helpers are the engines that compute parts of the prefill.
 	Helpers []Helper
-	// Last is the id of the last event that the client has; empty for a stream from the start.
-	Last string
+	// LastEventID is the id of the last event that the client has; empty for a stream from the start.
+	LastEventID string
 }
 
 // Helper is an engine that computes a part of the prefill for the leader of a group.
@@ -58,31 +58,31 @@
 	// as fast); zero if not reported.
 	Pace float64
 	// Born is the start time of the upstream's incarnation that reports; zero if not reported.
-	Born decide.Born
-	Said Said
+	Born     decide.Born
+	Declared Declared
 }
 
 // Reserved is an engine's response to a request to reserve KV memory.
 type Reserved struct {
-	// Held is false if the engine does not have enough free memory.
-	Held bool
-	Said Said
+	// Accepted is false if the engine does not have enough free memory.
+	Accepted bool
+	Declared Declared
 }
 
-// Word is the data in the header of an upstream's response.
-type Word struct {
-	// Mine is set if the response carries the id of the request that was sent. Otherwise it may
+// ResponseHead is the data in the header of an upstream's response.
+type ResponseHead struct {
+	// Matches is set if the response carries the id of the request that was sent. Otherwise it may
 	// be the response to an earlier request on the connection.
-	Mine bool
-	// Genuine is set if the response carries an upstream's signature. Without one, it may come
+	Matches bool
+	// Signed is set if the response carries an upstream's signature. Without one, it may come
 	// from an intermediary.
-	Genuine bool
-	// Idle is set if the upstream declares that it did not run any part of the request.
-	Idle bool
-	// Stranger is set if the address now belongs to a different upstream than the intended one.
-	Stranger bool
+	Signed bool
+	// NotRun is set if the upstream declares that it did not run any part of the request.
+	NotRun bool
+	// Misdirected is set if the address now belongs to a different upstream than the intended one.
+	Misdirected bool
 	// Culprit is the address of the upstream that caused the failure, if the response names another
 	// upstream than the sender; otherwise empty.
-	Culprit string
-	Said    Said
+	Culprit  string
+	Declared Declared
 }
--- a/lib/retryafter/retryafter.go
+++ b/lib/retryafter/retryafter.go
@@ -14,9 +14,9 @@
 // Header is the name of the header field.
 const Header = "Retry-After"
 
-// Longest is the longest span that is accepted. Longer values are assumed to be mistakes and are
+// MaxSpan is the longest span that is accepted. Longer values are assumed to be mistakes and are
 // cut to it.
-const Longest = 24 * 60 * clock.Minute
+const MaxSpan = 24 * 60 * clock.Minute
 
 // Parse returns the longest span in the Retry-After fields of a response, and the values that
 // cannot be parsed. A value is a number of seconds, which may have a fraction, or an HTTP date,
@@ -32,9 +32,9 @@
 	return span, unreadable
 }
 
-// TurnsAway reports whether a status means that the server did not accept the request, so that
+// IsRejection reports whether a status means that the server did not accept the request, so that
 // Retry-After applies to the server and not only to this request.
-func TurnsAway(status int) bool {
+func IsRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -51,5 +51,5 @@
 	if math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
 		return 0, false
 	}
-	return clock.Milli(min(math.Ceil(seconds*float64(clock.Second)), float64(Longest))), true
+	return clock.Milli(min(math.Ceil(seconds*float64(clock.Second)), float64(MaxSpan))), true
 }
--- a/lib/route/doc.go
+++ b/lib/route/doc.go
@@ -16,8 +16,8 @@
 type (
 	// Revision is the version number of a document; a larger one is newer.
 	Revision uint64
-	// Mark is a revision number of the platform's store. Within one era, a larger number is later.
-	Mark uint64
+	// StoreRevision is a revision number of the platform's store. Within one era, a larger number is later.
+	StoreRevision uint64
 	// Era is the number of a history of the store. It rises when the store restarts from an older copy,
 	// after which the store assigns revision numbers again; zero if the store does not report its era.
 	Era uint64
@@ -167,15 +167,15 @@
 	Reason string
 }
 
-// News is an update on upstreams from the platform's store: a complete list, or the changes since
+// UpstreamUpdate is an update on upstreams from the platform's store: a complete list, or the changes since
 // an earlier update.
-type News struct {
+type UpstreamUpdate struct {
 	Upstreams []Upstream
-	// Gone are the upstreams whose entries were removed; empty in a complete list.
-	Gone []decide.UpstreamID
+	// Removed are the upstreams whose entries were removed; empty in a complete list.
+	Removed []decide.UpstreamID
 	// Unusable are entries that do not describe a usable upstream.
 	Unusable []Unusable
-	// Doubted are upstreams in a list from a peer that the peer could not confirm to be still
+	// Unverified are upstreams in a list from a peer that the peer could not confirm to be still
 	// valid. They are not contained in Upstreams.
-	Doubted []Upstream
+	Unverified []Upstream
 }
--- a/lib/route/position.go
+++ b/lib/route/position.go
@@ -6,7 +6,7 @@
 // assigned. The zero Position is before all others.
 type Position struct {
 	Era  Era
-	Mark Mark
+	Mark StoreRevision
 }
 
 // After reports whether p is later than o. When the store has restarted from an older copy, its
--- a/lib/route/table.go
+++ b/lib/route/table.go
@@ -74,11 +74,11 @@
 	return nil
 }
 
-// Keyed reports whether clients must present a key on routes that are not public.
-func (t *Table) Keyed() bool { return len(t.document.Workspaces) > 0 }
+// KeyRequired reports whether clients must present a key on routes that are not public.
+func (t *Table) KeyRequired() bool { return len(t.document.Workspaces) > 0 }
 
-// Holder returns the workspace to which a key belongs, nil if there is none.
-func (t *Table) Holder(k Key) *Workspace { return t.keys[k] }
+// WorkspaceByKey returns the workspace to which a key belongs, nil if there is none.
+func (t *Table) WorkspaceByKey(k Key) *Workspace { return t.keys[k] }
 
 // Service returns a service, nil if the document does not contain it.
 func (t *Table) Service(id ServiceID) *Service { return t.services[id] }
