--- a/daemon/holder/schedule_test.go
+++ b/daemon/holder/schedule_test.go
@@ -12,18 +12,19 @@
 	"snipeshift.example/lib/peer"
 )
 
-// schedule is a fleet of tables in simulated time. In each step a random VM is lost, comes back, is cut off, asks for a place or sends
-// a heartbeat; messages are lost at random and arrive late.
+// schedule simulates a fleet of tables step by step. In each step a random VM is lost, returns, is
+// cut off, sends a query or sends a heartbeat; messages are lost at random and arrive late.
 type schedule struct {
 	t    *testing.T
 	seed uint64
 	rng  *rand.Rand
 	vms  []*simulated
-	// wire holds words about holders that are on their way.
-	wire []word
-	// loss is the share of messages and calls that are lost.
+	// inFlight has the announcements that have not been delivered yet.
+	inFlight []announcement
+	// loss is the fraction of messages and calls that are lost.
 	loss float64
-	// claims maps what a VM claimed at an epoch: none claims an epoch twice.
+	// claims has the VM, incarnation and epoch of each change of holder, to check that no VM takes
+	// an epoch twice.
 	claims map[string]bool
 }
 
@@ -31,24 +32,25 @@
 type simulated struct {
 	member peer.Member
 	table  *Table
-	// off VMs are lost, cut ones reach nobody, frozen ones do nothing until they wake.
+	// VMs that are off have lost power, cut VMs reach no other VM, and frozen VMs do nothing until
+	// they wake.
 	off, cut, frozen bool
-	// highest is the latest epoch seen in this life.
+	// highest is the latest epoch seen in this incarnation.
 	highest uint64
 }
 
-// word is a message on its way.
-type word struct {
-	to   int
-	life peer.Incarnation
-	h    peer.Holder
+// announcement is a message in flight.
+type announcement struct {
+	to          int
+	incarnation peer.Incarnation
+	h           peer.Holder
 }
 
 const (
-	// lossShare of the messages are lost while faults last.
+	// lossShare is the fraction of messages lost while faults last.
 	lossShare = 0.1
-	// asked is how many members are asked for one place.
-	asked = 3
+	// maxQueried is how many members are queried for one placement.
+	maxQueried = 3
 )
 
 func newSchedule(t *testing.T, n int, seed uint64) *schedule {
@@ -63,7 +65,8 @@
 	return s
 }
 
-// live lists the members that a VM believes: all that are not off, for heartbeats find those out in the end.
+// live returns the members that every VM lists as live: all that are not off, as heartbeats
+// eventually detect those.
 func (s *schedule) live() []peer.Member {
 	var ms []peer.Member
 	for _, v := range s.vms {
@@ -74,17 +77,17 @@
 	return ms
 }
 
-// ranked puts the strong ones first.
+// ranked returns the live members with those of high capacity first.
 func (s *schedule) ranked() []peer.Member {
-	var strong, rest []peer.Member
+	var highCapacity, others []peer.Member
 	for _, m := range s.live() {
 		if m.Cores >= 800 {
-			strong = append(strong, m)
+			highCapacity = append(highCapacity, m)
 		} else {
-			rest = append(rest, m)
+			others = append(others, m)
 		}
 	}
-	return append(strong, rest...)
+	return append(highCapacity, others...)
 }
 
 func (s *schedule) find(v peer.VM) *simulated {
@@ -101,9 +104,9 @@
 	return !from.cut && !to.cut && !to.off && !to.frozen && s.rng.Float64() >= s.loss
 }
 
-// ask plays the question of a gate.
+// ask simulates a gate's query.
 func (s *schedule) ask(gate *simulated) {
-	for _, m := range gate.table.Candidates(service, s.live(), s.ranked(), none)[:min(asked, len(s.live()))] {
+	for _, m := range gate.table.Candidates(service, s.live(), s.ranked(), noneSilent)[:min(maxQueried, len(s.live()))] {
 		v := s.find(m.VM)
 		if !s.reaches(gate, v) {
 			continue
@@ -119,7 +122,7 @@
 	}
 }
 
-// route plays what a VM does with a question.
+// route simulates how a VM handles a query.
 func (s *schedule) route(v *simulated, forwarded bool) {
 	step, to := v.table.Route(service, forwarded, s.live(), s.ranked())
 	before := v.table.Epoch(service)
@@ -139,7 +142,7 @@
 	}
 }
 
-// take makes a VM the holder, which announces it.
+// take makes a VM the holder, which announces the change.
 func (s *schedule) take(v *simulated, before uint64) {
 	h, ok := v.table.Take(service, before)
 	if !ok {
@@ -151,12 +154,12 @@
 	v.highest = h.Epoch
 	for i, o := range s.vms {
 		if o != v && !v.cut {
-			s.wire = append(s.wire, word{i, o.member.Incarnation, h})
+			s.inFlight = append(s.inFlight, announcement{i, o.member.Incarnation, h})
 		}
 	}
 }
 
-// learn checks that no VM goes back to an earlier epoch.
+// learn records a holder and checks that no VM returns to an earlier epoch.
 func (s *schedule) learn(v *simulated, h peer.Holder) {
 	v.table.Learn(h)
 	now := v.table.Epoch(service)
@@ -164,23 +167,24 @@
 	v.highest = now
 }
 
-// deliver takes one message off the wire.
+// deliver delivers or loses one message in flight.
 func (s *schedule) deliver() {
-	if len(s.wire) == 0 {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(s.wire))
-	w := s.wire[i]
-	s.wire[i] = s.wire[len(s.wire)-1]
-	s.wire = s.wire[:len(s.wire)-1]
+	i := s.rng.IntN(len(s.inFlight))
+	w := s.inFlight[i]
+	s.inFlight[i] = s.inFlight[len(s.inFlight)-1]
+	s.inFlight = s.inFlight[:len(s.inFlight)-1]
 	v := s.vms[w.to]
-	if v.off || v.cut || v.frozen || v.member.Incarnation != w.life || s.rng.Float64() < s.loss {
+	if v.off || v.cut || v.frozen || v.member.Incarnation != w.incarnation || s.rng.Float64() < s.loss {
 		return
 	}
 	s.learn(v, w.h)
 }
 
-// heartbeat plays one exchange.
+// heartbeat simulates one heartbeat to a random VM, in which both sides exchange the holders that
+// they know.
 func (s *schedule) heartbeat(v *simulated) {
 	o := s.vms[s.rng.IntN(len(s.vms))]
 	if o == v || !s.reaches(v, o) {
@@ -194,7 +198,7 @@
 	}
 }
 
-// step plays one event.
+// step simulates one random event.
 func (s *schedule) step() {
 	v := s.vms[s.rng.IntN(len(s.vms))]
 	if v.off || v.frozen {
@@ -220,7 +224,7 @@
 	}
 }
 
-// wake ends a freeze, or begins the next life of a VM that was lost.
+// wake resumes a frozen VM, or starts the next incarnation of a VM that was lost.
 func (s *schedule) wake(v *simulated) {
 	if v.off {
 		v.member.Incarnation++
@@ -229,7 +233,8 @@
 	v.off, v.frozen = false, false
 }
 
-// settle ends all faults and lets heartbeats and questions go on; it returns the rounds until all follow one holder.
+// settle ends all faults, continues heartbeats and queries, and returns the number of rounds until
+// all VMs follow one holder.
 func (s *schedule) settle() int {
 	s.loss = 0
 	for _, v := range s.vms {
@@ -250,7 +255,8 @@
 	return most
 }
 
-// agreed reports whether all VMs follow one holder that is live.
+// agreed reports whether all VMs follow the same holder and exactly one VM considers itself the
+// holder.
 func (s *schedule) agreed() bool {
 	first, ok := s.vms[0].table.Of(service)
 	if !ok {
@@ -268,11 +274,12 @@
 	return holding == 1
 }
 
-// VMs are lost, freeze, are cut off and come back in any order, and messages about holders are lost or arrive late. Whatever happens, no VM
-// returns to an earlier epoch, nobody claims an epoch twice, and soon after the last fault all follow one holder: else gates would
-// ask two VMs, and both would give out the same engines.
-func TestAllFollowOneHolderAfterAnySchedule(t *testing.T) {
-	// SEEDS plays so many seeds more of each size.
+// VMs are lost, freeze, are cut off and return in any order, and announcements are lost or arrive
+// late. No VM may return to an earlier epoch or take an epoch twice, and soon after the last fault
+// all VMs must follow one holder: otherwise gates would query two VMs, and both would allocate the
+// same engines.
+func TestAllVMsFollowOneHolderAfterAnySchedule(t *testing.T) {
+	// SEEDS is the number of further seeds to run for each fleet size.
 	more, _ := strconv.Atoi(os.Getenv("SEEDS"))
 	for _, c := range []struct{ vms, seeds, steps, rounds int }{{3, 300, 400, 20}, {30, 60, 2000, 20}, {300, 1, 2000, 20}} {
 		for seed := range uint64(c.seeds + more) {
@@ -285,8 +292,9 @@
 	}
 }
 
-// Every order of a few changes and messages among three VMs ends with all of them following the same holder.
-func TestAllOrdersOfFewStepsAgree(t *testing.T) {
+// Every order of a few holder changes and messages among three VMs must end with all of them
+// following the same holder.
+func TestAllVMsAgreeAfterEveryOrderOfFewSteps(t *testing.T) {
 	const depth = 5
 	var walk func(path []int)
 	walk = func(path []int) {
@@ -301,11 +309,12 @@
 	walk(make([]int, 0, depth))
 }
 
-// replay plays a path: VM i takes the service (i*4), or tells VM j what it knows.
+// replay runs a path of steps and checks that all VMs agree after it. Step i*4 makes VM i the
+// holder; step i*3+j sends the holders that VM i knows to VM j.
 func replay(t *testing.T, path []int) {
 	all := []peer.Member{a, b, c}
 	ts := []*Table{New(a), New(b), New(c)}
-	tell := func(from, to int) {
+	send := func(from, to int) {
 		before := ts[to].Epoch(service)
 		for _, h := range ts[from].All() {
 			ts[to].Learn(h)
@@ -320,11 +329,11 @@
 			ts[from].Take(service, ts[from].Epoch(service))
 			continue
 		}
-		tell(from, to)
+		send(from, to)
 	}
 	for range all {
 		for i := range ts {
-			tell(i, (i+1)%len(ts))
+			send(i, (i+1)%len(ts))
 		}
 	}
 	x, _ := ts[0].Of(service)
--- a/daemon/holder/table.go
+++ b/daemon/holder/table.go
@@ -1,13 +1,15 @@
 // Package holder decides which VM places the requests of a service.
 //
-// One VM holds a service at a time, under an epoch that rises with each change. It keeps the service until it stops,
-// hands it over, or does not answer: a VM that ranks higher and comes back does not take it away. VMs learn who holds a service from
-// answers, heartbeats and announcements; of two words the one with the later epoch counts.
+// One VM at a time holds a service, under an epoch that rises with each change of holder. It
+// remains the holder until it stops, hands the service over or does not respond: a VM that ranks
+// higher does not take the service over by joining. VMs learn of holders from answers, heartbeats
+// and announcements; the record with the later epoch wins.
 //
-// Nothing is agreed on in advance, so two sides of a partition may each have a holder, and engines then queue what both give them. When they
-// meet, all follow the later epoch, and gates present their live grants to its holder.
+// There is no consensus, so the two sides of a partition may each have a holder, and engines then
+// queue the excess requests. When the partition heals, all VMs follow the later epoch, and gates
+// present their live grants to its holder.
 //
-// A Table has no lock, no sockets and no clock.
+// A Table has no lock, no network access and no clock.
 package holder
 
 import (
@@ -19,24 +21,24 @@
 	"snipeshift.example/lib/route"
 )
 
-// Table is what one VM believes of who holds each service.
+// Table is one VM's view of which VM holds each service.
 type Table struct {
 	self peer.Member
 	rows map[route.ServiceID]peer.Holder
 }
 
-// New returns the table of a VM that knows of no holder.
+// New returns the table of a VM without any known holder.
 func New(self peer.Member) *Table {
 	return &Table{self: self, rows: map[route.ServiceID]peer.Holder{}}
 }
 
-// Of names the holder of a service, if one is known.
+// Of returns the holder of a service, if one is known.
 func (t *Table) Of(s route.ServiceID) (peer.Holder, bool) { h, ok := t.rows[s]; return h, ok }
 
-// Epoch is that of the holder known; zero if none is.
+// Epoch returns the epoch of the known holder; zero if none is known.
 func (t *Table) Epoch(s route.ServiceID) uint64 { return t.rows[s].Epoch }
 
-// All lists the holders of all services, in no order.
+// All returns the known holders of all services, in no particular order.
 func (t *Table) All() []peer.Holder {
 	hs := make([]peer.Holder, 0, len(t.rows))
 	for _, h := range t.rows {
@@ -45,7 +47,7 @@
 	return hs
 }
 
-// Learn takes a word about a holder, and reports whether it replaces what was known.
+// Learn records a holder and reports whether the record replaced the known one.
 func (t *Table) Learn(h peer.Holder) bool {
 	known, ok := t.rows[h.Service]
 	if ok && !newer(h, known) {
@@ -55,8 +57,9 @@
 	return true
 }
 
-// newer reports whether word x replaces word y. VMs that became holder at the same epoch did not know of each other:
-// the one with more processor keeps the service, and among equals a hash decides, the same on all VMs.
+// newer reports whether record x replaces record y. VMs that became holder at the same epoch did
+// not know of each other: the VM with more cores wins, and among equals a hash decides, which is
+// the same on all VMs.
 func newer(x, y peer.Holder) bool {
 	return cmp.Or(
 		cmp.Compare(x.Epoch, y.Epoch),
@@ -73,15 +76,15 @@
 // Holds reports whether this VM holds a service.
 func (t *Table) Holds(s route.ServiceID) bool {
 	h, ok := t.rows[s]
-	return ok && is(h, t.self)
+	return ok && sameIncarnation(h, t.self)
 }
 
-// Take makes this VM the holder at the next epoch, unless the holder is another one than before by now.
+// Take makes this VM the holder at the next epoch, if the current epoch is still before.
 func (t *Table) Take(s route.ServiceID, before uint64) (peer.Holder, bool) {
 	return t.Name(s, before, t.self)
 }
 
-// Name makes a member the holder at the next epoch, unless the holder changed since the epoch before.
+// Name makes a member the holder at the next epoch, if the current epoch is still before.
 func (t *Table) Name(s route.ServiceID, before uint64, m peer.Member) (peer.Holder, bool) {
 	if t.rows[s].Epoch != before {
 		return t.rows[s], false
@@ -91,16 +94,19 @@
 	return h, true
 }
 
-// Of is the word that a member holds a service.
+// Of returns the record that a member holds a service at an epoch.
 func Of(s route.ServiceID, m peer.Member, epoch uint64) peer.Holder {
 	return peer.Holder{Service: s, VM: m.VM, Incarnation: m.Incarnation, Address: m.Address, Epoch: epoch, Cores: m.Cores}
 }
 
-// is reports whether a member is the holder, in the same life.
-func is(h peer.Holder, m peer.Member) bool { return h.VM == m.VM && h.Incarnation == m.Incarnation }
+// sameIncarnation reports whether a member is the holder, in the same incarnation.
+func sameIncarnation(h peer.Holder, m peer.Member) bool {
+	return h.VM == m.VM && h.Incarnation == m.Incarnation
+}
 
-// Member is the holder of a service as a member, unless a later life of its VM is among the live ones.
-// VMs that start together hear of the holder long before they list it: it counts also while it is not listed.
+// Member returns the holder of a service as a member. It returns false if no holder is known or if
+// the live list has another incarnation of the holder's VM. A holder that is not in the live list
+// counts, because VMs that start together learn of the holder long before they list it.
 func (t *Table) Member(s route.ServiceID, live []peer.Member) (peer.Member, bool) {
 	h, ok := t.rows[s]
 	if !ok {
@@ -114,23 +120,25 @@
 	return peer.Member{VM: h.VM, Incarnation: h.Incarnation, Address: h.Address, Cores: h.Cores}, true
 }
 
-// Step is what a VM does with a question for a place.
+// Step is how a VM handles a placement query.
 type Step uint8
 
 // The steps.
 const (
-	// Decide: this VM holds the service.
+	// Decide: this VM holds the service and decides.
 	Decide Step = iota
 	// Take: this VM becomes the holder, and decides.
 	Take
-	// Forward: another VM is asked on behalf of the gate. If it is silent this VM becomes the holder.
+	// Forward: this VM queries another VM on behalf of the gate, and becomes the holder if that VM
+	// does not respond.
 	Forward
-	// Redirect: the gate is told who holds the service.
+	// Redirect: this VM replies with the holder of the service, and the gate queries that holder.
 	Redirect
 )
 
-// Route decides what becomes of a question, and names the VM to forward it to. The ranked members are in the order in which they
-// are to hold the service. A question that another VM forwarded is not forwarded again.
+// Route decides how this VM handles a query, and returns the VM to forward it to. The ranked
+// members are in their order of preference as holders. A query that another VM forwarded is not
+// forwarded again.
 func (t *Table) Route(s route.ServiceID, forwarded bool, live, ranked []peer.Member) (Step, peer.Member) {
 	if t.Holds(s) {
 		return Decide, t.self
@@ -148,13 +156,15 @@
 	}
 }
 
-// Successor is the member to which this VM hands a service over that it holds: the first by rank, if this VM stops or ranked members
-// are stronger than it is. Ranked are the members that may hold a service, best first, of which strong are the first.
-func (t *Table) Successor(s route.ServiceID, ranked []peer.Member, strong int) (peer.Member, bool) {
+// Successor returns the member to which this VM has to hand over a service that it holds: the first
+// in rank, if this VM stops (so that it is not ranked) or is not one of the high-capacity members.
+// ranked are the members that may hold a service, best first; the first highCapacity of them are
+// the high-capacity ones.
+func (t *Table) Successor(s route.ServiceID, ranked []peer.Member, highCapacity int) (peer.Member, bool) {
 	if !t.Holds(s) {
 		return peer.Member{}, false
 	}
-	for _, m := range ranked[:min(strong, len(ranked))] {
+	for _, m := range ranked[:min(highCapacity, len(ranked))] {
 		if m.VM == t.self.VM {
 			return peer.Member{}, false
 		}
@@ -165,24 +175,25 @@
 	return ranked[0], true
 }
 
-// Candidates lists whom a gate asks for a place, in this order: the holder, if it is live, then the members by
-// rank. Those that did not answer lately are left out.
-func (t *Table) Candidates(s route.ServiceID, live, ranked []peer.Member, silent func(peer.Member) bool) []peer.Member {
-	out := make([]peer.Member, 0, candidates)
+// Candidates returns the members that a gate queries for a placement, in order: the holder, if it
+// is live, then the members by rank. Members that did not answer lately are left out.
+func (t *Table) Candidates(s route.ServiceID, live, ranked []peer.Member, unresponsive func(peer.Member) bool) []peer.Member {
+	out := make([]peer.Member, 0, maxCandidates)
 	h, ok := t.Member(s, live)
-	if ok && !silent(h) {
+	if ok && !unresponsive(h) {
 		out = append(out, h)
 	}
 	for _, m := range ranked {
-		if len(out) == candidates {
+		if len(out) == maxCandidates {
 			break
 		}
-		if !silent(m) && !(ok && m.VM == h.VM) {
+		if !unresponsive(m) && !(ok && m.VM == h.VM) {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// candidates is how many VMs are asked for one place: the holder, and two more in case that the first of them was lost with it.
-const candidates = 3
+// maxCandidates is how many VMs are queried for one placement: the holder, and two more in case the
+// first of them was lost together with the holder.
+const maxCandidates = 3
--- a/daemon/holder/table_test.go
+++ b/daemon/holder/table_test.go
@@ -16,9 +16,9 @@
 
 var a, b, c = vm("a", 800), vm("b", 800), vm("c", 192)
 
-func none(peer.Member) bool { return false }
+func noneSilent(peer.Member) bool { return false }
 
-func TestTheFirstByRankTakesAServiceThatNobodyHolds(t *testing.T) {
+func TestFirstByRankTakesServiceWithoutHolder(t *testing.T) {
 	all := []peer.Member{a, b, c}
 	step, _ := New(a).Route(service, false, all, all)
 	require.Equal(t, Take, step)
@@ -26,25 +26,27 @@
 	require.Equal(t, Forward, step)
 	require.Equal(t, a.VM, to.VM)
 	step, _ = New(c).Route(service, true, all, all)
-	require.Equal(t, Take, step, "whoever forwarded it knows of nobody better")
+	require.Equal(t, Take, step, "the forwarding VM knows no better holder")
 }
 
-// A VM that ranks first was lost, and another one holds the service since. When it is back it knows nothing of what runs. Were it to place again
-// because of its rank, two VMs would give out the same engines.
-func TestAVMThatComesBackFollowsTheHolder(t *testing.T) {
+// The VM that ranks first was lost, and another VM has become the holder. When the first returns it
+// does not know the running requests. If it decided again because of its rank, two VMs would
+// allocate the same engines.
+func TestReturningVMFollowsTheHolder(t *testing.T) {
 	all := []peer.Member{a, b, c}
 	h, ok := New(b).Take(service, 0)
 	require.True(t, ok)
-	back := New(a)
-	require.True(t, back.Learn(h))
-	step, to := back.Route(service, false, all, all)
+	returned := New(a)
+	require.True(t, returned.Learn(h))
+	step, to := returned.Route(service, false, all, all)
 	require.Equal(t, Forward, step)
 	require.Equal(t, b.VM, to.VM)
-	require.Equal(t, []peer.Member{b, a, c}, back.Candidates(service, all, all, none))
+	require.Equal(t, []peer.Member{b, a, c}, returned.Candidates(service, all, all, noneSilent))
 }
 
-// The holder's VM starts again. What others know is about its earlier life, whose books are lost.
-func TestALaterLifeOfTheHolderIsNotTheHolder(t *testing.T) {
+// The holder's VM restarts. Records known to others refer to its earlier incarnation, whose pool is
+// lost.
+func TestLaterIncarnationOfTheHolderIsNotTheHolder(t *testing.T) {
 	h, _ := New(a).Take(service, 0)
 	later := a
 	later.Incarnation = 2
@@ -59,10 +61,10 @@
 	require.Equal(t, peer.Incarnation(2), to.Incarnation)
 }
 
-// Hundreds of VMs start together. One of them has heard who holds the service, and knows only a few members so far, among which it ranks
-// first. It asks the holder: were each such VM to take the service over, gates would follow one after the other, and each
-// would begin with empty books.
-func TestAHolderThatIsNotListedYetIsAsked(t *testing.T) {
+// Hundreds of VMs start together. One of them knows the holder but only a few members so far, among
+// which it ranks first. It must query the holder: if each such VM took the service over, gates
+// would follow one holder after the other, and each would start with an empty pool.
+func TestHolderThatIsNotYetListedIsQueried(t *testing.T) {
 	h, _ := New(a).Take(service, 0)
 	x := New(b)
 	x.Learn(h)
@@ -70,12 +72,12 @@
 	step, to := x.Route(service, false, few, few)
 	require.Equal(t, Forward, step)
 	require.Equal(t, a.Address, to.Address)
-	require.Equal(t, a.VM, x.Candidates(service, few, few, none)[0].VM)
+	require.Equal(t, a.VM, x.Candidates(service, few, few, noneSilent)[0].VM)
 }
 
-// Two questions find the holder silent at the same moment. Only one of them may make this VM the holder: each change is announced to all
-// VMs and has them present what runs.
-func TestOnlyOneOfTwoQuestionsChangesTheHolder(t *testing.T) {
+// Two concurrent queries find that the holder does not respond. Only one of them may make this VM
+// the holder, since each change is announced to all VMs and makes them present their live grants.
+func TestOnlyOneOfTwoQueriesChangesTheHolder(t *testing.T) {
 	x := New(b)
 	old, _ := New(a).Take(service, 0)
 	x.Learn(old)
@@ -86,22 +88,23 @@
 	require.False(t, ok)
 }
 
-// Two VMs become holder at the same epoch, each without knowing of the other. All must come to follow the same one.
-func TestOfTwoHoldersAtOneEpochTheStrongerCounts(t *testing.T) {
-	strong, _ := New(a).Take(service, 0)
-	weak, _ := New(c).Take(service, 0)
+// Two VMs become holder at the same epoch without knowing of each other. All VMs must end up
+// following the same one.
+func TestOfTwoHoldersAtOneEpochTheOneWithMoreCoresWins(t *testing.T) {
+	large, _ := New(a).Take(service, 0)
+	small, _ := New(c).Take(service, 0)
 	x, y := New(b), New(b)
-	x.Learn(strong)
-	x.Learn(weak)
-	y.Learn(weak)
-	y.Learn(strong)
+	x.Learn(large)
+	x.Learn(small)
+	y.Learn(small)
+	y.Learn(large)
 	for _, n := range []*Table{x, y} {
 		h, _ := n.Of(service)
 		require.Equal(t, a.VM, h.VM)
 	}
 }
 
-func TestAHolderHandsOverWhenItStopsOrIsWeak(t *testing.T) {
+func TestHolderHandsOverWhenItStopsOrHasLowCapacity(t *testing.T) {
 	x := New(c)
 	_, ok := x.Take(service, 0)
 	require.True(t, ok)
@@ -111,21 +114,21 @@
 	_, ok = x.Successor(service, []peer.Member{c}, 1)
 	require.False(t, ok)
 	to, ok = x.Successor(service, []peer.Member{b}, 1)
-	require.True(t, ok, "it stops, so it is not ranked")
+	require.True(t, ok, "a VM that stops is not ranked")
 	require.Equal(t, b.VM, to.VM)
 
 	x = New(b)
 	_, ok = x.Take(service, 0)
 	require.True(t, ok)
 	_, ok = x.Successor(service, []peer.Member{a, b, c}, 2)
-	require.False(t, ok, "a strong holder stays, whoever ranks before it")
+	require.False(t, ok, "a high-capacity holder stays, whichever VM ranks before it")
 }
 
-func TestSilentVMsAreNoCandidates(t *testing.T) {
+func TestUnresponsiveVMsAreNoCandidates(t *testing.T) {
 	all := []peer.Member{a, b, c, vm("d", 192)}
 	x := New(c)
 	h, _ := New(a).Take(service, 0)
 	x.Learn(h)
-	silent := func(m peer.Member) bool { return m.VM == a.VM }
-	require.Equal(t, []peer.Member{b, c, all[3]}, x.Candidates(service, all, all, silent))
+	unresponsive := func(m peer.Member) bool { return m.VM == a.VM }
+	require.Equal(t, []peer.Member{b, c, all[3]}, x.Candidates(service, all, all, unresponsive))
 }
