--- a/daemon/hedge/hedge.go
+++ b/daemon/hedge/hedge.go
@@ -1,6 +1,7 @@
-// Package hedge decides when a question whose answer is late is put to another VM beside.
+// Package hedge decides when to send a placement query to a second VM in parallel because the
+// answer of the first is late (a hedged request).
 //
-// Nothing here has sockets, goroutines or a clock.
+// The package has no network access, goroutines or clock.
 package hedge
 
 import (
@@ -9,46 +10,51 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Limits of hedged questions.
+// Limits of hedging.
 const (
-	// least and longest bound, in milliseconds, how much later than it should an answer comes before the next VM is asked beside: twice the
-	// longest way seen lately, since a fleet whose processors are cut answers later than one that is calm.
-	least   = 20 * clock.Milli(1)
-	longest = 100 * clock.Milli(1)
-	// share of the questions may be asked of another VM beside, and burst more: an owner that is merely busy must not get its load twice.
-	share = 0.05
-	burst = 8
-	// wayDecay is how much of the longest way is kept at each answer: about forty answers on, half of it.
-	wayDecay = 0.98
+	// minDelay and maxDelay bound, in milliseconds, how overdue an answer may be before the next VM
+	// is queried in parallel. Between them the delay is twice the longest recent round trip, since
+	// VMs with throttled processors answer later than idle ones.
+	minDelay = 20 * clock.Milli(1)
+	maxDelay = 100 * clock.Milli(1)
+	// hedgeShare is the fraction of queries that may be hedged, and burst the number of further
+	// ones: hedging must not double the load of an owner that is merely busy.
+	hedgeShare = 0.05
+	burst      = 8
+	// rttDecay is the factor applied to the longest round trip at each answer: it falls to half in
+	// about forty answers.
+	rttDecay = 0.98
 )
 
-// Questions decides when another VM is asked beside. The zero Questions has seen no answer yet. It is safe for concurrent use.
+// Questions decides when a query is hedged. The zero value is ready to use. It is safe for
+// concurrent use.
 type Questions struct {
 	mu sync.Mutex
-	// longest is the longest way to an owner and back seen lately, in milliseconds.
-	longest float64
-	// used is how much of the allowance is taken.
+	// longestRTT is the decaying maximum of recent round trips to owners, in milliseconds.
+	longestRTT float64
+	// used is the consumed part of the hedging allowance.
 	used float64
-	// asked counts the questions put to another VM beside.
-	asked uint64
+	// hedged counts the queries that were hedged.
+	hedged uint64
 }
 
-// Way takes the time of one call without what the question waited.
+// Way records the round trip of one answered call, without the time that the call waited for a
+// decision.
 func (q *Questions) Way(d clock.Milli) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.longest = max(float64(d), wayDecay*q.longest)
-	q.used = max(0, q.used-share)
+	q.longestRTT = max(float64(d), rttDecay*q.longestRTT)
+	q.used = max(0, q.used-hedgeShare)
 }
 
-// After is how much later than it should an answer is waited for alone.
+// After returns how overdue an answer may be before another VM is queried in parallel.
 func (q *Questions) After() clock.Milli {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return min(max(clock.Milli(2*q.longest), least), longest)
+	return min(max(clock.Milli(2*q.longestRTT), minDelay), maxDelay)
 }
 
-// Allow reports whether another VM may be asked beside, and counts it if so.
+// Allow reports whether one more query may be hedged, and counts it if so.
 func (q *Questions) Allow() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -56,9 +62,9 @@
 		return false
 	}
 	q.used++
-	q.asked++
+	q.hedged++
 	return true
 }
 
-// Asked counts the questions that were put to another VM beside.
-func (q *Questions) Asked() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.asked }
+// Asked returns the number of hedged queries.
+func (q *Questions) Asked() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.hedged }
--- a/daemon/hedge/hedge_test.go
+++ b/daemon/hedge/hedge_test.go
@@ -8,8 +8,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// An owner that is busy answers all questions late. Were each put to another VM too, it would get its load twice.
-func TestFewQuestionsAreHedged(t *testing.T) {
+// A busy owner answers all queries late. Hedging each of them would double its load.
+func TestHedgingIsBounded(t *testing.T) {
 	var q Questions
 	allowed := 0
 	for range 1000 {
@@ -18,21 +18,22 @@
 		}
 		q.Way(500)
 	}
-	require.LessOrEqual(t, allowed, int(1000*share)+burst)
-	require.GreaterOrEqual(t, allowed, int(1000*share))
+	require.LessOrEqual(t, allowed, int(1000*hedgeShare)+burst)
+	require.GreaterOrEqual(t, allowed, int(1000*hedgeShare))
 	require.EqualValues(t, allowed, q.Asked())
 }
 
-// The processors of a fleet are cut, and its answers take longer. What is usual there must not count as late.
-func TestTheWaitFollowsTheWaysSeen(t *testing.T) {
+// Processors of the fleet are throttled, and round trips take longer. The hedging delay must adapt
+// to that, so that usual round trips do not count as late.
+func TestDelayFollowsRoundTrips(t *testing.T) {
 	var q Questions
-	require.Equal(t, least, q.After())
+	require.Equal(t, minDelay, q.After())
 	q.Way(30)
 	require.Equal(t, 60*clock.Milli(1), q.After())
 	q.Way(1000)
-	require.Equal(t, longest, q.After())
+	require.Equal(t, maxDelay, q.After())
 	for range 400 {
 		q.Way(1)
 	}
-	require.Equal(t, least, q.After())
+	require.Equal(t, minDelay, q.After())
 }
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -1,4 +1,5 @@
-// Package silent remembers which of the VMs that a gate asks do not answer.
+// Package silent tracks which VMs do not answer the queries of this gate. A gate is the VM that
+// holds the client's connection of a request.
 package silent
 
 import (
@@ -13,96 +14,101 @@
 )
 
 const (
-	// proveFirst and proveLongest are the times between two probes of a VM that did not answer; they double.
-	proveFirst   = 250 * time.Millisecond
-	proveLongest = 2 * time.Second
-	// proveTimeout bounds one probe.
-	proveTimeout = 300 * time.Millisecond
-	// cutOffFrom is from how many silent VMs on, with none that answers, this VM takes itself for the one that is cut off.
-	cutOffFrom = 2
+	// probeFirst and probeLongest are the first and the longest interval between probes of a VM
+	// that does not answer; intervals double.
+	probeFirst   = 250 * time.Millisecond
+	probeLongest = 2 * time.Second
+	// probeTimeout bounds one probe.
+	probeTimeout = 300 * time.Millisecond
+	// partitionThreshold is the number of unresponsive VMs from which on, if no VM has answered
+	// since, this VM assumes that it is itself cut off from the network.
+	partitionThreshold = 2
 )
 
-// Members lists the daemons that count as live.
+// Members lists the daemons that are considered live.
 type Members interface{ Live() []peer.Member }
 
-// Prover finds out over a connection of its own whether a daemon answers.
+// Prover probes a daemon over a separate connection; nil means that it answered.
 type Prover interface {
 	Prove(ctx context.Context, address string) error
 }
 
-// VMs holds the VMs that did not answer this gate. They are passed over until they answer a probe, are no members any more, or
-// begin another life.
-// A VM without power is listed for seconds; after a fixed time gates would ask it again and wait in vain.
-// It is safe for concurrent use.
+// VMs is the set of VMs that did not answer this gate. The gate skips each of them until it answers
+// a probe, is no longer a member or has a new incarnation. A VM without power stays in the member
+// list for seconds; with a fixed expiry in place of probes, gates would query it again in vain. VMs
+// is safe for concurrent use.
 type VMs struct {
 	log     *log.Logger
 	members Members
 	prover  Prover
 
-	mu  sync.Mutex
-	vms map[peer.VM]peer.Incarnation
-	// since is when the first of them fell silent, last when any VM answered.
-	since, last time.Time
+	mu           sync.Mutex
+	unresponsive map[peer.VM]peer.Incarnation
+	// firstUnanswered is when the first VM of a non-empty set failed to answer, lastAnswer when any
+	// VM last answered.
+	firstUnanswered, lastAnswer time.Time
 }
 
-// New returns VMs of which all count as answering.
+// New returns an empty set: all VMs count as responsive.
 func New(l *log.Logger, m Members, p Prover) *VMs {
-	return &VMs{log: l, members: m, prover: p, vms: map[peer.VM]peer.Incarnation{}}
+	return &VMs{log: l, members: m, prover: p, unresponsive: map[peer.VM]peer.Incarnation{}}
 }
 
-// Has reports whether a VM is passed over.
+// Has reports whether the gate skips a VM as unresponsive.
 func (s *VMs) Has(m peer.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	life, ok := s.vms[m.VM]
-	return ok && life == m.Incarnation
+	incarnation, ok := s.unresponsive[m.VM]
+	return ok && incarnation == m.Incarnation
 }
 
-// Note passes a VM over.
+// Note adds a VM to the set after a call to it failed with err, and starts to probe it.
 func (s *VMs) Note(m peer.Member, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if life, ok := s.vms[m.VM]; ok && life == m.Incarnation {
+	if incarnation, ok := s.unresponsive[m.VM]; ok && incarnation == m.Incarnation {
 		return
 	}
-	if len(s.vms) == 0 {
-		s.since = time.Now()
+	if len(s.unresponsive) == 0 {
+		s.firstUnanswered = time.Now()
 	}
-	s.vms[m.VM] = m.Incarnation
-	s.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "owner").Str("peer", string(m.VM)).Err(err).Msg("an owner does not answer and is passed over")
-	go s.prove(m)
+	s.unresponsive[m.VM] = m.Incarnation
+	s.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "owner").Str("peer", string(m.VM)).Err(err).Msg("owner does not answer; skipping it until it answers a probe")
+	go s.probe(m)
 }
 
-// Answered notes that a VM answered.
+// Answered records that a VM answered and removes it from the set.
 func (s *VMs) Answered(m peer.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = time.Now()
-	if life, ok := s.vms[m.VM]; ok && life == m.Incarnation {
-		delete(s.vms, m.VM)
-		s.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "owner").Str("peer", string(m.VM)).Msg("an owner answers again")
+	s.lastAnswer = time.Now()
+	if incarnation, ok := s.unresponsive[m.VM]; ok && incarnation == m.Incarnation {
+		delete(s.unresponsive, m.VM)
+		s.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "owner").Str("peer", string(m.VM)).Msg("owner answers again")
 	}
 }
 
-// CutOff reports whether several VMs are silent and none has answered since: asking yet others would make callers late.
+// CutOff reports whether several VMs are unresponsive and none has answered since the first of them
+// failed. This VM is then probably cut off itself, and querying further VMs would only delay
+// callers.
 func (s *VMs) CutOff() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.vms) >= cutOffFrom && s.last.Before(s.since)
+	return len(s.unresponsive) >= partitionThreshold && s.lastAnswer.Before(s.firstUnanswered)
 }
 
-// prove probes a VM until it answers or is no member of this life any more.
-func (s *VMs) prove(m peer.Member) {
-	for wait := proveFirst; ; wait = min(2*wait, proveLongest) {
+// probe probes a VM until it answers, is no longer a member or has a new incarnation.
+func (s *VMs) probe(m peer.Member) {
+	for wait := probeFirst; ; wait = min(2*wait, probeLongest) {
 		time.Sleep(wait)
 		if !s.Has(m) {
 			return
 		}
-		if !s.member(m) {
-			s.forget(m)
+		if !s.isMember(m) {
+			s.remove(m)
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), proveTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		err := s.prover.Prove(ctx, m.Address)
 		cancel()
 		if err == nil {
@@ -112,7 +118,7 @@
 	}
 }
 
-func (s *VMs) member(m peer.Member) bool {
+func (s *VMs) isMember(m peer.Member) bool {
 	for _, l := range s.members.Live() {
 		if l.VM == m.VM && l.Incarnation == m.Incarnation {
 			return true
@@ -121,8 +127,8 @@
 	return false
 }
 
-func (s *VMs) forget(m peer.Member) {
+func (s *VMs) remove(m peer.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.vms, m.VM)
+	delete(s.unresponsive, m.VM)
 }
--- a/daemon/silent/silent_test.go
+++ b/daemon/silent/silent_test.go
@@ -16,7 +16,7 @@
 
 var errDown = errors.New("down")
 
-// fleet are members of which none answers a probe until up is set.
+// fleet is a member list of which no VM answers a probe until up is set.
 type fleet struct {
 	live   []peer.Member
 	up     atomic.Bool
@@ -38,8 +38,9 @@
 	return f, New(&log.Logger{Level: log.FatalLevel}, f, f)
 }
 
-// A VM without power is listed for seconds. Asked again after a fixed time, it would make a request late each time.
-func TestASilentVMIsPassedOverUntilItAnswersAProbe(t *testing.T) {
+// A VM without power stays in the member list for seconds. If gates queried it again after a fixed
+// time, each query would delay a request.
+func TestUnresponsiveVMIsSkippedUntilItAnswersAProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
 		a := f.live[0]
@@ -49,13 +50,13 @@
 		require.True(t, s.Has(a))
 		require.LessOrEqual(t, f.probes.Load(), int64(8), "probes become rare")
 		f.up.Store(true)
-		time.Sleep(proveLongest)
+		time.Sleep(probeLongest)
 		require.False(t, s.Has(a))
 	})
 }
 
-// It is back in another life before a probe has found that out.
-func TestAnotherLifeIsNotPassedOver(t *testing.T) {
+// A VM returns as another incarnation before a probe has detected that.
+func TestNewIncarnationIsNotSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
 		a := f.live[0]
@@ -65,23 +66,24 @@
 		next := a
 		next.Incarnation++
 		require.False(t, s.Has(next))
-		time.Sleep(proveLongest)
-		require.False(t, s.Has(a), "who is no member any more is not probed for good")
+		time.Sleep(probeLongest)
+		require.False(t, s.Has(a), "a VM that is no longer a member must not be probed forever")
 	})
 }
 
-// All that this VM asks are silent: it is the one that is cut off, and to ask yet others would make callers late.
-func TestSeveralSilentVMsAreACutOfThisOne(t *testing.T) {
+// No VM that this VM queries answers: it is probably cut off itself, and querying further VMs would
+// only delay callers.
+func TestSeveralUnresponsiveVMsMeanThisVMIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
 		s.Note(f.live[0], errDown)
-		require.False(t, s.CutOff(), "one may be lost")
+		require.False(t, s.CutOff(), "a single unresponsive VM may be lost")
 		time.Sleep(time.Millisecond)
 		s.Note(f.live[1], errDown)
 		require.True(t, s.CutOff())
 		s.Answered(f.live[1])
 		require.False(t, s.CutOff())
 		f.up.Store(true)
-		time.Sleep(proveLongest)
+		time.Sleep(probeLongest)
 	})
 }
