--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -1,16 +1,14 @@
-// Package lease lets one VM at a time give orders to an engine, and numbers
-// the holders so that an engine can refuse an earlier one.
+// Package lease grants one VM at a time the right to send orders to an engine, and numbers the
+// holders so that an engine can refuse orders of an earlier holder.
 //
-// A lease is an object of the platform's store. Its version is the fencing
-// number: each write raises it, so an order of a later holder always carries a
-// larger number. Nobody compares clocks of two VMs. A holder counts its span
-// from before it sent the write; a rival counts a longer span from when it
-// first saw the version that stands. The holder's time therefore ends first.
+// A lease is an object of the platform's store. Its version is the fencing number: each write
+// raises it, so orders of a later holder always carry a larger number. Clocks of different VMs are
+// never compared. A holder measures its time from before it sent the write; a rival measures a
+// longer time from when it first saw the current version. The holder's time therefore ends first.
 //
-// That alone does not exclude two holders: one may be frozen between the look
-// at its clock and the order. What excludes the harm is the engine, which
-// refuses the old number. An engine that ignores the number therefore gets no
-// automatic order at all; see Allowed.
+// That alone does not exclude two holders: one may be frozen between reading its clock and sending
+// an order. The engine prevents the harm by refusing the old number. An engine that ignores the
+// number is therefore sent no automatic orders at all; see Allowed.
 package lease
 
 import (
@@ -26,7 +24,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Kind is the collection of the store that holds the leases.
+// Kind is the collection of the store in which leases are kept.
 const Kind platform.Kind = "leases"
 
 // Fence is the fencing number of an order.
@@ -43,101 +41,102 @@
 	Now() clock.Milli
 }
 
-// Guard notices that this process stood still; its callback calls Drop.
+// Guard detects pauses of this process. Check runs the guard's callback, which calls Drop, if the
+// process was paused, and reports whether it was.
 type Guard interface {
 	Check() bool
 }
 
 // Rules set the times of a lease.
 type Rules struct {
-	// Span is how long a holder may act after a renewal.
+	// Span is how long a holder may act after it sent a renewal.
 	Span clock.Milli
-	// Margin is what a rival waits beyond Span. It covers clocks that run at
-	// different speeds and the last order under way.
+	// Margin is how long a rival waits beyond Span. It covers clocks that run at different speeds
+	// and the last order in flight.
 	Margin clock.Milli
 	// Renew is the time between renewals.
 	Renew clock.Milli
 }
 
-// DefaultRules renew three times in a span, so that two lost answers in a row
-// lose no lease; after the death of a holder orders rest for 15 s at most.
-// Orders change what an engine serves and can wait that long.
+// DefaultRules renew three times in a span, so that two lost answers in a row do not lose the
+// lease. After the crash of a holder no orders are sent for up to 15 s, which is acceptable: orders
+// change what an engine serves and can wait that long.
 var DefaultRules = Rules{Span: 9 * clock.Second, Margin: 3 * clock.Second, Renew: 3 * clock.Second}
 
-// owner is the value of a lease.
-type owner struct {
+// holderID is the stored value of a lease.
+type holderID struct {
 	VM          peer.VM          `json:"vm"`
 	Incarnation peer.Incarnation `json:"incarnation"`
 }
 
-// Allowed tells whether an engine may be sent automatic orders: only one that
-// refuses an old fencing number. To any other an operator gives orders by hand.
+// Allowed reports whether an engine may be sent automatic orders: only if it refuses old fencing
+// numbers (fenced). An operator has to send orders to other engines.
 func Allowed(fenced bool) bool { return fenced }
 
-// hold is what this VM knows of one lease.
-type hold struct {
-	// version is the newest that this VM saw, whoever wrote it.
+// leaseState is what this VM knows of one lease.
+type leaseState struct {
+	// version is the newest version that this VM saw, whichever VM wrote it.
 	version platform.Version
-	// seen is when this VM first saw that version.
-	seen clock.Milli
-	// fence is the version under which this VM holds the lease; zero if it doesn't.
+	// firstSeen is when this VM first saw that version.
+	firstSeen clock.Milli
+	// fence is the version under which this VM holds the lease; zero if it does not hold it.
 	fence platform.Version
-	// until is when this VM stops acting on it.
+	// until is when the lease expires for this VM.
 	until clock.Milli
-	// doubt is when a write began whose outcome is not known; zero if none.
-	doubt clock.Milli
+	// uncertain is when the write was sent whose outcome is unknown; zero if there is none.
+	uncertain clock.Milli
 }
 
-// mayTake tells whether the time of whoever wrote the version is surely over.
-func (h *hold) mayTake(now clock.Milli, r Rules) bool {
-	return h.version == 0 || now-h.seen > r.Span+r.Margin
+// mayAcquire reports whether the lease of the VM that wrote the version has certainly expired.
+func (h *leaseState) mayAcquire(now clock.Milli, r Rules) bool {
+	return h.version == 0 || now-h.firstSeen > r.Span+r.Margin
 }
 
-// holds tells whether this VM may act, and until when.
-func (h *hold) holds(now clock.Milli) bool { return h.fence != 0 && now < h.until }
+// valid reports whether this VM may act under the lease at now.
+func (h *leaseState) valid(now clock.Milli) bool { return h.fence != 0 && now < h.until }
 
-// won notes a write that took effect; begun is when it was sent.
-func (h *hold) won(v platform.Version, begun clock.Milli, r Rules) {
-	h.version, h.seen, h.doubt = v, begun, 0
+// acquired records a write that succeeded; begun is when it was sent.
+func (h *leaseState) acquired(v platform.Version, begun clock.Milli, r Rules) {
+	h.version, h.firstSeen, h.uncertain = v, begun, 0
 	h.fence, h.until = v, begun+r.Span
 }
 
-// saw notes what the store shows. A version below a known one is a stale read.
-func (h *hold) saw(v platform.Version, mine bool, now clock.Milli, r Rules) {
+// observed records a version read from the store. A version below a known one is a stale read.
+func (h *leaseState) observed(v platform.Version, mine bool, now clock.Milli, r Rules) {
 	if v <= h.version {
 		return
 	}
-	if mine && h.doubt != 0 {
-		// The write whose answer was lost took effect, after doubt at the earliest.
-		h.won(v, h.doubt, r)
+	if mine && h.uncertain != 0 {
+		// The write whose answer was lost took effect, at the time uncertain at the earliest.
+		h.acquired(v, h.uncertain, r)
 		return
 	}
-	h.version, h.seen, h.fence, h.doubt = v, now, 0, 0
+	h.version, h.firstSeen, h.fence, h.uncertain = v, now, 0, 0
 }
 
-// Leases holds and renews the leases of one VM.
+// Leases acquires and renews the leases of one VM.
 type Leases struct {
 	store Store
 	clock Clock
 	rules Rules
 	guard Guard
-	self  owner
+	self  holderID
 
-	mu    sync.Mutex
-	holds map[platform.Name]*hold
-	// wanted are the leases that this VM tries to hold.
+	mu     sync.Mutex
+	states map[platform.Name]*leaseState
+	// wanted is the set of leases that this VM tries to hold.
 	wanted map[platform.Name]bool
 }
 
-// New returns leases for one life of a VM.
+// New returns the leases of one incarnation of a VM.
 func New(s Store, k Clock, r Rules, g Guard, self peer.Member) *Leases {
 	return &Leases{
-		store: s, clock: k, rules: r, guard: g, self: owner{self.VM, self.Incarnation},
-		holds: map[platform.Name]*hold{}, wanted: map[platform.Name]bool{},
+		store: s, clock: k, rules: r, guard: g, self: holderID{self.VM, self.Incarnation},
+		states: map[platform.Name]*leaseState{}, wanted: map[platform.Name]bool{},
 	}
 }
 
-// Want makes Run try to hold exactly these leases.
+// Want sets the leases that Run tries to hold, and gives up all others.
 func (l *Leases) Want(names ...platform.Name) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,38 +144,38 @@
 	for _, n := range names {
 		l.wanted[n] = true
 	}
-	for n, h := range l.holds {
+	for n, h := range l.states {
 		if !l.wanted[n] {
 			h.fence = 0
 		}
 	}
 }
 
-// Drop gives all leases up at once, without a word to the store. It is called
-// after a pause of this process, before anything else is done.
+// Drop gives up all leases at once, without writing to the store. It must be called after a pause
+// of this process before anything else is done.
 func (l *Leases) Drop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.holds {
-		h.fence, h.doubt = 0, 0
+	for _, h := range l.states {
+		h.fence, h.uncertain = 0, 0
 	}
 }
 
-// Fence returns the number for an order and the time left to send it; false
-// if this VM may give none. An order must end, or be given up, in that time.
+// Fence returns the fencing number for an order and the time left to send it. ok is false if this
+// VM may send no order. An order must end, or be abandoned, within that time.
 func (l *Leases) Fence(n platform.Name) (f Fence, left clock.Milli, ok bool) {
 	l.guard.Check()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	h := l.holds[n]
-	if h == nil || !h.holds(now) {
+	st := l.states[n]
+	if st == nil || !st.valid(now) {
 		return 0, 0, false
 	}
-	return Fence(h.fence), h.until - now, true
+	return Fence(st.fence), st.until - now, true
 }
 
-// Run takes and renews the wanted leases until ctx ends.
+// Run acquires and renews the wanted leases until ctx ends.
 func (l *Leases) Run(ctx context.Context) error {
 	t := time.NewTicker(l.rules.Renew.Duration())
 	defer t.Stop()
@@ -190,8 +189,8 @@
 	}
 }
 
-// Tick takes or renews each wanted lease once. Errors need no word: a lease
-// that could not be renewed ends by itself.
+// Tick acquires or renews each wanted lease once. Errors are not reported: a lease that could not
+// be renewed expires.
 func (l *Leases) Tick(ctx context.Context) {
 	l.mu.Lock()
 	var names []platform.Name
@@ -205,27 +204,28 @@
 }
 
 func (l *Leases) step(ctx context.Context, n platform.Name) {
-	h, renew := l.look(n)
+	h, renew := l.state(n)
 	if !renew {
 		l.read(ctx, n)
-		h, _ = l.look(n)
-		if !h.mayTake(l.clock.Now(), l.rules) && h.fence == 0 {
+		h, _ = l.state(n)
+		if !h.mayAcquire(l.clock.Now(), l.rules) && h.fence == 0 {
 			return
 		}
 	}
 	l.write(ctx, n, h.version)
 }
 
-// look copies what is known of a lease; renew tells that no read is needed.
-func (l *Leases) look(n platform.Name) (h hold, renew bool) {
+// state returns a copy of what is known of a lease. renew is true if the lease can be renewed
+// without reading it first.
+func (l *Leases) state(n platform.Name) (h leaseState, renew bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.holds[n]
+	p := l.states[n]
 	if p == nil {
-		p = &hold{}
-		l.holds[n] = p
+		p = &leaseState{}
+		l.states[n] = p
 	}
-	return *p, p.holds(l.clock.Now()) && p.doubt == 0
+	return *p, p.valid(l.clock.Now()) && p.uncertain == 0
 }
 
 func (l *Leases) read(ctx context.Context, n platform.Name) {
@@ -233,14 +233,14 @@
 	if err != nil {
 		return
 	}
-	var by owner
-	mine := json.Unmarshal(o.Value, &by) == nil && by == l.self
+	var writer holderID
+	mine := json.Unmarshal(o.Value, &writer) == nil && writer == l.self
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.holds[n].saw(o.Version, mine, l.clock.Now(), l.rules)
+	l.states[n].observed(o.Version, mine, l.clock.Now(), l.rules)
 }
 
-// write takes or renews a lease, if nobody wrote it since the known version.
+// write acquires or renews a lease, unless another VM has written it since the known version.
 func (l *Leases) write(ctx context.Context, n platform.Name, known platform.Version) {
 	value, err := json.Marshal(l.self)
 	if err != nil {
@@ -250,13 +250,13 @@
 	v, err := l.store.Put(ctx, Kind, n, value, platform.At(known))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.holds[n]
+	h := l.states[n]
 	switch {
 	case err == nil && l.wanted[n]:
-		h.won(v, begun, l.rules)
-	case errors.Is(err, platform.ErrUnknown) && h.doubt == 0:
-		h.doubt = begun
-	case errors.Is(err, platform.ErrConflict) && h.doubt == 0:
+		h.acquired(v, begun, l.rules)
+	case errors.Is(err, platform.ErrUnknown) && h.uncertain == 0:
+		h.uncertain = begun
+	case errors.Is(err, platform.ErrConflict) && h.uncertain == 0:
 		h.fence = 0
 	}
 }
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -14,18 +14,18 @@
 
 const engine platform.Name = "engine-1"
 
-// world is the true time and the store, which a test moves by hand.
+// world is the true time and the store, both controlled by the test.
 type world struct {
 	now   clock.Milli
 	store *platformtest.Store
 }
 
-// vm is one VM with a clock of its own.
+// vm is one VM with its own clock.
 type vm struct {
 	*Leases
 	world  *world
 	offset clock.Milli
-	// paused is set when the VM stood still since its last check.
+	// paused is set if the VM has been paused since its last check.
 	paused bool
 }
 
@@ -60,7 +60,7 @@
 
 func (v *vm) holds() bool { _, _, ok := v.Fence(engine); return ok }
 
-func TestHolderKeepsALeaseByRenewing(t *testing.T) {
+func TestHolderRenewsLease(t *testing.T) {
 	w := newWorld()
 	a, b := w.start("a", 0), w.start("b", 99999)
 	last := Fence(0)
@@ -76,9 +76,9 @@
 	require.False(t, a.holds())
 }
 
-// The holder is frozen past its lease, another VM takes over, and the holder
-// thaws in the middle of giving an order. By its own clock it must see that its
-// time is over, and the engine that checks must be able to tell the two apart.
+// The holder is frozen beyond the end of its lease, another VM acquires the lease, and the holder
+// resumes while sending an order. Its own clock must show that its lease has expired, and the
+// fencing numbers must tell the two holders apart.
 func TestFrozenHolderIsFencedOff(t *testing.T) {
 	w := newWorld()
 	a, b := w.start("a", 0), w.start("b", 0)
@@ -87,7 +87,7 @@
 	b.tick(t)
 	w.now += DefaultRules.Span + DefaultRules.Margin
 	b.tick(t)
-	require.False(t, b.holds(), "not before the margin has passed")
+	require.False(t, b.holds(), "a rival must wait until the margin has passed")
 	w.now++
 	b.tick(t)
 	require.Greater(t, b.fence(t), old)
@@ -96,8 +96,8 @@
 	require.False(t, a.holds())
 }
 
-// The holder's VM is suspended, and its clock stands still with it: by that
-// clock the lease would still hold. The guard sees the pause by another clock.
+// The holder's VM is suspended, and its clock stops with it: by that clock the lease is still
+// valid. The guard detects the pause by another clock.
 func TestSuspendedHolderDropsItsLeases(t *testing.T) {
 	w := newWorld()
 	a, b := w.start("a", 0), w.start("b", 0)
@@ -129,7 +129,8 @@
 	require.Greater(t, a.fence(t), old)
 }
 
-// The store is out. Orders stop when the lease has run out, and go on after.
+// The store is unavailable. Orders stop when the lease expires, and continue when the store is
+// back.
 func TestOutageEndsTheLease(t *testing.T) {
 	w := newWorld()
 	a := w.start("a", 0)
@@ -146,14 +147,14 @@
 	require.True(t, a.holds())
 }
 
-func TestEnginesThatIgnoreTheNumberGetNoAutomaticOrder(t *testing.T) {
+func TestEngineWithoutFencingGetsNoAutomaticOrder(t *testing.T) {
 	require.False(t, Allowed(false))
 	require.True(t, Allowed(true))
 }
 
-// VMs freeze, their clocks differ, and the store loses answers, delays writes,
-// shows old states and goes out. In no order of these may two VMs believe at
-// one instant that they may give orders, nor a later holder have a lower number.
+// VMs freeze, their clocks differ, and the store loses answers, delays writes, returns stale states
+// and becomes unavailable. No order of these events may let two VMs believe at the same instant
+// that they hold the lease, or give a later holder a lower number.
 func TestOneHolderInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld()
@@ -184,7 +185,7 @@
 					continue
 				}
 				held++
-				require.True(rt, f >= last || lastBy == i, "fence %d of %d after %d of %d", f, i, last, lastBy)
+				require.True(rt, f >= last || lastBy == i, "fence %d of VM %d after fence %d of VM %d", f, i, last, lastBy)
 				last, lastBy = max(last, f), i
 			}
 			require.LessOrEqual(rt, held, 1)
--- a/daemon/limit/limit.go
+++ b/daemon/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit holds workspaces to their rates. Each workspace has a home VM
-// that deals shares of its rate to the VMs that have callers of it.
+// Package limit enforces the rate limits of workspaces. Each workspace has a home VM that divides
+// its rate among the VMs that have callers of the workspace.
 package limit
 
 import (
@@ -18,21 +18,22 @@
 // Name is the name under which the receiver is registered with net/rpc.
 const Name = "Limit"
 
-// Times of the limiter.
+// Intervals and timeouts of the limiter.
 const (
-	// askEvery is how often a VM asks homes for shares; half of a share's life.
-	askEvery = time.Second
-	// askTimeout bounds a question; without an answer the last share holds.
-	askTimeout = 500 * time.Millisecond
-	// forgetAfter drops the bucket of a workspace that sent nothing for as long as its
-	// home remembers a VM; it starts again at an even share. A bucket that kept a
-	// large share longer would be dealt twice.
+	// requestEvery is how often a VM requests shares from home VMs: half of the time for which a
+	// share is valid.
+	requestEvery = time.Second
+	// requestTimeout bounds a request for shares; without an answer the last share stays in force.
+	requestTimeout = 500 * time.Millisecond
+	// forgetAfter is the idle time after which the bucket of a workspace is discarded; the bucket
+	// starts again at an even share. It equals the time for which the home VM remembers the demand
+	// of a VM: if a bucket kept a large share longer, that share would be granted twice.
 	forgetAfter = 6 * clock.Second
 )
 
-// Homes names the home VM of a workspace.
+// Homes finds the home VM of a workspace.
 type Homes interface {
-	// Home returns the member that deals a workspace's rate.
+	// Home returns the member that divides a workspace's rate.
 	Home(w decide.WorkspaceID) (peer.Member, bool)
 	Live() []peer.Member
 	Self() peer.Member
@@ -46,8 +47,8 @@
 // Clock reads the time of this process.
 type Clock interface{ Now() clock.Milli }
 
-// Limits is this VM's side of all limits: buckets for its callers, and the
-// dealing for the workspaces whose home it is. It is safe for concurrent use.
+// Limits enforces all limits on this VM: it has token buckets for the workspaces of its callers and
+// divides the rates of the workspaces whose home it is. It is safe for concurrent use.
 type Limits struct {
 	clock Clock
 	homes Homes
@@ -55,29 +56,30 @@
 	id    decide.GateID
 
 	mu sync.Mutex
-	// buckets holds a bucket for each workspace with a rate and recent callers.
+	// buckets has a token bucket for each workspace with a rate and recent callers.
 	buckets map[decide.WorkspaceID]*bucket
-	// dealt holds a dealer for each workspace that asked this VM as its home.
-	dealt map[decide.WorkspaceID]*gate.Home
-	// rates are the ones of the document in force.
+	// dividers has a rate divider for each workspace for which this VM, as its home, received
+	// demands.
+	dividers map[decide.WorkspaceID]*gate.Home
+	// rates are the workspace rates of the document in force.
 	rates map[decide.WorkspaceID]decide.Rate
 }
 
 type bucket struct {
-	limit *gate.Limit
-	used  clock.Milli
+	limit    *gate.Limit
+	lastUsed clock.Milli
 }
 
-// New returns limits without workspaces.
+// New returns Limits without workspaces.
 func New(c Clock, h Homes, p Peers, id decide.GateID) *Limits {
 	return &Limits{
 		clock: c, homes: h, peers: p, id: id, buckets: map[decide.WorkspaceID]*bucket{},
-		dealt: map[decide.WorkspaceID]*gate.Home{}, rates: map[decide.WorkspaceID]decide.Rate{},
+		dividers: map[decide.WorkspaceID]*gate.Home{}, rates: map[decide.WorkspaceID]decide.Rate{},
 	}
 }
 
-// Configure takes the rates of the document in force. A workspace whose rate
-// changed starts anew at an even share.
+// Configure sets the rates of the document in force. A workspace whose rate changed starts again at
+// an even share.
 func (l *Limits) Configure(ws []document.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,13 +92,14 @@
 			continue
 		}
 		delete(l.buckets, id)
-		if h, ok := l.dealt[id]; ok {
+		if h, ok := l.dividers[id]; ok {
 			h.SetRate(w.Rate)
 		}
 	}
 }
 
-// Take asks for tokens of a workspace; zero means granted, otherwise it is when to come back.
+// Take requests tokens of a workspace. Zero means that they are granted; otherwise the result is
+// the time after which to try again.
 func (l *Limits) Take(w decide.WorkspaceID, t decide.Tokens) clock.Milli {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,11 +114,11 @@
 		b = &bucket{limit: gate.NewLimit(now, even)}
 		l.buckets[w] = b
 	}
-	b.used = now
+	b.lastUsed = now
 	return b.limit.Take(now, t)
 }
 
-// Refund gives back tokens of a request that did not run.
+// Refund returns the tokens of a request that did not run.
 func (l *Limits) Refund(w decide.WorkspaceID, t decide.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,41 +127,41 @@
 	}
 }
 
-// Run asks homes for shares until ctx ends.
+// Run requests shares from home VMs until ctx ends.
 func (l *Limits) Run(ctx context.Context) {
-	guard.Every(ctx, askEvery, func() { l.round(ctx) })
+	guard.Every(ctx, requestEvery, func() { l.requestShares(ctx) })
 }
 
-// round asks all homes at once, one message a home.
-func (l *Limits) round(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// requestShares sends one request to each home VM, all in parallel, and applies the answers.
+func (l *Limits) requestShares(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for address, args := range l.demands() {
 		wg.Go(func() {
 			var reply peer.ShareReply
 			if l.peers.Call(ctx, address, Name+".Share", args, &reply) == nil {
-				l.deal(args, reply)
+				l.applyShares(args, reply)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// demands gathers what to ask of each home, by its address.
+// demands returns the requests to send, by the address of the home VM.
 func (l *Limits) demands() map[string]peer.ShareArgs {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	out := map[string]peer.ShareArgs{}
 	for w, b := range l.buckets {
-		if now-b.used > forgetAfter {
+		if now-b.lastUsed > forgetAfter {
 			delete(l.buckets, w)
 			continue
 		}
-		// A workspace without callers in this second has nothing to ask for. At 3,500
-		// workspaces a VM has callers of some thirty a second; asking for all that it
-		// saw in a minute cost 93 KB/s of the 7 that control may take.
+		// Workspaces without callers in the last second are left out. With 3,500 workspaces a VM
+		// has callers of some thirty per second; requesting shares for all workspaces seen within a
+		// minute took 93 KB/s, of 7 KB/s allowed for control traffic.
 		rate := b.limit.Demand(now)
 		m, ok := l.homes.Home(w)
 		if !ok || rate == 0 {
@@ -172,7 +175,7 @@
 	return out
 }
 
-func (l *Limits) deal(args peer.ShareArgs, reply peer.ShareReply) {
+func (l *Limits) applyShares(args peer.ShareArgs, reply peer.ShareReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -192,19 +195,19 @@
 // NewReceiver returns the receiver to register under Name.
 func NewReceiver(l *Limits) *Receiver { return &Receiver{limits: l} }
 
-// Share deals shares to a VM. Two homes at once may deal up to twice the rate
-// while members disagree; a limit is not an exclusion, and views agree again
-// within seconds.
+// Share grants shares of workspace rates to a VM. While members disagree on the home VM, two homes
+// may together grant up to twice the rate. That is acceptable: limits need no mutual exclusion, and
+// members agree again within seconds.
 func (r *Receiver) Share(args peer.ShareArgs, reply *peer.ShareReply) error {
 	l := r.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	for _, d := range args.Demands {
-		h, ok := l.dealt[d.Workspace]
+		h, ok := l.dividers[d.Workspace]
 		if !ok {
 			h = gate.NewHome(l.rates[d.Workspace])
-			l.dealt[d.Workspace] = h
+			l.dividers[d.Workspace] = h
 		}
 		share, _ := h.Share(now, args.Gate, d.Rate)
 		reply.Rates = append(reply.Rates, share)
--- a/daemon/limit/limit_test.go
+++ b/daemon/limit/limit_test.go
@@ -13,7 +13,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// fleet is some VMs whose clock the test moves; vm-1 is home of all workspaces.
+// fleet is a set of VMs with a common clock, which the test sets; vm-1 is the home VM of all
+// workspaces.
 type fleet struct {
 	now  clock.Milli
 	vms  map[string]*Limits
@@ -46,8 +47,9 @@
 	return f
 }
 
-// spend asks for 100 tokens on some VMs as often as the limit grants it, for ten seconds.
-func (f *fleet) spend(vms ...string) (granted decide.Tokens) {
+// takeTokens requests 100 tokens on each of some VMs every 10 ms for ten seconds, and returns the
+// sum of the tokens granted.
+func (f *fleet) takeTokens(vms ...string) (granted decide.Tokens) {
 	for range 10 {
 		for range 100 {
 			f.now += 10
@@ -58,31 +60,31 @@
 			}
 		}
 		for _, v := range vms {
-			f.vms[v].round(context.Background())
+			f.vms[v].requestShares(context.Background())
 		}
 	}
 	return granted
 }
 
-// All callers of a workspace come in through one VM. It must get nearly the
-// whole rate, and when they spread over all VMs the sum must stay at the rate.
+// All callers of a workspace connect to one VM. That VM must get nearly the whole rate; when the
+// callers spread over all VMs, the sum must stay at the rate.
 func TestSharesFollowDemand(t *testing.T) {
 	f := newFleet(3000)
-	f.spend("vm-2")
-	got := f.spend("vm-2")
+	f.takeTokens("vm-2")
+	got := f.takeTokens("vm-2")
 	require.InEpsilon(t, 30000, int(got), 0.1)
-	f.spend("vm-1", "vm-2", "vm-3")
-	got = f.spend("vm-1", "vm-2", "vm-3")
+	f.takeTokens("vm-1", "vm-2", "vm-3")
+	got = f.takeTokens("vm-1", "vm-2", "vm-3")
 	require.InEpsilon(t, 30000, int(got), 0.1)
 }
 
-// The home VM dies. The workspace is neither cut off nor let loose: every VM
-// goes on with the share it had.
-func TestLastShareHoldsWithoutHome(t *testing.T) {
+// The home VM is lost. The workspace must neither be blocked nor exceed its rate: every VM
+// continues with its last share.
+func TestLastShareStaysInForceWithoutHome(t *testing.T) {
 	f := newFleet(3000)
-	f.spend("vm-2", "vm-3")
+	f.takeTokens("vm-2", "vm-3")
 	f.down = true
-	got := f.spend("vm-2", "vm-3")
+	got := f.takeTokens("vm-2", "vm-3")
 	require.InEpsilon(t, 30000, int(got), 0.1)
 }
 
@@ -92,7 +94,7 @@
 	require.Zero(t, f.vms["vm-1"].Take("unknown", 1<<40))
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalReturnsTimeUntilRetry(t *testing.T) {
 	f := newFleet(300)
 	for f.vms["vm-1"].Take("wards", 50) == 0 {
 	}
@@ -102,9 +104,9 @@
 	require.Zero(t, f.vms["vm-1"].Take("wards", 50))
 }
 
-// Thousands of workspaces send a request now and then. Each second a VM asks
-// homes only for those that had callers in it, or control costs more than it may.
-func TestOnlyWorkspacesWithCallersAreAskedFor(t *testing.T) {
+// Thousands of workspaces send a request now and then. Each second a VM may request shares only for
+// workspaces with callers in that second, or control traffic exceeds its limit.
+func TestSharesAreRequestedOnlyForWorkspacesWithCallers(t *testing.T) {
 	f := newFleet(3000)
 	l := f.vms["vm-2"]
 	require.Zero(t, l.Take("wards", 10))
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -1,4 +1,6 @@
-// Package statements keeps what one VM has heard upstreams say of themselves, and what of it the owner of each service has not been sent yet.
+// Package statements stores the statements of upstreams that one VM has received, and tracks which
+// of them the owner of each service has not been sent yet. A statement is what an upstream declares
+// about itself in a response: a rate limit, a back-off or a drain notice.
 package statements
 
 import (
@@ -13,18 +15,20 @@
 	"snipeshift.example/lib/route"
 )
 
-// Clock reads a clock that goes on while the VM is suspended.
+// Clock reads a clock that continues while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// The ways in which a VM learns of a statement.
+// Sources of a statement, for log lines.
 const (
-	// FromAnswer is an answer that this VM got itself, FromOwner the word of the owner with a grant, FromGate that of a gate.
+	// FromAnswer is a response that this VM received itself, FromOwner a grant of the owner,
+	// FromGate a message of a gate.
 	FromAnswer = "answer"
 	FromOwner  = "owner"
 	FromGate   = "gate"
 )
 
-// Heard is what one VM has heard of upstreams, as a gate and as an owner that polls them. It is safe for concurrent use.
+// Heard has the statements that one VM received, as a gate and as an owner that polls upstreams. It
+// is safe for concurrent use.
 type Heard struct {
 	clock Clock
 	log   *log.Logger
@@ -33,19 +37,19 @@
 	services map[route.ServiceID]*service
 }
 
-// service is what was heard of the upstreams of one service.
+// service has the statements of the upstreams of one service.
 type service struct {
 	*statement.Table
-	// epoch is that of the owner to which the changes up to version were sent.
+	// epoch is the epoch of the owner that was sent the changes up to version.
 	epoch, version uint64
 }
 
-// New returns what a VM has heard that has just started: nothing.
+// New returns an empty Heard.
 func New(k Clock, l *log.Logger) *Heard {
 	return &Heard{clock: k, log: l, services: map[route.ServiceID]*service{}}
 }
 
-// of returns what was heard of a service's upstreams. The lock is held.
+// of returns the statements of a service's upstreams. The lock is held.
 func (h *Heard) of(s route.ServiceID) *service {
 	x := h.services[s]
 	if x == nil {
@@ -55,7 +59,7 @@
 	return x
 }
 
-// Learn takes a statement.
+// Learn records a statement and logs it if it differs from the known one.
 func (h *Heard) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	h.mu.Lock()
 	changed := h.of(s).Learn(u, st)
@@ -65,13 +69,13 @@
 	}
 }
 
-// Pending is what an owner has not acknowledged yet.
+// Pending is a list of statements that an owner has not acknowledged.
 type Pending struct {
 	Statements     []statement.Aged
 	epoch, version uint64
 }
 
-// Pending lists what the owner of an epoch has not acknowledged.
+// Pending returns the statements that the owner of an epoch has not acknowledged.
 func (h *Heard) Pending(s route.ServiceID, epoch uint64) Pending {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,7 +89,7 @@
 	return p
 }
 
-// Acknowledge notes that an owner knows what was not sent before.
+// Acknowledge records that the owner for which p was made has received its statements.
 func (h *Heard) Acknowledge(s route.ServiceID, p Pending) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,7 +100,7 @@
 	x.epoch, x.version = p.epoch, p.version
 }
 
-// All lists everything that was heard of a service's upstreams.
+// All returns all statements of a service's upstreams.
 func (h *Heard) All(s route.ServiceID) []statement.Aged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,7 +108,7 @@
 	return all
 }
 
-// About lists what was heard of some upstreams.
+// About returns the statements of the given upstreams.
 func (h *Heard) About(s route.ServiceID, us ...decide.UpstreamID) []statement.Aged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,7 +119,8 @@
 	return out
 }
 
-// Forget drops what nobody needs any more.
+// Forget discards expired statements and, after a retention time, those of upstreams for which
+// listed returns false.
 func (h *Heard) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,34 +129,35 @@
 	}
 }
 
-// Of tells whether a pending list was made for the owner of an epoch.
+// Of reports whether the list was made for the owner of an epoch.
 func (p *Pending) Of(epoch uint64) bool { return p.epoch == epoch }
 
-// Binding returns a statement by which this VM must not send to a life of an upstream now, if there is one.
-func (h *Heard) Binding(s route.ServiceID, u decide.UpstreamID, born decide.Born) (statement.Statement, bool) {
+// Binding returns a statement that forbids this VM to send to an incarnation of an upstream now, if
+// there is one.
+func (h *Heard) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Born) (statement.Statement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(s).Binding(h.clock.Now(), u, born)
+	return h.of(s).Binding(h.clock.Now(), u, started)
 }
 
 // Each calls f for each statement in force.
-func (h *Heard) Each(f func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
+func (h *Heard) Each(fn func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, x := range h.services {
-		x.Each(h.clock.Now(), func(u decide.UpstreamID, st statement.Statement) { f(s, u, st) })
+		x.Each(h.clock.Now(), func(u decide.UpstreamID, st statement.Statement) { fn(s, u, st) })
 	}
 }
 
-// Write logs that an upstream says something else of itself than before.
+// Write logs that an upstream has changed its statement.
 func Write(l *log.Logger, now clock.Milli, s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	e := l.Info().Str("service", string(s)).Str("upstream", string(u)).Int64("age", int64(now-st.At)).Str("cause", cause)
 	switch st.Kind {
 	case statement.Limit:
-		e.Str(logline.Key, logline.Limit).Bool("named", st.Named).Float64("rate", float64(st.Rate)).Msg("an upstream has another limit")
+		e.Str(logline.Key, logline.Limit).Bool("named", st.Named).Float64("rate", float64(st.Rate)).Msg("upstream changed its rate limit")
 	case statement.Rest:
-		e.Str(logline.Key, logline.Rest).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("an upstream wants a rest")
+		e.Str(logline.Key, logline.Rest).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("upstream asks for back-off")
 	case statement.Leaving:
-		e.Str(logline.Key, logline.Leaving).Str("gate", string(st.Gate)).Msg("an upstream says that it leaves")
+		e.Str(logline.Key, logline.Leaving).Str("gate", string(st.Gate)).Msg("upstream is draining")
 	}
 }
--- a/daemon/statements/statements_test.go
+++ b/daemon/statements/statements_test.go
@@ -12,56 +12,59 @@
 	"snipeshift.example/lib/route"
 )
 
-// fixed is a clock that a test sets.
-type fixed struct{ now clock.Milli }
+// manualClock is a clock that a test sets.
+type manualClock struct{ now clock.Milli }
 
-func (f *fixed) Now() clock.Milli { return f.now }
+func (f *manualClock) Now() clock.Milli { return f.now }
 
-func newHeard() (*Heard, *fixed) {
-	k := &fixed{now: 1000}
+func newHeard() (*Heard, *manualClock) {
+	k := &manualClock{now: 1000}
 	return New(k, &log.Logger{Level: log.FatalLevel}), k
 }
 
-// leaving is the word of a leaving.
-func leaving() statement.Statement {
+// draining returns a drain notice.
+func draining() statement.Statement {
 	return statement.Statement{Kind: statement.Leaving, Named: true, Gate: "g", At: 1000}
 }
 
-// An owner is lost with all that it was sent. Its successor, which is sent changes alone, would never hear of what came before.
-func TestEachNewOwnerIsSentEverything(t *testing.T) {
+// An owner is lost with all statements that it was sent. If its successor were sent new statements
+// only, it would never receive the earlier ones.
+func TestNewOwnerIsSentAllStatements(t *testing.T) {
 	h, _ := newHeard()
-	h.Learn("s", "u", leaving(), FromAnswer)
+	h.Learn("s", "u", draining(), FromAnswer)
 	first := h.Pending("s", 1)
 	require.Len(t, first.Statements, 1)
-	require.Len(t, h.Pending("s", 1).Statements, 1, "nothing was acknowledged")
+	require.Len(t, h.Pending("s", 1).Statements, 1, "nothing has been acknowledged yet")
 	h.Acknowledge("s", first)
 	require.Empty(t, h.Pending("s", 1).Statements)
-	h.Learn("s", "v", leaving(), FromAnswer)
+	h.Learn("s", "v", draining(), FromAnswer)
 	require.Len(t, h.Pending("s", 1).Statements, 1)
 	require.Len(t, h.Pending("s", 2).Statements, 2)
 }
 
-// While a list is on its way another statement comes. Taken for acknowledged with the list, it would never be sent.
-func TestWhatComesMeanwhileIsSentNext(t *testing.T) {
+// A statement arrives while a list is being sent. If it were marked as acknowledged together with
+// the list, it would never be sent.
+func TestStatementReceivedDuringSendIsSentNext(t *testing.T) {
 	h, _ := newHeard()
-	h.Learn("s", "u", leaving(), FromAnswer)
+	h.Learn("s", "u", draining(), FromAnswer)
 	p := h.Pending("s", 1)
-	h.Learn("s", "v", leaving(), FromAnswer)
+	h.Learn("s", "v", draining(), FromAnswer)
 	h.Acknowledge("s", p)
 	next := h.Pending("s", 1).Statements
 	require.Len(t, next, 1)
 	require.EqualValues(t, "v", next[0].Upstream)
 }
 
-// A rest binds until its end and no longer, whatever shorter one is asked for meanwhile.
-func TestTheLongestRestBinds(t *testing.T) {
+// A back-off is in force until its end and no longer, even if the upstream asks for a shorter one
+// meanwhile.
+func TestLongestBackOffIsInForce(t *testing.T) {
 	h, k := newHeard()
-	rest := func(span clock.Milli) statement.Statement {
+	backOff := func(span clock.Milli) statement.Statement {
 		return statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: k.now, Until: k.now + span}
 	}
-	h.Learn("s", "u", rest(3000), FromAnswer)
+	h.Learn("s", "u", backOff(3000), FromAnswer)
 	k.now += 500
-	h.Learn("s", "u", rest(500), FromAnswer)
+	h.Learn("s", "u", backOff(500), FromAnswer)
 	k.now += 2000
 	_, bound := h.Binding("s", "u", 0)
 	require.True(t, bound)
@@ -70,17 +73,19 @@
 	require.False(t, bound)
 }
 
-// An upstream that leaves is not listed for a moment, as when the store comes back from a copy. Forgotten with the list, it would get requests.
-func TestALeavingOutlivesTheList(t *testing.T) {
+// A draining upstream is missing from the list of upstreams for a moment, as when the store
+// restarts from an older copy. If its drain notice were discarded with it, it would receive
+// requests again.
+func TestDrainNoticeOutlivesUpstreamList(t *testing.T) {
 	h, k := newHeard()
-	h.Learn("s", "u", leaving(), FromAnswer)
+	h.Learn("s", "u", draining(), FromAnswer)
 	absent := func(route.ServiceID, decide.UpstreamID) bool { return false }
 	k.now += 30 * clock.Second
 	h.Forget(absent)
 	_, bound := h.Binding("s", "u", 0)
 	require.True(t, bound)
 	_, bound = h.Binding("s", "u", 7)
-	require.True(t, bound, "that it did not tell its life before is no later life")
+	require.True(t, bound, "a notice without an incarnation applies to any incarnation")
 	k.now += clock.Minute
 	h.Forget(absent)
 	_, bound = h.Binding("s", "u", 0)
