--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -18,103 +18,108 @@
 	"snipeshift.example/lib/route"
 )
 
-// Members lists the daemons that count as live.
+// Members lists the daemons that are considered live.
 type Members interface {
 	Live() []peer.Member
 	Self() peer.Member
-	// Lost counts those that fell silent without a word, a while ago at most: they may live behind a cut.
+	// Lost counts the members that recently stopped responding without announcing that they stop.
+	// They may still be running on the other side of a network partition.
 	Lost() int
 }
 
 // Peers calls methods of other daemons.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
-	// Prove finds out over a connection of its own whether a daemon answers.
+	// Prove probes a daemon over a separate connection and returns nil if it answers.
 	Prove(ctx context.Context, address string) error
 }
 
-// Times of a gate's side.
+// Timeouts and intervals of the gate's side.
 const (
-	// firstWait is how long the first question for a request waits for its decision. An answer that does not come soon
-	// after shows a silent owner, so it is short beside the 300 ms in which short requests are due. The next question
-	// waits for askWait, each further one twice as long, up to askLongest: what is queued that long is late, and each
-	// question costs the owner.
+	// firstWait is how long the owner may hold the first query for a request before it has to
+	// answer, decided or not. No answer soon after this time means that the owner does not respond,
+	// so firstWait is short compared with the 300 ms latency target of short requests. The next
+	// query allows askWait and each further one twice as long, up to askLongest: a request queued
+	// for that long is late already, and each query costs the owner processor time.
 	firstWait  = 30 * clock.Milli(1)
 	askWait    = 120 * clock.Milli(1)
 	askLongest = 480 * clock.Milli(1)
-	// answerSlack is how much later than asked an answer may come before its VM counts as silent. Peers
-	// are 3 ms away; a pause of an owner's processor, whose share is cut every
-	// tenth of a second, takes up to 60.
+	// answerSlack is how long after the end of a query's wait its answer may arrive before the VM
+	// counts as unresponsive. Peers are 3 ms away; processor throttling, applied every 100 ms, can
+	// pause an owner for up to 60 ms.
 	answerSlack = 180 * clock.Milli(1)
-	// presentEvery is how often all live grants are presented to an owner, so that a
-	// lost word of an end does not cost it an engine for long.
+	// presentEvery is how often a gate presents all its live grants to an owner, so that a lost
+	// message about the end of a send does not leave an engine reserved for long.
 	presentEvery = time.Second
 )
 
-// Client asks owners for places and tells them what became of grants.
+// Client is the gate's side of the protocol: it queries owners for placements and reports to them
+// what became of grants. A gate is the VM that holds the client's connection of a request.
 type Client struct {
-	clock   Clock
-	log     *log.Logger
-	members Members
-	peers   Peers
-	own     *Owner
-	holders *Holders
-	silent  *silent.VMs
-	heard   *statements.Heard
-	hedges  hedge.Questions
-	gate    decide.GateID
+	clock      Clock
+	log        *log.Logger
+	members    Members
+	peers      Peers
+	localOwner *Owner
+	holders    *Holders
+	silent     *silent.VMs
+	statements *statements.Heard
+	hedging    hedge.Questions
+	gate       decide.GateID
 
 	mu sync.Mutex
-	// asked names the services that were asked for.
-	asked map[route.ServiceID]bool
-	// live holds the grants in use.
-	live map[decide.RequestID]*use
+	// queried is the set of services for which this gate has queried an owner.
+	queried map[route.ServiceID]bool
+	// live holds the grants in use, by request.
+	live map[decide.RequestID]*activeGrant
 }
 
-// use is a grant in use.
-type use struct {
+// activeGrant is a grant in use.
+type activeGrant struct {
 	span.Live
 	service route.ServiceID
 }
 
-// NewClient returns the client of a gate; own places where no owner can be reached.
-func NewClient(k Clock, l *log.Logger, m Members, p Peers, own *Owner, gate decide.GateID) *Client {
+// NewClient returns the client of a gate. localOwner decides placements when no other owner can be
+// reached.
+func NewClient(k Clock, l *log.Logger, m Members, p Peers, localOwner *Owner, gate decide.GateID) *Client {
 	c := &Client{
-		clock: k, log: l, members: m, peers: p, own: own, holders: own.Holders, gate: gate,
-		silent: silent.New(l, m, p), asked: map[route.ServiceID]bool{}, live: map[decide.RequestID]*use{},
-		heard: own.heard,
+		clock: k, log: l, members: m, peers: p, localOwner: localOwner, holders: localOwner.Holders, gate: gate,
+		silent: silent.New(l, m, p), queried: map[route.ServiceID]bool{}, live: map[decide.RequestID]*activeGrant{},
+		statements: localOwner.statements,
 	}
-	c.holders.Follow(c.followed)
+	c.holders.Follow(c.onHolderChange)
 	return c
 }
 
-// Run tells owners of live grants until ctx ends.
+// Run presents the live grants to owners periodically until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	guard.Every(ctx, presentEvery, func() {
-		for s, live := range c.grouped() {
+		for s, live := range c.liveByService() {
 			c.present(ctx, s, live)
 		}
-		c.forgetStatements()
+		c.dropStatements()
 	})
 	return nil
 }
 
-// followed presents the live grants to a new holder at once, so that it does not give out again what runs already.
-func (c *Client) followed(x peer.Holder) {
-	live, ok := c.grouped()[x.Service]
+// onHolderChange presents the live grants to a new holder at once, so that the holder does not
+// allocate again what running requests occupy.
+func (c *Client) onHolderChange(x peer.Holder) {
+	live, ok := c.liveByService()[x.Service]
 	if !ok {
 		return
 	}
 	c.present(context.Background(), x.Service, live)
 }
 
-// grouped lists the live grants by service. Services whose last grant has just
-// ended are among them, so that their owners learn of it.
-func (c *Client) grouped() map[route.ServiceID][]span.Live {
+// liveByService groups the live grants by service. A queried service without live grants has an
+// empty entry, so that its owner learns that the last grant has ended.
+func (c *Client) liveByService() map[route.ServiceID][]span.Live {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make(map[route.ServiceID][]span.Live, len(c.asked))
-	for s := range c.asked {
+	out := make(map[route.ServiceID][]span.Live, len(c.queried))
+	for s := range c.queried {
 		out[s] = nil
 	}
 	for _, u := range c.live {
@@ -125,27 +130,28 @@
 
 func (c *Client) present(ctx context.Context, s route.ServiceID, live []span.Live) {
 	args := &PresentArgs{Service: s, Gate: c.gate, Live: live}
-	unsaid := c.pending(s)
-	args.Statements = unsaid.Statements
+	unacked := c.pendingStatements(s)
+	args.Statements = unacked.Statements
 	ctx, cancel := context.WithTimeout(ctx, (askWait + answerSlack).Duration())
 	defer cancel()
-	for range routings {
+	for range maxRoutings {
 		var reply PresentReply
 		if owner, remote := c.owner(s); !remote {
-			_ = c.own.Present(args, &reply) // it returns no errors
+			_ = c.localOwner.Present(args, &reply) // Present returns no errors
 		} else if err := c.peers.Call(ctx, owner.Address, Name+".Present", args, &reply); err != nil {
 			c.silent.Note(owner, err)
 			return
 		}
 		if reply.Holder == nil {
-			c.heard.Acknowledge(s, unsaid)
+			c.statements.Acknowledge(s, unacked)
 			return
 		}
 		c.holders.Hear(*reply.Holder, "answer")
 	}
 }
 
-// owner names whom messages about grants go to: the owner of a service, or who passes them on to it. False means this VM.
+// owner returns the VM to send messages about grants to: the owner of a service, or a VM that
+// forwards them to the owner. It returns false if that is this VM.
 func (c *Client) owner(s route.ServiceID) (peer.Member, bool) {
 	self := c.members.Self()
 	for _, m := range c.candidates(s) {
@@ -158,24 +164,25 @@
 	return c.holders.candidates(s, c.silent.Has)
 }
 
-// Ask waits for a place until ctx ends. Aim and Deadline of a are instants of this VM's clock.
+// Ask queries owners until one decides on a's placement or ctx ends. Aim and Deadline of a are
+// instants of this VM's clock.
 func (c *Client) Ask(ctx context.Context, s route.ServiceID, a span.Ask) (AskReply, error) {
 	c.mu.Lock()
-	c.asked[s] = true
+	c.queried[s] = true
 	c.mu.Unlock()
-	for wait := firstWait; ; wait = longer(wait) {
+	for wait := firstWait; ; wait = nextWait(wait) {
 		reply, err := c.poll(ctx, s, a, wait)
 		if ctx.Err() != nil {
 			return AskReply{}, ctx.Err()
 		}
 		if err != nil {
-			// Nobody answered: this VM decides by itself.
-			if reply, err = c.local(s, a, wait); err != nil {
+			// No VM answered: the owner of this VM decides.
+			if reply, err = c.askLocal(s, a, wait); err != nil {
 				return AskReply{}, err
 			}
 		}
 		if reply.Decided {
-			c.granted(s, &reply)
+			c.recordGrant(s, &reply)
 			return reply, nil
 		}
 		if reply.Moved {
@@ -184,37 +191,38 @@
 	}
 }
 
-// granted notes a grant that is to be used.
-func (c *Client) granted(s route.ServiceID, reply *AskReply) {
+// recordGrant records a grant as live and stores the owner's statement on the upstream's rate
+// limit.
+func (c *Client) recordGrant(s route.ServiceID, reply *AskReply) {
 	if reply.Fault != "" {
 		return
 	}
 	c.mu.Lock()
-	c.live[reply.Grant.Request] = &use{Live: span.Live{Grant: reply.Grant}, service: s}
+	c.live[reply.Grant.Request] = &activeGrant{Live: span.Live{Grant: reply.Grant}, service: s}
 	c.mu.Unlock()
 	if l := reply.Limit; l != nil {
-		c.heard.Learn(s, l.Upstream, l.Statement(c.clock.Now()), statements.FromOwner)
+		c.statements.Learn(s, l.Upstream, l.Statement(c.clock.Now()), statements.FromOwner)
 	}
 }
 
-// longer is how long the question after one that waited so long waits.
-func longer(wait clock.Milli) clock.Milli {
+// nextWait returns the wait of the query that follows a query with the given wait.
+func nextWait(wait clock.Milli) clock.Milli {
 	if wait < askWait {
 		return askWait
 	}
 	return min(2*wait, askLongest)
 }
 
-// local asks this VM's own owner, whoever holds the service.
-func (c *Client) local(s route.ServiceID, a span.Ask, wait clock.Milli) (AskReply, error) {
-	args := c.question(s, a, wait)
-	args.Local, args.Statements = true, c.heard.All(s)
+// askLocal queries the owner on this VM, whichever VM holds the service.
+func (c *Client) askLocal(s route.ServiceID, a span.Ask, wait clock.Milli) (AskReply, error) {
+	args := c.newAskArgs(s, a, wait)
+	args.Local, args.Statements = true, c.statements.All(s)
 	var reply AskReply
-	return reply, c.own.Ask(args, &reply)
+	return reply, c.localOwner.Ask(args, &reply)
 }
 
-// question is an Ask with spans in place of instants.
-func (c *Client) question(s route.ServiceID, a span.Ask, wait clock.Milli) *AskArgs {
+// newAskArgs returns the arguments of a query, with the instants of a converted to the time left.
+func (c *Client) newAskArgs(s route.ServiceID, a span.Ask, wait clock.Milli) *AskArgs {
 	now := c.clock.Now()
 	a.Aim -= now
 	a.Deadline -= now
@@ -225,7 +233,7 @@
 	return &AskArgs{Service: s, Ask: a, Wait: wait, Epoch: x.Epoch}
 }
 
-// First tells that the first byte of an answer came.
+// First reports to the owner that the first byte of a response has arrived.
 func (c *Client) First(id decide.RequestID) {
 	c.mu.Lock()
 	u := c.live[id]
@@ -234,31 +242,33 @@
 	}
 	c.mu.Unlock()
 	if u != nil {
-		c.note(NoteArgs{Service: u.service, Request: id, Event: First, Statements: c.about(u)})
+		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: First, Statements: c.grantStatements(u)})
 	}
 }
 
-// End tells how a send ended.
+// End reports to the owner how a send ended. culprit is the upstream at fault if that is not the
+// leader.
 func (c *Client) End(id decide.RequestID, o span.Outcome, culprit decide.UpstreamID) {
 	c.mu.Lock()
 	u := c.live[id]
 	delete(c.live, id)
 	c.mu.Unlock()
 	if u != nil {
-		c.note(NoteArgs{Service: u.service, Request: id, Event: Ended, Outcome: o, Culprit: culprit, Statements: c.about(u)})
+		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: Ended, Outcome: o, Culprit: culprit, Statements: c.grantStatements(u)})
 	}
 }
 
-// Withdraw tells that a question is not asked any more.
+// Withdraw reports to the owner that the gate no longer waits for a placement of the request.
 func (c *Client) Withdraw(s route.ServiceID, id decide.RequestID) {
-	c.note(NoteArgs{Service: s, Request: id, Event: Withdraw})
+	c.sendNote(NoteArgs{Service: s, Request: id, Event: Withdraw})
 }
 
-// note tells the owner without waiting. A word that is lost is made good by the next Present.
-func (c *Client) note(n NoteArgs) {
+// sendNote sends a message about a grant to the owner without waiting for an answer. The next
+// Present makes up for a lost message.
+func (c *Client) sendNote(n NoteArgs) {
 	owner, remote := c.owner(n.Service)
 	if !remote {
-		_ = c.own.Note(&n, &peer.Empty{})
+		_ = c.localOwner.Note(&n, &peer.Empty{})
 		return
 	}
 	go func() {
@@ -270,5 +280,5 @@
 	}()
 }
 
-// Live counts the grants in use.
+// Live returns the number of grants in use.
 func (c *Client) Live() int { c.mu.Lock(); defer c.mu.Unlock(); return len(c.live) }
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -16,40 +16,48 @@
 	"snipeshift.example/lib/route"
 )
 
-// Times of a change of holder.
+// Timeouts and limits of a change of holder.
 const (
-	// verifyWait is how long a holder may take to answer a question that was forwarded to it, before it counts as silent. VMs are
-	// milliseconds apart, and a share of the processor that is cut leaves a holder out for up to 60 ms.
-	verifyWait = 80 * clock.Milli(1)
-	// proveAfter is when its life is tested over a second connection beside: a lost packet of a kept one is sent
-	// again after 200 ms only.
-	proveAfter = 20 * clock.Milli(1)
-	// forwardFirst is the time between the first two questions about a request that waits at the holder. It doubles: in a flood
-	// hundreds wait, and the holder is asked for each of them.
-	forwardFirst = 30 * clock.Milli(1)
-	// gatherWait bounds how long a new holder waits for gates to say what runs, before it decides.
+	// forwardTimeout is how long a holder may take to answer a forwarded query before it counts as
+	// unresponsive. VMs are milliseconds apart, and processor throttling pauses a holder for up to
+	// 60 ms.
+	forwardTimeout = 80 * clock.Milli(1)
+	// probeAfter is the delay after which the holder is also probed over a second connection. On
+	// the persistent connection a lost packet is retransmitted after 200 ms only.
+	probeAfter = 20 * clock.Milli(1)
+	// forwardRetryFirst is the delay between the first two forwarded queries about a request that
+	// is queued at the holder. The delay doubles each time: under heavy load hundreds of requests
+	// are queued, and the holder is queried for each of them.
+	forwardRetryFirst = 30 * clock.Milli(1)
+	// gatherWait bounds how long a new holder waits for gates to present their live grants before
+	// it decides.
 	gatherWait = 40 * clock.Milli(1)
-	// announceWait bounds an announcement to one VM, announcedAtOnce how many are under way: VMs that were lost together with
-	// the holder do not answer, and the others must not wait behind them.
-	announceWait    = 150 * clock.Milli(1)
-	announcedAtOnce = 64
-	// handOverWait bounds the message that carries the books: some hundred grants.
+	// announceWait bounds an announcement to one VM, and maxAnnouncements the announcements in
+	// flight: VMs that were lost together with the holder do not answer and must not delay the
+	// announcements to others.
+	announceWait     = 150 * clock.Milli(1)
+	maxAnnouncements = 64
+	// handOverWait bounds the message that carries the snapshot of a pool: some hundred grants.
 	handOverWait = 300 * clock.Milli(1)
-	// reviewEvery is the time between two checks whether a service is to be handed over to a stronger VM.
-	reviewEvery = 500 * time.Millisecond
-	// passedOnAtOnce bounds the messages about grants that are passed on at a time. Beyond it they are dropped: gates
-	// present their grants each second.
-	passedOnAtOnce = 64
-	// routings bounds how often a question is routed anew because the holder changed meanwhile.
-	routings = 3
+	// handOverCheckEvery is the interval of checks for services to hand over to a VM of higher
+	// capacity.
+	handOverCheckEvery = 500 * time.Millisecond
+	// maxForwardedNotes bounds the messages about grants that are being forwarded at a time.
+	// Further ones are dropped: gates present their live grants every second, which makes up for
+	// them.
+	maxForwardedNotes = 64
+	// maxRoutings bounds how often a query is routed again because the holder changed in the
+	// meantime.
+	maxRoutings = 3
 )
 
-// errSuperseded answers a VM that hands over a service which another one took meanwhile.
+// errSuperseded is returned to a VM that hands over a service for which this VM knows a holder of
+// the same or a later epoch.
 var errSuperseded = errors.New("the service has a later holder")
 
 // Ask implements Placer.Ask.
 func (o *Owner) Ask(args *AskArgs, reply *AskReply) error {
-	defer o.inform(args, reply)
+	defer o.attachHolder(args, reply)
 	if args.Known != nil {
 		o.Holders.Hear(*args.Known, "asked")
 	}
@@ -57,14 +65,14 @@
 		o.decide(args, reply, nil)
 		return nil
 	}
-	for range routings {
+	for range maxRoutings {
 		step, to, epoch := o.Holders.route(args.Service, args.Forwarded)
 		switch step {
 		case holder.Decide:
 			o.decide(args, reply, o.Holders.Moved(args.Service))
 			return nil
 		case holder.Take:
-			o.take(args.Service, epoch, "asked")
+			o.becomeHolder(args.Service, epoch, "asked")
 		case holder.Redirect:
 			reply.Moved = true
 			return nil
@@ -72,22 +80,22 @@
 			if o.forward(args, reply, to) == nil {
 				return nil
 			}
-			o.take(args.Service, epoch, "silent")
+			o.becomeHolder(args.Service, epoch, "silent")
 		}
 	}
 	reply.Moved = true
 	return nil
 }
 
-// inform tells a gate who holds the service, if it follows another one.
-func (o *Owner) inform(args *AskArgs, reply *AskReply) {
+// attachHolder adds the current holder to the reply if the gate follows another epoch.
+func (o *Owner) attachHolder(args *AskArgs, reply *AskReply) {
 	if x, ok := o.Holders.Of(args.Service); ok && x.Epoch != args.Epoch {
 		reply.Holder = &x
 	}
 }
 
-// elsewhere names the VM that holds a service, if it is live and another one.
-func (o *Owner) elsewhere(s route.ServiceID) (peer.Member, bool) {
+// remoteHolder returns the VM that holds a service if it is live and not this VM.
+func (o *Owner) remoteHolder(s route.ServiceID) (peer.Member, bool) {
 	if o.Alone() {
 		return peer.Member{}, false
 	}
@@ -95,10 +103,11 @@
 	return m, step == holder.Forward && epoch > 0
 }
 
-// passOn sends a message about a grant to the holder, without waiting. A word that is lost is made good by the next Present.
-func (o *Owner) passOn(args *NoteArgs, to peer.Member) {
+// forwardNote forwards a message about a grant to the holder without waiting for an answer. The
+// next Present makes up for a lost message.
+func (o *Owner) forwardNote(args *NoteArgs, to peer.Member) {
 	select {
-	case o.passing <- struct{}{}:
+	case o.noteSlots <- struct{}{}:
 	default:
 		o.dropped.Add(1)
 		return
@@ -106,33 +115,35 @@
 	n := *args
 	n.Forwarded = true
 	go func() {
-		defer func() { <-o.passing }()
+		defer func() { <-o.noteSlots }()
 		ctx, cancel := context.WithTimeout(context.Background(), (askWait + answerSlack).Duration())
 		defer cancel()
 		if err := o.Peers.Call(ctx, to.Address, Name+".Note", &n, &peer.Empty{}); err != nil {
-			o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "holder").Str("peer", string(to.VM)).Err(err).Msg("a message about a grant was not passed on")
+			o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "holder").Str("peer", string(to.VM)).Err(err).Msg("message about a grant not forwarded to the holder")
 		}
 	}()
 }
 
-// Dropped counts the messages about grants that were not passed on to holders, since too many were under way.
+// Dropped returns the number of messages about grants that were not forwarded to holders because
+// too many were in flight.
 func (o *Owner) Dropped() uint64 { return o.dropped.Load() }
 
-// forward asks the holder in a gate's place, until it decides or the gate's wait is over. An error means that the holder is silent.
-// A gate may fail to reach a holder that is well. If the VM that it asks next decided by itself, two would give out the same engines.
+// forward queries the holder on behalf of a gate until the holder decides or the gate's wait is
+// over. An error means that the holder does not respond. Forwarding covers gates that cannot reach
+// a healthy holder: if this VM decided for them, two VMs would allocate the same engines.
 func (o *Owner) forward(args *AskArgs, reply *AskReply, to peer.Member) error {
 	began := o.Clock.Now()
-	for wait := forwardFirst; ; wait *= 2 {
+	for wait := forwardRetryFirst; ; wait *= 2 {
 		f := *args
-		passed := o.Clock.Now() - began
-		f.Ask.Aim -= passed
-		f.Ask.Deadline -= passed
+		elapsed := o.Clock.Now() - began
+		f.Ask.Aim -= elapsed
+		f.Ask.Deadline -= elapsed
 		if f.Ask.Patience != 0 {
-			f.Ask.Patience -= passed
+			f.Ask.Patience -= elapsed
 		}
 		f.Forwarded, f.Wait, f.Known = true, 0, nil
-		f.Statements = older(args.Statements, passed)
-		r, err := o.reach(to, &f)
+		f.Statements = addAge(args.Statements, elapsed)
+		r, err := o.queryHolder(to, &f)
 		if err != nil {
 			return err
 		}
@@ -148,35 +159,37 @@
 	}
 }
 
-// reach puts a question to the holder. It fails only if the holder answers neither on the kept connection nor
-// on a new one. One that is alive but whose answer did not come has decided nothing yet: the reply is empty.
-func (o *Owner) reach(to peer.Member, args *AskArgs) (AskReply, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), verifyWait.Duration())
+// queryHolder sends one query to the holder. It fails only if the holder answers neither on the
+// persistent connection nor to a probe on a new one. If the probe succeeds but the query times out,
+// the reply is empty, that is undecided.
+func (o *Owner) queryHolder(to peer.Member, args *AskArgs) (AskReply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
-	proof := make(chan error, 1)
-	prove := func() { proof <- o.Peers.Prove(ctx, to.Address) }
-	t := time.AfterFunc(proveAfter.Duration(), prove)
+	probed := make(chan error, 1)
+	probe := func() { probed <- o.Peers.Prove(ctx, to.Address) }
+	t := time.AfterFunc(probeAfter.Duration(), probe)
 	var reply AskReply
 	err := o.Peers.Call(ctx, to.Address, Name+".Ask", args, &reply)
 	if t.Stop() && err != nil {
-		prove()
+		probe()
 	}
 	if err == nil {
 		return reply, nil
 	}
-	if <-proof == nil {
-		// A late answer may still be decoded into reply: it is not read.
+	if <-probed == nil {
+		// A late answer may still be decoded into reply, so reply must not be used here.
 		return AskReply{}, nil
 	}
-	o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "holder").Str("peer", string(to.VM)).Err(err).Msg("the holder of a service is silent")
+	o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "holder").Str("peer", string(to.VM)).Err(err).Msg("the holder of a service does not respond; this VM tries to become the holder")
 	return AskReply{}, err
 }
 
-// take makes this VM the holder of a service, unless the holder is another one than at the epoch before by now. If there was one before, gates are
-// informed at once, and nothing is decided until they have presented what runs.
-func (o *Owner) take(s route.ServiceID, before uint64, cause string) {
-	o.taking.Lock()
-	defer o.taking.Unlock()
+// becomeHolder makes this VM the holder of a service if the current epoch is still before. If the
+// service had a holder, gates are informed at once, and nothing is decided until they have
+// presented their live grants or gatherWait has passed.
+func (o *Owner) becomeHolder(s route.ServiceID, before uint64, cause string) {
+	o.holderMu.Lock()
+	defer o.holderMu.Unlock()
 	if x, _ := o.Holders.Of(s); x.Epoch != before {
 		return
 	}
@@ -184,17 +197,17 @@
 		o.Holders.take(s, before, cause)
 		return
 	}
-	h := o.host(s)
+	h := o.lockedPool(s)
 	h.gathering = true
 	h.pool.Suspect()
 	h.mu.Unlock()
 	x, ok := o.Holders.take(s, before, cause)
 	if !ok {
-		o.gathered(s, h)
+		o.endGathering(s, h)
 		return
 	}
 	go func() {
-		defer o.gathered(s, h)
+		defer o.endGathering(s, h)
 		select {
 		case <-o.announce(x):
 		case <-time.After(gatherWait.Duration()):
@@ -202,8 +215,8 @@
 	}()
 }
 
-// gathered begins to decide.
-func (o *Owner) gathered(s route.ServiceID, h *ownedPool) {
+// endGathering lets the pool decide again after gates have presented their live grants.
+func (o *Owner) endGathering(s route.ServiceID, h *ownedPool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gathering = false
@@ -212,47 +225,50 @@
 	o.pollReports(s, h)
 }
 
-// announce tells all members who holds a service. What it returns is closed once all have answered or failed to: each has
-// presented its live grants by then.
-// Gates that had to find out by themselves would make one request late each.
+// announce informs all members of a service's holder. The returned channel is closed once all calls
+// have ended; each member that answered has presented its live grants by then. Without the
+// announcement each gate would discover the change by itself, at the cost of one late request.
 func (o *Owner) announce(x peer.Holder) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		var g errgroup.Group
-		g.SetLimit(announcedAtOnce)
+		g.SetLimit(maxAnnouncements)
 		self := o.Members.Self()
 		for _, m := range o.Members.Live() {
 			if m.VM != self.VM {
 				g.Go(func() error { o.announceTo(m, x); return nil })
 			}
 		}
-		_ = g.Wait() // announcements return no errors
+		_ = g.Wait() // the functions return no errors
 	}()
 	return done
 }
 
-// announceTo announces a holder to one member. One that does not hear of it learns it from heartbeats or answers.
+// announceTo announces a holder to one member. A member that misses the announcement learns of the
+// holder from heartbeats or answers.
 func (o *Owner) announceTo(m peer.Member, x peer.Holder) {
 	ctx, cancel := context.WithTimeout(context.Background(), announceWait.Duration())
 	defer cancel()
 	var known peer.Holder
 	if err := o.Peers.Call(ctx, m.Address, Name+".Follow", &x, &known); err != nil {
-		o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "peer").Str("peer", string(m.VM)).Err(err).Msg("a VM does not know of a new holder")
+		o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "peer").Str("peer", string(m.VM)).Err(err).Msg("new holder not announced to a VM; heartbeats or answers will inform it")
 		return
 	}
 	o.Holders.Hear(known, "answer")
 }
 
-// Follow implements Placer.Follow: it tells this VM of a holder, and answers with the one that is known then.
+// Follow implements Placer.Follow: it records a holder and replies with the one that this VM
+// follows afterwards.
 func (o *Owner) Follow(args, reply *peer.Holder) error {
 	o.Holders.Hear(*args, "announced")
 	*reply, _ = o.Holders.Of(args.Service)
 	return nil
 }
 
-// followed forgets the pool of a service that another VM holds. Those who wait there ask anew.
-func (o *Owner) followed(x peer.Holder) {
+// onHolderChange discards the pool of a service that another VM holds. Queries waiting in it are
+// asked again.
+func (o *Owner) onHolderChange(x peer.Holder) {
 	if o.Holders.Holds(x.Service) {
 		return
 	}
@@ -261,13 +277,14 @@
 	o.mu.Unlock()
 }
 
-// Run hands services over to stronger VMs, until ctx ends.
+// Run hands services over to VMs of higher capacity until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
-	guard.Every(ctx, reviewEvery, func() { o.HandOver(ctx) })
+	guard.Every(ctx, handOverCheckEvery, func() { o.HandOver(ctx) })
 	return nil
 }
 
-// HandOver hands the services that this VM holds over, if it stops or other members are stronger.
+// HandOver hands over the services that this VM holds if this VM stops or VMs of higher capacity
+// are members.
 func (o *Owner) HandOver(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, x := range o.Holders.All() {
@@ -278,31 +295,32 @@
 	wg.Wait()
 }
 
-// handOver gives a service with all that is known of it to its successor in one message.
+// handOver hands one service over to its successor, with a snapshot of its pool, in one message.
 func (o *Owner) handOver(ctx context.Context, s route.ServiceID) {
 	to, epoch, ok := o.Holders.successor(s)
 	if !ok {
 		return
 	}
-	h := o.host(s)
-	books := h.pool.Books(o.Clock.Now())
+	h := o.lockedPool(s)
+	snapshot := h.pool.Books(o.Clock.Now())
 	h.mu.Unlock()
-	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: books}
+	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: snapshot}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
 	defer cancel()
 	if err := o.Peers.Call(ctx, to.Address, Name+".Take", args, &peer.Empty{}); err != nil {
-		o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "successor").Str("peer", string(to.VM)).Err(err).Msg("a service could not be handed over")
+		o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "successor").Str("peer", string(to.VM)).Err(err).Msg("service not handed over: the successor did not accept it")
 		return
 	}
 	o.Holders.Hear(args.Holder, "handed over")
 }
 
-// Take implements Placer.Take: this VM becomes the holder, and knows all that the one before did.
+// Take implements Placer.Take: this VM becomes the holder and restores the snapshot of its
+// predecessor.
 func (o *Owner) Take(args *TakeArgs, _ *peer.Empty) error {
 	if x, ok := o.Holders.Of(args.Holder.Service); ok && x.Epoch >= args.Holder.Epoch {
 		return errSuperseded
 	}
-	h := o.host(args.Holder.Service)
+	h := o.lockedPool(args.Holder.Service)
 	h.pool.Restore(o.Clock.Now(), args.Books)
 	h.mu.Unlock()
 	o.Holders.Hear(args.Holder, "handed over")
--- a/daemon/placer/hold_test.go
+++ b/daemon/placer/hold_test.go
@@ -10,7 +10,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// halfAnswered are peers that are alive and whose answers to questions come too late: a part of each is decoded when the call is given up.
+// halfAnswered are peers that answer probes but answer queries too late: the reply is partly
+// decoded when the call times out.
 type halfAnswered struct{}
 
 func (halfAnswered) Call(ctx context.Context, _, _ string, _, reply any) error {
@@ -23,13 +24,14 @@
 
 func (halfAnswered) Prove(context.Context, string) error { return nil }
 
-// A forwarded question's answer comes after it was given up, and its caller would be granted a place that nobody granted.
-func TestAnAnswerThatComesTooLateIsNotRead(t *testing.T) {
+// A forwarded query times out while its late answer is still being decoded. If the partial reply
+// were used, the caller would receive a placement that the holder did not grant.
+func TestLateAnswerOfForwardedQueryIsIgnored(t *testing.T) {
 	self, far := peer.Member{VM: "self", Address: "self"}, peer.Member{VM: "far", Address: "far"}
-	o := ownerAt(t, at{members{far, self}, self}, halfAnswered{}, "e0")
+	o := ownerAt(t, viewOf{members{far, self}, self}, halfAnswered{}, "e0")
 	o.Holders.Hear(holder.Of("s", far, 1), "test")
 	var reply AskReply
 	require.NoError(t, o.Ask(&AskArgs{Service: "s", Ask: ask("1"), Epoch: 1}, &reply))
 	require.False(t, reply.Decided)
-	require.False(t, o.Holders.Holds("s"), "the holder lives and stays the holder")
+	require.False(t, o.Holders.Holds("s"), "the holder answers probes and stays the holder")
 }
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -13,8 +13,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// Holders is what this VM believes of who holds each service. It travels with heartbeats, so that a VM that starts, or
-// was cut off, follows the holder before it asks anybody. It is safe for concurrent use.
+// Holders is this VM's view of which VM holds each service. It is exchanged with heartbeats, so
+// that a VM that starts, or rejoins after a partition, follows the holder before it sends any
+// query. It is safe for concurrent use.
 type Holders struct {
 	members Members
 	clock   Clock
@@ -22,25 +23,26 @@
 
 	mu    sync.Mutex
 	table *holder.Table
-	// since is when the holder of each service was learnt.
+	// since is when this VM learned of each service's current holder.
 	since map[route.ServiceID]clock.Milli
-	ranks ranks
-	// moved is closed, for each service that is waited for, when its holder changes.
-	moved map[route.ServiceID]chan struct{}
-	// follow are called with each new holder, without locks.
-	follow []func(peer.Holder)
+	ranks rankCache
+	// changes has a channel per service that is waited for; it is closed when the holder changes.
+	changes map[route.ServiceID]chan struct{}
+	// onChange functions are called with each new holder, without locks held.
+	onChange []func(peer.Holder)
 }
 
-// NewHolders returns the holders as a VM sees them that knows of none.
+// NewHolders returns an empty view: no holder is known.
 func NewHolders(m Members, k Clock, l *log.Logger) *Holders {
 	return &Holders{
 		members: m, clock: k, log: l, table: holder.New(m.Self()),
-		since: map[route.ServiceID]clock.Milli{}, moved: map[route.ServiceID]chan struct{}{},
+		since: map[route.ServiceID]clock.Milli{}, changes: map[route.ServiceID]chan struct{}{},
 	}
 }
 
-// Follow has f called with each new holder. It is called before anything is learnt.
-func (h *Holders) Follow(f func(peer.Holder)) { h.follow = append(h.follow, f) }
+// Follow registers f to be called with each new holder. It must be called before any holder is
+// learned.
+func (h *Holders) Follow(f func(peer.Holder)) { h.onChange = append(h.onChange, f) }
 
 // Fill implements member.Part.
 func (h *Holders) Fill(_ peer.VM, b *peer.BeatArgs) {
@@ -53,15 +55,16 @@
 func (h *Holders) Learn(b *peer.BeatArgs, _ bool) {
 	for _, x := range b.Holders {
 		if h.learn(x) {
-			go h.changed(x, "heartbeat")
+			go h.notifyChange(x, "heartbeat")
 		}
 	}
 }
 
-// Hear takes another VM's word on who holds a service, and returns once this VM follows it.
+// Hear records a holder reported by another VM. When it returns, this VM follows that holder unless
+// it knows a newer one.
 func (h *Holders) Hear(x peer.Holder, cause string) {
 	if x.VM != "" && h.learn(x) {
-		h.changed(x, cause)
+		h.notifyChange(x, cause)
 	}
 }
 
@@ -71,42 +74,42 @@
 	return h.table.Learn(x)
 }
 
-// changed wakes those who wait for a change and calls those who follow it.
-func (h *Holders) changed(x peer.Holder, cause string) {
+// notifyChange wakes the waiters for a change of holder and calls the registered functions.
+func (h *Holders) notifyChange(x peer.Holder, cause string) {
 	h.mu.Lock()
 	h.since[x.Service] = h.clock.Now()
-	if c := h.moved[x.Service]; c != nil {
+	if c := h.changes[x.Service]; c != nil {
 		close(c)
-		delete(h.moved, x.Service)
+		delete(h.changes, x.Service)
 	}
 	h.mu.Unlock()
 	h.log.Info().Str(logline.Key, logline.Holder).Str("service", string(x.Service)).Str("owner", string(x.VM)).
-		Uint64("epoch", x.Epoch).Str("cause", cause).Msg("a service has another holder")
-	for _, f := range h.follow {
+		Uint64("epoch", x.Epoch).Str("cause", cause).Msg("the holder of a service has changed")
+	for _, f := range h.onChange {
 		f(x)
 	}
 }
 
-// Moved is closed when the holder of a service changes.
+// Moved returns a channel that is closed when the holder of a service changes.
 func (h *Holders) Moved(s route.ServiceID) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.moved[s]
+	c := h.changes[s]
 	if c == nil {
 		c = make(chan struct{})
-		h.moved[s] = c
+		h.changes[s] = c
 	}
 	return c
 }
 
-// Of names the holder of a service, if one is known.
+// Of returns the holder of a service, if one is known.
 func (h *Holders) Of(s route.ServiceID) (peer.Holder, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Of(s)
 }
 
-// Followed names the holder of a service, with the instant since which this VM follows it.
+// Followed returns the holder of a service and the instant since which this VM follows it.
 func (h *Holders) Followed(s route.ServiceID) (x peer.Holder, since clock.Milli, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,7 +117,7 @@
 	return x, h.since[s], ok
 }
 
-// Next names the VM that gates ask if the holder of a service is lost; empty for none.
+// Next returns the VM that gates query if the holder of a service is lost; empty if there is none.
 func (h *Holders) Next(s route.ServiceID) peer.VM {
 	for i, m := range h.candidates(s, func(peer.Member) bool { return false }) {
 		if i == 1 {
@@ -131,14 +134,14 @@
 	return h.table.Holds(s)
 }
 
-// All lists the holders of all services.
+// All returns the known holders of all services.
 func (h *Holders) All() []peer.Holder {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.All()
 }
 
-// route decides what becomes of a question that came to this VM, by the epoch known.
+// route decides how this VM handles a query, and returns the epoch on which the decision is based.
 func (h *Holders) route(s route.ServiceID, forwarded bool) (holder.Step, peer.Member, uint64) {
 	live := h.members.Live()
 	h.mu.Lock()
@@ -147,47 +150,48 @@
 	return step, m, h.table.Epoch(s)
 }
 
-// candidates lists whom a gate asks for a place.
-func (h *Holders) candidates(s route.ServiceID, silent func(peer.Member) bool) []peer.Member {
+// candidates returns the VMs that a gate queries for a placement, in order.
+func (h *Holders) candidates(s route.ServiceID, unresponsive func(peer.Member) bool) []peer.Member {
 	live := h.members.Live()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Candidates(s, live, h.ranks.of(s, live), silent)
+	return h.table.Candidates(s, live, h.ranks.of(s, live), unresponsive)
 }
 
-// successor is the member to which this VM is to hand a service over.
+// successor returns the member to which this VM is to hand a service over, and the current epoch.
 func (h *Holders) successor(s route.ServiceID) (peer.Member, uint64, bool) {
 	live := h.members.Live()
-	strong := len(member.Strong(live))
+	highCapacity := len(member.Strong(live))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m, ok := h.table.Successor(s, h.ranks.of(s, live), strong)
+	m, ok := h.table.Successor(s, h.ranks.of(s, live), highCapacity)
 	return m, h.table.Epoch(s), ok
 }
 
-// take makes this VM the holder, unless the holder is another than at the epoch before by now.
+// take makes this VM the holder if the current epoch is still before.
 func (h *Holders) take(s route.ServiceID, before uint64, cause string) (peer.Holder, bool) {
 	h.mu.Lock()
 	x, ok := h.table.Take(s, before)
 	h.mu.Unlock()
 	if ok {
-		h.changed(x, cause)
+		h.notifyChange(x, cause)
 	}
 	return x, ok
 }
 
-// ranks holds the members by how they rank as holders of services. Each request asks for the holder three
-// times, while members change a few times an hour.
-type ranks struct {
-	// live is the list that the rest was worked out from. Members never change a list that they gave out.
+// rankCache caches the ranking of members as holders, by service. Each request needs the ranking
+// three times, while members change a few times an hour.
+type rankCache struct {
+	// live is the member list from which byService was computed. Members never modifies a list that
+	// it has returned, so the address of the first element identifies the list.
 	live      []peer.Member
 	byService map[route.ServiceID][]peer.Member
 }
 
-func (r *ranks) of(s route.ServiceID, live []peer.Member) []peer.Member {
+func (r *rankCache) of(s route.ServiceID, live []peer.Member) []peer.Member {
 	same := len(live) == len(r.live) && (len(live) == 0 || &live[0] == &r.live[0])
 	if !same || r.byService == nil {
-		*r = ranks{live: live, byService: map[route.ServiceID][]peer.Member{}}
+		*r = rankCache{live: live, byService: map[route.ServiceID][]peer.Member{}}
 	}
 	ranked, ok := r.byService[s]
 	if !ok {
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -24,63 +24,68 @@
 const (
 	fleetVMs     = 76
 	fleetEngines = 60
-	// questionEvery is the time between two short requests of the whole fleet: 300 a second.
-	questionEvery = time.Second / 300
-	// answerTime is how long a short request runs on its engine.
-	answerTime = 400 * time.Millisecond
-	// linkDelay is one way between two VMs.
+	// queryInterval is the time between two short requests of the whole fleet: 300 per second.
+	queryInterval = time.Second / 300
+	// runTime is how long a short request runs on its engine.
+	runTime = 400 * time.Millisecond
+	// linkDelay is the one-way delay between two VMs.
 	linkDelay = 500 * time.Microsecond
-	// noticed is how long heartbeats need to take a dead VM off the list of members, or to list one that is back.
-	noticed = 2 * time.Second
-	// soon is how soon a question on a fleet with free engines is to be answered.
-	soon = 100 * time.Millisecond
-	// overlap is how long two owners may place beside each other.
-	overlap = 50 * time.Millisecond
+	// detectionTime is how long heartbeats need to remove a lost VM from the member list, or to
+	// list a VM that has returned.
+	detectionTime = 2 * time.Second
+	// maxLatency is the time within which a query must be answered in a fleet with free engines.
+	maxLatency = 100 * time.Millisecond
+	// maxOverlap is how long two owners may place requests at the same time.
+	maxOverlap = 50 * time.Millisecond
 )
 
-// answered is one request with what became of it.
-type answered struct {
+// result is the outcome of one request.
+type result struct {
 	at   time.Duration
 	took time.Duration
 	by   peer.VM
 	err  error
 }
 
-// lossFleet is a fleet whose VMs ask each other for places, and are lost and come back.
+// lossFleet is a fleet of VMs that query each other for placements, and are lost and return.
 type lossFleet struct {
 	t     *testing.T
 	began time.Time
 
 	mu  sync.Mutex
 	vms map[peer.VM]*lossVM
-	// live is the list of members that every VM believes.
+	// live is the member list of every VM.
 	live    []peer.Member
-	answers []answered
-	// vain are the instants at which a VM that is off was asked.
-	vain []time.Duration
-	// cuts names for some VMs another one that they do not reach.
+	results []result
+	// vainQueries has the instants at which a VM without power was queried.
+	vainQueries []time.Duration
+	// cuts maps a VM to another VM that it cannot reach.
 	cuts map[peer.VM]peer.VM
-	// apart holds the VMs of one side of a partition, sides what either side lists as live once heartbeats have found out.
-	apart map[peer.VM]bool
+	// sideB is the set of VMs on one of the two sides of a partition; sides has the member list of
+	// each side once heartbeats have detected the partition.
+	sideB map[peer.VM]bool
 	sides map[bool][]peer.Member
-	// taken is what successors were handed.
-	taken []handed
-	// limits are what engines name in their answers, leaving those that say that they leave, sends what they got.
-	limits  map[decide.UpstreamID]statement.PerSecond
-	leaving map[decide.UpstreamID]bool
-	sends   []fleetSend
+	// handOvers has what each successor received.
+	handOvers []handOver
+	// limits are the rate limits that engines declare in their responses, draining the engines that
+	// declare that they are draining, and sends the requests that reached engines.
+	limits   map[decide.UpstreamID]statement.PerSecond
+	draining map[decide.UpstreamID]bool
+	sends    []engineSend
 }
 
-// handed is how many grants a successor knew when it was handed the books, and how many were in use.
-type handed struct{ known, running int }
+// handOver compares the number of grants that a successor knew after it was handed the snapshot
+// with the number in use.
+type handOver struct{ known, running int }
 
-// lossVM is one VM in its present life.
+// lossVM is one VM in its current incarnation.
 type lossVM struct {
 	member peer.Member
 	owner  *Owner
 	client *Client
 	stop   context.CancelFunc
-	// off is set while it has no power: it takes calls and answers none.
+	// off is set while the VM has no power or is paused: calls to it are accepted and never
+	// answered.
 	off bool
 }
 
@@ -105,71 +110,74 @@
 	return f
 }
 
-// stranger is the fleet as one VM sees it.
-type stranger struct {
+// vmView is the fleet as seen by one VM.
+type vmView struct {
 	fleet *lossFleet
 	self  peer.Member
 }
 
-func (s stranger) Live() []peer.Member {
+func (s vmView) Live() []peer.Member {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	return s.fleet.seen(s.self.VM)
+	return s.fleet.membersOf(s.self.VM)
 }
 
 // Lost implements Members.
-func (s stranger) Lost() int {
+func (s vmView) Lost() int {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
-	return fleetVMs - len(s.fleet.seen(s.self.VM))
+	return fleetVMs - len(s.fleet.membersOf(s.self.VM))
 }
 
-// seen lists the members that a VM believes live. The lock is held.
-func (f *lossFleet) seen(by peer.VM) []peer.Member {
+// membersOf returns the member list of a VM. The lock is held.
+func (f *lossFleet) membersOf(by peer.VM) []peer.Member {
 	if f.sides == nil {
 		return f.live
 	}
-	return f.sides[f.apart[by]]
+	return f.sides[f.sideB[by]]
 }
 
-// reaches reports whether a VM reaches another one. The lock is held.
+// reaches reports whether one VM can reach another. The lock is held.
 func (f *lossFleet) reaches(from, to peer.VM) bool {
 	v := f.vms[to]
-	return v != nil && !v.off && !f.vms[from].off && f.cuts[from] != to && f.apart[from] == f.apart[to]
+	return v != nil && !v.off && !f.vms[from].off && f.cuts[from] != to && f.sideB[from] == f.sideB[to]
 }
 
-// split cuts the fleet into two sides of which neither reaches the other, for a time; heartbeats notice it later, at once that it is over.
+// split partitions the fleet into two sides for a time. Heartbeats detect the partition after
+// detectionTime, and its end at once.
 func (f *lossFleet) split(span time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.apart = map[peer.VM]bool{}
+	f.sideB = map[peer.VM]bool{}
 	for i, m := range f.live {
-		f.apart[m.VM] = i%3 == 0
+		f.sideB[m.VM] = i%3 == 0
 	}
-	time.AfterFunc(noticed, f.noticeSplit)
-	time.AfterFunc(span, func() { f.mu.Lock(); defer f.mu.Unlock(); f.apart, f.sides = nil, nil })
+	time.AfterFunc(detectionTime, f.detectSplit)
+	time.AfterFunc(span, func() { f.mu.Lock(); defer f.mu.Unlock(); f.sideB, f.sides = nil, nil })
 }
 
-// noticeSplit has either side list its own VMs alone. The lists stay the same ones: who works from them does so once a list.
-func (f *lossFleet) noticeSplit() {
+// detectSplit sets the member list of each side to its own VMs. The lists are computed once and
+// then shared: rankings are cached by the identity of the list.
+func (f *lossFleet) detectSplit() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sides = map[bool][]peer.Member{}
 	for _, m := range f.live {
-		f.sides[f.apart[m.VM]] = append(f.sides[f.apart[m.VM]], m)
+		f.sides[f.sideB[m.VM]] = append(f.sides[f.sideB[m.VM]], m)
 	}
 }
 
-func (s stranger) Self() peer.Member { return s.self }
+func (s vmView) Self() peer.Member { return s.self }
 
-// Call carries a call to a VM, unless it is off.
-func (s stranger) Call(ctx context.Context, address, method string, args, reply any) error {
+// Call delivers a call to a VM after linkDelay. If the VM cannot be reached, it blocks until ctx
+// ends.
+func (s vmView) Call(ctx context.Context, address, method string, args, reply any) error {
 	time.Sleep(linkDelay)
 	s.fleet.mu.Lock()
 	v := s.fleet.vms[peer.VM(address)]
 	off := !s.fleet.reaches(s.self.VM, peer.VM(address))
 	if off && method == Name+".Ask" {
-		s.fleet.vain = append(s.fleet.vain, time.Since(s.fleet.began))
+		s.fleet.vainQueries = append(s.fleet.vainQueries, time.Since(s.fleet.began))
 	}
 	s.fleet.mu.Unlock()
 	if off {
@@ -184,7 +192,7 @@
 		}
 		running := s.fleet.running()
 		err := deliver(v, method, args, reply)
-		s.fleet.noteTaken(v, running)
+		s.fleet.recordHandOver(v, running)
 		done <- err
 	}()
 	select {
@@ -197,7 +205,7 @@
 }
 
 // Prove implements Peers.
-func (s stranger) Prove(ctx context.Context, address string) error {
+func (s vmView) Prove(ctx context.Context, address string) error {
 	time.Sleep(2 * linkDelay)
 	s.fleet.mu.Lock()
 	off := !s.fleet.reaches(s.self.VM, peer.VM(address))
@@ -209,23 +217,23 @@
 	return nil
 }
 
-// lose takes a VM's power away; heartbeats notice it later.
-func (f *lossFleet) lose(vm peer.VM) {
+// cutPower cuts the power of a VM; heartbeats detect the loss after detectionTime.
+func (f *lossFleet) cutPower(vm peer.VM) {
 	f.mu.Lock()
 	f.vms[vm].off = true
 	f.vms[vm].stop()
 	f.mu.Unlock()
-	time.AfterFunc(noticed, func() {
+	time.AfterFunc(detectionTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.vms[vm].off {
-			f.list(func(m peer.Member) bool { return m.VM == vm })
+			f.unlist(func(m peer.Member) bool { return m.VM == vm })
 		}
 	})
 }
 
-// comeBack starts a VM anew, with nothing known, and lists it.
-func (f *lossFleet) comeBack(vm peer.VM) {
+// restart starts a new incarnation of a VM, without state, and lists it as a member.
+func (f *lossFleet) restart(vm peer.VM) {
 	f.mu.Lock()
 	m := f.vms[vm].member
 	m.Incarnation++
@@ -233,18 +241,19 @@
 	f.start(m)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list(func(x peer.Member) bool { return x.VM == vm })
+	f.unlist(func(x peer.Member) bool { return x.VM == vm })
 	f.live = append(f.live, m)
 	slices.SortFunc(f.live, func(x, y peer.Member) int { return slices.Compare([]byte(x.VM), []byte(y.VM)) })
 }
 
-// list leaves members out of a new list: Live gives out the old one.
-func (f *lossFleet) list(out func(peer.Member) bool) {
+// unlist replaces the member list by one without the members selected by out. A new slice is needed
+// because Live has returned the old one.
+func (f *lossFleet) unlist(out func(peer.Member) bool) {
 	f.live = slices.DeleteFunc(slices.Clone(f.live), out)
 }
 
-// ask puts one question of a random VM that is on.
-func (f *lossFleet) ask(n int) {
+// request runs one request on a random VM that has power.
+func (f *lossFleet) request(n int) {
 	f.mu.Lock()
 	var on []*lossVM
 	for _, m := range f.live {
@@ -263,7 +272,7 @@
 	reply, err := v.client.Ask(context.Background(), "s", a)
 	took := time.Since(f.began) - at
 	f.mu.Lock()
-	f.answers = append(f.answers, answered{at: at, took: took, by: placedBy(reply, v.member.VM), err: err})
+	f.results = append(f.results, result{at: at, took: took, by: placedBy(reply, v.member.VM), err: err})
 	off := v.off
 	f.mu.Unlock()
 	if err != nil || reply.Fault != "" || off {
@@ -276,29 +285,30 @@
 	f.send(v, reply.Grant.Leader.Upstream)
 	time.Sleep(20 * time.Millisecond)
 	v.client.First(a.ID)
-	time.Sleep(answerTime)
+	time.Sleep(runTime)
 	v.client.End(a.ID, span.Done, "")
 }
 
-// run asks for a time, doing what is due.
-func (f *lossFleet) run(length time.Duration, due map[time.Duration]func()) {
+// run sends requests for a time and calls each of events at its time after the start.
+func (f *lossFleet) run(length time.Duration, events map[time.Duration]func()) {
 	f.began = time.Now()
-	for at, do := range due {
-		time.AfterFunc(at, do)
+	for at, event := range events {
+		time.AfterFunc(at, event)
 	}
 	var wg sync.WaitGroup
-	tick := time.NewTicker(questionEvery)
+	tick := time.NewTicker(queryInterval)
 	defer tick.Stop()
 	for n := 0; time.Since(f.began) < length; n++ {
 		<-tick.C
-		wg.Go(func() { f.ask(n) })
+		wg.Go(func() { f.request(n) })
 	}
 	wg.Wait()
 }
 
-// late lists what was asked in a span and answered later than a bound.
-func (f *lossFleet) late(from, to, bound time.Duration) (late []answered, all int) {
-	for _, a := range f.answers {
+// late returns the requests of a time span that were answered later than bound, and the number of
+// all requests in it.
+func (f *lossFleet) late(from, to, bound time.Duration) (late []result, all int) {
+	for _, a := range f.results {
 		if a.at < from || a.at >= to {
 			continue
 		}
@@ -310,11 +320,11 @@
 	return late, all
 }
 
-// beside is the longest time for which more than one VM placed requests, after an instant.
-func (f *lossFleet) beside(from time.Duration) time.Duration {
+// overlap returns the longest time after an instant for which more than one VM placed requests.
+func (f *lossFleet) overlap(from time.Duration) time.Duration {
 	type stretch struct{ first, last time.Duration }
 	by := map[peer.VM]*stretch{}
-	for _, a := range f.answers {
+	for _, a := range f.results {
 		at := a.at + a.took
 		if at < from || a.by == "" {
 			continue
@@ -337,62 +347,66 @@
 	return most
 }
 
-// learning is how long after a loss questions may take longer: until the holder is found silent, and gates have said what runs.
-const learning = 300 * time.Millisecond
+// recoveryTime is how long after a loss queries may take longer: until the holder is found
+// unresponsive and gates have presented their live grants.
+const recoveryTime = 300 * time.Millisecond
 
-// check demands that nobody is late but for those who asked while a loss was found out, and that no two VMs placed beside each
-// other after it.
+// check requires that at most 1 % of the requests are late outside the recovery time after each
+// loss, and that none fails.
 func (f *lossFleet) check(end time.Duration, losses ...time.Duration) {
 	f.t.Helper()
 	from := time.Duration(0)
 	for _, loss := range append(losses, end) {
-		late, all := f.late(from, loss, soon)
-		require.LessOrEqual(f.t, len(late), all/100, "of %d asked from %v to %v", all, from, loss)
-		from = loss + learning
-		late, all = f.late(loss, from, learning)
-		require.LessOrEqual(f.t, len(late), all/100, "of %d asked while the loss at %v was found out", all, loss)
+		late, all := f.late(from, loss, maxLatency)
+		require.LessOrEqual(f.t, len(late), all/100, "late of %d requests from %v to %v", all, from, loss)
+		from = loss + recoveryTime
+		late, all = f.late(loss, from, recoveryTime)
+		require.LessOrEqual(f.t, len(late), all/100, "late of %d requests during recovery from the loss at %v", all, loss)
 	}
-	for _, a := range f.answers {
+	for _, a := range f.results {
 		require.NoError(f.t, a.err)
 	}
 }
 
-// The VM that places all short requests of a service loses power under load, and is back four seconds later with nothing known. Nothing closes
-// the connections to it, and heartbeats need seconds to take it off the list, so gates that find out one by one make a request late
-// each, and ask it again as long as it is listed. When it is back it is the best by rank: if gates went over to it one after the
-// other, two VMs would pack the same engines. Its loss may cost what was asked of it in that instant, and its return nobody.
-func TestAnOwnerThatIsLostAndComesBackMakesNobodyLate(t *testing.T) {
+// The owner of a service loses power under load and returns four seconds later without state. Its
+// connections are not closed, and heartbeats need seconds to remove it from the member list, so
+// gates that discover the loss one by one would each delay a request, and query the lost VM again
+// for as long as it is listed. When it returns it ranks first: if gates moved to it one after the
+// other, two VMs would allocate the same engines. The loss may delay only requests in flight at
+// that moment, and the return none.
+func TestLossAndReturnOfOwnerDelayNoRequests(t *testing.T) {
 	f := newLossFleet(t)
 	const loss, back, end = time.Second, 5 * time.Second, 7 * time.Second
 	var owner peer.VM
 	f.run(end, map[time.Duration]func(){
-		loss: func() { owner = f.placing(); f.lose(owner) },
-		back: func() { f.comeBack(owner) },
+		loss: func() { owner = f.placing(); f.cutPower(owner) },
+		back: func() { f.restart(owner) },
 	})
 	f.check(end, loss)
-	for _, at := range f.vain {
-		require.Less(t, at, loss+learning, "a VM that is off was asked again")
+	for _, at := range f.vainQueries {
+		require.Less(t, at, loss+recoveryTime, "a VM without power was queried again")
 	}
-	require.LessOrEqual(t, f.beside(loss+learning), overlap)
+	require.LessOrEqual(t, f.overlap(loss+recoveryTime), maxOverlap)
 }
 
-// The owner loses power, and with it the VM that would follow it; half a second later its successor does.
-func TestOwnersThatAreLostInARowMakeNobodyLate(t *testing.T) {
+// The owner and the VM next in rank lose power together; half a second later their successor does.
+func TestConsecutiveOwnerLossesDelayNoRequests(t *testing.T) {
 	f := newLossFleet(t)
 	const first, second, end = time.Second, 1500 * time.Millisecond, 3 * time.Second
 	f.run(end, map[time.Duration]func(){
 		first: func() {
 			owner := f.placing()
-			f.lose(owner)
-			f.lose(f.next(owner))
+			f.cutPower(owner)
+			f.cutPower(f.nextRanked(owner))
 		},
-		second: func() { f.lose(f.placing()) },
+		second: func() { f.cutPower(f.placing()) },
 	})
 	f.check(end, first, second)
 }
 
-// The owner's VM stands still for four seconds, and wakes believing that it is the owner. Gates follow another one meanwhile.
-func TestAnOwnerThatWakesFollowsItsSuccessor(t *testing.T) {
+// The owner's VM is paused for four seconds, during which gates follow another owner. It resumes
+// with the outdated view that it is the owner.
+func TestResumedOwnerFollowsItsSuccessor(t *testing.T) {
 	f := newLossFleet(t)
 	const loss, back, end = time.Second, 5 * time.Second, 6 * time.Second
 	var owner peer.VM
@@ -401,12 +415,13 @@
 		back: func() { f.freeze(owner, false) },
 	})
 	f.check(end, loss)
-	require.LessOrEqual(t, f.beside(loss+learning), overlap)
+	require.LessOrEqual(t, f.overlap(loss+recoveryTime), maxOverlap)
 }
 
-// The owner is cut off from half of the gates, and well for the others. Those that reach it no more ask the next VM, which asks the owner for them:
-// were it to decide by itself, two VMs would give out the same engines as long as the cut lasts.
-func TestAnOwnerThatSomeGatesDoNotReachStaysTheOwner(t *testing.T) {
+// Half of the gates cannot reach the owner, the others can. Gates that cannot reach it query the
+// next VM, which forwards the query to the owner: if that VM decided itself, two VMs would allocate
+// the same engines for as long as the network fault lasts.
+func TestOwnerUnreachableForSomeGatesRemainsOwner(t *testing.T) {
 	f := newLossFleet(t)
 	const cut, end = time.Second, 3 * time.Second
 	var owner peer.VM
@@ -414,39 +429,39 @@
 		cut: func() { owner = f.placing(); f.cutFrom(owner) },
 	})
 	f.check(end, cut)
-	for _, a := range f.answers {
-		if a.at > cut+learning {
+	for _, a := range f.results {
+		if a.at > cut+recoveryTime {
 			require.Equal(t, owner, a.by, "at %v", a.at)
 		}
 	}
 }
 
-// The owner stops as planned. Its successor must know what runs before it decides: with empty books it packs short requests on engines
-// that are full.
-func TestAnOwnerThatStopsHandsItsBooksOver(t *testing.T) {
+// The owner stops as planned. Its successor must know the running requests before it decides: with
+// an empty pool it would place short requests on full engines.
+func TestStoppingOwnerHandsOverItsSnapshot(t *testing.T) {
 	f := newLossFleet(t)
 	const stop, end = time.Second, 2 * time.Second
-	var before int
+	var grantsBefore int
 	var owner peer.VM
 	f.run(end, map[time.Duration]func(){
 		stop: func() {
 			owner = f.placing()
-			before = f.books(owner)
+			grantsBefore = f.grants(owner)
 			f.stopPlanned(owner)
 		},
 	})
 	f.check(end)
 	require.NotEqual(t, owner, f.placing())
-	require.Greater(t, before, 50)
-	require.NotEmpty(t, f.taken)
-	for _, x := range f.taken {
-		require.InDelta(t, x.running, x.known, float64(before)/10)
+	require.Greater(t, grantsBefore, 50)
+	require.NotEmpty(t, f.handOvers)
+	for _, x := range f.handOvers {
+		require.InDelta(t, x.running, x.known, float64(grantsBefore)/10)
 	}
-	require.LessOrEqual(t, f.beside(stop), overlap)
+	require.LessOrEqual(t, f.overlap(stop), maxOverlap)
 }
 
-// next is the member that ranks first without one of them.
-func (f *lossFleet) next(owner peer.VM) peer.VM {
+// nextRanked returns the member that ranks first when one VM is left out.
+func (f *lossFleet) nextRanked(owner peer.VM) peer.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range member.RankStrong("s", f.live) {
@@ -457,7 +472,8 @@
 	return ""
 }
 
-// freeze stops a VM without loss of what it knows, or lets it go on: its first heartbeat is answered then.
+// freeze pauses a VM, which keeps its state, or resumes it; a resumed VM receives a heartbeat
+// first.
 func (f *lossFleet) freeze(vm peer.VM, still bool) {
 	f.mu.Lock()
 	v := f.vms[vm]
@@ -468,7 +484,8 @@
 	}
 }
 
-// cutFrom cuts the links between a VM and every second gate. The VMs that may hold the service reach it.
+// cutFrom cuts the links from every second gate to a VM. The high-capacity VMs, which may hold the
+// service, still reach it.
 func (f *lossFleet) cutFrom(vm peer.VM) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -479,7 +496,7 @@
 	}
 }
 
-// stopPlanned announces that a VM stops, and has it hand over.
+// stopPlanned announces that a VM stops, and has it hand over its services.
 func (f *lossFleet) stopPlanned(vm peer.VM) {
 	f.mu.Lock()
 	v := f.vms[vm]
@@ -494,25 +511,26 @@
 	time.Sleep(50 * time.Millisecond)
 }
 
-// books is how many grants a VM's owner knows.
-func (f *lossFleet) books(vm peer.VM) int {
+// grants returns the number of grants that a VM's owner knows.
+func (f *lossFleet) grants(vm peer.VM) int {
 	f.mu.Lock()
 	v := f.vms[vm]
 	f.mu.Unlock()
-	h := v.owner.host("s")
+	h := v.owner.lockedPool("s")
 	defer h.mu.Unlock()
 	return h.pool.Counts().Granted
 }
 
-// noteTaken notes what a successor knows the moment that it is handed the books, before gates have told it anything.
-func (f *lossFleet) noteTaken(v *lossVM, running int) {
-	known := f.books(v.member.VM)
+// recordHandOver records what a successor knows directly after the hand-over, before gates have
+// presented anything to it.
+func (f *lossFleet) recordHandOver(v *lossVM, running int) {
+	known := f.grants(v.member.VM)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.taken = append(f.taken, handed{known: known, running: running})
+	f.handOvers = append(f.handOvers, handOver{known: known, running: running})
 }
 
-// running is how many grants are in use.
+// running returns the number of grants in use.
 func (f *lossFleet) running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -523,42 +541,42 @@
 	return n
 }
 
-// placing is the VM that placed last.
+// placing returns the VM that made the last placement.
 func (f *lossFleet) placing() peer.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.answers[len(f.answers)-1].by
+	return f.results[len(f.results)-1].by
 }
 
-// byMark begins the reason of a decision that another VM made.
-const byMark = "by "
+// byPrefix marks the reason of a decision that another VM made.
+const byPrefix = "by "
 
-// placedBy is the VM that decided, as its answer was marked on the way.
+// placedBy returns the VM that decided, from the mark that deliver added to the reply.
 func placedBy(r AskReply, self peer.VM) peer.VM {
-	if by, ok := strings.CutPrefix(r.Reason, byMark); ok {
+	if by, ok := strings.CutPrefix(r.Reason, byPrefix); ok {
 		return peer.VM(by)
 	}
 	return self
 }
 
-// deliver calls a VM's owner, and marks what it decided.
+// deliver calls a VM's owner and marks the reply with the VM that decided.
 func deliver(v *lossVM, method string, args, reply any) error {
 	err := dispatch(v.owner, method, args, reply)
-	if r, ok := reply.(*AskReply); ok && r.Decided && !strings.HasPrefix(r.Reason, byMark) {
-		r.Reason = byMark + string(v.member.VM)
+	if r, ok := reply.(*AskReply); ok && r.Decided && !strings.HasPrefix(r.Reason, byPrefix) {
+		r.Reason = byPrefix + string(v.member.VM)
 	}
 	return err
 }
 
-// start begins a life of a VM.
+// start starts an incarnation of a VM.
 func (f *lossFleet) start(m peer.Member) {
 	ids := make([]decide.UpstreamID, fleetEngines)
 	for i := range ids {
 		ids[i] = decide.UpstreamID(fmt.Sprintf("e%02d", i))
 	}
-	s := stranger{f, m}
+	s := vmView{f, m}
 	o := ownerAt(f.t, s, s, ids...)
-	c := NewClient(clock.Boot{}, quiet, s, s, o, decide.GateID(m.VM))
+	c := NewClient(clock.Boot{}, quietLog, s, s, o, decide.GateID(m.VM))
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { _ = c.Run(ctx) }()
 	go func() { _ = o.Run(ctx) }()
@@ -569,7 +587,8 @@
 	f.vms[m.VM] = v
 }
 
-// heartbeat carries what any VM that is on knows of holders to another one, as the first heartbeat of its life does.
+// heartbeat sends the known holders of some VM with power to another one, as the first heartbeat of
+// an incarnation does.
 func (f *lossFleet) heartbeat(to *lossVM) {
 	f.mu.Lock()
 	var from *lossVM
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -1,10 +1,13 @@
-// Package placer is the protocol between a gate and the owner of a service: the
-// gate asks where to send a request, and tells how it went.
+// Package placer is the protocol between a gate and the owner of a service: the gate queries the
+// owner for the placement of a request and reports how the request went. A gate is the VM that
+// holds the client's connection of a request.
 //
-// The owner of a service is the VM that holds it (package holder), under an epoch. It excludes nobody: two
-// sides of a partition may each have one, and an engine that both give out queues. What must hold hangs
-// on the gate that holds the request. A gate that waits too long for an answer asks the next member by rank beside; that one asks the
-// owner in its place, and becomes the owner if it is silent. A gate that reaches nobody places by itself.
+// The owner of a service is the VM that holds it (package holder), under an epoch. Ownership is not
+// exclusive: two sides of a partition may each have an owner, and an engine that both allocate
+// queues the excess requests. Guarantees that must hold are enforced by the gate of the request. A
+// gate that waits too long for an answer also queries the next member by rank; that member forwards
+// the query to the owner, and becomes the owner if the owner does not respond. A gate that reaches
+// no other VM decides placements by itself.
 package placer
 
 import (
@@ -20,27 +23,29 @@
 // Name is the name under which the receiver is registered with net/rpc.
 const Name = "Placer"
 
-// AskArgs asks for a place. The call returns after a decision, or without one
-// after Wait; then the gate asks again, which shows that it still waits.
+// AskArgs is a query for the placement of a request. The call returns after a decision, or
+// undecided after Wait; the gate then queries again, which also shows that it still waits.
 type AskArgs struct {
 	Service route.ServiceID
-	// Ask has spans in place of instants: what is left until Aim, Patience (zero for none) and Deadline.
+	// Ask has durations in place of instants: the time left until Aim, Patience (zero for none) and
+	// Deadline.
 	Ask span.Ask
-	// Wait is how long the call may wait for the decision.
+	// Wait is how long the call may block until the decision.
 	Wait clock.Milli
-	// Epoch is that of the owner that the gate follows; zero for none.
+	// Epoch is the epoch of the owner that the gate follows; zero for none.
 	Epoch uint64
-	// Known is that owner, where another VM is asked.
+	// Known is the owner that the gate follows, if the query goes to another VM.
 	Known *peer.Holder
-	// Forwarded is set if another VM asks in the gate's place.
+	// Forwarded is set if another VM sends the query on behalf of the gate.
 	Forwarded bool
-	// Local is set if the gate reaches nobody and its own VM is to decide, whoever holds the service.
+	// Local is set if the gate reaches no other VM, so that its own VM decides whichever VM holds
+	// the service.
 	Local bool
 	// Statements of upstreams are those that this owner has not acknowledged yet.
 	Statements []statement.Aged
 }
 
-// AskReply is the answer to a question.
+// AskReply is the answer to a placement query.
 type AskReply struct {
 	// Decided is false while the request is queued.
 	Decided bool
@@ -49,29 +54,30 @@
 	Fault  fault.Kind
 	Retry  clock.Milli
 	Reason string
-	// Queued is how many requests wait, and Granted how many run.
+	// Queued and Granted are the numbers of requests waiting and running in the pool.
 	Queued, Granted int
-	// Waited is how long the question waited for its decision, so that its gate knows the time of the way.
+	// Waited is how long the call waited for the decision. The gate subtracts it to obtain the
+	// network round trip.
 	Waited clock.Milli
-	// Moved is set if nothing was decided and another VM is to be asked.
+	// Moved is set if nothing was decided and the gate has to query another VM.
 	Moved bool
-	// Holder is set if another VM holds the service than the one whose epoch the gate gave.
+	// Holder is set if the gate's epoch is not that of the current holder.
 	Holder *peer.Holder
-	// Limit is what the owner knows of the limit of the upstream that leads the grant; nil for nothing.
+	// Limit is the rate limit known for the upstream that leads the grant; nil if none is known.
 	Limit *statement.Aged
 }
 
-// Event tells what became of a grant.
+// Event is a change in the state of a grant.
 type Event uint8
 
 // The events of a grant.
 const (
-	First    Event = iota // the first byte came
-	Ended                 // the send is over
-	Withdraw              // nothing was sent, and nothing will be
+	First    Event = iota // the first byte of the response has arrived
+	Ended                 // the send has ended
+	Withdraw              // nothing was or will be sent under the grant
 )
 
-// NoteArgs tells of one grant.
+// NoteArgs reports an event of one grant.
 type NoteArgs struct {
 	Service route.ServiceID
 	Request decide.RequestID
@@ -79,13 +85,13 @@
 	Outcome span.Outcome
 	// Culprit is the upstream at fault if it is not the leader.
 	Culprit decide.UpstreamID
-	// Forwarded is set if another VM passes the message on.
+	// Forwarded is set if another VM forwards the message.
 	Forwarded bool
 	// Statements are those of the grant's upstreams.
 	Statements []statement.Aged
 }
 
-// PresentArgs names all live grants of a gate at one service.
+// PresentArgs lists all live grants of a gate at one service.
 type PresentArgs struct {
 	Service route.ServiceID
 	Gate    decide.GateID
@@ -94,15 +100,15 @@
 	Statements []statement.Aged
 }
 
-// PresentReply answers a list of grants.
+// PresentReply is the answer to a list of live grants.
 type PresentReply struct {
-	// Holder is set if another VM holds the service; the list was not taken.
+	// Holder is set if another VM holds the service; the list was ignored then.
 	Holder *peer.Holder
 }
 
-// TakeArgs hands a service over.
+// TakeArgs hands a service over to the called VM.
 type TakeArgs struct {
-	// Holder names the VM that is called, at the epoch after that of the caller.
+	// Holder is the called VM as holder, at the epoch after the caller's.
 	Holder peer.Holder
 	Books  span.Books
 }
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -18,125 +18,133 @@
 	"snipeshift.example/lib/route"
 )
 
-// Clock reads a clock that goes on while the VM is suspended.
+// Clock reads a clock that continues while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Knowledge is what is known of services and upstreams.
+// Knowledge provides the current view of services and upstreams.
 type Knowledge interface{ View() *registry.View }
 
 const (
-	// longestWait bounds how long a question waits for its decision.
-	longestWait = clock.Second
-	// busyQueue is the length of a queue from which on it is scanned by the clock alone. With a scan for
-	// each of a thousand messages a second, an owner with a part of a core answers too late, is passed over, and its
-	// successor goes the same way.
-	busyQueue = 32
-	// tickEvery is the time between two scans of a queue: estimates run out and
-	// aims pass without any message.
+	// maxWait bounds how long a query may wait for its decision.
+	maxWait = clock.Second
+	// longQueue is the queue length from which on the queue is scanned periodically only, not on
+	// each message. With a scan for each of a thousand messages a second, an owner with a fraction
+	// of a core answers too late, gates skip it, and its successor fails in the same way.
+	longQueue = 32
+	// tickEvery is the interval between two scans of a queue. Periodic scans are needed because
+	// estimates expire and latency targets pass without any message.
 	tickEvery = 10 * time.Millisecond
-	// keptDecisions bounds the answers that wait for their gates to ask again.
-	keptDecisions = 4096
-	// settleTime is how long an owner that knows no other member gives out none of the
-	// budget's floor: members that start together need about as long to agree on one.
+	// maxUndelivered bounds the refusals that are stored until their gates query again.
+	maxUndelivered = 4096
+	// settleTime is how long an owner without known members grants nothing from the floor of the
+	// retry budget: members that start together need about that long to agree on one owner.
 	settleTime = 3 * clock.Second
-	// startShare is the part of the floor, one in so many, that any other new owner has at
-	// once: a planned change of owner must not leave broken streams without a second try.
-	startShare = 4
-	// AloneWait is how long after its start an owner that knows no other member takes it that there are
-	// others, and uses a few engines of its own: members that start within 0.3 s of each other meet in that
-	// time, and their gates ask the one owner of all.
+	// startDivisor sets the part of the floor, one in startDivisor, that any other new owner has at
+	// once: after a planned change of owner, broken streams must still be able to retry.
+	startDivisor = 4
+	// AloneWait is how long after its start an owner without known members assumes that other
+	// members exist and restricts itself to a few engines of its own. Members that start within 0.3
+	// s of each other discover each other in that time, and their gates then query one common
+	// owner.
 	AloneWait = 500 * clock.Milli(1)
 )
 
-// Budget bounds the sends beyond the first of each request.
+// Budget bounds the retries: the sends beyond the first of each request.
 type Budget struct {
-	// Share is the part of the requests that may be sent again, and Floor how
-	// many more, within Window.
+	// Share is the fraction of the requests that may be sent again, and Floor the number of further
+	// retries, within Window.
 	Share, Floor float64
 	Window       clock.Milli
 }
 
-// OwnerNeeds are what an Owner works with.
+// OwnerNeeds are the dependencies of an Owner.
 type OwnerNeeds struct {
 	Clock     Clock
 	Knowledge Knowledge
 	Reports   Reports
-	// Gate names this VM in this life, to upstreams that are asked for their load.
+	// Gate identifies this VM and its incarnation to upstreams that are polled for their load.
 	Gate decide.GateID
-	// Name is that of this VM, and Alone reports whether no other member was ever heard of.
+	// Name is the name of this VM. Alone reports whether this VM has never heard of another member.
 	Name  string
 	Alone func() bool
-	// Holders tells who holds a service; Members and Peers are for asking them.
+	// Holders is the view of which VM holds each service; Members and Peers serve to query those
+	// VMs.
 	Holders *Holders
 	Members Members
 	Peers   Peers
 	Log     *log.Logger
 }
 
-// Owner holds the pools of all services that gates ask for here. Any VM may
-// become the owner of any service.
+// Owner has the pools of all services for which gates query this VM. Any VM may become the owner of
+// any service.
 type Owner struct {
 	OwnerNeeds
-	budget Budget
-	heard  *statements.Heard
+	budget     Budget
+	statements *statements.Heard
 
 	mu    sync.Mutex
 	pools map[route.ServiceID]*ownedPool
-	// passing holds a place for each message that is being passed on, dropped counts those that found none.
-	passing chan struct{}
-	dropped atomic.Uint64
-	// taking makes one question of many the one that makes this VM the holder.
-	taking sync.Mutex
+	// noteSlots is a semaphore for messages being forwarded; dropped counts the messages for which
+	// no slot was free.
+	noteSlots chan struct{}
+	dropped   atomic.Uint64
+	// holderMu serialises attempts to become the holder, so that only one of several concurrent
+	// queries does.
+	holderMu sync.Mutex
 }
 
-// ownedPool is one pool with those who wait for its decisions.
+// ownedPool is the pool of one service with the queries that wait for its decisions.
 type ownedPool struct {
 	mu   sync.Mutex
 	pool *span.Pool
-	// born is when the pool was made here.
-	born clock.Milli
-	// generation is that of the knowledge which the pool has.
+	// createdAt is when this VM created the pool.
+	createdAt clock.Milli
+	// generation is the generation of the view that the pool uses.
 	generation uint64
-	// waiters are those who wait for a decision: the gate, and whoever asks in its place beside.
+	// waiters are the channels of calls that wait for a decision, by request: one for the gate and
+	// one for each VM that forwards its query.
 	waiters map[decide.RequestID][]chan span.Decision
-	// kept holds refusals that came while no question was waiting.
-	kept map[decide.RequestID]span.Decision
-	// ticking is set while a goroutine scans the queue, polling while one
-	// asks upstreams for their load.
+	// undelivered has the refusals that were decided while no call was waiting for them.
+	undelivered map[decide.RequestID]span.Decision
+	// ticking is set while a timer is scheduled to scan the queue, polling while a goroutine polls
+	// upstreams for their load.
 	ticking, polling bool
-	// asked is when a gate asked last: a pool that nobody asks for polls nothing.
-	asked clock.Milli
-	// gathering is set while gates tell a new holder what runs. Nothing is decided meanwhile.
+	// lastAsk is when a gate last sent a query. A pool without recent queries does not poll
+	// upstreams.
+	lastAsk clock.Milli
+	// gathering is set while gates present their live grants to a new holder. Nothing is decided
+	// meanwhile.
 	gathering bool
 }
 
 // NewOwner returns an owner without pools.
 func NewOwner(n OwnerNeeds, b Budget) *Owner {
-	o := &Owner{OwnerNeeds: n, budget: b, heard: statements.New(n.Clock, n.Log), pools: map[route.ServiceID]*ownedPool{}, passing: make(chan struct{}, passedOnAtOnce)}
-	n.Holders.Follow(o.followed)
+	o := &Owner{OwnerNeeds: n, budget: b, statements: statements.New(n.Clock, n.Log), pools: map[route.ServiceID]*ownedPool{}, noteSlots: make(chan struct{}, maxForwardedNotes)}
+	n.Holders.Follow(o.onHolderChange)
 	return o
 }
 
-// host returns a service's pool, with what is known now, locked.
-func (o *Owner) host(s route.ServiceID) *ownedPool {
+// lockedPool returns the pool of a service with its lock held, updated to the current view. It
+// creates the pool if there is none.
+func (o *Owner) lockedPool(s route.ServiceID) *ownedPool {
 	o.mu.Lock()
 	h := o.pools[s]
 	if h == nil {
 		budget := gate.NewBudget(o.budget.Share, o.budget.Floor, o.budget.Window)
-		since := o.Clock.Now() - o.budget.Window/startShare
+		since := o.Clock.Now() - o.budget.Window/startDivisor
 		if o.Alone() {
 			since = o.Clock.Now() + settleTime
 		}
 		budget.GrowFrom(since)
 		h = &ownedPool{
-			born: o.Clock.Now(), pool: span.New(span.DefaultRules, budget),
-			waiters: map[decide.RequestID][]chan span.Decision{}, kept: map[decide.RequestID]span.Decision{},
+			createdAt: o.Clock.Now(), pool: span.New(span.DefaultRules, budget),
+			waiters: map[decide.RequestID][]chan span.Decision{}, undelivered: map[decide.RequestID]span.Decision{},
 		}
 		o.pools[s] = h
 	}
 	o.mu.Unlock()
 	h.mu.Lock()
-	h.pool.Isolate(o.Alone() && o.Clock.Now()-h.born < AloneWait, o.Name)
+	h.pool.Isolate(o.Alone() && o.Clock.Now()-h.createdAt < AloneWait, o.Name)
 	if v := o.Knowledge.View(); v.Generation != h.generation && v.Table != nil {
 		first := h.generation == 0
 		h.generation = v.Generation
@@ -148,22 +156,23 @@
 	return h
 }
 
-// decide puts a question into the queue and waits for its decision. Moved ends the wait; nil for never.
+// decide queues a request and waits for its decision. A receive from moved ends the wait; a nil
+// moved never does.
 func (o *Owner) decide(args *AskArgs, reply *AskReply, moved <-chan struct{}) {
 	now := o.Clock.Now()
 	a := args.Ask
 	a.Aim += now
 	a.Deadline += now
-	if a.Patience != 0 { // gates of an earlier version do not tell it
+	if a.Patience != 0 { // gates of an earlier version do not send Patience
 		a.Patience += now
 	}
-	h := o.host(args.Service)
-	h.pool.Divide(now, o.part(args))
-	o.learn(args.Service, h, now, args.Statements)
-	h.asked = now
+	h := o.lockedPool(args.Service)
+	h.pool.Divide(now, o.limitShare(args))
+	o.learnStatements(args.Service, h, now, args.Statements)
+	h.lastAsk = now
 	o.pollReports(args.Service, h)
-	if d, ok := h.kept[a.ID]; ok {
-		delete(h.kept, a.ID)
+	if d, ok := h.undelivered[a.ID]; ok {
+		delete(h.undelivered, a.ID)
 		h.mu.Unlock()
 		reply.decided(d)
 		return
@@ -178,18 +187,18 @@
 	c := make(chan span.Decision, 1)
 	h.waiters[a.ID] = append(h.waiters[a.ID], c)
 	counts := h.pool.Counts()
-	if !known && counts.Queued < busyQueue {
+	if !known && counts.Queued < longQueue {
 		o.tick(h, now)
 		counts = h.pool.Counts()
 	}
 	o.keepTicking(h)
 	h.mu.Unlock()
 	reply.Queued, reply.Granted = counts.Queued, counts.Granted
-	o.await(h, a.ID, c, min(args.Wait, longestWait), moved, reply)
+	o.await(h, a.ID, c, min(args.Wait, maxWait), moved, reply)
 	reply.Waited = o.Clock.Now() - now
 }
 
-// await waits for the decision on a queued request.
+// await waits for the decision on a queued request and fills the reply.
 func (o *Owner) await(h *ownedPool, id decide.RequestID, c chan span.Decision, wait clock.Milli, moved <-chan struct{}, reply *AskReply) {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
@@ -202,7 +211,7 @@
 	case <-t.C:
 	}
 	h.mu.Lock()
-	h.leave(id, c)
+	h.removeWaiter(id, c)
 	h.mu.Unlock()
 	select {
 	case d := <-c:
@@ -212,14 +221,14 @@
 	}
 }
 
-// leave takes one who waits out. The pool's lock is held.
-func (h *ownedPool) leave(id decide.RequestID, c chan span.Decision) {
-	rest := slices.DeleteFunc(h.waiters[id], func(x chan span.Decision) bool { return x == c })
-	if len(rest) == 0 {
+// removeWaiter removes one waiting channel of a request. The pool's lock is held.
+func (h *ownedPool) removeWaiter(id decide.RequestID, c chan span.Decision) {
+	remaining := slices.DeleteFunc(h.waiters[id], func(x chan span.Decision) bool { return x == c })
+	if len(remaining) == 0 {
 		delete(h.waiters, id)
 		return
 	}
-	h.waiters[id] = rest
+	h.waiters[id] = remaining
 }
 
 func (r *AskReply) decided(d span.Decision) {
@@ -227,7 +236,7 @@
 	r.Grant, r.Fault, r.Retry, r.Reason, r.Limit = d.Grant, d.Fault, d.Retry, d.Reason, d.Limit
 }
 
-// tick decides what can be decided and hands it out. The pool's lock is held.
+// tick makes the decisions that are possible now and delivers them. The pool's lock is held.
 func (o *Owner) tick(h *ownedPool, now clock.Milli) {
 	if h.gathering {
 		return
@@ -240,18 +249,18 @@
 			}
 			continue
 		}
-		// A grant stays in the books and is given when its gate asks again.
+		// A grant without a waiter stays in the pool and is delivered when its gate queries again.
 		if d.Action == span.Refused {
-			if len(h.kept) >= keptDecisions {
-				clear(h.kept)
+			if len(h.undelivered) >= maxUndelivered {
+				clear(h.undelivered)
 			}
-			h.kept[d.Request] = d
+			h.undelivered[d.Request] = d
 		}
 	}
 }
 
-// keepTicking scans the queue again and again while something waits there.
-// The pool's lock is held.
+// keepTicking schedules scans of the queue every tickEvery until it is empty. The pool's lock is
+// held.
 func (o *Owner) keepTicking(h *ownedPool) {
 	if h.ticking || h.pool.Counts().Queued == 0 {
 		return
@@ -268,15 +277,15 @@
 
 // Note implements Placer.Note.
 func (o *Owner) Note(args *NoteArgs, _ *peer.Empty) error {
-	if m, ok := o.elsewhere(args.Service); ok && !args.Forwarded {
-		o.passOn(args, m)
+	if m, ok := o.remoteHolder(args.Service); ok && !args.Forwarded {
+		o.forwardNote(args, m)
 		return nil
 	}
 	now := o.Clock.Now()
-	h := o.host(args.Service)
+	h := o.lockedPool(args.Service)
 	defer h.mu.Unlock()
 	defer o.pollReports(args.Service, h)
-	o.learn(args.Service, h, now, args.Statements)
+	o.learnStatements(args.Service, h, now, args.Statements)
 	switch args.Event {
 	case First:
 		h.pool.First(now, args.Request)
@@ -285,7 +294,7 @@
 	case Withdraw:
 		h.pool.Withdraw(now, args.Request)
 	}
-	if h.pool.Counts().Queued < busyQueue {
+	if h.pool.Counts().Queued < longQueue {
 		o.tick(h, now)
 	}
 	return nil
@@ -293,15 +302,15 @@
 
 // Present implements Placer.Present.
 func (o *Owner) Present(args *PresentArgs, reply *PresentReply) error {
-	if _, ok := o.elsewhere(args.Service); ok {
+	if _, ok := o.remoteHolder(args.Service); ok {
 		x, _ := o.Holders.Of(args.Service)
 		reply.Holder = &x
 		return nil
 	}
 	now := o.Clock.Now()
-	h := o.host(args.Service)
+	h := o.lockedPool(args.Service)
 	defer h.mu.Unlock()
-	o.learn(args.Service, h, now, args.Statements)
+	o.learnStatements(args.Service, h, now, args.Statements)
 	h.pool.Present(now, args.Gate, args.Live)
 	o.tick(h, now)
 	return nil
--- a/daemon/placer/poll.go
+++ b/daemon/placer/poll.go
@@ -11,19 +11,20 @@
 	"snipeshift.example/lib/route"
 )
 
-// errNobody is returned if no VM answers.
-var errNobody = errors.New("no owner answers")
+// errNoOwner is returned if no VM answers.
+var errNoOwner = errors.New("no VM answers the placement query")
 
-// reached is the end of one call.
-type reached struct {
+// queryResult is the result of one call to a VM.
+type queryResult struct {
 	from  peer.Member
 	reply AskReply
 	err   error
 }
 
-// poll puts one question, to the owner first. A VM that fails, or is later than usual, has the next one asked beside; the first answer counts. Each
-// VM passes the question on to the owner that it knows, so all of them are answered from the same books. A change of owner
-// ends the question: it is put anew.
+// poll sends one query, to the owner first. If a VM fails, or answers later than usual, the next
+// candidate is queried in parallel; the first answer is used. Each VM forwards the query to the
+// owner that it knows, so all answers come from the same pool. A change of owner ends the query,
+// and the caller sends a new one.
 func (c *Client) poll(ctx context.Context, s route.ServiceID, a span.Ask, wait clock.Milli) (AskReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -32,9 +33,9 @@
 	if c.silent.CutOff() {
 		vms = nil
 	}
-	ends := make(chan reached, len(vms))
+	results := make(chan queryResult, len(vms))
 	next, pending := 0, 0
-	ask := func() {
+	queryNext := func() {
 		if next == len(vms) {
 			return
 		}
@@ -42,57 +43,57 @@
 		next++
 		pending++
 		go func() {
-			reply, err := c.put(ctx, s, a, wait, m)
-			ends <- reached{m, reply, err}
+			reply, err := c.query(ctx, s, a, wait, m)
+			results <- queryResult{m, reply, err}
 		}()
 	}
-	ask()
-	t := time.NewTimer((wait + c.hedges.After()).Duration())
+	queryNext()
+	t := time.NewTimer((wait + c.hedging.After()).Duration())
 	defer t.Stop()
 	for pending > 0 {
 		select {
-		case e := <-ends:
+		case e := <-results:
 			pending--
 			if e.err == nil {
-				return c.follow(e), nil
+				return c.applyHolder(e), nil
 			}
 			if ctx.Err() != nil {
 				return AskReply{}, ctx.Err()
 			}
 			c.silent.Note(e.from, e.err)
-			ask()
+			queryNext()
 		case <-t.C:
-			if len(ends) == 0 && c.hedges.Allow() {
-				ask()
+			if len(results) == 0 && c.hedging.Allow() {
+				queryNext()
 			}
-			t.Reset(c.hedges.After().Duration())
+			t.Reset(c.hedging.After().Duration())
 		case <-moved:
 			return AskReply{Moved: true}, nil
 		}
 	}
-	return AskReply{}, errNobody
+	return AskReply{}, errNoOwner
 }
 
-// follow takes an answer's word on who holds the service.
-func (c *Client) follow(e reached) AskReply {
+// applyHolder records the holder that an answer names and returns the reply.
+func (c *Client) applyHolder(e queryResult) AskReply {
 	if e.reply.Holder != nil {
 		go c.holders.Hear(*e.reply.Holder, "answer")
 	}
 	return e.reply
 }
 
-// put calls one VM.
-func (c *Client) put(ctx context.Context, s route.ServiceID, a span.Ask, wait clock.Milli, m peer.Member) (AskReply, error) {
-	args := c.question(s, a, wait)
-	unsaid := c.pending(s)
-	args.Statements = unsaid.Statements
+// query sends the query to one VM.
+func (c *Client) query(ctx context.Context, s route.ServiceID, a span.Ask, wait clock.Milli, m peer.Member) (AskReply, error) {
+	args := c.newAskArgs(s, a, wait)
+	unacked := c.pendingStatements(s)
+	args.Statements = unacked.Statements
 	if x, ok := c.holders.Of(s); ok && x.VM != m.VM {
 		args.Known = &x
 	}
 	var reply AskReply
 	if m.VM == c.members.Self().VM {
-		err := c.own.Ask(args, &reply)
-		c.delivered(s, unsaid, args, &reply)
+		err := c.localOwner.Ask(args, &reply)
+		c.ackStatements(s, unacked, args, &reply)
 		return reply, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, (wait + answerSlack).Duration())
@@ -101,11 +102,11 @@
 	if err := c.peers.Call(ctx, m.Address, Name+".Ask", args, &reply); err != nil {
 		return AskReply{}, err
 	}
-	c.delivered(s, unsaid, args, &reply)
-	c.hedges.Way(c.clock.Now() - began - reply.Waited)
+	c.ackStatements(s, unacked, args, &reply)
+	c.hedging.Way(c.clock.Now() - began - reply.Waited)
 	c.silent.Answered(m)
 	return reply, nil
 }
 
-// Hedged counts the questions that were put to another VM beside the owner.
-func (c *Client) Hedged() uint64 { return c.hedges.Asked() }
+// Hedged returns the number of queries that were sent to another VM in parallel to the owner.
+func (c *Client) Hedged() uint64 { return c.hedging.Asked() }
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -15,52 +15,56 @@
 	"snipeshift.example/lib/route"
 )
 
-// Reports reads upstreams' reports of their load.
+// Reports polls upstreams for reports of their load.
 type Reports interface {
 	Report(ctx context.Context, address string) (exchange.Load, error)
 }
 
-// Times of reports.
+// Intervals and limits of load polls.
 const (
-	// reportEvery is the time between two rounds of polls of upstreams in doubt, and reportSoon the least one while more
-	// upstreams get nothing until they are asked: then a round is followed by a pause as long as itself.
-	reportEvery = 300 * time.Millisecond
-	reportSoon  = 25 * time.Millisecond
-	// reportTimeout bounds a poll of an upstream, which is milliseconds away.
-	reportTimeout = 150 * time.Millisecond
-	// askedLately is how recent a gate's question must be for a pool to be worth polling.
-	askedLately = clock.Second
-	// reportsAtOnce bounds the polls under way.
-	reportsAtOnce = 16
-	// reportsEach bounds the polls of one round. A new owner doubts all upstreams: if it polled thousands at once, its processor would be
-	// used up, it would be silent, and its successor would go the same way. Short work needs the first of the order.
-	reportsEach = 128
+	// pollInterval is the time between two rounds of polls of unverified upstreams. While upstreams
+	// receive no requests before they have been polled, a round is instead followed by a pause as
+	// long as the round itself, and at least minPollInterval.
+	pollInterval    = 300 * time.Millisecond
+	minPollInterval = 25 * time.Millisecond
+	// pollTimeout bounds a poll of one upstream; upstreams are milliseconds away.
+	pollTimeout = 150 * time.Millisecond
+	// pollWindow is how recent the last query must be for upstreams of a pool to be polled.
+	pollWindow = clock.Second
+	// maxConcurrentPolls bounds the polls in flight.
+	maxConcurrentPolls = 16
+	// maxPollsPerRound bounds the polls of one round. To a new owner the load of all upstreams is
+	// unverified: if it polled thousands at once, the polls would use up its processor, it would
+	// stop responding, and its successor would fail in the same way. The upstreams first in order
+	// are polled first because short requests are placed on them.
+	maxPollsPerRound = 128
 )
 
-// pollReports asks upstreams in doubt for their load, while there are any. The pool's lock is held.
+// pollReports polls unverified upstreams for their load in rounds, until none is left. The pool's
+// lock is held.
 func (o *Owner) pollReports(s route.ServiceID, h *ownedPool) {
 	v := o.Knowledge.View()
 	if h.polling || h.gathering || v.Table == nil || v.Table.Service(s) == nil || v.Table.Service(s).Engine == nil {
 		return
 	}
 	began := o.Clock.Now()
-	if began-h.asked > askedLately {
+	if began-h.lastAsk > pollWindow {
 		return
 	}
-	ids := h.pool.Doubtful(began, o.Gate, reportsEach)
+	ids := h.pool.Doubtful(began, o.Gate, maxPollsPerRound)
 	if len(ids) == 0 {
 		return
 	}
 	h.polling = true
 	go func() {
 		var g errgroup.Group
-		g.SetLimit(reportsAtOnce)
+		g.SetLimit(maxConcurrentPolls)
 		for _, id := range ids {
 			u := v.Upstream(s, func(u *route.Upstream) bool { return u.ID == id })
-			g.Go(func() error { o.report(s, h, id, u); return nil })
+			g.Go(func() error { o.pollUpstream(s, h, id, u); return nil })
 		}
-		_ = g.Wait() // the polls return no errors
-		time.Sleep(o.reportPause(h, began))
+		_ = g.Wait() // the functions return no errors
+		time.Sleep(o.pollPause(h, began))
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.polling = false
@@ -69,38 +73,39 @@
 	}()
 }
 
-// reportPause is the time until the next round of polls. While engines get nothing until they are asked it is the time of the last one, so
-// that the polls of thousands take half of the processor at most.
-func (o *Owner) reportPause(h *ownedPool, began clock.Milli) time.Duration {
+// pollPause returns the time until the next round of polls. While engines receive no requests
+// before they have been polled, the pause equals the duration of the last round, so that polling
+// thousands of upstreams takes at most half of the processor.
+func (o *Owner) pollPause(h *ownedPool, began clock.Milli) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
 	if !h.pool.Pressing(now) {
-		return reportEvery
+		return pollInterval
 	}
-	return min(max((now-began).Duration(), reportSoon), reportEvery)
+	return min(max((now-began).Duration(), minPollInterval), pollInterval)
 }
 
-// report takes one upstream's report into the books.
-func (o *Owner) report(s route.ServiceID, h *ownedPool, id decide.UpstreamID, u *route.Upstream) {
+// pollUpstream polls one upstream and updates the pool with its report.
+func (o *Owner) pollUpstream(s route.ServiceID, h *ownedPool, id decide.UpstreamID, u *route.Upstream) {
 	if u == nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.pool.Unreported(id)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	load, err := o.Reports.Report(ctx, u.Address)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
 	for _, st := range load.Said.Statements(now, o.Gate, max(load.Born, u.Born)) {
-		o.heard.Learn(s, id, st, statements.FromAnswer)
-		o.learn(s, h, now, []statement.Aged{st.Aged(now, id)})
+		o.statements.Learn(s, id, st, statements.FromAnswer)
+		o.learnStatements(s, h, now, []statement.Aged{st.Aged(now, id)})
 	}
 	if err != nil {
-		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("an upstream in doubt does not report")
+		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("unverified upstream did not report its load")
 		h.pool.Unreported(id)
 		return
 	}
@@ -109,5 +114,5 @@
 		return
 	}
 	o.Log.Info().Str(logline.Key, logline.Report).Str("upstream", string(id)).Int("requests", load.Requests).
-		Int64("used", int64(load.Used)).Float64("pace", load.Pace).Msg("an upstream in doubt reports")
+		Int64("used", int64(load.Used)).Float64("pace", load.Pace).Msg("unverified upstream reported its load")
 }
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -9,58 +9,63 @@
 	"snipeshift.example/lib/route"
 )
 
-// What upstreams say of themselves reaches gates, in answers, and is acted on by owners, in grants. A gate sends each change to the owner that
-// it follows, before its next question is decided, and all that it knows to the next owner. An owner says with each grant what it
-// knows of the upstream's limit. So a statement outlives whoever knows of it as long as one of them is left.
+// Upstreams declare statements in responses, which reach gates; owners apply the statements when
+// they grant. A gate sends each new statement to the owner that it follows before its next query is
+// decided, and all its statements to a new owner. An owner includes the known rate limit of the
+// upstream in each grant. A statement thus survives the loss of VMs as long as one VM that knows it
+// is left.
 
-// Hear takes what an answer says of its upstream.
+// Hear records a statement that an upstream made in a response.
 func (c *Client) Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
-	c.heard.Learn(s, u, st, statements.FromAnswer)
+	c.statements.Learn(s, u, st, statements.FromAnswer)
 }
 
-// pending lists what the owner that this gate follows has not acknowledged.
-func (c *Client) pending(s route.ServiceID) statements.Pending {
+// pendingStatements returns the statements that the followed owner has not acknowledged.
+func (c *Client) pendingStatements(s route.ServiceID) statements.Pending {
 	x, _ := c.holders.Of(s)
-	return c.heard.Pending(s, x.Epoch)
+	return c.statements.Pending(s, x.Epoch)
 }
 
-// delivered notes that a question with statements was answered. If the owner is another one than the gate follows, all is sent to that one again.
-func (c *Client) delivered(s route.ServiceID, p statements.Pending, args *AskArgs, reply *AskReply) {
+// ackStatements marks statements as acknowledged after a query that carried them was answered. If
+// the answer names another owner than the one that the gate follows, nothing is marked, and that
+// owner is sent all statements.
+func (c *Client) ackStatements(s route.ServiceID, p statements.Pending, args *AskArgs, reply *AskReply) {
 	if reply.Holder == nil && !reply.Moved && p.Of(args.Epoch) {
-		c.heard.Acknowledge(s, p)
+		c.statements.Acknowledge(s, p)
 	}
 }
 
-// about lists what was heard of the upstreams of a grant.
-func (c *Client) about(u *use) []statement.Aged {
+// grantStatements returns the statements of the upstreams of a grant.
+func (c *Client) grantStatements(u *activeGrant) []statement.Aged {
 	us := []decide.UpstreamID{u.Grant.Leader.Upstream}
 	for _, p := range u.Grant.Helpers {
 		us = append(us, p.Upstream)
 	}
-	return c.heard.About(u.service, us...)
+	return c.statements.About(u.service, us...)
 }
 
-// Binding returns a statement by which this VM must not send to a place now, if there is one.
+// Binding returns a statement that forbids this VM to send to an upstream now, if there is one.
 func (c *Client) Binding(s route.ServiceID, p span.Place) (statement.Statement, bool) {
-	return c.heard.Binding(s, p.Upstream, p.Born)
+	return c.statements.Binding(s, p.Upstream, p.Born)
 }
 
-// forgetStatements drops what nobody needs any more.
-func (c *Client) forgetStatements() {
-	v := c.own.Knowledge.View()
-	c.heard.Forget(func(s route.ServiceID, u decide.UpstreamID) bool {
+// dropStatements discards expired statements and, after a retention time, those of upstreams that
+// no longer exist.
+func (c *Client) dropStatements() {
+	v := c.localOwner.Knowledge.View()
+	c.statements.Forget(func(s route.ServiceID, u decide.UpstreamID) bool {
 		return v.Upstream(s, func(x *route.Upstream) bool { return x.ID == u }) != nil
 	})
 }
 
-// Statements calls f for each statement in force, as far as this VM knows.
+// Statements calls f for each statement in force that this VM knows.
 func (c *Client) Statements(f func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
-	c.heard.Each(f)
+	c.statements.Each(f)
 }
 
-// learn takes what gates have heard of upstreams. The pool's lock is held.
-func (o *Owner) learn(s route.ServiceID, h *ownedPool, now clock.Milli, heard []statement.Aged) {
-	for _, a := range heard {
+// learnStatements applies statements received from gates to the pool. The pool's lock is held.
+func (o *Owner) learnStatements(s route.ServiceID, h *ownedPool, now clock.Milli, received []statement.Aged) {
+	for _, a := range received {
 		st := a.Statement(now)
 		if h.pool.Learn(now, a.Upstream, st) {
 			statements.Write(o.Log, now, s, a.Upstream, st, statements.FromGate)
@@ -68,9 +73,11 @@
 	}
 }
 
-// part is the share of the limits of upstreams that this VM may grant for a question. VMs that fell silent may be at work behind a cut, with an
-// owner of their own: an owner has the part of those that it reaches, and a VM that decides for itself its own.
-func (o *Owner) part(args *AskArgs) float64 {
+// limitShare returns the fraction of upstream rate limits that this VM may grant for a query.
+// Members that stopped responding may run on the other side of a partition, with an owner of their
+// own. An owner therefore grants the fraction for the members that it reaches, and a VM that
+// decides for itself only its own.
+func (o *Owner) limitShare(args *AskArgs) float64 {
 	live := max(1, len(o.Members.Live()))
 	all := float64(live + o.Members.Lost())
 	if !args.Local || o.Holders.Holds(args.Service) {
@@ -79,14 +86,14 @@
 	return 1 / all
 }
 
-// older adds to the age of statements that are passed on.
-func older(heard []statement.Aged, by clock.Milli) []statement.Aged {
-	if len(heard) == 0 {
+// addAge returns statements with their age increased by the time since they were received.
+func addAge(received []statement.Aged, elapsed clock.Milli) []statement.Aged {
+	if len(received) == 0 {
 		return nil
 	}
-	out := make([]statement.Aged, len(heard))
-	for i, a := range heard {
-		out[i] = a.Older(by)
+	out := make([]statement.Aged, len(received))
+	for i, a := range received {
+		out[i] = a.Older(elapsed)
 	}
 	return out
 }
--- a/daemon/placer/statements_test.go
+++ b/daemon/placer/statements_test.go
@@ -16,31 +16,32 @@
 	"snipeshift.example/lib/peer"
 )
 
-// first is the engine on which short requests are packed first.
-const first = "e00"
+// firstEngine is the engine on which short requests are placed first.
+const firstEngine = "e00"
 
-// fleetSend is one request that reached an engine.
-type fleetSend struct {
+// engineSend is one request that reached an engine.
+type engineSend struct {
 	upstream decide.UpstreamID
 	at       time.Duration
 }
 
-// send has a request reach an engine and its answer say what the engine takes.
+// send records that a request reached an engine, and passes the statements of the engine's response
+// to the VM's client.
 func (f *lossFleet) send(v *lossVM, u decide.UpstreamID) {
 	now := clock.Boot{}.Now()
 	f.mu.Lock()
-	f.sends = append(f.sends, fleetSend{u, time.Since(f.began)})
+	f.sends = append(f.sends, engineSend{u, time.Since(f.began)})
 	rate, named := f.limits[u]
-	leaving := f.leaving[u]
+	draining := f.draining[u]
 	f.mu.Unlock()
 	v.client.Hear("s", u, statement.Statement{Named: named, Rate: rate, At: now})
-	if leaving {
+	if draining {
 		v.client.Hear("s", u, statement.Statement{Kind: statement.Leaving, Named: true, Gate: decide.GateID(v.member.VM), At: now})
 	}
 }
 
-// name has an engine name a limit in its answers from now on.
-func (f *lossFleet) name(u decide.UpstreamID, rate statement.PerSecond) {
+// setLimit makes an engine declare a rate limit in its responses from now on.
+func (f *lossFleet) setLimit(u decide.UpstreamID, rate statement.PerSecond) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.limits == nil {
@@ -49,22 +50,23 @@
 	f.limits[u] = rate
 }
 
-// got counts what the first engine got in a span.
-func (f *lossFleet) got(from, to time.Duration) int {
+// received returns the number of requests that the first engine received in a time span.
+func (f *lossFleet) received(from, to time.Duration) int {
 	n := 0
 	for _, s := range f.sends {
-		if s.upstream == first && s.at >= from && s.at < to {
+		if s.upstream == firstEngine && s.at >= from && s.at < to {
 			n++
 		}
 	}
 	return n
 }
 
-// ownerChanges are ways in which the VM that decides is lost while it knows what engines say of themselves.
+// ownerChanges are faults and changes that replace the owner, or cut it off, while it knows
+// statements of engines.
 var ownerChanges = map[string]func(f *lossFleet) map[time.Duration]func(){
 	"calm": func(*lossFleet) map[time.Duration]func() { return map[time.Duration]func(){} },
 	"lost in a row": func(f *lossFleet) map[time.Duration]func() {
-		lose := func() { f.lose(f.placing()) }
+		lose := func() { f.cutPower(f.placing()) }
 		return map[time.Duration]func(){1500 * time.Millisecond: lose, 2500 * time.Millisecond: lose, 3500 * time.Millisecond: lose}
 	},
 	"frozen and back": func(f *lossFleet) map[time.Duration]func() {
@@ -83,62 +85,65 @@
 	},
 }
 
-// An engine names a limit, and the VMs that keep to it are lost, stand still, are cut off or stop. Whoever decides next must keep to it from its
-// first decision on, or the engine in need gets a burst with each change of owner.
-func TestALimitOutlivesEachChangeOfOwner(t *testing.T) {
-	const named, heard, end = 500 * time.Millisecond, time.Second, 5 * time.Second
+// An engine declares a rate limit, and VMs that enforce it are lost, paused, cut off or stopped.
+// Each next owner must enforce it from its first decision on, or the engine receives a burst with
+// each change of owner.
+func TestRateLimitSurvivesChangesOfOwner(t *testing.T) {
+	const named, settled, end = 500 * time.Millisecond, time.Second, 5 * time.Second
 	const rate = 5.0
-	for name, due := range ownerChanges {
+	for name, newFaults := range ownerChanges {
 		t.Run(name, func(t *testing.T) {
 			f := newLossFleet(t)
-			faults := due(f)
-			faults[named] = func() { f.name(first, rate) }
+			faults := newFaults(f)
+			faults[named] = func() { f.setLimit(firstEngine, rate) }
 			f.run(end, faults)
-			require.Greater(t, f.got(0, named), int(2*rate*named.Seconds()), "before it named a limit")
-			span := (end - heard).Seconds()
-			require.LessOrEqual(t, f.got(heard, end), int(rate*span)+5)
-			require.GreaterOrEqual(t, f.got(heard, end), int(rate*span/2))
+			require.Greater(t, f.received(0, named), int(2*rate*named.Seconds()), "before the engine declared a limit")
+			span := (end - settled).Seconds()
+			require.LessOrEqual(t, f.received(settled, end), int(rate*span)+5)
+			require.GreaterOrEqual(t, f.received(settled, end), int(rate*span/2))
 		})
 	}
 }
 
-// The fleet is split, and each side has an owner that knows the limit. Were each to grant all of it, an engine in need would get it twice.
-func TestTwoOwnersOfAPartitionKeepOneLimit(t *testing.T) {
+// A partition leaves an owner on each side, and both know the limit. If each granted the whole
+// limit, the engine would receive twice its rate.
+func TestTwoOwnersOfAPartitionShareOneLimit(t *testing.T) {
 	const named, cut, end = 500 * time.Millisecond, 1500 * time.Millisecond, 9 * time.Second
-	const settled = cut + noticed + 500*time.Millisecond
+	const settled = cut + detectionTime + 500*time.Millisecond
 	const rate = 10.0
 	f := newLossFleet(t)
 	f.run(end, map[time.Duration]func(){
-		named: func() { f.name(first, rate) },
+		named: func() { f.setLimit(firstEngine, rate) },
 		cut:   func() { f.split(end) },
 	})
 	span := (end - settled).Seconds()
-	require.LessOrEqual(t, f.got(settled, end), int(rate*span)+5)
-	require.GreaterOrEqual(t, f.got(settled, end), int(rate*span/2))
+	require.LessOrEqual(t, f.received(settled, end), int(rate*span)+5)
+	require.GreaterOrEqual(t, f.received(settled, end), int(rate*span/2))
 }
 
-// An engine says to one VM that it leaves, and the VMs that have heard of it are lost, stand still, are cut off or stop. Whoever decides next must not
-// have each VM find it out anew.
-func TestALeavingOutlivesEachChangeOfOwner(t *testing.T) {
-	const said, heard, end = 500 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second
-	for name, due := range ownerChanges {
+// An engine declares to one VM that it is draining, and the VMs that know of it are lost, paused,
+// cut off or stopped. The next owner must not make each VM discover the drain again.
+func TestDrainNoticeSurvivesChangesOfOwner(t *testing.T) {
+	const declared, settled, end = 500 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second
+	for name, newFaults := range ownerChanges {
 		t.Run(name, func(t *testing.T) {
 			f := newLossFleet(t)
-			faults := due(f)
-			faults[said] = func() {
+			faults := newFaults(f)
+			faults[declared] = func() {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				f.leaving = map[decide.UpstreamID]bool{first: true}
+				f.draining = map[decide.UpstreamID]bool{firstEngine: true}
 			}
 			f.run(end, faults)
-			require.Greater(t, f.got(0, said), 5, "before it said so")
-			require.Less(t, f.got(heard, end), 5, "one for each owner that nobody could tell")
+			require.Greater(t, f.received(0, declared), 5, "before the engine declared that it is draining")
+			require.Less(t, f.received(settled, end), 5, "at most one for each owner that no VM could inform")
 		})
 	}
 }
 
-// This VM is cut off from all others, and places by itself. What engines have answered it binds it all the same.
-func TestAVMThatPlacesByItselfKeepsToWhatItHeard(t *testing.T) {
+// This VM can reach no other VM and decides placements by itself. It must still respect the
+// statements in responses that it received.
+func TestVMThatDecidesByItselfRespectsStatements(t *testing.T) {
 	d := newDeployment(t)
 	for _, m := range d.ranked {
 		d.fail(d.refusing, m.Address)
@@ -158,5 +163,5 @@
 	require.NoError(t, err)
 	require.Equal(t, "rest", reply.Reason)
 	require.Equal(t, fault.Overloaded, reply.Fault)
-	require.Less(t, time.Since(began), time.Second, "it is known at once that nothing will serve it")
+	require.Less(t, time.Since(began), time.Second, "no upstream will accept the request, so it is refused at once")
 }
--- a/daemon/placer/strong_test.go
+++ b/daemon/placer/strong_test.go
@@ -15,19 +15,20 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// processors is a network of VMs that handle one message at a time, each in a time that follows from its share of a core.
-type processors struct {
+// slowNetwork is a network of VMs that process one message at a time, each in a time inversely
+// proportional to its cores.
+type slowNetwork struct {
 	*network
-	busy map[string]*sync.Mutex
-	took map[string]time.Duration
+	busy         map[string]*sync.Mutex
+	messageTimes map[string]time.Duration
 }
 
-// messageWork is what one message takes of a whole core.
-const messageWork = 600 * time.Microsecond
+// messageTime is the processing time of one message on a whole core.
+const messageTime = 600 * time.Microsecond
 
-func (p *processors) Call(ctx context.Context, address, method string, args, reply any) error {
+func (p *slowNetwork) Call(ctx context.Context, address, method string, args, reply any) error {
 	p.busy[address].Lock()
-	time.Sleep(p.took[address])
+	time.Sleep(p.messageTimes[address])
 	p.busy[address].Unlock()
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -35,29 +36,31 @@
 	return p.network.Call(ctx, address, method, args, reply)
 }
 
-// A hundred short requests a second come to one service of a fleet that has small VMs and a large one, and rendezvous hashing names a small
-// one as owner. It gets three messages of each request, more than its processor handles: its answers come later and later, callers whose
-// aim is 300 ms get theirs after a second, and gates pass it over for the next small one.
-func TestCallersAreAnsweredInTimeThoughMostVMsAreSmall(t *testing.T) {
+// A hundred short requests a second arrive for one service of a fleet with small VMs and a large
+// one, and rendezvous hashing ranks a small VM first. If that VM were the owner, it would receive
+// three messages per request, more than its processor handles: answers would be delayed more and
+// more, callers with a latency target of 300 ms would get theirs after a second, and gates would
+// skip it for the next small VM.
+func TestLargeVMIsOwnerInFleetOfSmallVMs(t *testing.T) {
 	d := newDeployment(t)
-	p := &processors{network: d.network, busy: map[string]*sync.Mutex{}, took: map[string]time.Duration{}}
+	p := &slowNetwork{network: d.network, busy: map[string]*sync.Mutex{}, messageTimes: map[string]time.Duration{}}
 	ms := make(members, len(d.ranked))
 	for i, m := range d.ranked {
-		// The third by hashing is the large one; the last is the gate itself.
+		// The third VM by hash is the large one; the last is the gate itself.
 		m.Cores, m.Link = 120, 20
 		if i == 2 {
 			m.Cores, m.Link = 800, 200
 		}
 		ms[i] = m
 		p.busy[m.Address] = &sync.Mutex{}
-		p.took[m.Address] = messageWork * 1000 / time.Duration(m.Cores)
+		p.messageTimes[m.Address] = messageTime * 1000 / time.Duration(m.Cores)
 	}
 	for _, m := range ms {
-		d.owners[m.Address] = ownerAt(t, at{ms, m}, p, "e0", "e1")
+		d.owners[m.Address] = ownerAt(t, viewOf{ms, m}, p, "e0", "e1")
 	}
-	d.own = d.owners[ms[len(ms)-1].Address]
+	d.localOwner = d.owners[ms[len(ms)-1].Address]
 	require.Equal(t, 120, member.Rank("s", ms)[0].Cores)
-	client := NewClient(clock.Boot{}, quiet, ms, p, d.own, "gate")
+	client := NewClient(clock.Boot{}, quietLog, ms, p, d.localOwner, "gate")
 
 	const requests, gap = 150, 10 * time.Millisecond
 	var mu sync.Mutex
@@ -82,8 +85,8 @@
 		})
 	}
 	wg.Wait()
-	require.LessOrEqual(t, late, requests/20, "questions answered after 100 ms")
+	require.LessOrEqual(t, late, requests/20, "queries answered after 100 ms")
 	owner, remote := client.owner("s")
 	require.True(t, remote)
-	require.Equal(t, ms[2].VM, owner.VM, "it was not passed over")
+	require.Equal(t, ms[2].VM, owner.VM, "the large VM is still the owner")
 }
