--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -41,8 +41,8 @@
 	Now() clock.Milli
 }
 
-// Guard detects pauses of this process. Check runs the guard's callback, which calls Drop, if the
-// process was paused, and reports whether it was.
+// Guard detects pauses of this process. Check reports whether the process was paused since the last
+// check and, if so, runs the callback that calls Drop.
 type Guard interface {
 	Check() bool
 }
@@ -83,8 +83,8 @@
 	fence platform.Version
 	// until is when the lease expires for this VM.
 	until clock.Milli
-	// uncertain is when the write was sent whose outcome is unknown; zero if there is none.
-	uncertain clock.Milli
+	// uncertainSince is when the write was sent whose outcome is unknown; zero if there is none.
+	uncertainSince clock.Milli
 }
 
 // mayAcquire reports whether the lease of the VM that wrote the version has certainly expired.
@@ -97,7 +97,7 @@
 
 // acquired records a write that succeeded; begun is when it was sent.
 func (h *leaseState) acquired(v platform.Version, begun clock.Milli, r Rules) {
-	h.version, h.firstSeen, h.uncertain = v, begun, 0
+	h.version, h.firstSeen, h.uncertainSince = v, begun, 0
 	h.fence, h.until = v, begun+r.Span
 }
 
@@ -106,12 +106,12 @@
 	if v <= h.version {
 		return
 	}
-	if mine && h.uncertain != 0 {
-		// The write whose answer was lost took effect, at the time uncertain at the earliest.
-		h.acquired(v, h.uncertain, r)
+	if mine && h.uncertainSince != 0 {
+		// The write whose answer was lost took effect, at uncertainSince at the earliest.
+		h.acquired(v, h.uncertainSince, r)
 		return
 	}
-	h.version, h.firstSeen, h.fence, h.uncertain = v, now, 0, 0
+	h.version, h.firstSeen, h.fence, h.uncertainSince = v, now, 0, 0
 }
 
 // Leases acquires and renews the leases of one VM.
@@ -157,7 +157,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range l.states {
-		h.fence, h.uncertain = 0, 0
+		h.fence, h.uncertainSince = 0, 0
 	}
 }
 
@@ -225,7 +225,7 @@
 		p = &leaseState{}
 		l.states[n] = p
 	}
-	return *p, p.valid(l.clock.Now()) && p.uncertain == 0
+	return *p, p.valid(l.clock.Now()) && p.uncertainSince == 0
 }
 
 func (l *Leases) read(ctx context.Context, n platform.Name) {
@@ -254,9 +254,9 @@
 	switch {
 	case err == nil && l.wanted[n]:
 		h.acquired(v, begun, l.rules)
-	case errors.Is(err, platform.ErrUnknown) && h.uncertain == 0:
-		h.uncertain = begun
-	case errors.Is(err, platform.ErrConflict) && h.uncertain == 0:
+	case errors.Is(err, platform.ErrUnknown) && h.uncertainSince == 0:
+		h.uncertainSince = begun
+	case errors.Is(err, platform.ErrConflict) && h.uncertainSince == 0:
 		h.fence = 0
 	}
 }
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -84,7 +84,7 @@
 	}
 	h.mu.Unlock()
 	h.log.Info().Str(logline.Key, logline.Holder).Str("service", string(x.Service)).Str("owner", string(x.VM)).
-		Uint64("epoch", x.Epoch).Str("cause", cause).Msg("the holder of a service has changed")
+		Uint64("epoch", x.Epoch).Str("cause", cause).Msg("a service has another holder")
 	for _, f := range h.onChange {
 		f(x)
 	}
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -61,8 +61,8 @@
 	vainQueries []time.Duration
 	// cuts maps a VM to another VM that it cannot reach.
 	cuts map[peer.VM]peer.VM
-	// sideB is the set of VMs on one of the two sides of a partition; sides has the member list of
-	// each side once heartbeats have detected the partition.
+	// sideB is true for the VMs on one of the two sides of a partition; sides has the member list
+	// of each side once heartbeats have detected the partition.
 	sideB map[peer.VM]bool
 	sides map[bool][]peer.Member
 	// handOvers has what each successor received.
@@ -305,15 +305,15 @@
 	wg.Wait()
 }
 
-// late returns the requests of a time span that were answered later than bound, and the number of
-// all requests in it.
-func (f *lossFleet) late(from, to, bound time.Duration) (late []result, all int) {
+// late returns the requests of a time span that failed or were answered later than limit, and the
+// number of all requests in it.
+func (f *lossFleet) late(from, to, limit time.Duration) (late []result, all int) {
 	for _, a := range f.results {
 		if a.at < from || a.at >= to {
 			continue
 		}
 		all++
-		if a.err != nil || a.took > bound {
+		if a.err != nil || a.took > limit {
 			late = append(late, a)
 		}
 	}
@@ -322,8 +322,8 @@
 
 // overlap returns the longest time after an instant for which more than one VM placed requests.
 func (f *lossFleet) overlap(from time.Duration) time.Duration {
-	type stretch struct{ first, last time.Duration }
-	by := map[peer.VM]*stretch{}
+	type period struct{ first, last time.Duration }
+	by := map[peer.VM]*period{}
 	for _, a := range f.results {
 		at := a.at + a.took
 		if at < from || a.by == "" {
@@ -331,28 +331,28 @@
 		}
 		s := by[a.by]
 		if s == nil {
-			by[a.by] = &stretch{at, at}
+			by[a.by] = &period{at, at}
 			continue
 		}
 		s.first, s.last = min(s.first, at), max(s.last, at)
 	}
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for x, s := range by {
 		for y, o := range by {
 			if x != y {
-				most = max(most, min(s.last, o.last)-max(s.first, o.first))
+				longest = max(longest, min(s.last, o.last)-max(s.first, o.first))
 			}
 		}
 	}
-	return most
+	return longest
 }
 
 // recoveryTime is how long after a loss queries may take longer: until the holder is found
 // unresponsive and gates have presented their live grants.
 const recoveryTime = 300 * time.Millisecond
 
-// check requires that at most 1 % of the requests are late outside the recovery time after each
-// loss, and that none fails.
+// check requires that at most 1 % of the requests are answered later than maxLatency, or later than
+// recoveryTime within that time after a loss, and that none fails.
 func (f *lossFleet) check(end time.Duration, losses ...time.Duration) {
 	f.t.Helper()
 	from := time.Duration(0)
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -33,9 +33,9 @@
 	Prove(ctx context.Context, address string) error
 }
 
-// VMs is the set of VMs that did not answer this gate. The gate skips each of them until it answers
-// a probe, is no longer a member or has a new incarnation. A VM without power stays in the member
-// list for seconds; with a fixed expiry in place of probes, gates would query it again in vain. VMs
+// VMs records the VMs that did not answer this gate. The gate skips each of them until it answers a
+// probe, is no longer a member or has a new incarnation. A VM without power stays in the member
+// list for seconds; with a fixed expiry in place of probes, gates would query it again in vain. It
 // is safe for concurrent use.
 type VMs struct {
 	log     *log.Logger
@@ -49,7 +49,7 @@
 	firstUnanswered, lastAnswer time.Time
 }
 
-// New returns an empty set: all VMs count as responsive.
+// New returns an empty record: all VMs count as responsive.
 func New(l *log.Logger, m Members, p Prover) *VMs {
 	return &VMs{log: l, members: m, prover: p, unresponsive: map[peer.VM]peer.Incarnation{}}
 }
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -27,8 +27,8 @@
 	FromGate   = "gate"
 )
 
-// Heard has the statements that one VM received, as a gate and as an owner that polls upstreams. It
-// is safe for concurrent use.
+// Heard stores the statements that one VM received, as a gate and as an owner that polls upstreams.
+// It is safe for concurrent use.
 type Heard struct {
 	clock Clock
 	log   *log.Logger
@@ -44,7 +44,7 @@
 	epoch, version uint64
 }
 
-// New returns an empty Heard.
+// New returns an empty store.
 func New(k Clock, l *log.Logger) *Heard {
 	return &Heard{clock: k, log: l, services: map[route.ServiceID]*service{}}
 }
--- a/daemon/statements/statements_test.go
+++ b/daemon/statements/statements_test.go
@@ -17,7 +17,7 @@
 
 func (f *manualClock) Now() clock.Milli { return f.now }
 
-func newHeard() (*Heard, *manualClock) {
+func newCache() (*Heard, *manualClock) {
 	k := &manualClock{now: 1000}
 	return New(k, &log.Logger{Level: log.FatalLevel}), k
 }
@@ -30,7 +30,7 @@
 // An owner is lost with all statements that it was sent. If its successor were sent new statements
 // only, it would never receive the earlier ones.
 func TestNewOwnerIsSentAllStatements(t *testing.T) {
-	h, _ := newHeard()
+	h, _ := newCache()
 	h.Learn("s", "u", draining(), FromAnswer)
 	first := h.Pending("s", 1)
 	require.Len(t, first.Statements, 1)
@@ -45,7 +45,7 @@
 // A statement arrives while a list is being sent. If it were marked as acknowledged together with
 // the list, it would never be sent.
 func TestStatementReceivedDuringSendIsSentNext(t *testing.T) {
-	h, _ := newHeard()
+	h, _ := newCache()
 	h.Learn("s", "u", draining(), FromAnswer)
 	p := h.Pending("s", 1)
 	h.Learn("s", "v", draining(), FromAnswer)
@@ -58,7 +58,7 @@
 // A back-off is in force until its end and no longer, even if the upstream asks for a shorter one
 // meanwhile.
 func TestLongestBackOffIsInForce(t *testing.T) {
-	h, k := newHeard()
+	h, k := newCache()
 	backOff := func(span clock.Milli) statement.Statement {
 		return statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: k.now, Until: k.now + span}
 	}
@@ -77,7 +77,7 @@
 // restarts from an older copy. If its drain notice were discarded with it, it would receive
 // requests again.
 func TestDrainNoticeOutlivesUpstreamList(t *testing.T) {
-	h, k := newHeard()
+	h, k := newCache()
 	h.Learn("s", "u", draining(), FromAnswer)
 	absent := func(route.ServiceID, decide.UpstreamID) bool { return false }
 	k.now += 30 * clock.Second
