--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -76,7 +76,7 @@
 
 // activeGrant is a grant in use.
 type activeGrant struct {
-	span.Live
+	span.LiveGrant
 	service route.ServiceID
 }
 
@@ -115,20 +115,20 @@
 
 // liveByService groups the live grants by service. A queried service without live grants has an
 // empty entry, so that its owner learns that the last grant has ended.
-func (c *Client) liveByService() map[route.ServiceID][]span.Live {
+func (c *Client) liveByService() map[route.ServiceID][]span.LiveGrant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make(map[route.ServiceID][]span.Live, len(c.queried))
+	out := make(map[route.ServiceID][]span.LiveGrant, len(c.queried))
 	for s := range c.queried {
 		out[s] = nil
 	}
 	for _, u := range c.live {
-		out[u.service] = append(out[u.service], u.Live)
+		out[u.service] = append(out[u.service], u.LiveGrant)
 	}
 	return out
 }
 
-func (c *Client) present(ctx context.Context, s route.ServiceID, live []span.Live) {
+func (c *Client) present(ctx context.Context, s route.ServiceID, live []span.LiveGrant) {
 	args := &PresentArgs{Service: s, Gate: c.gate, Live: live}
 	unacked := c.pendingStatements(s)
 	args.Statements = unacked.Statements
@@ -198,7 +198,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.live[reply.Grant.Request] = &activeGrant{Live: span.Live{Grant: reply.Grant}, service: s}
+	c.live[reply.Grant.Request] = &activeGrant{LiveGrant: span.LiveGrant{Grant: reply.Grant}, service: s}
 	c.mu.Unlock()
 	if l := reply.Limit; l != nil {
 		c.statements.Learn(s, l.Upstream, l.Statement(c.clock.Now()), statements.FromOwner)
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -199,7 +199,7 @@
 	}
 	h := o.lockedPool(s)
 	h.gathering = true
-	h.pool.Suspect()
+	h.pool.RequestReports()
 	h.mu.Unlock()
 	x, ok := o.Holders.take(s, before, cause)
 	if !ok {
@@ -302,7 +302,7 @@
 		return
 	}
 	h := o.lockedPool(s)
-	snapshot := h.pool.Books(o.Clock.Now())
+	snapshot := h.pool.Snapshot(o.Clock.Now())
 	h.mu.Unlock()
 	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: snapshot}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -95,7 +95,7 @@
 type PresentArgs struct {
 	Service route.ServiceID
 	Gate    decide.GateID
-	Live    []span.Live
+	Live    []span.LiveGrant
 	// Statements of upstreams are those that this owner has not acknowledged yet.
 	Statements []statement.Aged
 }
@@ -110,5 +110,5 @@
 type TakeArgs struct {
 	// Holder is the called VM as holder, at the epoch after the caller's.
 	Holder peer.Holder
-	Books  span.Books
+	Books  span.Snapshot
 }
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -144,13 +144,13 @@
 	}
 	o.mu.Unlock()
 	h.mu.Lock()
-	h.pool.Isolate(o.Alone() && o.Clock.Now()-h.createdAt < AloneWait, o.Name)
+	h.pool.SetIsolated(o.Alone() && o.Clock.Now()-h.createdAt < AloneWait, o.Name)
 	if v := o.Knowledge.View(); v.Generation != h.generation && v.Table != nil {
 		first := h.generation == 0
 		h.generation = v.Generation
-		h.pool.Serve(v.Table.Service(s), v.Upstreams[s])
+		h.pool.SetUpstreams(v.Table.Service(s), v.Upstreams[s])
 		if first {
-			h.pool.Doubt()
+			h.pool.MarkUnverified()
 		}
 	}
 	return h
@@ -167,7 +167,7 @@
 		a.Patience += now
 	}
 	h := o.lockedPool(args.Service)
-	h.pool.Divide(now, o.limitShare(args))
+	h.pool.SetLimitShare(now, o.limitShare(args))
 	o.learnStatements(args.Service, h, now, args.Statements)
 	h.lastAsk = now
 	o.pollReports(args.Service, h)
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -51,7 +51,7 @@
 	if began-h.lastAsk > pollWindow {
 		return
 	}
-	ids := h.pool.Doubtful(began, o.Gate, maxPollsPerRound)
+	ids := h.pool.TakeDuePolls(began, o.Gate, maxPollsPerRound)
 	if len(ids) == 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
-	if !h.pool.Pressing(now) {
+	if !h.pool.UrgentPollsDue(now) {
 		return pollInterval
 	}
 	return min(max((now-began).Duration(), minPollInterval), pollInterval)
@@ -91,7 +91,7 @@
 	if u == nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.pool.Unreported(id)
+		h.pool.AssumeVerified(id)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
@@ -100,13 +100,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
-	for _, st := range load.Said.Statements(now, o.Gate, max(load.Born, u.Born)) {
+	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
 		o.statements.Learn(s, id, st, statements.FromAnswer)
 		o.learnStatements(s, h, now, []statement.Aged{st.Aged(now, id)})
 	}
 	if err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("unverified upstream did not report its load")
-		h.pool.Unreported(id)
+		h.pool.AssumeVerified(id)
 		return
 	}
 	h.pool.Report(now, id, load)
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -45,7 +45,7 @@
 }
 
 // Binding returns a statement that forbids this VM to send to an upstream now, if there is one.
-func (c *Client) Binding(s route.ServiceID, p span.Place) (statement.Statement, bool) {
+func (c *Client) Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool) {
 	return c.statements.Binding(s, p.Upstream, p.Born)
 }
 
