--- a/daemon/hedge/hedge.go
+++ b/daemon/hedge/hedge.go
@@ -26,9 +26,9 @@
 	rttDecay = 0.98
 )
 
-// Questions decides when a query is hedged. The zero value is ready to use. It is safe for
+// Policy decides when a query is hedged. The zero value is ready to use. It is safe for
 // concurrent use.
-type Questions struct {
+type Policy struct {
 	mu sync.Mutex
 	// longestRTT is the decaying maximum of recent round trips to owners, in milliseconds.
 	longestRTT float64
@@ -38,24 +38,24 @@
 	hedged uint64
 }
 
-// Way records the round trip of one answered call, without the time that the call waited for a
+// ObserveRoundTrip records the round trip of one answered call, without the time that the call waited for a
 // decision.
-func (q *Questions) Way(d clock.Milli) {
+func (q *Policy) ObserveRoundTrip(d clock.Milli) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.longestRTT = max(float64(d), rttDecay*q.longestRTT)
 	q.used = max(0, q.used-hedgeShare)
 }
 
-// After returns how overdue an answer may be before another VM is queried in parallel.
-func (q *Questions) After() clock.Milli {
+// Delay returns how overdue an answer may be before another VM is queried in parallel.
+func (q *Policy) Delay() clock.Milli {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return min(max(clock.Milli(2*q.longestRTT), minDelay), maxDelay)
 }
 
 // Allow reports whether one more query may be hedged, and counts it if so.
-func (q *Questions) Allow() bool {
+func (q *Policy) Allow() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.used+1 > burst {
@@ -66,5 +66,5 @@
 	return true
 }
 
-// Asked returns the number of hedged queries.
-func (q *Questions) Asked() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.hedged }
+// Hedged returns the number of hedged queries.
+func (q *Policy) Hedged() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.hedged }
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -41,9 +41,9 @@
 	Now() clock.Milli
 }
 
-// Guard detects pauses of this process. Check reports whether the process was paused since the last
+// PauseDetector detects pauses of this process. Check reports whether the process was paused since the last
 // check and, if so, runs the callback that calls Drop.
-type Guard interface {
+type PauseDetector interface {
 	Check() bool
 }
 
@@ -119,7 +119,7 @@
 	store Store
 	clock Clock
 	rules Rules
-	guard Guard
+	guard PauseDetector
 	self  holderID
 
 	mu     sync.Mutex
@@ -129,15 +129,15 @@
 }
 
 // New returns the leases of one incarnation of a VM.
-func New(s Store, k Clock, r Rules, g Guard, self peer.Member) *Leases {
+func New(s Store, k Clock, r Rules, g PauseDetector, self peer.Member) *Leases {
 	return &Leases{
 		store: s, clock: k, rules: r, guard: g, self: holderID{self.VM, self.Incarnation},
 		states: map[platform.Name]*leaseState{}, wanted: map[platform.Name]bool{},
 	}
 }
 
-// Want sets the leases that Run tries to hold, and gives up all others.
-func (l *Leases) Want(names ...platform.Name) {
+// SetWanted sets the leases that Run tries to hold, and gives up all others.
+func (l *Leases) SetWanted(names ...platform.Name) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wanted = map[platform.Name]bool{}
--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -63,8 +63,8 @@
 	localOwner *Owner
 	holders    *Holders
 	silent     *silent.VMs
-	statements *statements.Heard
-	hedging    hedge.Questions
+	statements *statements.Cache
+	hedging    hedge.Policy
 	gate       decide.GateID
 
 	mu sync.Mutex
@@ -88,7 +88,7 @@
 		silent: silent.New(l, m, p), queried: map[route.ServiceID]bool{}, live: map[decide.RequestID]*activeGrant{},
 		statements: localOwner.statements,
 	}
-	c.holders.Follow(c.onHolderChange)
+	c.holders.OnChange(c.onHolderChange)
 	return c
 }
 
@@ -139,14 +139,14 @@
 		if owner, remote := c.owner(s); !remote {
 			_ = c.localOwner.Present(args, &reply) // Present returns no errors
 		} else if err := c.peers.Call(ctx, owner.Address, Name+".Present", args, &reply); err != nil {
-			c.silent.Note(owner, err)
+			c.silent.MarkUnresponsive(owner, err)
 			return
 		}
 		if reply.Holder == nil {
 			c.statements.Acknowledge(s, unacked)
 			return
 		}
-		c.holders.Hear(*reply.Holder, "answer")
+		c.holders.Update(*reply.Holder, "answer")
 	}
 }
 
@@ -161,7 +161,7 @@
 }
 
 func (c *Client) candidates(s route.ServiceID) []peer.Member {
-	return c.holders.candidates(s, c.silent.Has)
+	return c.holders.candidates(s, c.silent.IsUnresponsive)
 }
 
 // Ask queries owners until one decides on a's placement or ctx ends. Aim and Deadline of a are
@@ -233,8 +233,8 @@
 	return &AskArgs{Service: s, Ask: a, Wait: wait, Epoch: x.Epoch}
 }
 
-// First reports to the owner that the first byte of a response has arrived.
-func (c *Client) First(id decide.RequestID) {
+// FirstByte reports to the owner that the first byte of a response has arrived.
+func (c *Client) FirstByte(id decide.RequestID) {
 	c.mu.Lock()
 	u := c.live[id]
 	if u != nil {
@@ -242,7 +242,7 @@
 	}
 	c.mu.Unlock()
 	if u != nil {
-		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: First, Statements: c.grantStatements(u)})
+		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: FirstByte, Statements: c.grantStatements(u)})
 	}
 }
 
@@ -275,7 +275,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), (askWait + answerSlack).Duration())
 		defer cancel()
 		if err := c.peers.Call(ctx, owner.Address, Name+".Note", &n, &peer.Empty{}); err != nil {
-			c.silent.Note(owner, err)
+			c.silent.MarkUnresponsive(owner, err)
 		}
 	}()
 }
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -59,7 +59,7 @@
 func (o *Owner) Ask(args *AskArgs, reply *AskReply) error {
 	defer o.attachHolder(args, reply)
 	if args.Known != nil {
-		o.Holders.Hear(*args.Known, "asked")
+		o.Holders.Update(*args.Known, "asked")
 	}
 	if args.Local || o.Alone() {
 		o.decide(args, reply, nil)
@@ -69,7 +69,7 @@
 		step, to, epoch := o.Holders.route(args.Service, args.Forwarded)
 		switch step {
 		case holder.Decide:
-			o.decide(args, reply, o.Holders.Moved(args.Service))
+			o.decide(args, reply, o.Holders.Changed(args.Service))
 			return nil
 		case holder.Take:
 			o.becomeHolder(args.Service, epoch, "asked")
@@ -148,7 +148,7 @@
 			return err
 		}
 		if r.Holder != nil {
-			o.Holders.Hear(*r.Holder, "answer")
+			o.Holders.Update(*r.Holder, "answer")
 		}
 		r.Waited, r.Holder = o.Clock.Now()-began, nil
 		*reply = r
@@ -255,13 +255,13 @@
 		o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "peer").Str("peer", string(m.VM)).Err(err).Msg("new holder not announced to a VM; heartbeats or answers will inform it")
 		return
 	}
-	o.Holders.Hear(known, "answer")
+	o.Holders.Update(known, "answer")
 }
 
 // Follow implements Placer.Follow: it records a holder and replies with the one that this VM
 // follows afterwards.
 func (o *Owner) Follow(args, reply *peer.Holder) error {
-	o.Holders.Hear(*args, "announced")
+	o.Holders.Update(*args, "announced")
 	*reply, _ = o.Holders.Of(args.Service)
 	return nil
 }
@@ -304,14 +304,14 @@
 	h := o.lockedPool(s)
 	snapshot := h.pool.Snapshot(o.Clock.Now())
 	h.mu.Unlock()
-	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: snapshot}
+	args := &TakeArgs{Holder: holder.NewHolder(s, to, epoch+1), Books: snapshot}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
 	defer cancel()
 	if err := o.Peers.Call(ctx, to.Address, Name+".Take", args, &peer.Empty{}); err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "successor").Str("peer", string(to.VM)).Err(err).Msg("service not handed over: the successor did not accept it")
 		return
 	}
-	o.Holders.Hear(args.Holder, "handed over")
+	o.Holders.Update(args.Holder, "handed over")
 }
 
 // Take implements Placer.Take: this VM becomes the holder and restores the snapshot of its
@@ -323,7 +323,7 @@
 	h := o.lockedPool(args.Holder.Service)
 	h.pool.Restore(o.Clock.Now(), args.Books)
 	h.mu.Unlock()
-	o.Holders.Hear(args.Holder, "handed over")
+	o.Holders.Update(args.Holder, "handed over")
 	o.announce(args.Holder)
 	return nil
 }
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Follow registers f to be called with each new holder. It must be called before any holder is
+// OnChange registers f to be called with each new holder. It must be called before any holder is
 // learned.
-func (h *Holders) Follow(f func(peer.Holder)) { h.onChange = append(h.onChange, f) }
+func (h *Holders) OnChange(f func(peer.Holder)) { h.onChange = append(h.onChange, f) }
 
 // Fill implements member.Part.
 func (h *Holders) Fill(_ peer.VM, b *peer.BeatArgs) {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Hear records a holder reported by another VM. When it returns, this VM follows that holder unless
+// Update records a holder reported by another VM. When it returns, this VM follows that holder unless
 // it knows a newer one.
-func (h *Holders) Hear(x peer.Holder, cause string) {
+func (h *Holders) Update(x peer.Holder, cause string) {
 	if x.VM != "" && h.learn(x) {
 		h.notifyChange(x, cause)
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// Moved returns a channel that is closed when the holder of a service changes.
-func (h *Holders) Moved(s route.ServiceID) <-chan struct{} {
+// Changed returns a channel that is closed when the holder of a service changes.
+func (h *Holders) Changed(s route.ServiceID) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.changes[s]
@@ -109,16 +109,16 @@
 	return h.table.Of(s)
 }
 
-// Followed returns the holder of a service and the instant since which this VM follows it.
-func (h *Holders) Followed(s route.ServiceID) (x peer.Holder, since clock.Milli, ok bool) {
+// HolderSince returns the holder of a service and the instant since which this VM follows it.
+func (h *Holders) HolderSince(s route.ServiceID) (x peer.Holder, since clock.Milli, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x, ok = h.table.Of(s)
 	return x, h.since[s], ok
 }
 
-// Next returns the VM that gates query if the holder of a service is lost; empty if there is none.
-func (h *Holders) Next(s route.ServiceID) peer.VM {
+// Fallback returns the VM that gates query if the holder of a service is lost; empty if there is none.
+func (h *Holders) Fallback(s route.ServiceID) peer.VM {
 	for i, m := range h.candidates(s, func(peer.Member) bool { return false }) {
 		if i == 1 {
 			return m.VM
--- a/daemon/placer/strong_test.go
+++ b/daemon/placer/large_owner_test.go
@@ -74,7 +74,7 @@
 			began := time.Now()
 			reply, err := client.Ask(context.Background(), "s", a)
 			if err == nil && reply.Fault == "" {
-				client.First(a.ID)
+				client.FirstByte(a.ID)
 				client.End(a.ID, span.Done, "")
 			}
 			mu.Lock()
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -284,7 +284,7 @@
 	}
 	f.send(v, reply.Grant.Leader.Upstream)
 	time.Sleep(20 * time.Millisecond)
-	v.client.First(a.ID)
+	v.client.FirstByte(a.ID)
 	time.Sleep(runTime)
 	v.client.End(a.ID, span.Done, "")
 }
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -72,9 +72,9 @@
 
 // The events of a grant.
 const (
-	First    Event = iota // the first byte of the response has arrived
-	Ended                 // the send has ended
-	Withdraw              // nothing was or will be sent under the grant
+	FirstByte Event = iota // the first byte of the response has arrived
+	Ended                  // the send has ended
+	Withdraw               // nothing was or will be sent under the grant
 )
 
 // NoteArgs reports an event of one grant.
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -80,7 +80,7 @@
 type Owner struct {
 	OwnerNeeds
 	budget     Budget
-	statements *statements.Heard
+	statements *statements.Cache
 
 	mu    sync.Mutex
 	pools map[route.ServiceID]*ownedPool
@@ -120,7 +120,7 @@
 // NewOwner returns an owner without pools.
 func NewOwner(n OwnerNeeds, b Budget) *Owner {
 	o := &Owner{OwnerNeeds: n, budget: b, statements: statements.New(n.Clock, n.Log), pools: map[route.ServiceID]*ownedPool{}, noteSlots: make(chan struct{}, maxForwardedNotes)}
-	n.Holders.Follow(o.onHolderChange)
+	n.Holders.OnChange(o.onHolderChange)
 	return o
 }
 
@@ -287,7 +287,7 @@
 	defer o.pollReports(args.Service, h)
 	o.learnStatements(args.Service, h, now, args.Statements)
 	switch args.Event {
-	case First:
+	case FirstByte:
 		h.pool.First(now, args.Request)
 	case Ended:
 		h.pool.End(now, args.Request, args.Outcome, args.Culprit)
--- a/daemon/placer/poll.go
+++ b/daemon/placer/poll.go
@@ -28,9 +28,9 @@
 func (c *Client) poll(ctx context.Context, s route.ServiceID, a span.Ask, wait clock.Milli) (AskReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	moved := c.holders.Moved(s)
+	moved := c.holders.Changed(s)
 	vms := c.candidates(s)
-	if c.silent.CutOff() {
+	if c.silent.SelfCutOff() {
 		vms = nil
 	}
 	results := make(chan queryResult, len(vms))
@@ -48,7 +48,7 @@
 		}()
 	}
 	queryNext()
-	t := time.NewTimer((wait + c.hedging.After()).Duration())
+	t := time.NewTimer((wait + c.hedging.Delay()).Duration())
 	defer t.Stop()
 	for pending > 0 {
 		select {
@@ -60,13 +60,13 @@
 			if ctx.Err() != nil {
 				return AskReply{}, ctx.Err()
 			}
-			c.silent.Note(e.from, e.err)
+			c.silent.MarkUnresponsive(e.from, e.err)
 			queryNext()
 		case <-t.C:
 			if len(results) == 0 && c.hedging.Allow() {
 				queryNext()
 			}
-			t.Reset(c.hedging.After().Duration())
+			t.Reset(c.hedging.Delay().Duration())
 		case <-moved:
 			return AskReply{Moved: true}, nil
 		}
@@ -77,7 +77,7 @@
 // applyHolder records the holder that an answer names and returns the reply.
 func (c *Client) applyHolder(e queryResult) AskReply {
 	if e.reply.Holder != nil {
-		go c.holders.Hear(*e.reply.Holder, "answer")
+		go c.holders.Update(*e.reply.Holder, "answer")
 	}
 	return e.reply
 }
@@ -103,10 +103,10 @@
 		return AskReply{}, err
 	}
 	c.ackStatements(s, unacked, args, &reply)
-	c.hedging.Way(c.clock.Now() - began - reply.Waited)
-	c.silent.Answered(m)
+	c.hedging.ObserveRoundTrip(c.clock.Now() - began - reply.Waited)
+	c.silent.MarkResponsive(m)
 	return reply, nil
 }
 
 // Hedged returns the number of queries that were sent to another VM in parallel to the owner.
-func (c *Client) Hedged() uint64 { return c.hedging.Asked() }
+func (c *Client) Hedged() uint64 { return c.hedging.Hedged() }
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -101,7 +101,7 @@
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
 	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
-		o.statements.Learn(s, id, st, statements.FromAnswer)
+		o.statements.Learn(s, id, st, statements.FromResponse)
 		o.learnStatements(s, h, now, []statement.Aged{st.Aged(now, id)})
 	}
 	if err != nil {
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -15,9 +15,9 @@
 // upstream in each grant. A statement thus survives the loss of VMs as long as one VM that knows it
 // is left.
 
-// Hear records a statement that an upstream made in a response.
-func (c *Client) Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
-	c.statements.Learn(s, u, st, statements.FromAnswer)
+// RecordStatement records a statement that an upstream made in a response.
+func (c *Client) RecordStatement(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+	c.statements.Learn(s, u, st, statements.FromResponse)
 }
 
 // pendingStatements returns the statements that the followed owner has not acknowledged.
@@ -30,7 +30,7 @@
 // the answer names another owner than the one that the gate follows, nothing is marked, and that
 // owner is sent all statements.
 func (c *Client) ackStatements(s route.ServiceID, p statements.Pending, args *AskArgs, reply *AskReply) {
-	if reply.Holder == nil && !reply.Moved && p.Of(args.Epoch) {
+	if reply.Holder == nil && !reply.Moved && p.IsFor(args.Epoch) {
 		c.statements.Acknowledge(s, p)
 	}
 }
@@ -41,7 +41,7 @@
 	for _, p := range u.Grant.Helpers {
 		us = append(us, p.Upstream)
 	}
-	return c.statements.About(u.service, us...)
+	return c.statements.OfUpstreams(u.service, us...)
 }
 
 // Binding returns a statement that forbids this VM to send to an upstream now, if there is one.
@@ -68,7 +68,7 @@
 	for _, a := range received {
 		st := a.Statement(now)
 		if h.pool.Learn(now, a.Upstream, st) {
-			statements.Write(o.Log, now, s, a.Upstream, st, statements.FromGate)
+			statements.LogChange(o.Log, now, s, a.Upstream, st, statements.FromGate)
 		}
 	}
 }
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -121,7 +121,7 @@
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
 }
 
-func (p *testPlacer) First(decide.RequestID) {}
+func (p *testPlacer) FirstByte(decide.RequestID) {}
 
 func (p *testPlacer) End(_ decide.RequestID, o span.Outcome, _ decide.UpstreamID) {
 	p.mu.Lock()
@@ -131,7 +131,7 @@
 
 func (p *testPlacer) Withdraw(route.ServiceID, decide.RequestID) {}
 
-func (p *testPlacer) Hear(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+func (p *testPlacer) RecordStatement(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.statements.Learn(u, st)
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -149,7 +149,7 @@
 		}
 		return res
 	}
-	x.gate.Placer.First(grant.Request)
+	x.gate.Placer.FirstByte(grant.Request)
 	if x.started {
 		return result{verdict: mayHaveRun, outcome: span.Broken, err: errs.New("a stream was continued with status %d", resp.StatusCode)}
 	}
--- a/daemon/relay/statements.go
+++ b/daemon/relay/statements.go
@@ -23,7 +23,7 @@
 	x.gate.reportStatements(x.service, leader, &head.Declared)
 	limit := head.Declared.Limit
 	if !limit.Named && limit.Unreadable == "" && head.Matches && head.Signed && !head.NotRun {
-		x.gate.Placer.Hear(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
+		x.gate.Placer.RecordStatement(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
 	}
 }
 
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, st := range declared.Statements(g.Clock.Now(), g.id, p.Born) {
-		g.Placer.Hear(s, p.Upstream, st)
+		g.Placer.RecordStatement(s, p.Upstream, st)
 	}
 }
 
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -54,16 +54,16 @@
 	return &VMs{log: l, members: m, prover: p, unresponsive: map[peer.VM]peer.Incarnation{}}
 }
 
-// Has reports whether the gate skips a VM as unresponsive.
-func (s *VMs) Has(m peer.Member) bool {
+// IsUnresponsive reports whether the gate skips a VM as unresponsive.
+func (s *VMs) IsUnresponsive(m peer.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	incarnation, ok := s.unresponsive[m.VM]
 	return ok && incarnation == m.Incarnation
 }
 
-// Note adds a VM to the set after a call to it failed with err, and starts to probe it.
-func (s *VMs) Note(m peer.Member, err error) {
+// MarkUnresponsive adds a VM to the set after a call to it failed with err, and starts to probe it.
+func (s *VMs) MarkUnresponsive(m peer.Member, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if incarnation, ok := s.unresponsive[m.VM]; ok && incarnation == m.Incarnation {
@@ -77,8 +77,8 @@
 	go s.probe(m)
 }
 
-// Answered records that a VM answered and removes it from the set.
-func (s *VMs) Answered(m peer.Member) {
+// MarkResponsive records that a VM answered and removes it from the set.
+func (s *VMs) MarkResponsive(m peer.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastAnswer = time.Now()
@@ -88,10 +88,10 @@
 	}
 }
 
-// CutOff reports whether several VMs are unresponsive and none has answered since the first of them
+// SelfCutOff reports whether several VMs are unresponsive and none has answered since the first of them
 // failed. This VM is then probably cut off itself, and querying further VMs would only delay
 // callers.
-func (s *VMs) CutOff() bool {
+func (s *VMs) SelfCutOff() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.unresponsive) >= partitionThreshold && s.lastAnswer.Before(s.firstUnanswered)
@@ -101,7 +101,7 @@
 func (s *VMs) probe(m peer.Member) {
 	for wait := probeFirst; ; wait = min(2*wait, probeLongest) {
 		time.Sleep(wait)
-		if !s.Has(m) {
+		if !s.IsUnresponsive(m) {
 			return
 		}
 		if !s.isMember(m) {
@@ -112,7 +112,7 @@
 		err := s.prover.Prove(ctx, m.Address)
 		cancel()
 		if err == nil {
-			s.Answered(m)
+			s.MarkResponsive(m)
 			return
 		}
 	}
--- a/daemon/silent/silent_test.go
+++ b/daemon/silent/silent_test.go
@@ -44,14 +44,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
 		a := f.live[0]
-		s.Note(a, errDown)
-		s.Note(a, errDown)
+		s.MarkUnresponsive(a, errDown)
+		s.MarkUnresponsive(a, errDown)
 		time.Sleep(10 * time.Second)
-		require.True(t, s.Has(a))
+		require.True(t, s.IsUnresponsive(a))
 		require.LessOrEqual(t, f.probes.Load(), int64(8), "probes become rare")
 		f.up.Store(true)
 		time.Sleep(probeLongest)
-		require.False(t, s.Has(a))
+		require.False(t, s.IsUnresponsive(a))
 	})
 }
 
@@ -61,13 +61,13 @@
 		f, s := newFleet()
 		a := f.live[0]
 		f.live = nil
-		s.Note(a, errDown)
-		require.True(t, s.Has(a))
+		s.MarkUnresponsive(a, errDown)
+		require.True(t, s.IsUnresponsive(a))
 		next := a
 		next.Incarnation++
-		require.False(t, s.Has(next))
+		require.False(t, s.IsUnresponsive(next))
 		time.Sleep(probeLongest)
-		require.False(t, s.Has(a), "a VM that is no longer a member must not be probed forever")
+		require.False(t, s.IsUnresponsive(a), "a VM that is no longer a member must not be probed forever")
 	})
 }
 
@@ -76,13 +76,13 @@
 func TestSeveralUnresponsiveVMsMeanThisVMIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
-		s.Note(f.live[0], errDown)
-		require.False(t, s.CutOff(), "a single unresponsive VM may be lost")
+		s.MarkUnresponsive(f.live[0], errDown)
+		require.False(t, s.SelfCutOff(), "a single unresponsive VM may be lost")
 		time.Sleep(time.Millisecond)
-		s.Note(f.live[1], errDown)
-		require.True(t, s.CutOff())
-		s.Answered(f.live[1])
-		require.False(t, s.CutOff())
+		s.MarkUnresponsive(f.live[1], errDown)
+		require.True(t, s.SelfCutOff())
+		s.MarkResponsive(f.live[1])
+		require.False(t, s.SelfCutOff())
 		f.up.Store(true)
 		time.Sleep(probeLongest)
 	})
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -20,16 +20,16 @@
 
 // Sources of a statement, for log lines.
 const (
-	// FromAnswer is a response that this VM received itself, FromOwner a grant of the owner,
+	// FromResponse is a response that this VM received itself, FromOwner a grant of the owner,
 	// FromGate a message of a gate.
-	FromAnswer = "answer"
-	FromOwner  = "owner"
-	FromGate   = "gate"
+	FromResponse = "answer"
+	FromOwner    = "owner"
+	FromGate     = "gate"
 )
 
-// Heard stores the statements that one VM received, as a gate and as an owner that polls upstreams.
+// Cache stores the statements that one VM received, as a gate and as an owner that polls upstreams.
 // It is safe for concurrent use.
-type Heard struct {
+type Cache struct {
 	clock Clock
 	log   *log.Logger
 
@@ -45,12 +45,12 @@
 }
 
 // New returns an empty store.
-func New(k Clock, l *log.Logger) *Heard {
-	return &Heard{clock: k, log: l, services: map[route.ServiceID]*service{}}
+func New(k Clock, l *log.Logger) *Cache {
+	return &Cache{clock: k, log: l, services: map[route.ServiceID]*service{}}
 }
 
 // of returns the statements of a service's upstreams. The lock is held.
-func (h *Heard) of(s route.ServiceID) *service {
+func (h *Cache) of(s route.ServiceID) *service {
 	x := h.services[s]
 	if x == nil {
 		x = &service{Table: statement.NewTable()}
@@ -60,12 +60,12 @@
 }
 
 // Learn records a statement and logs it if it differs from the known one.
-func (h *Heard) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
+func (h *Cache) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	h.mu.Lock()
 	changed := h.of(s).Learn(u, st)
 	h.mu.Unlock()
 	if changed {
-		Write(h.log, h.clock.Now(), s, u, st, cause)
+		LogChange(h.log, h.clock.Now(), s, u, st, cause)
 	}
 }
 
@@ -76,7 +76,7 @@
 }
 
 // Pending returns the statements that the owner of an epoch has not acknowledged.
-func (h *Heard) Pending(s route.ServiceID, epoch uint64) Pending {
+func (h *Cache) Pending(s route.ServiceID, epoch uint64) Pending {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x := h.of(s)
@@ -90,7 +90,7 @@
 }
 
 // Acknowledge records that the owner for which p was made has received its statements.
-func (h *Heard) Acknowledge(s route.ServiceID, p Pending) {
+func (h *Cache) Acknowledge(s route.ServiceID, p Pending) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x := h.of(s)
@@ -101,15 +101,15 @@
 }
 
 // All returns all statements of a service's upstreams.
-func (h *Heard) All(s route.ServiceID) []statement.Aged {
+func (h *Cache) All(s route.ServiceID) []statement.Aged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all, _ := h.of(s).Since(h.clock.Now(), 0)
 	return all
 }
 
-// About returns the statements of the given upstreams.
-func (h *Heard) About(s route.ServiceID, us ...decide.UpstreamID) []statement.Aged {
+// OfUpstreams returns the statements of the given upstreams.
+func (h *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Aged {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []statement.Aged
@@ -121,7 +121,7 @@
 
 // Forget discards expired statements and, after a retention time, those of upstreams for which
 // listed returns false.
-func (h *Heard) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
+func (h *Cache) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, x := range h.services {
@@ -129,19 +129,19 @@
 	}
 }
 
-// Of reports whether the list was made for the owner of an epoch.
-func (p *Pending) Of(epoch uint64) bool { return p.epoch == epoch }
+// IsFor reports whether the list was made for the owner of an epoch.
+func (p *Pending) IsFor(epoch uint64) bool { return p.epoch == epoch }
 
 // Binding returns a statement that forbids this VM to send to an incarnation of an upstream now, if
 // there is one.
-func (h *Heard) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Born) (statement.Statement, bool) {
+func (h *Cache) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Born) (statement.Statement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.of(s).Binding(h.clock.Now(), u, started)
 }
 
 // Each calls f for each statement in force.
-func (h *Heard) Each(fn func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
+func (h *Cache) Each(fn func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, x := range h.services {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Write logs that an upstream has changed its statement.
-func Write(l *log.Logger, now clock.Milli, s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
+// LogChange logs that an upstream has changed its statement.
+func LogChange(l *log.Logger, now clock.Milli, s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	e := l.Info().Str("service", string(s)).Str("upstream", string(u)).Int64("age", int64(now-st.At)).Str("cause", cause)
 	switch st.Kind {
 	case statement.Limit:
--- a/daemon/statements/statements_test.go
+++ b/daemon/statements/statements_test.go
@@ -17,7 +17,7 @@
 
 func (f *manualClock) Now() clock.Milli { return f.now }
 
-func newCache() (*Heard, *manualClock) {
+func newCache() (*Cache, *manualClock) {
 	k := &manualClock{now: 1000}
 	return New(k, &log.Logger{Level: log.FatalLevel}), k
 }
@@ -31,13 +31,13 @@
 // only, it would never receive the earlier ones.
 func TestNewOwnerIsSentAllStatements(t *testing.T) {
 	h, _ := newCache()
-	h.Learn("s", "u", draining(), FromAnswer)
+	h.Learn("s", "u", draining(), FromResponse)
 	first := h.Pending("s", 1)
 	require.Len(t, first.Statements, 1)
 	require.Len(t, h.Pending("s", 1).Statements, 1, "nothing has been acknowledged yet")
 	h.Acknowledge("s", first)
 	require.Empty(t, h.Pending("s", 1).Statements)
-	h.Learn("s", "v", draining(), FromAnswer)
+	h.Learn("s", "v", draining(), FromResponse)
 	require.Len(t, h.Pending("s", 1).Statements, 1)
 	require.Len(t, h.Pending("s", 2).Statements, 2)
 }
@@ -46,9 +46,9 @@
 // the list, it would never be sent.
 func TestStatementReceivedDuringSendIsSentNext(t *testing.T) {
 	h, _ := newCache()
-	h.Learn("s", "u", draining(), FromAnswer)
+	h.Learn("s", "u", draining(), FromResponse)
 	p := h.Pending("s", 1)
-	h.Learn("s", "v", draining(), FromAnswer)
+	h.Learn("s", "v", draining(), FromResponse)
 	h.Acknowledge("s", p)
 	next := h.Pending("s", 1).Statements
 	require.Len(t, next, 1)
@@ -62,9 +62,9 @@
 	backOff := func(span clock.Milli) statement.Statement {
 		return statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: k.now, Until: k.now + span}
 	}
-	h.Learn("s", "u", backOff(3000), FromAnswer)
+	h.Learn("s", "u", backOff(3000), FromResponse)
 	k.now += 500
-	h.Learn("s", "u", backOff(500), FromAnswer)
+	h.Learn("s", "u", backOff(500), FromResponse)
 	k.now += 2000
 	_, bound := h.Binding("s", "u", 0)
 	require.True(t, bound)
@@ -78,7 +78,7 @@
 // requests again.
 func TestDrainNoticeOutlivesUpstreamList(t *testing.T) {
 	h, k := newCache()
-	h.Learn("s", "u", draining(), FromAnswer)
+	h.Learn("s", "u", draining(), FromResponse)
 	absent := func(route.ServiceID, decide.UpstreamID) bool { return false }
 	k.now += 30 * clock.Second
 	h.Forget(absent)
