--- a/lib/decide/admit.go
+++ b/lib/decide/admit.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	// doubt scales the estimated wait. Later arrivals of more urgent kinds and of
-	// other workspaces go ahead of a queued request; admitting to the last
-	// second would turn each of them into a missed deadline.
-	doubt = 2
-	// drag scales the estimated service for the requests that share the engine.
-	drag = 1.35
-	// trusted is the part of a lane's smoothed rate that is promised to one
-	// workspace: what others leave over is a small difference of two large
-	// rates, and swings by as much as either of them.
-	trusted = 0.7
-	// stolen bounds the share of capacity that more urgent work is assumed to take.
-	stolen = 0.9
-	// soonest and farthest bound the time after which a refused caller is told to
-	// come back: sooner would be a busy loop, later would outlast any burst.
-	soonest  clock.Milli = 100
-	farthest             = clock.Minute
-	// absent is when to come back to a pool without upstreams.
-	absent = 2 * clock.Second
+	// waitFactor scales the estimated queueing time. Later arrivals of more urgent kinds and of
+	// other workspaces are served before a queued request; without a margin each of them would turn
+	// an admitted request into a missed deadline.
+	waitFactor = 2
+	// sharingFactor scales the estimated service time to allow for other requests in the same batch
+	// of the engine.
+	sharingFactor = 1.35
+	// promisedShare is the part of a lane's smoothed rate that one workspace may count on. The
+	// capacity that the other workspaces leave over is a small difference of two large rates, so it
+	// fluctuates by as much as either of them.
+	promisedShare = 0.7
+	// maxUrgentShare bounds the share of capacity that more urgent work is assumed to consume.
+	maxUrgentShare = 0.9
+	// minRetry and maxRetry bound the retry time returned with a refusal: a shorter one would cause
+	// a busy loop, a longer one would outlast any burst.
+	minRetry clock.Milli = 100
+	maxRetry             = clock.Minute
+	// noUpstreamRetry is the retry time returned by a pool without usable upstreams.
+	noUpstreamRetry = 2 * clock.Second
 
 	expiredKind = fault.Expired
 )
 
-// admit decides on every request handed in since the last tick, in order.
+// admit admits or refuses every request submitted since the last tick, in order of arrival.
 func (p *Pool) admit(now clock.Milli) {
 	for i := range p.arrivals {
-		p.decide(now, &p.arrivals[i])
+		p.admitOne(now, &p.arrivals[i])
 	}
 	clear(p.arrivals)
 	p.arrivals = p.arrivals[:0]
 }
 
-// decide admits or refuses one request. The load it is made for is more work than
-// the pool can finish. Without it every queue grows until all answers are late;
-// refused at once, with an honest time to come back, a caller can do something else.
-func (p *Pool) decide(now clock.Milli, r *Request) {
+// admitOne admits or refuses one request. When more work is offered than the pool can finish,
+// unlimited queueing would make every answer late. Refusing at once, with an accurate retry time,
+// lets the caller do something else meanwhile.
+func (p *Pool) admitOne(now clock.Milli, r *Request) {
 	if g := p.live[r.ID]; g != nil {
 		g.Gate = r.Gate
 		p.granted(g)
@@ -50,55 +51,54 @@
 		w.Gate = r.Gate
 		return
 	}
-	if p.killers.count(now, r.Fingerprint) >= deathsAllowed {
+	if p.crashes.count(now, r.Fingerprint) >= maxCrashes {
 		p.refuse(r.ID, r.Gate, fault.Quarantined, 0)
 		return
 	}
-	if p.shift.taking == 0 || p.spent(r) {
-		p.refuse(r.ID, r.Gate, fault.Unavailable, absent)
+	if p.boundaries.accepting == 0 || p.allAvoided(r) {
+		p.refuse(r.ID, r.Gate, fault.Unavailable, noUpstreamRetry)
 		return
 	}
 	if !p.fits(r.Prompt + r.Output) {
 		p.refuse(r.ID, r.Gate, fault.Oversize, 0)
 		return
 	}
-	w := p.rowOfWaiting()
+	w := p.newWaitingRow()
 	p.estimate(now, w, r)
 	p.demand.offer(w)
-	late := p.late(now, w)
-	if late > 0 || w.latest <= now {
-		p.refuse(r.ID, r.Gate, fault.Overloaded, p.comeback(now, w, late))
+	late := p.lateness(now, w)
+	if late > 0 || w.latestStart <= now {
+		p.refuse(r.ID, r.Gate, fault.Overloaded, p.retryAfter(now, w, late))
 		*w = waiting{}
 		p.spareWaiting = append(p.spareWaiting, w)
 		return
 	}
-	p.demand.take(w)
+	p.demand.admit(w)
 	p.queued[w.ID] = w
 	p.enqueue(w)
 }
 
-// spent tells whether a retry failed on every upstream that takes work here.
+// allAvoided reports whether a retry has already failed on every upstream that accepts work here.
 //
-// The load it is made for is a small pool with one engine in trouble. Queued, the
-// retry would wait for an upstream that it may not use until its allowed time is
-// over, while the same model is idle in another failure domain; refused at once, its
-// gate asks there.
-func (p *Pool) spent(r *Request) bool {
+// In a small pool with one faulty engine such a retry would queue for an upstream that it may not
+// use until its deadline passes, while the same model is idle in another failure domain. After a
+// refusal the gate asks there.
+func (p *Pool) allAvoided(r *Request) bool {
 	if len(r.Avoid) == 0 {
 		return false
 	}
 	for _, u := range p.upstreams {
-		if !u.gone && !u.leaving() && !avoided(r.Avoid, u.spec.ID) {
+		if !u.removed && !u.leaving() && !avoided(r.Avoid, u.spec.ID) {
 			return false
 		}
 	}
 	return true
 }
 
-// fits tells whether a request fits an engine or a group of all of them.
-func (p *Pool) fits(need Tokens) bool { return need <= p.whole }
+// fits reports whether a request of need tokens fits one engine or a group of all engines.
+func (p *Pool) fits(need Tokens) bool { return need <= p.totalMemory }
 
-func (p *Pool) rowOfWaiting() *waiting {
+func (p *Pool) newWaitingRow() *waiting {
 	if n := len(p.spareWaiting); n > 0 {
 		w := p.spareWaiting[n-1]
 		p.spareWaiting = p.spareWaiting[:n-1]
@@ -107,50 +107,57 @@
 	return &waiting{}
 }
 
-// estimate fills a row with what the request costs on an idle upstream.
+// estimate fills a row with the cost of the request on an idle upstream.
 func (p *Pool) estimate(now clock.Milli, w *waiting, r *Request) {
 	w.Request = *r
-	w.Suspect = w.Suspect || p.killers.count(now, r.Fingerprint) > 0
-	w.since = now
+	w.Suspect = w.Suspect || p.crashes.count(now, r.Fingerprint) > 0
+	w.queuedAt = now
 	w.flow = p.flow(r)
-	w.work = float64(r.Prompt) / (p.prefill * p.speed)
-	w.total = w.work + float64(r.Output)/p.decode
-	w.latest = r.Deadline - clock.Milli(w.total*drag)
+	w.work = float64(r.Prompt) / (p.prefill * p.meanSpeed)
+	w.serviceTime = w.work + float64(r.Output)/p.decode
+	w.latestStart = r.Deadline - clock.Milli(w.serviceTime*sharingFactor)
 }
 
-// late is by how much the request would miss its deadline; zero or less if it
-// would meet it.
-func (p *Pool) late(now clock.Milli, w *waiting) clock.Milli {
-	start := now + clock.Milli(p.wait(w.flow)*doubt)
-	return start - w.latest
+// lateness is the time by which the request is expected to miss its deadline; zero or less if it
+// meets the deadline.
+func (p *Pool) lateness(now clock.Milli, w *waiting) clock.Milli {
+	start := now + clock.Milli(p.queueWait(w.flow)*waitFactor)
+	return start - w.latestStart
 }
 
-// wait estimates in milliseconds how long a new request of a flow will queue:
-// the prefill granted and not done and all more urgent queued work, over the
-// upstreams that serve its side, and its own lane's at the rate that the lane
-// got lately. Of its own lane, what is ahead is its workspace's queue scaled up
-// by its share, so a workspace that floods the lane lengthens its own wait
-// and no one else's.
-func (p *Pool) wait(f *flow) float64 {
+// queueWait estimates in milliseconds how long a new request of a flow will queue. It is the larger
+// of two estimates:
+//
+// The first is all work ahead (prefill granted but not done, more urgent queued work and the part
+// of the lane served first) over the rate of the whole side, less the share of more urgent
+// arrivals.
+//
+// The second is the granted and more urgent work over the upstreams of the side, plus the part of
+// the lane served first at the recent rate of the lane.
+//
+// The part of the lane served first is the queue of the workspace scaled up by its fair share, so a
+// workspace that floods the lane lengthens only its own wait. Waits for memory and for slots are
+// lower bounds.
+func (p *Pool) queueWait(f *flow) float64 {
 	l := f.lane
 	servers := p.servers(l)
-	ahead := p.busy[sideOf(l.long)]
+	ahead := p.pendingPrefill[sideOf(l.long)]
 	if l.urgency == 0 && !l.long {
-		ahead = 0 // engines let urgent prompts pass
+		ahead = 0 // engines prefill urgent prompts first
 	}
 	for _, o := range p.lanes {
 		if o.urgency < l.urgency && o.long == l.long {
 			ahead += o.work
 		}
 	}
-	share := l.share(f)
-	rate, whole := l.rate, p.demand.rates[sideOf(l.long)]
+	share := l.workAhead(f)
+	rate, sideRate := l.rate, p.demand.servedRate[sideOf(l.long)]
 	if rate == 0 {
-		rate, whole = servers, servers
+		rate, sideRate = servers, servers
 	}
-	wait := max((ahead+share)/whole/(1-p.demand.above(l, whole)), ahead/servers+share/rate)
+	wait := max((ahead+share)/sideRate/(1-p.demand.moreUrgentShare(l, sideRate)), ahead/servers+share/rate)
 	if f.work > 0 {
-		wait = max(wait, f.work/l.sure(f))
+		wait = max(wait, f.work/l.guaranteedRate(f))
 	}
 	if l.long {
 		wait = max(wait, p.memoryWait(f))
@@ -158,18 +165,19 @@
 	return max(wait, p.slotWait(l))
 }
 
-// sure is the part of the lane's rate that a workspace gets in any case: its fair part,
-// or what the others leave over. Judged by the queue alone, a workspace that floods
-// would be promised the whole pool between two requests of the others.
-func (l *lane) sure(f *flow) float64 {
+// guaranteedRate is the part of the lane's rate that a workspace can count on: its fair share, or
+// what the other workspaces leave over if that is more. An estimate from the current queue alone
+// would promise the whole pool to a flooding workspace in a moment between two requests of the
+// others.
+func (l *lane) guaranteedRate(f *flow) float64 {
 	weight := f.workspace.spec.Weight
-	fair := l.rate * weight / max(l.expected, weight)
-	rest := trusted*l.rate - max(l.asked-f.asked, 0)
-	return max(fair, rest, leastRate)
+	fair := l.rate * weight / max(l.activeWeight, weight)
+	leftover := promisedShare*l.rate - max(l.admittedRate-f.admittedRate, 0)
+	return max(fair, leftover, minRate)
 }
 
-// slotWait is the wait for a slot, which is what plain services run out of: the
-// requests ahead that find none, times the usual duration of an answer.
+// slotWait is the wait for a slot, the resource that limits plain services: the number of requests
+// ahead that find no free slot, times the usual duration of an answer, over the number of slots.
 func (p *Pool) slotWait(l *lane) float64 {
 	ahead := len(p.live) + 1
 	for _, o := range p.lanes {
@@ -177,50 +185,50 @@
 			ahead += o.count
 		}
 	}
-	return float64(max(ahead-p.slots, 0)) * p.usual / float64(max(p.slots, 1))
+	return float64(max(ahead-p.slots, 0)) * p.answerTime / float64(max(p.slots, 1))
 }
 
-// share is the work of the lane that is served before a new request of f.
-func (l *lane) share(f *flow) float64 {
+// workAhead is the work of the lane that is served before a new request of f.
+func (l *lane) workAhead(f *flow) float64 {
 	weight := l.weight
-	if f.place < 0 {
+	if f.heapIndex < 0 {
 		weight += f.workspace.spec.Weight
 	}
 	return min(f.work*weight/f.workspace.spec.Weight, l.work)
 }
 
-// memoryWait is the wait for memory: what long grants hold, times how long they
-// hold it, over the memory of the pool. Long prompts wait for memory before
-// they wait for prefill.
+// memoryWait is the wait for KV memory, which limits long prompts before prefill does: the memory
+// of running and queued long requests times the time for which they occupy it, over the memory of
+// the pool.
 func (p *Pool) memoryWait(f *flow) float64 {
-	if p.whole >= unlimited || p.whole == 0 {
+	if p.totalMemory >= unlimitedMemory || p.totalMemory == 0 {
 		return 0
 	}
-	held := p.holding + f.lane.hold
-	return held / (packing * float64(p.whole))
+	occupied := p.longMemoryTime + f.lane.memoryTime
+	return occupied / (memoryUtilization * float64(p.totalMemory))
 }
 
-// packing is the share of memory that long prompts fill in practice.
-const packing = 0.6
+// memoryUtilization is the share of KV memory that long prompts fill in practice.
+const memoryUtilization = 0.6
 
-// comeback is when a refused request would be admitted, if it came back with the same
-// time allowed: once the queue is shorter by what it is late, by the work that
-// was turned away just before it and told the same, and by one request of its
-// size, since queues shorten in steps. Told only the first, all that a burst
-// turned away would come back at once, and in vain.
-func (p *Pool) comeback(now clock.Milli, w *waiting, late clock.Milli) clock.Milli {
+// retryAfter is the time after which a refused request would be admitted if it came back with the
+// same time allowed. It is the time to work off three amounts: the lateness of this request, the
+// work refused recently, and one request of this size, since queues shorten in whole requests.
+// Without the second amount all requests refused in a burst would come back at the same time and be
+// refused again.
+func (p *Pool) retryAfter(now clock.Milli, w *waiting, late clock.Milli) clock.Milli {
 	l := w.flow.lane
-	rate := max(min(l.rate, p.servers(l)), leastRate)
+	rate := max(min(l.rate, p.servers(l)), minRate)
 	if l.rate == 0 {
 		rate = p.servers(l)
 	}
-	l.turned = max(l.turned-rate*float64(now-l.turnedAt), 0)
-	l.turnedAt = now
-	l.turned += w.work
-	span := float64(max(late, 0))/doubt + (w.work+l.turned)/rate
-	return min(max(clock.Milli(span), soonest), farthest)
+	l.refusedWork = max(l.refusedWork-rate*float64(now-l.refusedAt), 0)
+	l.refusedAt = now
+	l.refusedWork += w.work
+	wait := float64(max(late, 0))/waitFactor + (w.work+l.refusedWork)/rate
+	return min(max(clock.Milli(wait), minRetry), maxRetry)
 }
 
 func (p *Pool) refuse(id RequestID, gate GateID, k fault.Kind, retry clock.Milli) {
-	p.out = append(p.out, Decision{Action: Refused, Request: id, Gate: gate, Fault: k, Retry: retry})
+	p.decisions = append(p.decisions, Decision{Action: Refused, Request: id, Gate: gate, Fault: k, Retry: retry})
 }
--- a/lib/decide/api.go
+++ b/lib/decide/api.go
@@ -1,11 +1,11 @@
-// Package decide holds every decision that snipeshift makes under load: admit,
-// queue, refuse, place and shift.
+// Package decide makes the scheduling decisions of a pool, the upstreams of one model or service:
+// which requests to admit, queue or refuse, where to place them, and how many upstreams to reserve
+// for long and for urgent work.
 //
-// It has no sockets, no goroutines and no wall clock. A Pool is a set of
-// tables (requests, upstreams, grants, workspaces); its methods put typed
-// values in, and Tick runs the systems over the tables in a fixed order
-// (expire, admit, refuse, queue, place, shift) and returns what was decided.
-// The caller owns all locking and passes the time in.
+// It has no sockets, no goroutines and no wall clock. A Pool is a set of tables (requests,
+// upstreams, grants, workspaces). Its methods enter changes, and Tick processes the tables in a
+// fixed order (apply changes, expire, admit or refuse, place, move boundaries) and returns the
+// decisions. The caller does all locking and passes the current time.
 package decide
 
 import (
@@ -13,93 +13,102 @@
 	"snipeshift.example/lib/fault"
 )
 
-// Ids and units.
+// Identifiers and units.
 type (
-	// RequestID identifies one request over its whole life.
+	// RequestID identifies a request, including its retries.
 	RequestID string
-	// WorkspaceID names a workspace of the document.
+	// WorkspaceID names a workspace (a customer of the system) of the configuration document.
 	WorkspaceID string
-	// UpstreamID names an upstream of the document.
+	// UpstreamID names an upstream of the configuration document.
 	UpstreamID string
-	// Born is the Unix millisecond, by the upstream's own clock, at which one of its lives began; zero
-	// where it is not told. Lives of one upstream are told apart and ordered by it.
+	// Born is the start time of one run of an upstream, in Unix milliseconds by the clock of
+	// the upstream; zero if unknown. It distinguishes and orders the runs of one upstream.
 	Born int64
-	// GateID names the VM and incarnation that holds the caller's connection.
+	// GateID names a gate, the VM that holds the client's connection of a request, and the
+	// incarnation of its process.
 	GateID string
-	// GrantID is unique over owners: its upper bits come from Config.Epoch.
+	// GrantID is unique across successive owners of a pool: its upper 32 bits are Config.Epoch.
 	GrantID uint64
-	// Epoch tells successive owners of a pool apart; a later owner has a larger one.
+	// Epoch distinguishes successive owners of a pool; a later owner has a larger epoch.
 	Epoch uint64
-	// Tokens counts prompt or output tokens, and KV memory in tokens.
+	// Tokens is a number of prompt or output tokens, or an amount of KV memory in tokens.
 	Tokens int64
-	// Rate is tokens per second.
+	// Rate is in tokens per second.
 	Rate float64
-	// PrefixHash is the hash of a prompt's leading blocks, up to one boundary.
+	// PrefixHash is the hash of the leading blocks of a prompt up to one block boundary.
 	PrefixHash uint64
-	// Urgency orders kinds: 0 answers immediately, larger waits.
+	// Urgency orders kinds of requests: 0 is the most urgent, 3 the least. Larger values count as
+	// 3.
 	Urgency uint8
 )
 
-// Request is what the owner of a pool knows of a request. It never holds the prompt.
+// Request is a request as the owner of a pool sees it, the VM that queues and places the requests
+// of the pool. It does not contain the prompt.
 type Request struct {
 	ID        RequestID
 	Workspace WorkspaceID
 	Gate      GateID
 	Urgency   Urgency
-	// Deadline is an instant of the owner's clock by which the answer must be whole.
+	// Deadline is the time, on the owner's clock, by which the answer must be complete.
 	Deadline clock.Milli
-	// Prompt and Output are estimates: bytes over four, and the caller's limit or the kind's usual length.
+	// Prompt and Output are estimates: a quarter of the prompt's bytes, and the caller's output
+	// limit or the usual output length of the kind.
 	Prompt, Output Tokens
-	// Prefixes are hashes of growing leading parts of the prompt, longest last; entry i covers PrefixTokens(i).
+	// Prefixes are hashes of leading parts of the prompt, each twice as long as the one before.
+	// Entry i covers PrefixTokens(i).
 	Prefixes []PrefixHash
-	// Repeatable tells whether it may run twice.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Avoid lists upstreams where it failed already.
+	// Avoid lists upstreams on which the request failed before.
 	Avoid []UpstreamID
-	// Suspect is set when an upstream died while running it; it then runs alone.
+	// Suspect is set if an upstream crashed while running the request. A suspect runs alone on its
+	// upstream.
 	Suspect bool
-	// Fingerprint is equal for requests with the same content; zero if unknown.
+	// Fingerprint is equal for requests with equal content; zero if unknown.
 	Fingerprint uint64
 }
 
-// PrefixBlock is the length in tokens of the first of Request.Prefixes; each next one is twice as long.
+// PrefixBlock is the length in tokens of the first entry of Request.Prefixes.
 const PrefixBlock Tokens = 1024
 
-// Upstream is one engine or plain service as configured.
+// Upstream is the configuration of an engine or a plain service.
 type Upstream struct {
 	ID UpstreamID
 	// Memory is KV memory in tokens; zero for a plain service.
 	Memory Tokens
-	// Slots is how many requests run at once at most.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Prefill and Decode are the rated speeds: prompt tokens per second of the
-	// engine, and output tokens per second of one request.
+	// Prefill is the rated prefill speed of the engine, Decode the rated output speed of one
+	// request.
 	Prefill, Decode Rate
-	// Leaving upstreams keep their grants and get no new one.
+	// Leaving is set for an upstream that is shutting down. It keeps its grants and receives no new
+	// ones.
 	Leaving bool
 }
 
-// Report is an engine's own word on its load. It lags.
+// Report is the load that an engine reports. Reports lag behind the actual load.
 type Report struct {
-	// At is when it was received.
+	// At is the time at which the report was received.
 	At clock.Milli
-	// Running lists requests the engine still holds memory for.
+	// Running lists the requests for which the engine still holds memory.
 	Running []RequestID
-	// Used is KV memory in tokens that the engine says is taken by requests and exports.
+	// Used is the KV memory in tokens that the engine reports as occupied by requests and exports.
 	Used Tokens
-	// Leaving is set by an engine that is stopping.
+	// Leaving is set by an engine that is shutting down.
 	Leaving bool
 }
 
-// Hint is one cache event. Seq has a gap where events were lost.
+// Hint reports that an upstream added a prefix to its cache or evicted one. Seq is consecutive; a
+// gap means that events were lost.
 type Hint struct {
 	Seq    uint64
 	Prefix PrefixHash
-	// Evicted is false when the prefix was added.
+	// Evicted is set if the prefix was evicted, and clear if it was added.
 	Evicted bool
 }
 
-// Grant lets one request run on one upstream, or on several of one failure domain.
+// Grant is the permission for one request to run on one upstream, or on a group of upstreams of one
+// failure domain, under a lease.
 type Grant struct {
 	ID        GrantID
 	Epoch     Epoch
@@ -107,48 +116,50 @@
 	Workspace WorkspaceID
 	Gate      GateID
 	Urgency   Urgency
-	// Priority is for the engine, 0 first: all short prompts by urgency, then
-	// all long ones, so that a long prefill is interrupted for a short one.
+	// Priority is the priority passed to the engine, 0 first. All short prompts rank before all
+	// long ones, and by urgency within each, so that an engine interrupts a long prefill for a
+	// short one.
 	Priority uint8
-	// Upstreams has one entry, or all engines of a group in ascending order; the first one leads.
+	// Upstreams has one entry, or all engines of a group in ascending order, of which the first is
+	// the leader and runs the prefill.
 	Upstreams []UpstreamID
-	// Reserved is the memory taken on each upstream of the group, in tokens.
+	// Reserved is the memory reserved on each upstream of the group, in tokens.
 	Reserved       Tokens
 	Prompt, Output Tokens
-	// Until is when the lease lapses unless renewed, on the owner's clock.
+	// Until is the time at which the lease expires unless renewed, on the owner's clock.
 	Until clock.Milli
-	// Deadline is the request's, on the owner's clock.
+	// Deadline is the deadline of the request, on the owner's clock.
 	Deadline clock.Milli
-	// Suspect grants run alone on their upstream.
+	// Suspect is set if the grant must be the only one on its upstreams.
 	Suspect bool
-	// Fingerprint is the request's.
+	// Fingerprint is the fingerprint of the request.
 	Fingerprint uint64
 }
 
-// Outcome tells how a grant ended.
+// Outcome is the way in which a grant ended.
 type Outcome uint8
 
-// The ways a grant ends.
+// Outcomes.
 const (
-	Done     Outcome = iota // whole answer
+	Done     Outcome = iota // the answer is complete
 	Failed                  // the upstream answered with an error or cut the stream
-	Died                    // the upstream is gone
+	Died                    // the upstream crashed or its VM is gone
 	Unused                  // returned before any byte was sent
-	Canceled                // the caller went away; the engine was notified
+	Canceled                // the caller disconnected; the engine was notified
 )
 
-// Action tells what a Decision asks of the adapter.
+// Action is the kind of a Decision.
 type Action uint8
 
-// The kinds of decision.
+// Actions.
 const (
 	Granted Action = iota // answer the gate with Grant
 	Refused               // answer the gate with Fault and Retry
-	Lapsed                // Grant's lease or deadline ran out: cancel it at Grant.Upstreams until their reports show it gone
+	Lapsed                // lease or deadline ran out: cancel Grant until reports of its upstreams omit it
 	Ordered               // send Order to Order.Upstream
 )
 
-// Order asks an engine to change what it serves.
+// Order directs an engine to a new role.
 type Order struct {
 	Upstream UpstreamID
 	// Role is "short", "long" or "any".
@@ -162,51 +173,54 @@
 	Gate    GateID
 	Grant   Grant
 	Fault   fault.Kind
-	// Retry is when to come back, for a refusal.
+	// Retry is, for a refusal, the time after which to try again; zero if trying again is
+	// pointless.
 	Retry clock.Milli
 	Order Order
 }
 
-// Workspace is a workspace as configured.
+// Workspace is the configuration of a workspace.
 type Workspace struct {
 	ID WorkspaceID
-	// Weight is its share relative to others of the same urgency; at least 1.
+	// Weight is the share of the workspace relative to others of the same urgency; at least 1.
 	Weight float64
 }
 
-// Config sets up a pool.
+// Config is the configuration of a pool.
 type Config struct {
 	// Epoch must be larger than that of every earlier owner of this pool.
 	Epoch Epoch
-	// Lease is how long a grant lives without renewal.
+	// Lease is the duration of a grant without renewal.
 	Lease clock.Milli
-	// Rebuild is how long a new owner waits for gates to present grants of the
-	// earlier owner; meanwhile it grants only what reports also show free.
+	// Rebuild is how long a new owner waits for gates to present grants of the earlier owner. In
+	// this time it grants only memory that the reports of the upstreams also show as free.
 	Rebuild clock.Milli
-	// Seed is for tie-breaks, so that two runs agree.
+	// Seed is for tie-breaks, so that repeated runs agree. It is currently unused.
 	Seed uint64
-	// Long is the prompt length from which a request counts as long; zero means DefaultLong.
+	// Long is the prompt length from which a request counts as long; zero selects
+	// DefaultLongPrompt.
 	Long Tokens
-	// Floor is how many upstreams each role keeps while orders move them; zero means one.
+	// Floor is the minimum number of upstreams per role while roles change; zero means one.
 	Floor int
-	// Lag is the oldest that an engine's report may be; zero means DefaultLag.
-	// A report proves nothing about what happened less than Lag before it.
+	// Lag is the maximum age of an engine's report; zero selects DefaultLag. A report
+	// proves nothing about events less than Lag before its arrival.
 	Lag clock.Milli
-	// Delay is how late the word of a first token may be. Its absence says
-	// nothing of an upstream's speed before that.
+	// Delay is the maximum delay with which gates report first tokens. A first token counts
+	// as overdue only after this additional time.
 	Delay clock.Milli
 }
 
-// Summary is what a pool tells other VMs in heartbeats.
+// Summary is the state of a pool as sent to other VMs in heartbeats.
 type Summary struct {
 	// Wait is the estimated wait of a short request that arrives now, by urgency 0 to 3.
 	Wait [4]clock.Milli
-	// Long is the same for a long request, which waits for memory too.
+	// Long is the estimated wait of a long request, by urgency, including the wait for memory.
 	Long [4]clock.Milli
-	// Queued and Running count requests.
+	// Queued and Running are numbers of requests.
 	Queued, Running int
-	// Free is the free KV memory in tokens on upstreams that take new work.
+	// Free is the free KV memory in tokens on upstreams that accept new work.
 	Free Tokens
-	// Largest is the longest prompt that fits an engine or a group of them.
+	// Largest is the total KV memory in tokens of these upstreams, the bound for a prompt that
+	// spans a group of engines.
 	Largest Tokens
 }
--- a/lib/decide/cost_test.go
+++ b/lib/decide/cost_test.go
@@ -11,7 +11,7 @@
 	"snipeshift.example/lib/clock"
 )
 
-// steady is a saturated pool in which every grant that ends makes room for one more.
+// steady is a saturated pool in which each step admits, ends and places one request.
 type steady struct {
 	pool   *Pool
 	now    clock.Milli
@@ -21,7 +21,7 @@
 	ended  int
 }
 
-// newSteady fills a pool until as many requests queue as asked for.
+// newSteady fills a pool until the given number of requests is queued.
 func newSteady(upstreams, queued int) *steady {
 	s := &steady{pool: New(Config{Epoch: 1, Lease: clock.Minute}), now: 1_000_000}
 	for i := range upstreams {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// submit hands in one request: mostly short ones of 100 workspaces, one in fifty long.
+// submit submits one request: mostly short ones of 100 workspaces, one in fifty long.
 func (s *steady) submit() {
 	i := s.next
 	s.next++
@@ -78,8 +78,8 @@
 	}
 }
 
-// turn is one request's worth of decisions: one is admitted, one ends, one is placed.
-func (s *steady) turn() {
+// step admits one request, ends one and places one.
+func (s *steady) step() {
 	s.now++
 	s.submit()
 	s.pool.Finish(s.now, s.grants[s.ended], Done)
@@ -91,27 +91,26 @@
 	s.tick()
 }
 
-// BenchmarkDecide measures what one request costs from Submit to Finish.
+// BenchmarkDecide measures the cost of one request from Submit to Finish.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{23, 92, 368, 1300} {
 		for _, q := range []int{100, 1000, 10_000} {
 			b.Run(fmt.Sprintf("upstreams=%d/queued=%d", n, q), func(b *testing.B) {
 				s := newSteady(n, q)
 				for range 1000 {
-					s.turn()
+					s.step()
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					s.turn()
+					s.step()
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkSlope prints by how much the cost grows with each doubling, as a part of
-// the cost at the smallest size, and the exponent of a power law. One run of it is
-// a whole measurement: use -benchtime 1x.
+// BenchmarkSlope reports the relative growth of the cost with each doubling of the size, and the
+// exponent of the corresponding power law. One iteration is a whole measurement: use -benchtime 1x.
 func BenchmarkSlope(b *testing.B) {
 	for range b.N {
 		small := cost(23, 100)
@@ -121,7 +120,7 @@
 	}
 }
 
-// cost is the time of one turn in nanoseconds, the best of five tries on a shared machine.
+// cost is the time of one step in nanoseconds: the best of five runs, as the machine may be shared.
 func cost(upstreams, queued int) float64 {
 	const turns = 20_000
 	s := newSteady(upstreams, queued)
@@ -129,7 +128,7 @@
 	for range 5 {
 		began := time.Now()
 		for range turns {
-			s.turn()
+			s.step()
 		}
 		least = min(least, float64(time.Since(began).Nanoseconds())/turns)
 	}
@@ -141,12 +140,12 @@
 	b.ReportMetric(math.Log(large/small)/math.Log(times), what+"-exponent")
 }
 
-// A tick that allocates makes garbage at the rate of the load, and its
-// collection stalls the owner just when the load is highest.
+// A tick that allocates produces garbage in proportion to the load, and the garbage collection
+// stalls the owner when the load is highest.
 func TestSteadyTickDoesNotAllocate(t *testing.T) {
 	s := newSteady(100, 1000)
 	for range 5000 {
-		s.turn()
+		s.step()
 	}
-	require.Zero(t, testing.AllocsPerRun(2000, s.turn))
+	require.Zero(t, testing.AllocsPerRun(2000, s.step))
 }
--- a/lib/decide/fault_test.go
+++ b/lib/decide/fault_test.go
@@ -10,10 +10,10 @@
 	"snipeshift.example/lib/fault"
 )
 
-// The VM that streamed an answer dies. The engine still holds the request's memory;
-// given away at once, the next long prompt would stall or be evicted there.
-func TestLapsedGrantKeepsItsMemoryUntilTheReportShowsItGone(t *testing.T) {
-	b := newBed(t, 1)
+// The gate that streamed an answer crashes. The engine still holds the memory of the request; if
+// the owner granted it again at once, the next long prompt would stall or be evicted.
+func TestLapsedGrantKeepsMemoryUntilReportOmitsIt(t *testing.T) {
+	b := newHarness(t, 1)
 	r := b.request("r")
 	r.Prompt = 390_000
 	b.submit(r)
@@ -34,25 +34,25 @@
 	require.Contains(t, b.granted, RequestID("next"))
 }
 
-// A stream broke and the order to cancel may have been lost with it.
+// A stream breaks, and the cancellation sent to the engine may have been lost too.
 func TestFailedGrantLapsesOnceAndHoldsItsMemory(t *testing.T) {
-	b := newBed(t, 1)
+	b := newHarness(t, 1)
 	b.submit(b.request("r"))
 	b.finish("r", Failed)
 	require.Contains(t, b.lapsed, RequestID("r"))
 	require.Equal(t, Tokens(20_100), b.view(0).Taken)
 	b.lapsed = map[RequestID]Grant{}
 	b.wait(10 * clock.Second)
-	require.Empty(t, b.lapsed, "told once")
+	require.Empty(t, b.lapsed, "reported once")
 	b.pool.Report(b.now, name(0), Report{At: b.now})
 	require.Zero(t, b.view(0).Taken)
 }
 
-// A request failed on the only engine of its failure domain that takes work and
-// comes again, with that engine to be avoided. Queued, it would wait until its time is
-// over and its caller would be told so, though the same model is idle elsewhere.
-func TestRetryIsSentElsewhereWhenNothingIsLeftHere(t *testing.T) {
-	b := newBed(t, 2)
+// A request failed on the only engine of its failure domain that accepts work, and is retried with
+// this engine excluded. If queued it would expire there, although the same model is idle in another
+// failure domain.
+func TestRetryIsRefusedWhenAllUpstreamsAreAvoided(t *testing.T) {
+	b := newHarness(t, 2)
 	b.set(1, true)
 	r := b.request("r")
 	r.Avoid = []UpstreamID{name(0)}
@@ -64,17 +64,17 @@
 	require.Equal(t, []UpstreamID{name(1)}, b.grant("again").Upstreams)
 }
 
-// The owner of the pool dies and this one takes over without its books. Granted at
-// once, the same memory would be given out twice.
+// The owner of the pool crashes and a new owner starts without its state. If it granted at once,
+// the same memory would be granted twice.
 func TestNewOwnerGrantsOnlyWhatReportsShowFree(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	b.pool = New(Config{Epoch: 3, Lease: 5000, Rebuild: 3000})
 	b.set(0, false)
 	b.set(1, false)
 	r := b.request("r")
 	r.Prompt = 25_000
 	b.submit(r)
-	require.Empty(t, b.granted, "nothing is known yet")
+	require.Empty(t, b.granted, "no reports yet")
 	b.pool.Report(b.now, name(0), Report{At: b.now, Used: 380_000, Running: []RequestID{"old"}})
 	b.pool.Report(b.now, name(1), Report{At: b.now, Used: 0})
 	b.tick()
@@ -85,19 +85,19 @@
 		Reserved: 380_000, Prompt: 379_000, Output: 1000, Deadline: b.now + clock.Minute,
 	}
 	require.True(t, b.pool.Adopt(b.now, old))
-	require.True(t, b.pool.Adopt(b.now, old), "presented again it is renewed")
+	require.True(t, b.pool.Adopt(b.now, old), "renewed when presented again")
 	require.Equal(t, Tokens(380_000), b.view(0).Taken)
 	b.wait(3000)
 	b.pool.Finish(b.now, old.ID, Done)
 	b.tick()
 	require.Zero(t, b.view(0).Taken)
 	old.Epoch = 3
-	require.False(t, b.pool.Adopt(b.now, old), "one of ours that ended does not come back")
+	require.False(t, b.pool.Adopt(b.now, old), "this owner's own grants that ended are not adopted")
 }
 
-// An upstream is being replaced. Work sent to it after the notice would be cut off.
+// An upstream is being replaced. Work sent to it after its notice would be cut off.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	b.submit(b.request("before"))
 	lead := b.grant("before").Upstreams[0]
 	b.pool.Report(b.now, lead, Report{At: b.now, Leaving: true, Running: []RequestID{"before"}, Used: 20_100})
@@ -109,13 +109,13 @@
 	for _, id := range b.order[1:] {
 		require.NotEqual(t, lead, b.granted[id].Upstreams[0])
 	}
-	require.Empty(t, b.lapsed, "what ran there ended undisturbed")
+	require.Empty(t, b.lapsed, "running requests ended undisturbed")
 }
 
-// An engine died under several requests; one of them may have killed it. Run beside
-// others, it would take them along again.
+// An engine crashed under several requests, any of which may be the cause. Run beside other
+// requests, it would make them fail too.
 func TestSuspectRunsAlone(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	for i := range 6 {
 		b.submit(b.request(fmt.Sprint("r", i)))
 	}
@@ -125,20 +125,20 @@
 	require.NotContains(t, b.granted, s.ID)
 	b.serve(nil, 20*clock.Second)
 	require.Equal(t, name(0), b.grant("suspect").Upstreams[0])
-	b = newBed(t, 1)
+	b = newHarness(t, 1)
 	b.submit(s)
 	b.submit(b.request("other"))
 	b.wait(10 * clock.Second)
-	require.NotContains(t, b.granted, RequestID("other"), "nothing joins it")
+	require.NotContains(t, b.granted, RequestID("other"), "no other request runs beside the suspect")
 	b.first("suspect")
 	b.finish("suspect", Done)
 	require.Contains(t, b.granted, RequestID("other"))
 }
 
-// The answer to a gate's call was lost and it asks again. Granted twice, the request
-// would run twice.
+// The answer to a gate's call was lost and the gate submits the request again. A second grant would
+// run the request twice.
 func TestSubmitTwiceGivesTheSameGrant(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	b.submit(b.request("r"))
 	g := b.grant("r")
 	b.submit(b.request("r"))
@@ -146,16 +146,16 @@
 	require.Len(t, b.pool.Grants(), 1)
 }
 
-// Cache events get lost. Believed after a gap, a prefix that was evicted would draw
-// a long prompt to a busy engine for nothing.
+// Cache events are lost. If hints were still used after a gap, a prefix that was evicted could
+// attract a long prompt to a busy engine without any saving.
 func TestHintsAreDroppedAfterAGap(t *testing.T) {
-	b := newBed(t, 6)
+	b := newHarness(t, 6)
 	r := b.request("r")
 	r.Prefixes = []PrefixHash{1, 2, 3, 4, 5}
 	b.tick()
 	b.pool.Hint(b.now, name(3), Hint{Seq: 1, Prefix: 5})
 	b.submit(r)
-	require.Equal(t, name(3), b.grant("r").Upstreams[0], "sixteen thousand tokens are cached there")
+	require.Equal(t, name(3), b.grant("r").Upstreams[0], "16,384 tokens are cached there")
 	b.finish("r", Unused)
 	b.pool.Hint(b.now, name(3), Hint{Seq: 3, Prefix: 9})
 	r.ID = "s"
@@ -163,10 +163,10 @@
 	require.NotEqual(t, name(3), b.grant("s").Upstreams[0])
 }
 
-// A request crashes each engine that runs it. Its caller sends it again through
-// several VMs at once, so that no gate knows of the other copies.
-func TestCopiesOfAKillerCostNoThirdUpstream(t *testing.T) {
-	b := newBed(t, 6)
+// A request crashes each engine that runs it. Its caller sends it through several VMs at once, so
+// that no gate sees the other copies.
+func TestCopiesOfAPoisonRequestCrashAtMostTwoUpstreams(t *testing.T) {
+	b := newHarness(t, 6)
 	copyOf := func(id string) Request {
 		r := b.request(id)
 		r.Fingerprint = 7
@@ -177,7 +177,7 @@
 	for i := range 3 {
 		b.submit(copyOf(fmt.Sprint("again", i)))
 	}
-	require.Len(t, b.granted, 2, "one copy at a time, though the gates do not call it a suspect")
+	require.Len(t, b.granted, 2, "one copy at a time, though the gates did not mark it as a suspect")
 	require.True(t, b.grant("again0").Suspect)
 	b.finish("again0", Died)
 	b.submit(copyOf("late"))
@@ -185,13 +185,13 @@
 		require.Equal(t, fault.Quarantined, b.refused[id].Fault, id)
 	}
 	require.Len(t, b.granted, 2)
-	b.now += mourning
+	b.now += crashRetention
 	b.submit(copyOf("much later"))
 	require.Len(t, b.granted, 3)
 }
 
-// All engines of a failure domain leave. The pool looks empty, and a gate that took it for
-// idle would send every request there first, to be refused.
+// All engines of a failure domain are leaving. If the pool looked idle, gates would send every
+// request there first, only to be refused.
 func TestPoolWithoutUpstreamsDoesNotLookIdle(t *testing.T) {
 	p := New(Config{Epoch: 1, Lease: 5 * clock.Second})
 	u := Upstream{ID: "engine-1", Memory: 100_000, Slots: 8, Prefill: 8000, Decode: 50}
@@ -199,6 +199,6 @@
 	require.Zero(t, p.Summary(0).Wait[1])
 	u.Leaving = true
 	p.SetUpstream(0, u)
-	require.Equal(t, farthest, p.Summary(0).Wait[1])
-	require.Equal(t, farthest, p.Summary(0).Long[1])
+	require.Equal(t, maxRetry, p.Summary(0).Wait[1])
+	require.Equal(t, maxRetry, p.Summary(0).Long[1])
 }
--- a/lib/decide/fixture_test.go
+++ b/lib/decide/fixture_test.go
@@ -9,8 +9,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// bed is a pool with the answers that came out of it, on a clock of its own.
-type bed struct {
+// harness drives a pool with its own clock and collects the decisions.
+type harness struct {
 	t       *testing.T
 	pool    *Pool
 	now     clock.Milli
@@ -18,18 +18,19 @@
 	refused map[RequestID]Decision
 	lapsed  map[RequestID]Grant
 	orders  []Decision
-	// order lists grants as they came.
+	// order lists granted requests in order.
 	order []RequestID
-	// free and runs are the engines that serve plays.
+	// free is when each simulated engine finishes its prefill; runs are the simulated requests of
+	// serve.
 	free map[UpstreamID]clock.Milli
 	runs map[GrantID]*run
 }
 
-// run is when a grant gets its first token and its end.
+// run has the times of the first token and of the end of a simulated request.
 type run struct{ first, done clock.Milli }
 
-func newBed(t *testing.T, upstreams int) *bed {
-	b := &bed{
+func newHarness(t *testing.T, upstreams int) *harness {
+	b := &harness{
 		t: t, now: 1_000_000, granted: map[RequestID]Grant{}, refused: map[RequestID]Decision{}, lapsed: map[RequestID]Grant{},
 		free: map[UpstreamID]clock.Milli{}, runs: map[GrantID]*run{},
 		pool: New(Config{Epoch: 2, Lease: 5000}),
@@ -40,7 +41,7 @@
 	return b
 }
 
-func (b *bed) set(i int, leaving bool) {
+func (b *harness) set(i int, leaving bool) {
 	b.pool.SetUpstream(b.now, Upstream{
 		ID: name(i), Memory: 400_000, Slots: 16, Prefill: 20_000, Decode: 50, Leaving: leaving,
 	})
@@ -48,20 +49,20 @@
 
 func name(i int) UpstreamID { return UpstreamID(fmt.Sprintf("e%02d", i)) }
 
-// request is a draft of a second's work with minutes of time.
-func (b *bed) request(id string) Request {
+// request returns a draft with about a second of prefill and a deadline in minutes.
+func (b *harness) request(id string) Request {
 	return Request{
 		ID: RequestID(id), Workspace: "a", Gate: "g", Urgency: 1, Deadline: b.now + 5*clock.Minute,
 		Prompt: 20_000, Output: 100, Repeatable: true,
 	}
 }
 
-func (b *bed) submit(r Request) {
+func (b *harness) submit(r Request) {
 	b.pool.Submit(b.now, r)
 	b.tick()
 }
 
-func (b *bed) tick() {
+func (b *harness) tick() {
 	for _, d := range b.pool.Tick(b.now) {
 		switch d.Action {
 		case Granted:
@@ -77,8 +78,8 @@
 	}
 }
 
-// wait lets time pass, with every tick that is due and every lease renewed.
-func (b *bed) wait(span clock.Milli) {
+// wait advances the clock by span, ticking whenever Next requires and renewing every lease.
+func (b *harness) wait(span clock.Milli) {
 	for end := b.now + span; b.now < end; {
 		b.now = min(max(b.pool.Next(b.now), b.now+1), end)
 		for _, g := range b.pool.Grants() {
@@ -88,27 +89,27 @@
 	}
 }
 
-func (b *bed) first(id string) {
+func (b *harness) first(id string) {
 	b.pool.Progress(b.now, b.grant(id).ID, true, 1)
 	b.tick()
 }
 
-func (b *bed) finish(id string, o Outcome) {
+func (b *harness) finish(id string, o Outcome) {
 	b.pool.Finish(b.now, b.grant(id).ID, o)
 	b.tick()
 }
 
-func (b *bed) grant(id string) Grant {
+func (b *harness) grant(id string) Grant {
 	g, ok := b.granted[RequestID(id)]
 	require.True(b.t, ok, "%s has no grant", id)
 	return g
 }
 
-func (b *bed) view(i int) View { return b.pool.Upstreams(b.now)[i] }
+func (b *harness) view(i int) View { return b.pool.Upstreams(b.now)[i] }
 
-// serve plays engines that keep the rated speed, slowed by the factor given for some,
-// until all that is queued and running has ended.
-func (b *bed) serve(slow map[UpstreamID]float64, span clock.Milli) {
+// serve simulates engines for the given time. They run at the rated speed, divided by the factor in
+// slow if there is one.
+func (b *harness) serve(slow map[UpstreamID]float64, span clock.Milli) {
 	for end := b.now + span; b.now < end; {
 		for _, g := range b.pool.Grants() {
 			lead := g.Upstreams[0]
--- a/lib/decide/gate/budget.go
+++ b/lib/decide/gate/budget.go
@@ -3,30 +3,31 @@
 import "snipeshift.example/lib/clock"
 
 const (
-	// DefaultShare is the share of recent successes that may be retried. One in
-	// ten adds little load while it covers an engine out of twenty that dies.
+	// DefaultShare is the share of recent successes that may be retried. One in ten adds little
+	// load and covers a crash of one engine out of twenty.
 	DefaultShare = 0.1
-	// DefaultFloor is how many retries are allowed in a window whatever the
-	// successes, so that a quiet pool still retries its few requests.
+	// DefaultFloor is the number of retries allowed per window regardless of successes, so that a
+	// pool with little traffic can still retry.
 	DefaultFloor = 3
-	// DefaultWindow is how far back successes count.
+	// DefaultWindow is the time over which successes count.
 	DefaultWindow = 10 * clock.Second
 )
 
-// Budget limits the retries on one pool to a share of its recent successes. The
-// load it is made for is a pool in trouble: if every failure is sent again, the
-// load doubles just when capacity is gone, and the pool never recovers.
+// Budget limits the retries on one pool to a share of its recent successes. If every failure in a
+// failing pool were retried, the load would double just when capacity is missing, and the pool
+// would not recover.
 type Budget struct {
 	share, floor float64
 	window       clock.Milli
-	// since is when the floor begins to grow; zero if it holds from the start.
+	// since is the time from which the floor grows; zero if the whole floor is available from the
+	// start.
 	since clock.Milli
-	// at is when the sums were last decayed; they never go negative.
+	// at is the time of the last decay of successes and retries.
 	at                 clock.Milli
 	successes, retries float64
 }
 
-// NewBudget returns a budget; zero arguments take the defaults.
+// NewBudget returns a budget. Zero arguments select the defaults.
 func NewBudget(share, floor float64, window clock.Milli) *Budget {
 	b := &Budget{share: share, floor: floor, window: window}
 	if b.share <= 0 {
@@ -41,14 +42,14 @@
 	return b
 }
 
-// GrowFrom makes the floor grow from nothing, over one window that begins at an instant.
+// GrowFrom makes the floor grow linearly from zero over one window, beginning at since.
 //
-// The load it is made for: all VMs lose power, and each places by itself until it has
-// met the others. Were each to give out the whole floor, the fleet would send many
-// times what it may, just while engines turn most of it away.
+// After a power failure of all VMs each VM is the owner of every service until it has met the
+// others. If each granted the whole floor, the fleet would send many times the permitted retries,
+// just while engines refuse most requests.
 func (b *Budget) GrowFrom(since clock.Milli) { b.since = since }
 
-// allowance is the part of the floor that may be given out.
+// allowance is the part of the floor that is available now.
 func (b *Budget) allowance(now clock.Milli) float64 {
 	if b.since == 0 {
 		return b.floor
@@ -56,13 +57,13 @@
 	return b.floor * min(1, max(0, float64(now-b.since)/float64(b.window)))
 }
 
-// Succeed counts a whole answer.
+// Succeed counts a complete answer.
 func (b *Budget) Succeed(now clock.Milli) {
 	b.decay(now)
 	b.successes++
 }
 
-// Retry tells whether one more retry is allowed, and counts it if so.
+// Retry reports whether one more retry is allowed, and counts it if so.
 func (b *Budget) Retry(now clock.Milli) bool {
 	b.decay(now)
 	if b.retries+1 > b.allowance(now)+b.share*b.successes {
@@ -72,7 +73,8 @@
 	return true
 }
 
-// decay lets both sums run out linearly over about one window.
+// decay reduces both sums in proportion to the elapsed time, to zero after one window without a
+// call.
 func (b *Budget) decay(now clock.Milli) {
 	if now <= b.at {
 		return
--- a/lib/decide/gate/gate_test.go
+++ b/lib/decide/gate/gate_test.go
@@ -9,8 +9,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Every engine of a pool fails at once and every caller's request comes back for
-// a retry. If all are sent again the load doubles while nothing works.
+// Every engine of a pool fails at once and every request comes back for a retry. If all of them
+// were sent again, the load would double while nothing works.
 func TestBudgetBoundsRetriesOfAPoolInTrouble(t *testing.T) {
 	b := NewBudget(0, 0, 0)
 	for i := range 1000 {
@@ -23,13 +23,12 @@
 		}
 	}
 	require.InDelta(t, 100, allowed, 10)
-	require.True(t, NewBudget(0, 0, 0).Retry(0), "a quiet pool retries its few requests")
+	require.True(t, NewBudget(0, 0, 0).Retry(0), "a pool with little traffic may retry")
 }
 
-// One request crashes every engine that runs it, and its caller sends it again
-// and again, through other VMs too. Other callers on those engines lose their
-// answers each time.
-func TestQuarantineStopsAtTheSecondDeath(t *testing.T) {
+// One request crashes every engine that runs it, and its caller sends it again and again, through
+// other VMs too. Each time other callers on the engine lose their answers.
+func TestQuarantineStopsAtTheSecondCrash(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	require.True(t, a.Begin(0, 7))
 	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
@@ -38,22 +37,22 @@
 	b.Merge(20, a.Digest(20, 10))
 	require.Equal(t, Suspected, b.Check(20, 7))
 	require.True(t, b.Begin(20, 7))
-	require.False(t, b.Begin(21, 7), "a second copy would start before the first one's fate is known")
+	require.False(t, b.Begin(21, 7), "a second copy must not start before the first one has ended")
 	require.Equal(t, Quarantined, b.Died(30, 7, "engine-2", 0))
 	b.End(7)
 	require.False(t, b.Begin(40, 7))
 
 	a.Merge(50, b.Digest(50, 10))
 	a.Merge(50, b.Digest(50, 10))
-	require.False(t, a.Begin(50, 7), "never a third upstream, through no VM")
+	require.False(t, a.Begin(50, 7), "no VM sends it to a third upstream")
 	a.Clear(60, 7)
 	require.Equal(t, Quarantined, a.Check(60, 7))
 	require.Equal(t, Clean, a.Check(60+DefaultHold, 7), "entries expire")
 }
 
-// Two daemons tell each other of the same death over and over. If counts were
-// added up, an innocent request would be quarantined by gossip alone.
-func TestMergeDoesNotCountADeathTwice(t *testing.T) {
+// Two daemons report the same crash to each other again and again. If counts were added, a harmless
+// request would be quarantined by these messages alone.
+func TestMergeDoesNotCountACrashTwice(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	a.Died(0, 7, "engine-1", 0)
 	for i := range clock.Milli(10) {
@@ -61,14 +60,14 @@
 		a.Merge(i, b.Digest(i, 10))
 	}
 	require.Equal(t, Suspected, a.Check(10, 7))
-	require.Equal(t, Clean, a.Check(DefaultHold+10, 7), "gossip does not keep an entry alive")
+	require.Equal(t, Clean, a.Check(DefaultHold+10, 7), "exchanges between peers do not extend an entry")
 	b.Clear(10, 7)
 	require.Equal(t, Clean, b.Check(10, 7))
 }
 
-// An engine loses power while it runs two copies of one alert lookup, sent through two
-// VMs. That is one death: refused as a killer, the lookup would fail for everybody.
-func TestOneDeathUnderTwoCopiesCountsOnce(t *testing.T) {
+// An engine loses power while it runs two copies of one alert lookup, sent through two VMs. This is
+// one crash: counted twice, the lookup would be quarantined for everybody.
+func TestOneCrashUnderTwoCopiesCountsOnce(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	a.Died(0, 7, "engine-1", 0)
 	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
@@ -76,32 +75,33 @@
 	require.Equal(t, Suspected, b.Died(30, 7, "engine-1", 0))
 	a.Merge(40, b.Digest(40, 10))
 	require.Equal(t, Suspected, a.Check(40, 7))
-	require.Equal(t, Quarantined, a.Died(sameDeath, 7, "engine-1", 0), "it came back and died again")
+	require.Equal(t, Quarantined, a.Died(sameCrashWindow, 7, "engine-1", 0), "crashed again after a restart")
 }
 
-// A request crashes an engine that starts again under its id within a second, and its caller sends it again at
-// once. Those are two deaths, of two lives; two gates that each tell of one life's death count it once.
-func TestLivesOfOneEngineDieApart(t *testing.T) {
+// A request crashes an engine, the engine restarts under the same id within a second, and the
+// request is sent again at once. The crashes of two incarnations count separately; two reports of
+// the crash of one incarnation count once.
+func TestCrashesOfTwoIncarnationsCountTwice(t *testing.T) {
 	a := NewQuarantine(0)
 	require.Equal(t, Suspected, a.Died(0, 7, "engine-1", 100))
-	require.Equal(t, Suspected, a.Died(sameDeath+1, 7, "engine-1", 100))
-	require.Equal(t, Quarantined, a.Died(sameDeath+2, 7, "engine-1", 200))
+	require.Equal(t, Suspected, a.Died(sameCrashWindow+1, 7, "engine-1", 100))
+	require.Equal(t, Quarantined, a.Died(sameCrashWindow+2, 7, "engine-1", 200))
 }
 
-// An engine dies under many requests, many times over: the table must stay
-// bounded and must not forget a proven killer for the sake of bystanders.
+// An engine crashes under many requests, many times. The table must stay bounded, and proven poison
+// requests must not be dropped in favor of bystanders.
 func TestQuarantineStaysBounded(t *testing.T) {
 	q := NewQuarantine(0)
 	q.Died(0, 1, "engine-1", 0)
 	q.Died(0, 1, "engine-2", 0)
-	for i := range uint64(3 * suspectsKept) {
+	for i := range uint64(3 * maxSuspects) {
 		q.Died(clock.Milli(i+1), i+2, "engine-1", 0)
 	}
-	require.LessOrEqual(t, len(q.entries), suspectsKept)
-	require.Equal(t, Quarantined, q.Check(4*suspectsKept, 1))
+	require.LessOrEqual(t, len(q.entries), maxSuspects)
+	require.Equal(t, Quarantined, q.Check(4*maxSuspects, 1))
 }
 
-func TestLimitHoldsTheRateAndTellsWhenToComeBack(t *testing.T) {
+func TestLimitEnforcesRateAndReturnsRetryTime(t *testing.T) {
 	l := NewLimit(0, 1000)
 	var got decide.Tokens
 	for now := clock.Milli(0); now < 100*clock.Second; now += 10 {
@@ -115,28 +115,28 @@
 	require.Zero(t, l.Take(0, 2000))
 	wait := l.Take(0, 500)
 	require.Positive(t, wait)
-	require.Zero(t, l.Take(wait, 500), "coming back when told works")
+	require.Zero(t, l.Take(wait, 500), "granted after the returned time")
 
 	require.Zero(t, NewLimit(0, 1000).Take(0, 1_000_000), "a request above the burst must be able to pass")
 }
 
-// Callers of one workspace come through several VMs, most through one of them.
-// Dealt evenly, the busy VM would refuse work while the rate is not used up.
-func TestHomeDealsByDemandAndNeverMoreThanTheRate(t *testing.T) {
+// Callers of one workspace use several VMs, and most of them one VM. With equal shares the busy VM
+// would refuse work while the rate is not used up.
+func TestHomeDividesRateByDemandWithoutExceedingIt(t *testing.T) {
 	h := NewHome(1000)
 	h.Share(0, "a", 900)
 	h.Share(0, "b", 100)
-	busy, life := h.Share(10, "a", 900)
+	busy, ttl := h.Share(10, "a", 900)
 	quiet, _ := h.Share(10, "b", 100)
 	require.InDelta(t, 1000, float64(busy+quiet), 0.01)
 	require.Greater(t, busy, 5*quiet)
-	require.Positive(t, life)
+	require.Positive(t, ttl)
 	alone, _ := h.Share(10+2*forgetAfter, "a", 900)
-	require.InDelta(t, 1000, float64(alone), 0.01, "a VM that asked no more loses its share")
+	require.InDelta(t, 1000, float64(alone), 0.01, "a VM that stopped asking loses its share")
 }
 
-// The workspace's home VM is gone for a while: the last share holds.
-func TestLastShareHoldsWithoutTheHome(t *testing.T) {
+// The workspace's home VM is gone for a while, and the last share stays in force.
+func TestLastShareStaysInForceWithoutTheHome(t *testing.T) {
 	l := NewLimit(0, 0)
 	require.Zero(t, l.Take(0, 1_000_000), "no limit")
 	l.Deal(0, 100)
--- a/lib/decide/gate/grow_test.go
+++ b/lib/decide/gate/grow_test.go
@@ -8,8 +8,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// All VMs of a large fleet start at once, and each owns every service until it has met the
-// others. A floor of eighty each would let the fleet send thousands again within a second.
+// All VMs of a large fleet start at once, and each owns every service until it has met the others.
+// With a floor of eighty each, the fleet could send thousands of retries within a second.
 func TestTheFloorOfANewOwnerGrows(t *testing.T) {
 	const now clock.Milli = 1_000_000
 	spend := func(at clock.Milli) int {
@@ -32,7 +32,7 @@
 	for range 20 {
 		b.Succeed(now)
 	}
-	require.True(t, b.Retry(now), "the share holds from the start")
+	require.True(t, b.Retry(now), "the share applies from the start")
 	require.True(t, b.Retry(now))
 	require.False(t, b.Retry(now))
 }
--- a/lib/decide/gate/limit.go
+++ b/lib/decide/gate/limit.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// burst is how many seconds of its rate a workspace may spend at once.
-	burst = 2.0
-	// shareLife is how long a share is dealt for. The home sees a change of demand
-	// after at most that, and a rate cut takes effect everywhere after it.
-	shareLife = 2 * clock.Second
-	// shareFloor is the part of a workspace's rate that is dealt evenly to all VMs
-	// that asked, so that the first request on a VM need not wait for a share.
-	shareFloor = 0.1
-	// forgetAfter is when a VM that asked no more loses its share.
-	forgetAfter = 3 * shareLife
+	// burstSeconds is the number of seconds of its rate that a workspace may spend at once.
+	burstSeconds = 2.0
+	// shareTTL is how long a share is valid. It bounds the time after which the home notices a
+	// change of demand, and after which a lower rate takes effect everywhere.
+	shareTTL = 2 * clock.Second
+	// evenShare is the part of a workspace's rate that is divided evenly among all VMs with a
+	// share, so that the first request on a VM need not wait for one.
+	evenShare = 0.1
+	// forgetAfter is the time after which a VM that stopped asking loses its share.
+	forgetAfter = 3 * shareTTL
 )
 
-// Limit is one VM's bucket of tokens for one workspace. It fills at the VM's
-// share of the workspace's rate. While the workspace's home VM is out of reach
-// the last share holds: refusing everything because a peer is down would
-// turn a limit into an outage, and no limit at all would let one workspace flood.
+// Limit is the token bucket of one VM for one workspace. It fills at the VM's share of the
+// workspace's rate, which the workspace's home VM, the one responsible for that rate, divides among
+// the VMs. While the home is unreachable, the last share stays in force: refusing everything because
+// a peer is down would turn a limit into an outage, and without a limit one workspace could flood
+// the system.
 type Limit struct {
 	// rate is the share in tokens per millisecond; zero means no limit.
 	rate  float64
 	level float64
 	at    clock.Milli
-	// asked sums the tokens asked for since the last Demand.
-	asked float64
-	since clock.Milli
+	// requested is the number of tokens requested since the last call of Demand, which was at
+	// since.
+	requested float64
+	since     clock.Milli
 }
 
-// NewLimit returns a bucket that starts full at the first share.
+// NewLimit returns a full bucket with the given share.
 func NewLimit(now clock.Milli, share decide.Rate) *Limit {
 	l := &Limit{at: now, since: now}
 	l.rate = perMilli(share)
@@ -42,20 +44,20 @@
 
 func perMilli(r decide.Rate) float64 { return float64(r) / float64(clock.Second) }
 
-func (l *Limit) size() float64 { return l.rate * burst * float64(clock.Second) }
+func (l *Limit) size() float64 { return l.rate * burstSeconds * float64(clock.Second) }
 
-// Deal takes a new share from the home VM.
+// Deal sets a new share received from the home VM.
 func (l *Limit) Deal(now clock.Milli, share decide.Rate) {
 	l.fill(now)
 	l.rate = perMilli(share)
 	l.level = min(l.level, l.size())
 }
 
-// Take asks for tokens. Zero means granted; otherwise it is the span after which
-// the same request would be granted. A request larger than the bucket passes
-// when the bucket is full and leaves a debt, or it could never pass.
+// Take requests tokens. It returns zero if they are granted, and otherwise the time after which the
+// same request would be granted. A request larger than the bucket, which could never be granted
+// otherwise, is granted when the bucket is full and leaves a negative level.
 func (l *Limit) Take(now clock.Milli, t decide.Tokens) clock.Milli {
-	l.asked += float64(t)
+	l.requested += float64(t)
 	if l.rate <= 0 {
 		return 0
 	}
@@ -68,17 +70,17 @@
 	return clock.Milli((need-l.level)/l.rate) + 1
 }
 
-// Refund gives tokens back: a refused request, or an estimate that was too high.
+// Refund returns tokens of a refused request or of an estimate that was too high.
 func (l *Limit) Refund(now clock.Milli, t decide.Tokens) {
 	l.fill(now)
 	l.level = min(l.level+float64(t), l.size())
 }
 
-// Demand is the rate asked for since the last call, to send to the home VM.
+// Demand returns the rate of tokens requested since the last call, to be sent to the home VM.
 func (l *Limit) Demand(now clock.Milli) decide.Rate {
 	span := float64(max(now-l.since, 1))
-	r := decide.Rate(l.asked / span * float64(clock.Second))
-	l.asked, l.since = 0, now
+	r := decide.Rate(l.requested / span * float64(clock.Second))
+	l.requested, l.since = 0, now
 	return r
 }
 
@@ -89,42 +91,43 @@
 	}
 }
 
-// Home deals out the rate of one workspace to the VMs that have callers of it.
+// Home divides the rate of one workspace among the VMs that have callers of it. It runs on the
+// workspace's home VM.
 type Home struct {
-	rate  decide.Rate
-	asked map[decide.GateID]ask
+	rate    decide.Rate
+	demands map[decide.GateID]vmDemand
 }
 
-type ask struct {
+type vmDemand struct {
 	demand decide.Rate
 	at     clock.Milli
 }
 
-// NewHome returns a dealer of rate tokens per second.
+// NewHome returns a Home for a rate in tokens per second.
 func NewHome(rate decide.Rate) *Home {
-	return &Home{rate: rate, asked: make(map[decide.GateID]ask)}
+	return &Home{rate: rate, demands: make(map[decide.GateID]vmDemand)}
 }
 
-// SetRate changes the rate that is dealt from now on.
+// SetRate changes the rate for shares from now on.
 func (h *Home) SetRate(rate decide.Rate) { h.rate = rate }
 
-// Share takes a VM's demand and answers with its share and how long that lasts.
-// A tenth is dealt evenly, the rest by demand, so all shares together never
-// exceed the rate once every VM has asked again.
+// Share records the demand of a VM and returns its share and how long the share is valid. A tenth
+// of the rate is divided evenly, the rest by demand, so the sum of all shares does not exceed the
+// rate once every VM has asked again.
 func (h *Home) Share(now clock.Milli, vm decide.GateID, demand decide.Rate) (decide.Rate, clock.Milli) {
-	h.asked[vm] = ask{max(demand, 0), now}
+	h.demands[vm] = vmDemand{max(demand, 0), now}
 	var sum decide.Rate
-	for id, a := range h.asked {
+	for id, a := range h.demands {
 		if now-a.at > forgetAfter {
-			delete(h.asked, id)
+			delete(h.demands, id)
 			continue
 		}
 		sum += a.demand
 	}
-	even := h.rate * shareFloor / decide.Rate(len(h.asked))
-	rest := h.rate * (1 - shareFloor)
+	evenPart := h.rate * evenShare / decide.Rate(len(h.demands))
+	byDemand := h.rate * (1 - evenShare)
 	if sum <= 0 {
-		return even + rest/decide.Rate(len(h.asked)), shareLife
+		return evenPart + byDemand/decide.Rate(len(h.demands)), shareTTL
 	}
-	return even + rest*demand/sum, shareLife
+	return evenPart + byDemand*demand/sum, shareTTL
 }
--- a/lib/decide/gate/quarantine.go
+++ b/lib/decide/gate/quarantine.go
@@ -8,88 +8,90 @@
 )
 
 const (
-	// DeathsAllowed is how many upstreams a request may cost: one death may be a
-	// coincidence, a second while it ran alone is not.
+	// DeathsAllowed is the number of upstream crashes after which a request is quarantined. One crash
+	// may be a coincidence; a second one while the request ran alone is not.
 	DeathsAllowed = 2
-	// DefaultHold is how long an entry lasts after its last death: longer than
-	// callers go on repeating a failed request, short enough that a fixed engine
-	// gets another chance within a shift.
+	// DefaultHold is how long an entry lasts after its last crash: longer than callers repeat a
+	// failed request, short enough that a repaired engine may run the request again within a work
+	// shift.
 	DefaultHold = 30 * clock.Minute
-	// suspectsKept bounds the table. An engine that dies under 200 requests makes
-	// 200 suspects; the oldest singles are forgotten before any quarantined one.
-	suspectsKept = 4096
-	// sameDeath is how long after a death of an upstream another word of it is of the
-	// same death: each gate looks at the upstream for up to a second before it tells.
-	sameDeath = 2 * clock.Second
+	// maxSuspects bounds the table. A crash of an engine with 200 requests makes 200 suspects; the
+	// oldest entries with one crash are dropped before any quarantined one.
+	maxSuspects = 4096
+	// sameCrashWindow is the time after a recorded crash of an upstream in which further reports
+	// are attributed to the same crash: each gate probes the upstream for up to a second before it
+	// reports.
+	sameCrashWindow = 2 * clock.Second
 )
 
-// Verdict tells how a request with some fingerprint may run.
+// Verdict determines how a request with some fingerprint may run.
 type Verdict uint8
 
-// The verdicts on a request.
+// Verdicts.
 const (
 	Clean       Verdict = iota // runs as usual
-	Suspected                  // an upstream died while it ran: runs alone
-	Quarantined                // two did: never runs again
+	Suspected                  // one upstream crashed while running it: runs alone
+	Quarantined                // two did: is refused
 )
 
-// Suspect is one entry of the table, as it travels to other daemons.
+// Suspect is one entry of the table as exchanged between daemons.
 type Suspect struct {
 	Fingerprint uint64
 	Deaths      int
-	// Left is how long the entry still holds.
+	// Left is the remaining validity of the entry.
 	Left clock.Milli
-	// Last is the upstream of the newest death counted, Born its life, Ago the time since.
+	// Last is the upstream of the newest crash counted, Born its incarnation, Ago the time since
+	// the crash.
 	Last decide.UpstreamID
 	Born decide.Born
 	Ago  clock.Milli
 }
 
-// Quarantine counts the upstreams that died while they ran a request, by the
-// request's fingerprint. The fault it is made for is a request that crashes every
-// engine which runs it and whose caller sends it again and again: each repeat
-// would take down one more engine with all that runs there.
+// Quarantine counts, by request fingerprint, the upstreams that crashed while running a request. It
+// stops a request that crashes every engine that runs it and whose caller sends it again and again:
+// each repetition would take down one more engine with everything that runs there.
 //
-// A suspect that is still running elsewhere must not be started a second time
-// at once: Begin and End keep one run a fingerprint on this VM.
+// A suspect that is still running must not be started a second time concurrently: Begin and End
+// allow one run per fingerprint on this VM.
 type Quarantine struct {
-	hold    clock.Milli
-	entries map[uint64]entry
-	running map[uint64]int
+	retention clock.Milli
+	entries   map[uint64]entry
+	running   map[uint64]int
 }
 
 type entry struct {
-	deaths int
-	until  clock.Milli
-	// last is the upstream of the newest death counted, born its life, at when that was.
-	last decide.UpstreamID
-	born decide.Born
-	at   clock.Milli
+	crashes int
+	until   clock.Milli
+	// upstream and incarnation identify the upstream of the newest crash counted, crashedAt the
+	// time.
+	upstream    decide.UpstreamID
+	incarnation decide.Born
+	crashedAt   clock.Milli
 }
 
-// NewQuarantine returns an empty table; hold zero takes DefaultHold.
+// NewQuarantine returns an empty table. A zero hold selects DefaultHold.
 func NewQuarantine(hold clock.Milli) *Quarantine {
 	if hold <= 0 {
 		hold = DefaultHold
 	}
-	return &Quarantine{hold: hold, entries: make(map[uint64]entry), running: make(map[uint64]int)}
+	return &Quarantine{retention: hold, entries: make(map[uint64]entry), running: make(map[uint64]int)}
 }
 
-// Check tells how a request may run now.
+// Check returns the current verdict on a request.
 func (q *Quarantine) Check(now clock.Milli, fingerprint uint64) Verdict {
 	e, ok := q.entries[fingerprint]
 	if !ok || e.until <= now {
 		return Clean
 	}
-	if e.deaths >= DeathsAllowed {
+	if e.crashes >= DeathsAllowed {
 		return Quarantined
 	}
 	return Suspected
 }
 
-// Begin asks to run a request now and counts it as running. It is false for a
-// quarantined one, and for a suspect of which another copy runs: two copies at
-// once could cost a second and a third upstream before the second death is known.
+// Begin reports whether a request may run now and counts it as running if so. It returns false for
+// a quarantined request, and for a suspect of which another copy is running: two concurrent copies
+// could crash a second and a third upstream before the second crash is known.
 func (q *Quarantine) Begin(now clock.Milli, fingerprint uint64) bool {
 	v := q.Check(now, fingerprint)
 	if v == Quarantined || v == Suspected && q.running[fingerprint] > 0 {
@@ -99,45 +101,45 @@
 	return true
 }
 
-// End undoes one Begin.
+// End undoes one call of Begin.
 func (q *Quarantine) End(fingerprint uint64) {
 	if q.running[fingerprint]--; q.running[fingerprint] <= 0 {
 		delete(q.running, fingerprint)
 	}
 }
 
-// Died records that an upstream died while it ran the request, and returns the
-// verdict on it from now on.
+// Died records that an upstream crashed while it ran the request, and returns the new
+// verdict.
 //
-// An engine that dies under several copies of one request dies once. Counted by copy,
-// an alert lookup that many callers send in the same words would be refused to all of
-// them for half an hour because one engine lost power.
-// Lives that are told apart die apart, however soon one follows another.
-func (q *Quarantine) Died(now clock.Milli, fingerprint uint64, u decide.UpstreamID, born decide.Born) Verdict {
+// A crash under several copies of one request counts once. Otherwise an alert lookup that many
+// callers send with identical content would be refused to all of them for half an hour because one
+// engine lost power. Crashes of different known incarnations count separately, however close in
+// time.
+func (q *Quarantine) Died(now clock.Milli, fingerprint uint64, u decide.UpstreamID, incarnation decide.Born) Verdict {
 	e := q.entries[fingerprint]
 	if e.until <= now {
 		e = entry{}
 	}
-	if e.deaths > 0 && e.last == u && e.born == born && (born > 0 || now-e.at < sameDeath) {
+	if e.crashes > 0 && e.upstream == u && e.incarnation == incarnation && (incarnation > 0 || now-e.crashedAt < sameCrashWindow) {
 		return q.Check(now, fingerprint)
 	}
-	q.put(now, fingerprint, entry{e.deaths + 1, now + q.hold, u, born, now})
+	q.put(now, fingerprint, entry{e.crashes + 1, now + q.retention, u, incarnation, now})
 	return q.Check(now, fingerprint)
 }
 
-// Clear drops a suspect that ran alone to its end: the death was a coincidence.
-// A quarantined one stays.
+// Clear drops a suspect that ran alone to completion: the crash was a coincidence. Quarantined
+// entries stay.
 func (q *Quarantine) Clear(now clock.Milli, fingerprint uint64) {
 	if q.Check(now, fingerprint) == Suspected {
 		delete(q.entries, fingerprint)
 	}
 }
 
-// Merge takes the table of a peer, entry by entry the larger count. Counts are
-// not added up: both may have heard of the same death.
+// Merge merges the table of a peer, using the larger count for each entry. Counts are not added,
+// since both may include the same crash.
 func (q *Quarantine) Merge(now clock.Milli, suspects []Suspect) {
 	for _, s := range suspects {
-		left := min(s.Left, q.hold)
+		left := min(s.Left, q.retention)
 		if left <= 0 {
 			continue
 		}
@@ -145,13 +147,13 @@
 		if e.until <= now {
 			e = entry{}
 		}
-		if s.Deaths > e.deaths || s.Deaths == e.deaths && now+left > e.until {
+		if s.Deaths > e.crashes || s.Deaths == e.crashes && now+left > e.until {
 			q.put(now, s.Fingerprint, entry{s.Deaths, max(e.until, now+left), s.Last, s.Born, now - s.Ago})
 		}
 	}
 }
 
-// Digest lists the entries that hold, worst first, at most limit of them.
+// Digest returns at most limit valid entries in the order of compareSuspects.
 func (q *Quarantine) Digest(now clock.Milli, limit int) []Suspect {
 	list := make([]Suspect, 0, len(q.entries))
 	for f, e := range q.entries {
@@ -159,14 +161,14 @@
 			delete(q.entries, f)
 			continue
 		}
-		list = append(list, Suspect{f, e.deaths, e.until - now, e.last, e.born, now - e.at})
+		list = append(list, Suspect{f, e.crashes, e.until - now, e.upstream, e.incarnation, now - e.crashedAt})
 	}
-	slices.SortFunc(list, worse)
+	slices.SortFunc(list, compareSuspects)
 	return list[:min(limit, len(list))]
 }
 
-// worse orders quarantined ones first, then the newest.
-func worse(a, b Suspect) int {
+// compareSuspects orders entries by descending number of crashes, then newest first.
+func compareSuspects(a, b Suspect) int {
 	switch {
 	case a.Deaths != b.Deaths:
 		return b.Deaths - a.Deaths
@@ -181,10 +183,10 @@
 
 func (q *Quarantine) put(now clock.Milli, fingerprint uint64, e entry) {
 	q.entries[fingerprint] = e
-	if len(q.entries) <= suspectsKept {
+	if len(q.entries) <= maxSuspects {
 		return
 	}
-	kept := q.Digest(now, suspectsKept/2)
+	kept := q.Digest(now, maxSuspects/2)
 	clear(q.entries)
 	for _, s := range kept {
 		q.entries[s.Fingerprint] = entry{s.Deaths, now + s.Left, s.Last, s.Born, now - s.Ago}
--- a/lib/decide/heap.go
+++ b/lib/decide/heap.go
@@ -1,7 +1,7 @@
 package decide
 
-// heap is a binary heap of pointers that tells each element its position, so
-// that any element can be moved or removed in logarithmic time.
+// heap is a binary heap that reports to each element its position, so that any element can be moved
+// or removed in logarithmic time.
 type heap[E any] struct {
 	items []E
 	less  func(a, b E) bool
@@ -24,7 +24,7 @@
 	h.up(len(h.items) - 1)
 }
 
-// remove takes out the element at position i.
+// remove removes the element at position i.
 func (h *heap[E]) remove(i int) {
 	last := len(h.items) - 1
 	gone := h.items[i]
@@ -38,7 +38,7 @@
 	}
 }
 
-// fix restores the order after the key of the element at position i changed.
+// fix restores the heap order after the key of the element at position i changed.
 func (h *heap[E]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
--- a/lib/decide/hint.go
+++ b/lib/decide/hint.go
@@ -2,49 +2,49 @@
 
 import "snipeshift.example/lib/clock"
 
-// Hints come late and with gaps, so a hint only ever lowers a cost estimate;
-// no promise rests on one. A table that is wrong costs one prefill.
+// Hints arrive late and with gaps, so a hint only ever lowers a cost estimate and never reserves
+// anything. A wrong entry costs one prefill.
 
 const (
-	// hintsKept bounds the prefixes remembered of one upstream: at 1,300
-	// upstreams the tables stay below 16 MB. The oldest is forgotten first.
-	hintsKept = 256
-	// holdersKept bounds the upstreams remembered for one prefix, so that a
-	// prefix that every upstream holds costs no scan.
-	holdersKept = 4
+	// maxHints bounds the prefixes remembered for one upstream: at 1,300 upstreams the tables stay
+	// below 16 MB. The oldest entry is replaced first.
+	maxHints = 256
+	// maxCachedOn bounds the upstreams remembered for one prefix, so that a prefix cached on every
+	// upstream does not require a scan of all upstreams.
+	maxCachedOn = 4
 )
 
-// hints is the ring of prefixes that one upstream is thought to hold.
+// hints is a ring buffer of prefixes that one upstream probably has in its cache.
 type hints struct {
-	seq  uint64
-	ring []PrefixHash
-	next int
+	seq      uint64
+	ring     []PrefixHash
+	nextSlot int
 }
 
-// holders are upstreams thought to hold one prefix; nil entries are unused.
-type holders [holdersKept]*upstream
+// cachedOn lists upstreams that probably have one prefix in their cache; nil entries are unused.
+type cachedOn [maxCachedOn]*upstream
 
-// Hint takes one cache event of an upstream. After a gap everything remembered
-// of it is dropped: a lost event may have been an eviction, and sending a
-// long prompt to a cache that is gone costs a whole prefill.
+// Hint processes one cache event of an upstream. After a gap all entries of the upstream are
+// dropped: a lost event may have been an eviction, and placing a long prompt for a prefix that is
+// no longer cached costs a whole prefill.
 func (p *Pool) Hint(_ clock.Milli, id UpstreamID, h Hint) {
 	u := p.byID[id]
 	if u == nil || (u.hints.seq > 0 && h.Seq <= u.hints.seq) {
 		return
 	}
 	if u.hints.seq > 0 && h.Seq > u.hints.seq+1 {
-		p.forget(u)
+		p.clearHints(u)
 	}
 	u.hints.seq = h.Seq
 	if h.Evicted {
-		p.evicted(u, h.Prefix)
+		p.removePrefix(u, h.Prefix)
 		return
 	}
-	p.cached(u, h.Prefix)
+	p.addPrefix(u, h.Prefix)
 }
 
-// cached remembers that u holds a prefix.
-func (p *Pool) cached(u *upstream, x PrefixHash) {
+// addPrefix records that u has a prefix in its cache.
+func (p *Pool) addPrefix(u *upstream, x PrefixHash) {
 	hs := p.prefixes[x]
 	spare := -1
 	for i, h := range hs {
@@ -60,16 +60,16 @@
 	}
 	hs[spare] = u
 	p.prefixes[x] = hs
-	if len(u.hints.ring) < hintsKept {
+	if len(u.hints.ring) < maxHints {
 		u.hints.ring = append(u.hints.ring, x)
 		return
 	}
-	p.evicted(u, u.hints.ring[u.hints.next])
-	u.hints.ring[u.hints.next] = x
-	u.hints.next = (u.hints.next + 1) % hintsKept
+	p.removePrefix(u, u.hints.ring[u.hints.nextSlot])
+	u.hints.ring[u.hints.nextSlot] = x
+	u.hints.nextSlot = (u.hints.nextSlot + 1) % maxHints
 }
 
-func (p *Pool) evicted(u *upstream, x PrefixHash) {
+func (p *Pool) removePrefix(u *upstream, x PrefixHash) {
 	hs, ok := p.prefixes[x]
 	if !ok {
 		return
@@ -79,21 +79,22 @@
 			hs[i] = nil
 		}
 	}
-	if hs == (holders{}) {
+	if hs == (cachedOn{}) {
 		delete(p.prefixes, x)
 		return
 	}
 	p.prefixes[x] = hs
 }
 
-// forget drops everything remembered of an upstream.
-func (p *Pool) forget(u *upstream) {
+// clearHints drops all prefixes recorded for an upstream.
+func (p *Pool) clearHints(u *upstream) {
 	for _, x := range u.hints.ring {
-		p.evicted(u, x)
+		p.removePrefix(u, x)
 	}
 	u.hints.ring = u.hints.ring[:0]
-	u.hints.next = 0
+	u.hints.nextSlot = 0
 }
 
-// PrefixTokens is how many tokens entry i of Request.Prefixes covers: 1, 2, 4, 8, ... blocks.
+// PrefixTokens is the number of tokens that entry i of Request.Prefixes covers: 1, 2, 4, 8, ...
+// blocks.
 func PrefixTokens(i int) Tokens { return PrefixBlock << min(i, 40) }
--- a/lib/decide/killer.go
+++ b/lib/decide/killer.go
@@ -6,85 +6,86 @@
 )
 
 const (
-	// deathsAllowed is how many upstreams one request may cost: the first death may
-	// be a coincidence, the second while it ran alone is not.
-	deathsAllowed = 2
-	// mourning is how long a death is remembered: longer than callers repeat a
-	// failed request, short enough that a mended engine gets another chance.
-	mourning = 30 * clock.Minute
-	// deathsKept bounds the table; past it, first deaths are forgotten, for an engine
-	// that dies makes suspects of all bystanders, but proven killers stay.
-	deathsKept = 1024
+	// maxCrashes is the number of upstream crashes after which a request is refused as a poison
+	// request. The first crash may be a coincidence; a second one while the request ran alone is
+	// not.
+	maxCrashes = 2
+	// crashRetention is how long a crash is remembered: longer than callers repeat a failed
+	// request, short enough that a repaired engine may run the request again.
+	crashRetention = 30 * clock.Minute
+	// maxCrashEntries bounds the table. Beyond it, entries with one crash are dropped, since a
+	// crashing engine makes suspects of all its requests; entries of proven poison requests stay.
+	maxCrashEntries = 1024
 )
 
-// killers counts the upstreams that died while running a request, by fingerprint.
-// Gates keep their own table and tell each other with their heartbeats, but two
-// gates can start copies of the same suspect between two heartbeats. Only the
-// owner sees both: it runs copies of a suspect one after another.
-type killers struct {
-	// live counts live grants, without fingerprint zero.
-	live   map[uint64]int
-	deaths map[uint64]deaths
+// crashTable counts, by request fingerprint, the upstreams that crashed while running a request.
+// Gates keep their own tables and exchange them with heartbeats, but two gates can start copies of
+// the same suspect between two heartbeats. Only the owner sees both, and runs copies of a suspect
+// one after another.
+type crashTable struct {
+	// running is the number of live grants by fingerprint. Fingerprint zero is not counted.
+	running       map[uint64]int
+	byFingerprint map[uint64]crashCount
 }
 
-type deaths struct {
+type crashCount struct {
 	count int
 	until clock.Milli
 }
 
-func (k *killers) begin(fingerprint uint64) {
+func (k *crashTable) startRun(fingerprint uint64) {
 	if fingerprint != 0 {
-		k.live[fingerprint]++
+		k.running[fingerprint]++
 	}
 }
 
-func (k *killers) end(fingerprint uint64) {
+func (k *crashTable) endRun(fingerprint uint64) {
 	if fingerprint == 0 {
 		return
 	}
-	if k.live[fingerprint]--; k.live[fingerprint] <= 0 {
-		delete(k.live, fingerprint)
+	if k.running[fingerprint]--; k.running[fingerprint] <= 0 {
+		delete(k.running, fingerprint)
 	}
 }
 
-// count is how many upstreams a request has cost.
-func (k *killers) count(now clock.Milli, fingerprint uint64) int {
-	d, ok := k.deaths[fingerprint]
+// count is the number of upstreams that crashed while running the request.
+func (k *crashTable) count(now clock.Milli, fingerprint uint64) int {
+	d, ok := k.byFingerprint[fingerprint]
 	if !ok || d.until <= now {
 		return 0
 	}
 	return d.count
 }
 
-// mourn counts the death of the upstream of a grant. Queued copies of the request
-// become suspects after the first one, and are refused after the second.
-func (p *Pool) mourn(now clock.Milli, g *grant) {
-	f := g.Fingerprint
-	if f == 0 {
+// countCrash records that the upstream of a grant crashed. Queued copies of the request become
+// suspects after the first crash, and are refused after the second.
+func (p *Pool) countCrash(now clock.Milli, g *grant) {
+	fingerprint := g.Fingerprint
+	if fingerprint == 0 {
 		return
 	}
-	count := p.killers.count(now, f) + 1
-	p.killers.put(now, f, deaths{count, now + mourning})
+	count := p.crashes.count(now, fingerprint) + 1
+	p.crashes.set(now, fingerprint, crashCount{count, now + crashRetention})
 	for _, w := range p.queued {
-		if w.Fingerprint != f {
+		if w.Fingerprint != fingerprint {
 			continue
 		}
 		w.Suspect = true
-		if count >= deathsAllowed {
-			p.ended = append(p.ended, Decision{Action: Refused, Request: w.ID, Gate: w.Gate, Fault: fault.Quarantined})
+		if count >= maxCrashes {
+			p.pendingDecisions = append(p.pendingDecisions, Decision{Action: Refused, Request: w.ID, Gate: w.Gate, Fault: fault.Quarantined})
 			p.drop(w)
 		}
 	}
 }
 
-func (k *killers) put(now clock.Milli, fingerprint uint64, d deaths) {
-	k.deaths[fingerprint] = d
-	if len(k.deaths) <= deathsKept {
+func (k *crashTable) set(now clock.Milli, fingerprint uint64, d crashCount) {
+	k.byFingerprint[fingerprint] = d
+	if len(k.byFingerprint) <= maxCrashEntries {
 		return
 	}
-	for f, d := range k.deaths {
-		if d.until <= now || d.count < deathsAllowed && f != fingerprint {
-			delete(k.deaths, f)
+	for other, d := range k.byFingerprint {
+		if d.until <= now || d.count < maxCrashes && other != fingerprint {
+			delete(k.byFingerprint, other)
 		}
 	}
 }
--- a/lib/decide/ledger.go
+++ b/lib/decide/ledger.go
@@ -6,15 +6,15 @@
 	"snipeshift.example/lib/clock"
 )
 
-// The ledger of grants is the only exact knowledge of an upstream's load. Reports
-// lag: placing by them herds a burst onto the engine that was idle a second ago.
+// The table of grants is the only exact record of an upstream's load. Reports lag: placing by them
+// would send a whole burst to the engine that was idle a second ago.
 
-// newGrant fills a row for a request that leaves the queue; book enters it.
+// newGrant fills a grant row for a queued request; addGrant enters the row into the tables.
 func (p *Pool) newGrant(now clock.Milli, w *waiting, share Tokens) *grant {
-	g := p.rowOfGrant()
-	p.issued++
+	g := p.newGrantRow()
+	p.grantSeq++
 	g.Grant = Grant{
-		ID:          GrantID(uint64(p.config.Epoch)<<32 | uint64(p.issued)),
+		ID:          GrantID(uint64(p.config.Epoch)<<32 | uint64(p.grantSeq)),
 		Epoch:       p.config.Epoch,
 		Request:     w.ID,
 		Workspace:   w.Workspace,
@@ -34,7 +34,7 @@
 	return g
 }
 
-// priority is what an engine is told of a request.
+// priority is the priority passed to the engine; see Grant.Priority.
 func priority(u Urgency, long bool) uint8 {
 	p := uint8(min(u, leastUrgent))
 	if long {
@@ -43,120 +43,122 @@
 	return p
 }
 
-// leastUrgent is the largest Urgency.
+// leastUrgent is the largest value of Urgency.
 const leastUrgent Urgency = 3
 
-func (p *Pool) rowOfGrant() *grant {
+func (p *Pool) newGrantRow() *grant {
 	if n := len(p.spareGrants); n > 0 {
 		g := p.spareGrants[n-1]
 		p.spareGrants = p.spareGrants[:n-1]
 		return g
 	}
-	return &grant{timer: -1}
+	return &grant{timerIndex: -1}
 }
 
-// book enters a grant into the ledger and into its upstreams.
-func (p *Pool) book(now clock.Milli, g *grant) {
-	g.made = now
+// addGrant enters a grant into the table and into the rows of its upstreams.
+func (p *Pool) addGrant(now clock.Milli, g *grant) {
+	g.grantedAt = now
 	p.grants[g.ID] = g
 	p.live[g.Request] = g
-	p.killers.begin(g.Fingerprint)
+	p.crashes.startRun(g.Fingerprint)
 	for i, u := range g.on {
 		u.drain(now)
 		u.grants = append(u.grants, g)
-		u.taken += g.Reserved
+		u.reserved += g.Reserved
 		u.running++
 		if g.long {
-			u.heavy += g.Reserved
+			u.reservedLong += g.Reserved
 		}
-		u.alone = u.alone || g.Suspect
+		u.exclusive = u.exclusive || g.Suspect
 		if g.Urgency == 0 {
-			u.delicate++
+			u.runningUrgent++
 		}
 		if i == 0 {
-			p.lead(u, g)
+			p.addPrefill(u, g)
 		}
-		p.touch(u)
+		p.updateLeaf(u)
 	}
 	if g.long {
-		p.holding += p.hold(g)
+		p.longMemoryTime += p.memoryTime(g)
 	}
-	p.schedule(now, g)
+	p.startTimer(now, g)
 }
 
-// lead books the prefill of a grant on the upstream that runs it.
-func (p *Pool) lead(u *upstream, g *grant) {
+// addPrefill adds the prefill of a grant to the backlog of the upstream that runs it, and sets the
+// expected time to first token.
+func (p *Pool) addPrefill(u *upstream, g *grant) {
 	work := float64(g.uncached)
-	g.slow = u.slow
+	g.assumedSlowdown = u.slowdown
 	switch {
 	case g.long:
-		g.expect = (u.ahead + work) / u.rate()
+		g.expectedFirst = (u.backlog + work) / u.rate()
 	case g.Urgency == 0:
-		g.expect = (u.soon + work) / u.rate()
-		u.soon += work
-		u.hasty += g.uncached
+		g.expectedFirst = (u.urgentBacklog + work) / u.rate()
+		u.urgentBacklog += work
+		u.pendingUrgent += g.uncached
 	default:
-		g.expect = (u.early + work) / u.rate()
+		g.expectedFirst = (u.shortBacklog + work) / u.rate()
 	}
 	if !g.long {
-		u.early += work
-		u.brisk += g.uncached
-		u.pass(work)
+		u.shortBacklog += work
+		u.pendingShort += g.uncached
+		u.delayLongPrefill(work)
 	}
-	u.ahead += work
-	u.pending += g.uncached
+	u.backlog += work
+	u.pendingTokens += g.uncached
 	if g.long {
-		u.prefilling++
+		u.longPrefilling++
 	}
-	p.busy[sideOf(g.long)] += work / p.prefill
+	p.pendingPrefill[sideOf(g.long)] += work / p.prefill
 }
 
-// pass books that a short prompt passes the long ones which are prefilled here.
+// delayLongPrefill accounts for a short prompt that passes the long prompts being prefilled on this
+// upstream.
 //
-// The load is a group of engines under a prompt of half a million tokens, which
-// is half a minute of prefill: in a failure domain of few engines there may be
-// no other, and short work would wait for its end. Engines prefill by priority,
-// so it need not. The limit is half of the engine's time, for the long prompt
-// holds its memory all the while and must come to its end too.
-func (u *upstream) pass(work float64) {
-	if u.prefilling == 0 {
+// Half a million tokens on a group of engines are half a minute of prefill, and a failure domain of
+// few engines may have no other engine for short work. Engines prefill by priority, so short
+// prompts need not wait for the end. They may use up to half of the engine's time; the long prompt
+// holds its memory all the while and must finish too.
+func (u *upstream) delayLongPrefill(work float64) {
+	if u.longPrefilling == 0 {
 		return
 	}
 	delay := work / u.rate()
-	u.shortNext = max(u.shortNext, float64(u.at)) + passShare*delay
+	u.nextPass = max(u.nextPass, float64(u.drainedAt)) + passSpacing*delay
 	for _, g := range u.grants {
-		if g.long && !g.first && g.on[0] == u {
-			g.expect += delay
+		if g.long && !g.gotFirst && g.on[0] == u {
+			g.expectedFirst += delay
 		}
 	}
 }
 
-// passShare is the time, as a multiple of a short prompt's own prefill, that
-// passes before the next one may pass a long prompt.
-const passShare = 2
+// passSpacing is the time from one short prompt that passes a long one to the next, as a multiple
+// of the prefill time of the first.
+const passSpacing = 2
 
-// unlead takes the prefill off again: the first token came, or the grant ended.
-func (p *Pool) unlead(now clock.Milli, g *grant) {
-	if g.first || len(g.on) == 0 {
+// removePrefill removes the prefill from the backlog, because the first token came or the grant
+// ended.
+func (p *Pool) removePrefill(now clock.Milli, g *grant) {
+	if g.gotFirst || len(g.on) == 0 {
 		return
 	}
-	g.first = true
+	g.gotFirst = true
 	u := g.on[0]
 	u.drain(now)
-	u.pending -= g.uncached
-	u.ahead = min(u.ahead, float64(u.pending))
+	u.pendingTokens -= g.uncached
+	u.backlog = min(u.backlog, float64(u.pendingTokens))
 	if g.Urgency == 0 && !g.long {
-		u.hasty -= g.uncached
-		u.soon = min(u.soon, float64(u.hasty))
+		u.pendingUrgent -= g.uncached
+		u.urgentBacklog = min(u.urgentBacklog, float64(u.pendingUrgent))
 	}
 	if g.long {
-		u.prefilling--
+		u.longPrefilling--
 	} else {
-		u.brisk -= g.uncached
-		u.early = min(u.early, float64(u.brisk))
+		u.pendingShort -= g.uncached
+		u.shortBacklog = min(u.shortBacklog, float64(u.pendingShort))
 	}
-	i := sideOf(g.long)
-	p.busy[i] = max(p.busy[i]-float64(g.uncached)/p.prefill, 0)
+	side := sideOf(g.long)
+	p.pendingPrefill[side] = max(p.pendingPrefill[side]-float64(g.uncached)/p.prefill, 0)
 }
 
 func sideOf(long bool) int {
@@ -166,68 +168,68 @@
 	return 0
 }
 
-// hold is memory times duration that a grant takes from the pool.
-func (p *Pool) hold(g *grant) float64 {
+// memoryTime is the memory times the duration for which a grant occupies it, in token-milliseconds.
+func (p *Pool) memoryTime(g *grant) float64 {
 	return float64(g.Prompt+g.Output) * (float64(g.Prompt)/p.prefill + float64(g.Output)/p.decode)
 }
 
-// unbook takes a grant off all its upstreams and out of the ledger.
-func (p *Pool) unbook(now clock.Milli, g *grant) {
-	p.quit(now, g)
+// removeGrant ends a grant and frees its memory on all upstreams.
+func (p *Pool) removeGrant(now clock.Milli, g *grant) {
+	p.endGrant(now, g)
 	for len(g.on) > 0 {
 		p.detach(g, g.on[len(g.on)-1])
 	}
 }
 
-// quit ends a grant's work but keeps its memory.
-func (p *Pool) quit(now clock.Milli, g *grant) {
-	if g.ghost == 0 {
-		p.killers.end(g.Fingerprint)
+// endGrant ends the work of a grant. Its memory stays reserved.
+func (p *Pool) endGrant(now clock.Milli, g *grant) {
+	if g.orphanedAt == 0 {
+		p.crashes.endRun(g.Fingerprint)
 	}
-	p.unlead(now, g)
-	if g.timer >= 0 {
-		p.timers.remove(g.timer)
+	p.removePrefill(now, g)
+	if g.timerIndex >= 0 {
+		p.timers.remove(g.timerIndex)
 	}
 	if p.live[g.Request] == g {
 		delete(p.live, g.Request)
 	}
-	if g.long && g.ghost == 0 {
-		p.holding = max(p.holding-p.hold(g), 0)
+	if g.long && g.orphanedAt == 0 {
+		p.longMemoryTime = max(p.longMemoryTime-p.memoryTime(g), 0)
 	}
 }
 
-// detach frees a grant's memory on one upstream; the last one frees the row.
+// detach frees the memory of a grant on one upstream. After the last upstream the row is released.
 func (p *Pool) detach(g *grant, u *upstream) {
 	g.on = without(g.on, u)
 	u.grants = without(u.grants, g)
-	u.taken -= g.Reserved
+	u.reserved -= g.Reserved
 	u.running--
 	if g.long {
-		u.heavy -= g.Reserved
+		u.reservedLong -= g.Reserved
 	}
 	if g.Suspect {
-		u.alone = false
+		u.exclusive = false
 	}
 	if g.Urgency == 0 {
-		u.delicate--
+		u.runningUrgent--
 	}
-	if u.gone {
+	if u.removed {
 		if len(u.grants) == 0 {
 			delete(p.byID, u.spec.ID)
 		}
 	}
-	p.touch(u)
+	p.updateLeaf(u)
 	if len(g.on) == 0 {
-		p.freeRow(g)
+		p.releaseGrantRow(g)
 	}
 }
 
-func (p *Pool) freeRow(g *grant) {
+func (p *Pool) releaseGrantRow(g *grant) {
 	delete(p.grants, g.ID)
-	if p.ghosts[g.Request] == g {
-		delete(p.ghosts, g.Request)
+	if p.orphans[g.Request] == g {
+		delete(p.orphans, g.Request)
 	}
-	*g = grant{on: g.on[:0], timer: -1}
+	*g = grant{on: g.on[:0], timerIndex: -1}
 	p.spareGrants = append(p.spareGrants, g)
 }
 
@@ -243,76 +245,77 @@
 	return list[:last]
 }
 
-// lapse turns a grant into a ghost: the gate is silent, or gave up, and no one
-// knows whether the engine still runs the request. Its memory stays reserved until
-// the engine's report shows it gone; freeing it on a guess would let the next
-// long prompt evict or stall what still runs there.
+// lapse ends a grant whose lease or deadline ran out. The gate does not respond or gave up, so it
+// is unknown whether the engine still runs the request. The memory stays reserved until a report of
+// the engine no longer lists the request; if it were freed on a guess, the next long prompt could
+// evict or stall the request.
 func (p *Pool) lapse(now clock.Milli, g *grant) {
-	p.out = append(p.out, Decision{Action: Lapsed, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
-	p.haunt(now, g)
+	p.decisions = append(p.decisions, Decision{Action: Lapsed, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
+	p.orphan(now, g)
 }
 
-func (p *Pool) haunt(now clock.Milli, g *grant) {
-	p.quit(now, g)
-	g.ghost = max(now, 1)
-	p.ghosts[g.Request] = g
+func (p *Pool) orphan(now clock.Milli, g *grant) {
+	p.endGrant(now, g)
+	g.orphanedAt = max(now, 1)
+	p.orphans[g.Request] = g
 	for i := len(g.on) - 1; i >= 0 && len(g.on) > 0; i-- {
 		u := g.on[i]
-		if u.gone || u.spec.Memory == 0 {
+		if u.removed || u.spec.Memory == 0 {
 			p.detach(g, u)
 			continue
 		}
-		p.touch(u)
+		p.updateLeaf(u)
 	}
 }
 
-// Finish ends a grant. Memory is free at once after a whole answer, after the
-// upstream died, and if nothing was sent. Otherwise the engine may still run the
-// request (the stream broke, the order to cancel may be lost): the grant lapses.
+// Finish ends a grant. Its memory is free at once after a complete answer, after a crash of the
+// upstream, and if nothing was sent. Otherwise the engine may still run the request (the stream
+// broke, or the cancellation may have been lost), and the grant lapses.
 func (p *Pool) Finish(now clock.Milli, id GrantID, o Outcome) {
 	g := p.grants[id]
 	if g == nil {
 		return
 	}
 	if o == Done {
-		p.usual += learn * (float64(now-g.made) - p.usual)
+		p.answerTime += slowdownSmoothing * (float64(now-g.grantedAt) - p.answerTime)
 	}
 	if o == Died {
-		p.mourn(now, g)
+		p.countCrash(now, g)
 	}
 	if o == Done || o == Died || o == Unused {
-		p.unbook(now, g)
+		p.removeGrant(now, g)
 		return
 	}
-	if g.ghost > 0 {
+	if g.orphanedAt > 0 {
 		return
 	}
-	p.ended = append(p.ended, Decision{Action: Lapsed, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
-	p.haunt(now, g)
+	p.pendingDecisions = append(p.pendingDecisions, Decision{Action: Lapsed, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
+	p.orphan(now, g)
 }
 
-// Renew extends a lease; false means the grant is given up and its gate must stop.
+// Renew extends a lease. It returns false if the grant has ended and the gate must stop the
+// request.
 func (p *Pool) Renew(now clock.Milli, id GrantID) bool {
 	g := p.grants[id]
-	if g == nil || g.ghost > 0 {
+	if g == nil || g.orphanedAt > 0 {
 		return false
 	}
 	g.Until = now + p.config.Lease
 	return true
 }
 
-// Adopt takes a live grant that its gate presents: one of ours is renewed, one of
-// another owner enters the ledger as it is, even where that takes more memory
-// than there is, for it runs already. That owner may be a later one: its duty came
-// back to this pool when it died. False means it is given up.
+// Adopt enters a live grant that its gate presents. A known grant is renewed. A grant of another
+// owner is entered as it stands, even if it exceeds the free memory, because the request is already
+// running. The other owner may be a later one that crashed, after which the pool fell back to this
+// owner. Adopt returns false if the grant has ended.
 func (p *Pool) Adopt(now clock.Milli, e Grant) bool {
 	if p.grants[e.ID] != nil {
 		return p.Renew(now, e.ID)
 	}
 	if e.Epoch == p.config.Epoch {
-		return false // ended here
+		return false // granted by this owner, and ended since
 	}
-	g := p.rowOfGrant()
+	g := p.newGrantRow()
 	g.Grant = e
 	g.Until = now + p.config.Lease
 	g.long = p.isLong(e.Prompt)
@@ -323,38 +326,38 @@
 		}
 	}
 	if len(g.on) == 0 {
-		p.freeRow(g)
-		return true // its upstream is no longer ours to keep books on
+		p.releaseGrantRow(g)
+		return true // none of its upstreams belongs to this pool any more
 	}
 	if w := p.queued[e.Request]; w != nil {
 		p.drop(w)
 	}
-	p.book(now, g)
+	p.addGrant(now, g)
 	return true
 }
 
-// expire gives up grants whose lease or deadline ran out, and queued requests
-// that can no longer meet theirs. The answer to those goes out in this tick:
-// held back, a caller would wait for an answer that is known already.
+// expire lapses grants whose lease or deadline ran out, and refuses queued requests that can no
+// longer meet their deadline. The refusals go out in this tick, so that no caller waits for an
+// answer that is already certain.
 func (p *Pool) expire(now clock.Milli) {
 	for {
 		g, ok := p.timers.first()
-		if !ok || g.check > now {
+		if !ok || g.checkAt > now {
 			break
 		}
 		if g.Until <= now || g.Deadline <= now {
 			p.lapse(now, g)
 			continue
 		}
-		p.overdue(now, g)
-		p.reschedule(now, g)
+		p.observeOverdue(now, g)
+		p.resetTimer(now, g)
 	}
 	for {
 		w, ok := p.expiries.first()
-		if !ok || w.latest > now {
+		if !ok || w.latestStart > now {
 			return
 		}
-		p.refuse(w.ID, w.Gate, expiredKind, p.comeback(now, w, now-w.latest))
+		p.refuse(w.ID, w.Gate, expiredKind, p.retryAfter(now, w, now-w.latestStart))
 		p.drop(w)
 	}
 }
--- a/lib/decide/outcome_test.go
+++ b/lib/decide/outcome_test.go
@@ -11,11 +11,11 @@
 	"snipeshift.example/lib/fault"
 )
 
-// A burst brings more than the pool can finish in the callers' time. Without a
-// refusal the last of them would wait out their time for nothing; with one that
-// names a false time they would come back in vain.
-func TestBurstIsRefusedAtOnceAndTruthfully(t *testing.T) {
-	b := newBed(t, 1)
+// A burst exceeds what the pool can finish before the deadlines. Without refusals the last requests
+// would wait until their deadline for nothing; with a wrong retry time they would come back only to
+// be refused again.
+func TestBurstIsRefusedAtOnceWithAccurateRetry(t *testing.T) {
+	b := newHarness(t, 1)
 	for i := range 400 {
 		r := b.request(fmt.Sprint("r", i))
 		r.Deadline = b.now + 30*clock.Second
@@ -26,29 +26,29 @@
 	require.Equal(t, fault.Overloaded, last.Fault)
 	require.Positive(t, last.Retry)
 	admitted := 400 - len(b.refused)
-	require.Greater(t, b.refused["r399"].Retry, b.refused["r20"].Retry, "not all are told the same time")
+	require.Greater(t, b.refused["r399"].Retry, b.refused["r20"].Retry, "retry times differ")
 	b.serve(nil, last.Retry)
 	again := b.request("again")
 	again.Deadline = b.now + 30*clock.Second
 	b.submit(again)
-	require.Zero(t, b.refused["again"].Retry, "it came back when told")
+	require.Zero(t, b.refused["again"].Retry, "retried after the given time")
 	b.serve(nil, 40*clock.Second)
-	require.Len(t, b.granted, admitted+1, "every admitted one got its turn")
+	require.Len(t, b.granted, admitted+1, "every admitted request was granted")
 	require.Len(t, b.refused, 400-admitted)
 }
 
-// The upstream dies and nothing takes its place: what waits must hear so when its
-// time can no longer be met, not when it has run out.
-func TestGivenUpRequestIsAnsweredAtOnce(t *testing.T) {
-	b := newBed(t, 1)
+// No upstream accepts work, or all slots stay taken. A queued request must be refused when it can
+// no longer meet its deadline, not after the deadline.
+func TestUnservableRequestIsRefusedBeforeItsDeadline(t *testing.T) {
+	b := newHarness(t, 1)
 	r := b.request("r")
 	r.Deadline = b.now + 30*clock.Second
 	b.set(0, true)
 	b.tick()
 	b.submit(r)
-	require.Equal(t, fault.Unavailable, b.refused["r"].Fault, "no upstream takes work")
+	require.Equal(t, fault.Unavailable, b.refused["r"].Fault, "no upstream accepts work")
 
-	b = newBed(t, 1)
+	b = newHarness(t, 1)
 	for i := range 16 {
 		b.submit(b.request(fmt.Sprint("r", i)))
 		b.wait(1000)
@@ -63,10 +63,10 @@
 	require.Empty(t, b.pool.Queue())
 }
 
-// Alert lookups come while every engine prefills dossiers that take half a
-// minute each. A family waits for the answer.
+// Alert lookups arrive while every engine prefills dossiers that take half a minute each. A lookup
+// must not wait for them.
 func TestUrgentWorkDoesNotWaitBehindLongWork(t *testing.T) {
-	b := newBed(t, 8)
+	b := newHarness(t, 8)
 	for i := range 40 {
 		r := b.request(fmt.Sprint("long", i))
 		r.Urgency, r.Prompt, r.Deadline = 3, 350_000, b.now+clock.Minute*30
@@ -76,18 +76,18 @@
 		r := b.request(fmt.Sprint("lookup", i))
 		r.Urgency, r.Prompt, r.Deadline = 0, 1000, b.now+10*clock.Second
 		b.submit(r)
-		require.Contains(t, b.granted, r.ID, "granted in the tick it came")
+		require.Contains(t, b.granted, r.ID, "granted in the tick of its arrival")
 		b.wait(60)
 		b.first(string(r.ID))
 	}
 	b.serve(nil, 10*clock.Minute)
-	require.Len(t, b.granted, 60, "and the long ones are not starved")
+	require.Len(t, b.granted, 60, "long requests are not starved")
 }
 
-// Drafts come without pause and fill the pool. A summary that was admitted must
-// still be served in its time.
-func TestAgingServesWhatWaits(t *testing.T) {
-	b := newBed(t, 1)
+// Drafts arrive without pause and saturate the pool. An admitted summary, which is less urgent,
+// must still be served before its deadline.
+func TestAgingServesLessUrgentRequests(t *testing.T) {
+	b := newHarness(t, 1)
 	s := b.request("summary")
 	s.Urgency, s.Workspace, s.Deadline = 2, "b", b.now+3*clock.Minute
 	for i := range 5 {
@@ -101,12 +101,11 @@
 	require.Contains(t, b.granted, s.ID)
 }
 
-// Two workspaces keep the same lane busy, one with large requests and one with small
-// ones, weighted one to two. The tokens served divided by the weight may differ by
-// at most each one's longest request divided by its weight, added up: that is
-// the bound of start-time fair queueing.
+// Two workspaces with weights one and two keep the same lane busy, the first with large requests,
+// the second with small ones. The served tokens divided by the weight may differ by at most the sum
+// of each workspace's longest request divided by its weight: the bound of start-time fair queueing.
 func TestServiceDifferenceOfTwoBusyWorkspacesIsBounded(t *testing.T) {
-	b := newBed(t, 1)
+	b := newHarness(t, 1)
 	b.pool.SetWorkspace(b.now, Workspace{ID: "a", Weight: 1})
 	b.pool.SetWorkspace(b.now, Workspace{ID: "b", Weight: 2})
 	random := rand.New(rand.NewPCG(1, 2))
@@ -115,7 +114,7 @@
 	count := 0
 	refill := func() {
 		for _, w := range []WorkspaceID{"a", "b"} {
-			for range 12 { // more than either is served, so that both stay busy
+			for range 12 { // more than is served, so that both workspaces stay busy
 				r := b.request(fmt.Sprint(w, count))
 				count++
 				r.Workspace, r.Deadline = w, b.now+clock.Minute*1000
@@ -144,10 +143,10 @@
 
 func abs(x float64) float64 { return max(x, -x) }
 
-// One workspace sends ten times what the others send. Its flood may delay itself,
-// not the draft of another ward.
+// One workspace sends ten times as much as the others. The flood may delay its own requests, but
+// not those of another workspace.
 func TestFloodOfOneWorkspaceDelaysOnlyItself(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	for i := range 60 {
 		b.submit(b.request(fmt.Sprint("flood", i)))
 	}
@@ -158,15 +157,15 @@
 	for b.granted["quiet"].ID == 0 {
 		b.serve(nil, 100)
 	}
-	require.LessOrEqual(t, b.now-came, 3*clock.Second, "it waits for a request, not for the flood")
+	require.LessOrEqual(t, b.now-came, 3*clock.Second, "waits for one request, not for all of the flood")
 	require.NotEmpty(t, b.pool.Queue())
 }
 
-// Prompts larger than two engines' memory come together with smaller long ones, so
-// that no three engines are ever free by chance. If groups held some engines
-// while waiting for others, two of them would block each other for good.
-func TestGroupsTakeAllOrNoneAndAllGetTheirTurn(t *testing.T) {
-	b := newBed(t, 6)
+// Prompts larger than the memory of two engines arrive together with smaller long prompts, so that
+// three engines are never free by chance. If groups held some engines while waiting for others, two
+// groups could deadlock.
+func TestGroupsReserveAllOrNoneAndAllAreServed(t *testing.T) {
+	b := newHarness(t, 6)
 	for i := range 24 {
 		r := b.request(fmt.Sprint("r", i))
 		r.Urgency, r.Prompt, r.Deadline = 3, 150_000, b.now+60*clock.Minute
@@ -187,17 +186,17 @@
 }
 
 func TestPromptThatFitsNoGroupIsOversize(t *testing.T) {
-	b := newBed(t, 2)
+	b := newHarness(t, 2)
 	r := b.request("r")
 	r.Prompt = 900_000
 	b.submit(r)
 	require.Equal(t, fault.Oversize, b.refused["r"].Fault)
 }
 
-// One engine turns four times slower, and its report, which counts requests, makes it
-// look idle. Callers who land on it wait four times as long.
-func TestSlowUpstreamGetsLessAndNoLongPrompt(t *testing.T) {
-	b := newBed(t, 6)
+// One engine becomes four times slower, and its report, which lists few requests, makes it look
+// idle. Callers placed on it wait four times as long.
+func TestSlowUpstreamGetsFewerGrantsAndNoLongPrompt(t *testing.T) {
+	b := newHarness(t, 6)
 	slow := map[UpstreamID]float64{name(2): 4}
 	for i := range 300 {
 		b.submit(b.request(fmt.Sprint("r", i)))
@@ -211,7 +210,7 @@
 			late++
 		}
 	}
-	require.Less(t, late, 12, "of 150, where an even part is 25")
+	require.Less(t, late, 12, "of 150 grants, where an even share is 25")
 	for i := range 12 {
 		r := b.request(fmt.Sprint("long", i))
 		r.Urgency, r.Prompt, r.Deadline = 3, 200_000, b.now+30*clock.Minute
@@ -224,10 +223,10 @@
 	}
 }
 
-// The mix turns from lookups and drafts to dossiers and back. Engines kept for
-// long work would stand idle on some days and block everything on others.
+// The mix changes from lookups and drafts to dossiers and back. With a fixed boundary the engines
+// reserved for long work would idle at some times and block short work at others.
 func TestBoundaryFollowsTheMixSlowlyUpAndFastDown(t *testing.T) {
-	b := newBed(t, 12)
+	b := newHarness(t, 12)
 	long := func() int {
 		n := 0
 		for _, v := range b.pool.Upstreams(b.now) {
@@ -267,11 +266,10 @@
 	}
 }
 
-// The alert desk is a plain service without memory or prefill: only its slots are
-// limited. Judged like an engine it would take one large body at a time, or
-// admit without end.
+// The alert desk is a plain service without memory or prefill, limited only by its slots. Treated
+// like an engine it would accept one large body at a time, or admit without limit.
 func TestPlainServiceIsBoundedByItsSlots(t *testing.T) {
-	b := newBed(t, 0)
+	b := newHarness(t, 0)
 	for i := range 2 {
 		b.pool.SetUpstream(b.now, Upstream{ID: name(i), Slots: 4})
 	}
@@ -291,6 +289,6 @@
 		r.Output, r.Deadline = 0, b.now+5*clock.Second
 		b.submit(r)
 	}
-	require.Equal(t, fault.Overloaded, b.refused["more99"].Fault, "it knows by now how long an answer takes")
+	require.Equal(t, fault.Overloaded, b.refused["more99"].Fault, "the duration of an answer is known by now")
 	require.Contains(t, b.granted, RequestID("more0"))
 }
--- a/lib/decide/place.go
+++ b/lib/decide/place.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// lookahead is how much prefill may stand before a grant on its engine, in
-	// milliseconds. Enough that an engine never waits for the owner's answer
-	// (a round trip of a few milliseconds); more would move the queue into the
-	// engines, where urgency, fairness and withdrawal no longer reach it.
+	// lookahead is the maximum prefill backlog in milliseconds of an engine that receives a new
+	// grant. It is long enough that an engine never idles during the round trip of a few
+	// milliseconds to the owner; a longer one would move the queue into the engines, where urgency,
+	// fairness and withdrawal have no effect.
 	lookahead = 60
-	// longPrefills is how many long prompts one engine prefills at once. With two
-	// the second gains nothing, and its memory is held without progress.
+	// longPrefills is the number of long prompts that one engine prefills concurrently. A second
+	// one would gain nothing and hold its memory without progress.
 	longPrefills = 1
-	// crowd is the cost in milliseconds of each request that already decodes
-	// on an engine: a wider batch makes each step a little longer.
-	crowd = 2
-	// interference is the share of an output's time that a prefill beside it
-	// costs: engines interleave chunks of prompts with steps of decoding.
+	// batchCost is the cost in milliseconds of each request that already runs on an engine: a
+	// larger batch makes each decoding step a little longer.
+	batchCost = 2
+	// interference is the share of decoding time lost to a concurrent prefill: engines interleave
+	// chunks of prompts with decoding steps.
 	interference = 0.5
-	// sideNoise is the share of time that an upstream not kept clear prefills in a busy pool.
-	sideNoise = 0.9
-	// crowding weighs the delay that an urgent prompt brings to each urgent answer
-	// beside it against its own: at one, half of them would flee to noisy engines.
-	crowding = 0.5
-	// groupSlack is how many engines more than needed a group may span, where
-	// the memory is free only in smaller pieces.
+	// defaultInterleave is the share of time that an upstream outside the urgent side spends on
+	// prefill in a busy pool.
+	defaultInterleave = 0.9
+	// urgentDelayWeight weighs the delay that an urgent prompt causes to each urgent answer on the
+	// same engine against its own delay. At a weight of one, half of the urgent prompts would be
+	// placed on engines outside the urgent side.
+	urgentDelayWeight = 0.5
+	// groupSlack is the number of engines by which a group may exceed the minimum, for memory that
+	// is free only in smaller pieces.
 	groupSlack = 3
-	// visits bounds the leaves one search looks at, so that its cost stays
-	// flat where many upstreams are equally good.
-	visits = 48
+	// maxVisits bounds the leaves that one search visits, so that its cost stays constant if many
+	// upstreams are equally good.
+	maxVisits = 48
 )
 
-// class is what placing distinguishes.
+// class is the class of a request for placement.
 type class uint8
 
 const (
@@ -44,39 +46,40 @@
 	suspectClass
 )
 
-// search is one search for the cheapest upstream.
+// search is the state of one search for the cheapest upstream.
 type search struct {
 	class class
 	now   float64
 	need  Tokens
 	// prompt is in tokens, output in milliseconds of decoding.
 	prompt, output float64
-	// shared lets short work on upstreams of the long side.
-	shared bool
-	// fill lets short work on upstreams of the clear side.
-	fill  bool
-	avoid []UpstreamID
-	// best is the cheapest so far.
-	best   *upstream
-	cost   float64
-	cached Tokens
-	left   int
+	// allowLongSide admits short work to upstreams of the long side.
+	allowLongSide bool
+	// allowUrgentSide admits short work to upstreams of the urgent side.
+	allowUrgentSide bool
+	avoid           []UpstreamID
+	// bestUpstream is the cheapest upstream found so far, bestCost its cost, cachedTokens the number
+	// of prompt tokens in its cache.
+	bestUpstream *upstream
+	bestCost     float64
+	cachedTokens Tokens
+	visitsLeft   int
 }
 
-// open tells whether a node has, or may have below it, an upstream for s.
-func (s *search) open(n *node) bool {
+// admits reports whether a leaf can accept the request, or whether a leaf below an inner node may.
+func (s *search) admits(n *node) bool {
 	switch s.class {
 	case urgentClass:
-		return n.urgent >= s.need && n.soon <= s.now+lookahead
+		return n.urgent >= s.need && n.urgentReady <= s.now+lookahead
 	case shortClass:
 		free := n.short
-		if s.shared {
-			free = max(free, n.shared)
+		if s.allowLongSide {
+			free = max(free, n.shortOnLong)
 		}
-		if s.fill {
-			free = max(free, n.fill)
+		if s.allowUrgentSide {
+			free = max(free, n.shortOnUrgent)
 		}
-		return free >= s.need && n.early <= s.now+lookahead
+		return free >= s.need && n.shortReady <= s.now+lookahead
 	case longClass:
 		return n.long >= s.need && n.ready <= s.now+lookahead
 	default:
@@ -84,55 +87,56 @@
 	}
 }
 
-// price is the estimated time to first token on n, plus what the placement costs others.
-func (s *search) price(n *node, cached Tokens) float64 {
+// costOf is the estimated time to first token on n plus the delay caused to other requests, in
+// milliseconds.
+func (s *search) costOf(n *node, cached Tokens) float64 {
 	prefill := max(s.prompt-float64(cached), 0) / n.rate
-	cost := prefill + crowd*float64(n.running)
+	cost := prefill + batchCost*float64(n.running)
 	wait := max(n.ready-s.now, 0)
 	if s.class == urgentClass {
-		soon := max(n.soon-s.now, 0)
-		shared := max(min(wait-min(soon, wait), s.output), n.noise*s.output)
-		return cost + soon + interference*(shared+crowding*prefill*float64(n.delicate))
+		urgentWait := max(n.urgentReady-s.now, 0)
+		interleaved := max(min(wait-min(urgentWait, wait), s.output), n.interleave*s.output)
+		return cost + urgentWait + interference*(interleaved+urgentDelayWeight*prefill*float64(n.runningUrgent))
 	}
-	if n.delicate > 0 {
+	if n.runningUrgent > 0 {
 		cost += interference * prefill
 	}
 	if s.class == shortClass {
-		early := max(n.early-s.now, 0)
-		return cost + early + interference*min(max(wait-early, 0), s.output)
+		shortWait := max(n.shortReady-s.now, 0)
+		return cost + shortWait + interference*min(max(wait-shortWait, 0), s.output)
 	}
 	return cost + wait
 }
 
-// find descends the tree, the cheaper child first, and cuts off every range
-// whose best case is no better than what was found.
+// find descends the tree, the cheaper child first, and prunes subtrees whose lower bound is not
+// below the best cost found.
 func (p *Pool) find(s *search, i int) {
 	n := &p.tree.nodes[i]
-	if s.left <= 0 || !s.open(n) || s.price(n, 0) >= s.cost {
+	if s.visitsLeft <= 0 || !s.admits(n) || s.costOf(n, 0) >= s.bestCost {
 		return
 	}
 	if i >= p.tree.base {
-		s.left--
+		s.visitsLeft--
 		p.consider(s, p.upstreams[i-p.tree.base], 0)
 		return
 	}
 	a, b := 2*i, 2*i+1
-	if s.price(&p.tree.nodes[b], 0) < s.price(&p.tree.nodes[a], 0) {
+	if s.costOf(&p.tree.nodes[b], 0) < s.costOf(&p.tree.nodes[a], 0) {
 		a, b = b, a
 	}
 	p.find(s, a)
 	p.find(s, b)
 }
 
-// consider takes u if it is open to s and cheaper than the best so far.
+// consider makes u the best upstream if it can accept the request at a lower cost.
 func (p *Pool) consider(s *search, u *upstream, cached Tokens) {
 	n := &p.tree.nodes[p.tree.base+u.index]
-	if !s.open(n) || avoided(s.avoid, u.spec.ID) {
+	if !s.admits(n) || avoided(s.avoid, u.spec.ID) {
 		return
 	}
-	cost := s.price(n, cached)
-	if cost < s.cost {
-		s.best, s.cost, s.cached = u, cost, cached
+	cost := s.costOf(n, cached)
+	if cost < s.bestCost {
+		s.bestUpstream, s.bestCost, s.cachedTokens = u, cost, cached
 	}
 }
 
@@ -145,44 +149,44 @@
 	return false
 }
 
-// place finds upstreams for a queued request; false if none is free for it now.
+// place finds upstreams for a queued request. It returns false if none can accept the request now.
 func (p *Pool) place(now clock.Milli, w *waiting) (*grant, bool) {
-	if w.Suspect && p.killers.live[w.Fingerprint] > 0 {
+	if w.Suspect && p.crashes.running[w.Fingerprint] > 0 {
 		return nil, false
 	}
 	need := w.tokens()
-	if need > p.largest {
-		return p.span(now, w, need)
+	if need > p.largestMemory {
+		return p.placeGroup(now, w, need)
 	}
 	s := p.searchFor(now, w, need)
 	for i := len(w.Prefixes) - 1; i >= 0; i-- {
-		p.considerHolders(&s, w.Prefixes[i], min(PrefixTokens(i), w.Prompt-1))
+		p.considerCached(&s, w.Prefixes[i], min(PrefixTokens(i), w.Prompt-1))
 	}
 	p.find(&s, 1)
-	if s.best == nil {
+	if s.bestUpstream == nil {
 		return nil, false
 	}
 	g := p.newGrant(now, w, need)
-	g.uncached = w.Prompt - s.cached
-	g.on = append(g.on, s.best)
-	if s.class == shortClass && s.best.side == clearSide {
-		p.shift.fill -= w.work
+	g.uncached = w.Prompt - s.cachedTokens
+	g.on = append(g.on, s.bestUpstream)
+	if s.class == shortClass && s.bestUpstream.side == urgentSide {
+		p.boundaries.fillBudget -= w.work
 	}
 	return g, true
 }
 
 func (p *Pool) searchFor(now clock.Milli, w *waiting, need Tokens) search {
 	return search{
-		class:  p.classOf(w),
-		now:    float64(now),
-		need:   need,
-		prompt: float64(w.Prompt),
-		output: w.total - w.work,
-		shared: p.shared,
-		fill:   w.work <= fillLongest && w.work <= p.shift.fill,
-		avoid:  w.Avoid,
-		cost:   math.Inf(1),
-		left:   visits,
+		class:           p.classOf(w),
+		now:             float64(now),
+		need:            need,
+		prompt:          float64(w.Prompt),
+		output:          w.serviceTime - w.work,
+		allowLongSide:   p.longSideShared,
+		allowUrgentSide: w.work <= fillLongest && w.work <= p.boundaries.fillBudget,
+		avoid:           w.Avoid,
+		bestCost:        math.Inf(1),
+		visitsLeft:      maxVisits,
 	}
 }
 
@@ -199,7 +203,7 @@
 	}
 }
 
-func (p *Pool) considerHolders(s *search, x PrefixHash, tokens Tokens) {
+func (p *Pool) considerCached(s *search, x PrefixHash, tokens Tokens) {
 	hs, ok := p.prefixes[x]
 	if !ok {
 		return
@@ -211,57 +215,57 @@
 	}
 }
 
-// span places a prompt larger than one engine's memory on a group: every
-// member's share is reserved in this one step or none is. Nothing is ever
-// held while waiting for the rest, and members are listed in ascending order,
-// so two groups, even of two owners, cannot wait for each other.
-func (p *Pool) span(now clock.Milli, w *waiting, need Tokens) (*grant, bool) {
-	least := p.members(need)
+// placeGroup places a prompt larger than the memory of one engine on a group. The share of every
+// member is reserved in this one step or none is. As no group holds memory while it waits for the
+// rest, and members are in ascending order, two groups cannot deadlock, not even groups of two
+// owners.
+func (p *Pool) placeGroup(now clock.Milli, w *waiting, need Tokens) (*grant, bool) {
+	least := p.groupSize(need)
 	for k := least; k <= least+groupSlack && k <= len(p.upstreams); k++ {
 		share := (need + Tokens(k) - 1) / Tokens(k)
-		p.group = p.group[:0]
-		p.gather(&w.Request, float64(now), share, k, 1)
-		if len(p.group) < k {
+		p.groupBuffer = p.groupBuffer[:0]
+		p.gatherGroup(&w.Request, float64(now), share, k, 1)
+		if len(p.groupBuffer) < k {
 			continue
 		}
 		g := p.newGrant(now, w, share)
 		g.uncached = w.Prompt
-		g.on = append(g.on, p.group...)
+		g.on = append(g.on, p.groupBuffer...)
 		return g, true
 	}
 	return nil, false
 }
 
-// members is the least number of engines that hold need tokens.
-func (p *Pool) members(need Tokens) int {
-	return int((need + p.largest - 1) / p.largest)
+// groupSize is the minimum number of engines that hold need tokens.
+func (p *Pool) groupSize(need Tokens) int {
+	return int((need + p.largestMemory - 1) / p.largestMemory)
 }
 
-// gather collects k upstreams in ascending order that have share tokens free.
-// The first leads, that is, prefills: it must take long work now. The
-// others only lend memory, so any side will do; a suspect's must be idle.
-func (p *Pool) gather(r *Request, now float64, share Tokens, k, i int) {
+// gatherGroup collects k upstreams in ascending order that have share tokens free. The first one is
+// the leader, which runs the prefill, so it must accept long work now. The others only provide
+// memory and may be of any side. All members for a suspect must be idle.
+func (p *Pool) gatherGroup(r *Request, now float64, share Tokens, k, i int) {
 	n := &p.tree.nodes[i]
-	if len(p.group) == k || !p.lends(r, n, now, share) {
+	if len(p.groupBuffer) == k || !p.canJoinGroup(r, n, now, share) {
 		return
 	}
 	if i < p.tree.base {
-		p.gather(r, now, share, k, 2*i)
-		p.gather(r, now, share, k, 2*i+1)
+		p.gatherGroup(r, now, share, k, 2*i)
+		p.gatherGroup(r, now, share, k, 2*i+1)
 		return
 	}
 	u := p.upstreams[i-p.tree.base]
 	if !avoided(r.Avoid, u.spec.ID) {
-		p.group = append(p.group, u)
+		p.groupBuffer = append(p.groupBuffer, u)
 	}
 }
 
-func (p *Pool) lends(r *Request, n *node, now float64, share Tokens) bool {
+func (p *Pool) canJoinGroup(r *Request, n *node, now float64, share Tokens) bool {
 	if r.Suspect {
 		return n.idle >= share
 	}
-	if len(p.group) == 0 {
+	if len(p.groupBuffer) == 0 {
 		return n.long >= share && n.ready <= now+lookahead
 	}
-	return max(n.long, n.short, n.shared, n.urgent) >= share
+	return max(n.long, n.short, n.shortOnLong, n.urgent) >= share
 }
--- a/lib/decide/pool.go
+++ b/lib/decide/pool.go
@@ -8,41 +8,43 @@
 )
 
 const (
-	// DefaultLong is the prompt length from which a request counts as long: about
-	// a second and a half of prefill on today's engines, the slowdown that an
-	// alert lookup would notice.
+	// DefaultLong is the prompt length from which a request counts as long: about 1.5 s of
+	// prefill on current engines, a delay that an alert lookup would notice.
 	DefaultLong Tokens = 32 * 1024
-	// DefaultLag is how old an engine's report may be.
+	// DefaultLag is the default maximum age of an engine's report.
 	DefaultLag = 2 * clock.Second
-	// poll is how soon the next tick is due while requests are queued. It is below
-	// lookahead, so that an engine's next prompt arrives before it runs dry.
-	poll clock.Milli = 20
+	// pollInterval is the maximum time to the next tick while requests are queued. It is below
+	// lookahead, so that an engine receives its next prompt before it idles.
+	pollInterval clock.Milli = 20
 )
 
-// Pool holds the tables of one pool and runs the systems over them. It is not
-// safe for concurrent use.
+// Pool contains the tables of one pool and makes its decisions. It is not safe for concurrent use.
 type Pool struct {
 	config Config
 	start  clock.Milli
-	// started is set by the first tick, which begins the rebuild.
-	started, rebuilding bool
+	// started is set by the first tick. recovering is set from then on for Config.Rebuild, while
+	// gates present the grants of the earlier owner.
+	started, recovering bool
 	ticked              clock.Milli
 
 	byID map[UpstreamID]*upstream
-	// upstreams is in ascending order of ids and matches the leaves of tree.
+	// upstreams is in ascending order of ids and corresponds to the leaves of tree.
 	upstreams []*upstream
 	tree      tree
-	// stale is set when upstreams came or left and the tree must be rebuilt.
-	stale bool
-	// largest is the memory of the largest engine, whole that of all engines that take work.
-	largest, whole Tokens
-	// plain is set while no upstream has KV memory: the pool is a plain service.
-	plain bool
+	// treeStale is set if the set of upstreams or their sides changed and upstreams and tree must
+	// be rebuilt.
+	treeStale bool
+	// largestMemory is the KV memory of the largest engine, totalMemory that of all engines that
+	// accept work.
+	largestMemory, totalMemory Tokens
+	// plainService is set if no upstream that accepts work has KV memory.
+	plainService bool
 	// prefill and decode are the mean rated speeds, in tokens per millisecond.
 	prefill, decode float64
-	// speed is the mean of their observed speeds as a part of the rated, 1 if all keep it.
-	speed    float64
-	prefixes map[PrefixHash]holders
+	// meanSpeed is the mean of the observed speeds relative to the rated ones; 1 if all upstreams
+	// run at their rated speed.
+	meanSpeed float64
+	prefixes  map[PrefixHash]cachedOn
 
 	workspaces map[WorkspaceID]*workspace
 	lanes      [lanes]*lane
@@ -50,40 +52,42 @@
 	expiries   heap[*waiting]
 	arrivals   []Request
 	claim      claim
-	// shared is set while short work may enter the long side.
-	shared bool
+	// longSideShared is set while short work may be placed on the long side.
+	longSideShared bool
 
-	grants map[GrantID]*grant
-	live   map[RequestID]*grant
-	ghosts map[RequestID]*grant
-	timers heap[*grant]
-	// reports numbers the reports of all upstreams.
-	reports uint64
-	issued  uint32
-	// busy sums the prefill still pending by side, in milliseconds;
-	// holding sums memory times duration of running long grants.
-	busy    [2]float64
-	holding float64
+	grants  map[GrantID]*grant
+	live    map[RequestID]*grant
+	orphans map[RequestID]*grant
+	timers  heap[*grant]
+	// reportSeq is the number of reports received from all upstreams.
+	reportSeq uint64
+	grantSeq  uint32
+	// pendingPrefill is the total prefill granted but not finished, by side, in milliseconds.
+	// longMemoryTime is the total memory times duration of running long grants, in
+	// token-milliseconds.
+	pendingPrefill [2]float64
+	longMemoryTime float64
 
-	demand demand
-	shift  shift
+	demand     demand
+	boundaries boundaries
 
-	killers killers
+	crashes crashTable
 
-	// usual is the smoothed duration of whole answers in milliseconds, slots sums
-	// the slots of upstreams that take new work.
-	usual float64
-	slots int
+	// answerTime is the smoothed duration of complete answers in milliseconds. slots is the total
+	// number of slots of upstreams that accept new work.
+	answerTime float64
+	slots      int
 
-	// spareGrants and spareWaiting are rows to reuse, so that a steady tick allocates nothing.
-	spareGrants  []*grant
-	spareWaiting []*waiting
-	group        []*upstream
-	ended        []Decision
-	out          []Decision
+	// spareGrants and spareWaiting are rows for reuse, so that a tick in steady state does not
+	// allocate.
+	spareGrants      []*grant
+	spareWaiting     []*waiting
+	groupBuffer      []*upstream
+	pendingDecisions []Decision
+	decisions        []Decision
 }
 
-// New returns an empty pool. Its rebuild begins with the first tick.
+// New returns an empty pool. The recovery period of Config.Rebuild begins with the first tick.
 func New(c Config) *Pool {
 	if c.Long <= 0 {
 		c.Long = DefaultLong
@@ -95,58 +99,58 @@
 		c.Lag = DefaultLag
 	}
 	p := &Pool{
-		config:     c,
-		byID:       make(map[UpstreamID]*upstream),
-		prefixes:   make(map[PrefixHash]holders),
-		workspaces: make(map[WorkspaceID]*workspace),
-		queued:     make(map[RequestID]*waiting),
-		grants:     make(map[GrantID]*grant),
-		live:       make(map[RequestID]*grant),
-		ghosts:     make(map[RequestID]*grant),
-		killers:    killers{live: make(map[uint64]int), deaths: make(map[uint64]deaths)},
-		rebuilding: c.Rebuild > 0,
-		shared:     true,
+		config:         c,
+		byID:           make(map[UpstreamID]*upstream),
+		prefixes:       make(map[PrefixHash]cachedOn),
+		workspaces:     make(map[WorkspaceID]*workspace),
+		queued:         make(map[RequestID]*waiting),
+		grants:         make(map[GrantID]*grant),
+		live:           make(map[RequestID]*grant),
+		orphans:        make(map[RequestID]*grant),
+		crashes:        crashTable{running: make(map[uint64]int), byFingerprint: make(map[uint64]crashCount)},
+		recovering:     c.Rebuild > 0,
+		longSideShared: true,
 	}
 	p.tree.resize(1)
 	for i := range p.lanes {
 		p.lanes[i] = newLane(i)
 	}
-	p.expiries.less = func(a, b *waiting) bool { return a.latest < b.latest }
-	p.expiries.moved = func(w *waiting, i int) { w.expiry = i }
-	p.timers.less = func(a, b *grant) bool { return a.check < b.check }
-	p.timers.moved = func(g *grant, i int) { g.timer = i }
+	p.expiries.less = func(a, b *waiting) bool { return a.latestStart < b.latestStart }
+	p.expiries.moved = func(w *waiting, i int) { w.expiryIndex = i }
+	p.timers.less = func(a, b *grant) bool { return a.checkAt < b.checkAt }
+	p.timers.moved = func(g *grant, i int) { g.timerIndex = i }
 	return p
 }
 
-// SetUpstream adds an upstream or changes one. Marking it leaving takes effect
-// at once: it keeps its grants and gets no new one.
+// SetUpstream adds or updates an upstream. An upstream marked as leaving receives no new grants
+// from now on and keeps those that it has.
 func (p *Pool) SetUpstream(now clock.Milli, s Upstream) {
 	u := p.byID[s.ID]
 	if u == nil {
-		u = &upstream{slow: 1, at: now, index: -1, self: []UpstreamID{s.ID}}
+		u = &upstream{slowdown: 1, drainedAt: now, index: -1, idList: []UpstreamID{s.ID}}
 		p.byID[s.ID] = u
 	}
 	u.spec = s
 	if s.Slots <= 0 {
 		u.spec.Slots = 1
 	}
-	u.gone = false
-	p.stale = true
+	u.removed = false
+	p.treeStale = true
 }
 
-// RemoveUpstream takes an upstream out. Its grants stay until they end; the memory
-// of lapsed ones is forgotten with it.
+// RemoveUpstream removes an upstream. Its live grants stay until they end; memory reserved for its
+// orphaned grants is released.
 func (p *Pool) RemoveUpstream(_ clock.Milli, id UpstreamID) {
 	u := p.byID[id]
 	if u == nil {
 		return
 	}
-	u.gone = true
-	u.index = -1 // its leaf may soon be another's
-	p.stale = true
-	p.forget(u)
+	u.removed = true
+	u.index = -1 // its leaf may be reassigned
+	p.treeStale = true
+	p.clearHints(u)
 	for i := len(u.grants) - 1; i >= 0; i-- {
-		if g := u.grants[i]; g.ghost > 0 {
+		if g := u.grants[i]; g.orphanedAt > 0 {
 			p.detach(g, u)
 		}
 	}
@@ -166,21 +170,21 @@
 		return
 	}
 	for _, f := range w.flows {
-		if f != nil && f.place >= 0 {
+		if f != nil && f.heapIndex >= 0 {
 			f.lane.weight += s.Weight - w.spec.Weight
 		}
 	}
 	w.spec = s
 }
 
-// Submit hands in a request; the next tick admits or refuses it. A request that is
-// queued already takes the new gate and deadline, and one that holds a grant
-// gets the same grant again: the answer to the first call was lost.
+// Submit enters a request, which the next tick admits or refuses. A repeated call of a queued
+// request, whose first answer was lost, updates the gate; one of a request with a live grant
+// returns that grant again.
 func (p *Pool) Submit(_ clock.Milli, r Request) {
 	p.arrivals = append(p.arrivals, r)
 }
 
-// Withdraw takes back a request that has no grant yet.
+// Withdraw removes a request that has no grant yet.
 func (p *Pool) Withdraw(_ clock.Milli, id RequestID) {
 	for i := range p.arrivals {
 		if p.arrivals[i].ID == id {
@@ -193,57 +197,57 @@
 	}
 }
 
-// Tick runs every system once, in this order, and returns what was decided.
-// The slice is reused by the next tick.
+// Tick processes all tables once, in a fixed order, and returns the decisions. The slice is reused
+// by the next tick.
 func (p *Pool) Tick(now clock.Milli) []Decision {
-	p.out = p.out[:0]
+	p.decisions = p.decisions[:0]
 	if !p.started {
 		p.started, p.start = true, now
 	}
 	p.ticked = now
-	p.settle(now)
+	p.applyChanges(now)
 	p.expire(now)
 	p.admit(now)
-	p.serve(now)
-	p.move(now)
-	return p.out
+	p.serveQueues(now)
+	p.moveBoundaries(now)
+	return p.decisions
 }
 
-// Next tells when the next tick is due at the latest, if nothing is put in before.
+// Next returns the time of the next required tick, provided that nothing is entered before.
 func (p *Pool) Next(now clock.Milli) clock.Milli {
-	next := p.shift.due
-	if len(p.arrivals) > 0 || len(p.ended) > 0 || p.stale {
+	next := p.boundaries.nextMove
+	if len(p.arrivals) > 0 || len(p.pendingDecisions) > 0 || p.treeStale {
 		return now
 	}
 	if g, ok := p.timers.first(); ok {
-		next = min(next, g.check)
+		next = min(next, g.checkAt)
 	}
 	if w, ok := p.expiries.first(); ok {
-		next = min(next, w.latest, now+poll)
+		next = min(next, w.latestStart, now+pollInterval)
 	}
 	return max(next, now+1)
 }
 
-// settle brings the tables up to date with what was put in since the last tick.
-func (p *Pool) settle(now clock.Milli) {
-	p.out = append(p.out, p.ended...)
-	p.ended = p.ended[:0]
-	if p.rebuilding && now-p.start >= p.config.Rebuild {
-		p.rebuilding = false
-		p.stale = true
+// applyChanges applies the changes entered since the last tick to the tables.
+func (p *Pool) applyChanges(now clock.Milli) {
+	p.decisions = append(p.decisions, p.pendingDecisions...)
+	p.pendingDecisions = p.pendingDecisions[:0]
+	if p.recovering && now-p.start >= p.config.Rebuild {
+		p.recovering = false
+		p.treeStale = true
 	}
-	if p.stale {
-		p.rebuild(now)
+	if p.treeStale {
+		p.rebuildTables(now)
 	}
 }
 
-// rebuild lays out the table of upstreams and the tree anew.
-func (p *Pool) rebuild(now clock.Milli) {
-	p.stale = false
+// rebuildTables rebuilds the ordered list of upstreams and the tree.
+func (p *Pool) rebuildTables(now clock.Milli) {
+	p.treeStale = false
 	p.upstreams = p.upstreams[:0]
 	for _, u := range p.byID {
 		u.index = -1
-		if !u.gone {
+		if !u.removed {
 			p.upstreams = append(p.upstreams, u)
 		}
 	}
@@ -253,51 +257,51 @@
 	if p.tree.base < len(p.upstreams) || p.tree.base > 4*len(p.upstreams) {
 		p.tree.resize(len(p.upstreams))
 	}
-	p.measure()
-	p.sides()
+	p.updateTotals()
+	p.assignSides()
 	for i := range p.tree.base {
 		if i >= len(p.upstreams) {
-			p.tree.set(i, barred)
+			p.tree.set(i, closedNode)
 			continue
 		}
 		u := p.upstreams[i]
 		u.index = i
 		u.drain(now)
-		p.touch(u)
+		p.updateLeaf(u)
 	}
-	if p.claim.holder != nil && !p.claimHolds() {
-		p.release()
+	if p.claim.request != nil && !p.claimValid() {
+		p.releaseClaim()
 	}
 }
 
-// measure sums up the upstreams that take new work.
-func (p *Pool) measure() {
-	p.largest, p.whole, p.prefill, p.decode, p.slots, p.speed = 0, 0, 0, 0, 0, 0
-	taking := 0
-	p.plain = true
+// updateTotals recomputes the totals and means of the upstreams that accept new work.
+func (p *Pool) updateTotals() {
+	p.largestMemory, p.totalMemory, p.prefill, p.decode, p.slots, p.meanSpeed = 0, 0, 0, 0, 0, 0
+	accepting := 0
+	p.plainService = true
 	for _, u := range p.upstreams {
 		if u.leaving() {
 			continue
 		}
-		taking++
+		accepting++
 		p.slots += u.spec.Slots
-		p.speed += 1 / u.slow
+		p.meanSpeed += 1 / u.slowdown
 		memory := u.spec.Memory
 		if memory == 0 {
-			memory = unlimited
+			memory = unlimitedMemory
 		} else {
-			p.plain = false
+			p.plainService = false
 		}
-		p.largest = max(p.largest, memory)
-		p.whole += memory
+		p.largestMemory = max(p.largestMemory, memory)
+		p.totalMemory += memory
 		p.prefill += float64(u.spec.Prefill) / 1000
 		p.decode += float64(u.spec.Decode) / 1000
 	}
-	p.shift.taking = taking
-	if taking > 0 {
-		p.prefill /= float64(taking)
-		p.decode /= float64(taking)
-		p.speed /= float64(taking)
+	p.boundaries.accepting = accepting
+	if accepting > 0 {
+		p.prefill /= float64(accepting)
+		p.decode /= float64(accepting)
+		p.meanSpeed /= float64(accepting)
 	}
 	if p.prefill <= 0 {
 		p.prefill = plainRate
@@ -307,11 +311,11 @@
 	}
 }
 
-// isLong tells whether a prompt belongs to the long side. A plain service has no
-// prefill, so a large body is no reason to hold it back.
-func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.Long && !p.plain }
+// isLong reports whether a prompt counts as long. A plain service has no prefill, so there is no
+// reason to hold back a large body.
+func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.Long && !p.plainService }
 
-// drop takes a request out of the queue and frees its row.
+// drop removes a request from the queue and releases its row.
 func (p *Pool) drop(w *waiting) {
 	p.dequeue(w)
 	*w = waiting{}
--- a/lib/decide/property_test.go
+++ b/lib/decide/property_test.go
@@ -10,36 +10,37 @@
 	"snipeshift.example/lib/clock"
 )
 
-// model drives a pool by random operations and keeps its own books.
+// model drives a pool by random operations and compares its state with a simple model.
 type model struct {
 	t    *rapid.T
 	pool *Pool
 	now  clock.Milli
-	// memory and leaving mirror what the pool was told of each upstream.
+	// memory and leaving mirror the configuration of each upstream.
 	memory  map[UpstreamID]Tokens
 	leaving map[UpstreamID]bool
-	// taken is memory of grants and of lapsed grants not yet reported gone.
+	// taken is the memory of live grants and of orphaned grants not yet reported as gone.
 	taken map[UpstreamID]Tokens
-	// open counts requests handed in without an end; live and ghosts are grants.
-	open   map[RequestID]bool
-	live   map[GrantID]Grant
-	ghosts map[GrantID]Grant
-	// due holds grants that ended badly and must be told as lapsed, once.
-	due  map[GrantID]bool
-	next int
+	// open contains submitted requests without a decision. live and orphans are grants.
+	open    map[RequestID]bool
+	live    map[GrantID]Grant
+	orphans map[GrantID]Grant
+	// lapseDue contains failed or canceled grants for which exactly one Lapsed decision must
+	// follow.
+	lapseDue map[GrantID]bool
+	next     int
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		t:       t,
-		now:     1_000_000,
-		memory:  map[UpstreamID]Tokens{},
-		leaving: map[UpstreamID]bool{},
-		taken:   map[UpstreamID]Tokens{},
-		open:    map[RequestID]bool{},
-		live:    map[GrantID]Grant{},
-		ghosts:  map[GrantID]Grant{},
-		due:     map[GrantID]bool{},
+		t:        t,
+		now:      1_000_000,
+		memory:   map[UpstreamID]Tokens{},
+		leaving:  map[UpstreamID]bool{},
+		taken:    map[UpstreamID]Tokens{},
+		open:     map[RequestID]bool{},
+		live:     map[GrantID]Grant{},
+		orphans:  map[GrantID]Grant{},
+		lapseDue: map[GrantID]bool{},
 	}
 	m.pool = New(Config{Epoch: 7, Lease: 3000, Rebuild: clock.Milli(rapid.IntRange(0, 1).Draw(t, "rebuild")) * 500})
 	for range rapid.IntRange(1, 9).Draw(t, "upstreams") {
@@ -54,7 +55,7 @@
 
 func (m *model) set(t *rapid.T) {
 	id := m.upstream(t)
-	// An engine keeps its size for life, or grants made before could not fit.
+	// The memory of an engine never changes, as grants made before could exceed it otherwise.
 	memory := Tokens(400_000)
 	if id[1]%3 == 0 {
 		memory = 200_000
@@ -72,16 +73,16 @@
 	m.pool.RemoveUpstream(m.now, id)
 	delete(m.memory, id)
 	delete(m.leaving, id)
-	for gid, g := range m.ghosts {
+	for gid, g := range m.orphans {
 		if m.drop(&g, id); len(g.Upstreams) == 0 {
-			delete(m.ghosts, gid)
+			delete(m.orphans, gid)
 			continue
 		}
-		m.ghosts[gid] = g
+		m.orphans[gid] = g
 	}
 }
 
-// drop takes one upstream off a grant in the model's books.
+// drop removes one upstream from a grant of the model.
 func (m *model) drop(g *Grant, id UpstreamID) {
 	var kept []UpstreamID
 	for _, u := range g.Upstreams {
@@ -107,19 +108,19 @@
 		Prompt:    Tokens(prompt),
 		Output:    Tokens(rapid.IntRange(0, 1000).Draw(t, "output")),
 		Suspect:   rapid.IntRange(0, 9).Draw(t, "suspect") == 0,
-		// One in a few shares its content with others, and may be a killer.
+		// Few distinct fingerprints, so that requests share content and can become poison requests.
 		Fingerprint: uint64(rapid.IntRange(0, 40).Draw(t, "content")) % 8,
 	})
 }
 
 func (m *model) tick(_ *rapid.T) {
-	// The same instant reaches the pool before any later report.
+	// report calls tick first, so the pool sees the current time before any report of that time.
 	for _, d := range m.pool.Tick(m.now) {
 		switch d.Action {
 		case Granted:
 			m.granted(d)
 		case Refused:
-			require.True(m.t, m.open[d.Request], "%s ended twice", d.Request)
+			require.True(m.t, m.open[d.Request], "%s decided twice", d.Request)
 			delete(m.open, d.Request)
 		case Lapsed:
 			m.lapsed(d)
@@ -131,14 +132,14 @@
 
 func (m *model) granted(d Decision) {
 	g := d.Grant
-	require.True(m.t, m.open[d.Request], "%s ended twice", d.Request)
+	require.True(m.t, m.open[d.Request], "%s decided twice", d.Request)
 	delete(m.open, d.Request)
 	require.Greater(m.t, g.Deadline, m.now)
 	require.GreaterOrEqual(m.t, g.Reserved*Tokens(len(g.Upstreams)), g.Prompt+g.Output)
 	for i, u := range g.Upstreams {
 		_, known := m.memory[u]
 		require.True(m.t, known, "grant on %s, which was removed", u)
-		require.False(m.t, m.leaving[u], "grant on %s, which leaves", u)
+		require.False(m.t, m.leaving[u], "grant on %s, which is leaving", u)
 		require.True(m.t, i == 0 || g.Upstreams[i-1] < u, "group not in ascending order")
 		m.taken[u] += g.Reserved
 		require.LessOrEqual(m.t, m.taken[u], m.memory[u], "memory of %s over-granted", u)
@@ -149,15 +150,15 @@
 func (m *model) lapsed(d Decision) {
 	g, ok := m.live[d.Grant.ID]
 	if ok {
-		m.haunt(g)
+		m.orphan(g)
 		return
 	}
-	require.True(m.t, m.due[d.Grant.ID], "lapsed without a grant, or twice")
-	delete(m.due, d.Grant.ID)
+	require.True(m.t, m.lapseDue[d.Grant.ID], "lapsed twice, or without a grant")
+	delete(m.lapseDue, d.Grant.ID)
 }
 
-// haunt keeps the memory of a grant on the upstreams that are still there.
-func (m *model) haunt(g Grant) {
+// orphan keeps the memory of a grant reserved on the upstreams that still exist.
+func (m *model) orphan(g Grant) {
 	delete(m.live, g.ID)
 	for _, u := range g.Upstreams {
 		if _, known := m.memory[u]; !known {
@@ -165,7 +166,7 @@
 		}
 	}
 	if len(g.Upstreams) > 0 {
-		m.ghosts[g.ID] = g
+		m.orphans[g.ID] = g
 	}
 }
 
@@ -177,8 +178,8 @@
 		o := Outcome(rapid.IntRange(0, 4).Draw(t, "outcome"))
 		m.pool.Finish(m.now, g.ID, o)
 		if o == Failed || o == Canceled {
-			m.haunt(m.live[g.ID])
-			m.due[g.ID] = true
+			m.orphan(m.live[g.ID])
+			m.lapseDue[g.ID] = true
 			continue
 		}
 		for _, u := range g.Upstreams {
@@ -197,7 +198,7 @@
 	}
 }
 
-// report has an engine list its live grants and some of its ghosts.
+// report makes an engine report its live grants and some of its orphaned ones.
 func (m *model) report(t *rapid.T) {
 	id := m.upstream(t)
 	if _, known := m.memory[id]; !known {
@@ -211,7 +212,7 @@
 			r.Used += g.Reserved
 		}
 	}
-	for gid, g := range m.ghosts {
+	for gid, g := range m.orphans {
 		if !contains(g.Upstreams, id) {
 			continue
 		}
@@ -220,12 +221,12 @@
 			r.Used += g.Reserved
 			continue
 		}
-		v := m.ghostSince(g, id)
+		v := m.orphanedAt(g, id)
 		if m.now-v >= DefaultLag {
 			m.drop(&g, id)
-			m.ghosts[gid] = g
+			m.orphans[gid] = g
 			if len(g.Upstreams) == 0 {
-				delete(m.ghosts, gid)
+				delete(m.orphans, gid)
 			}
 		}
 	}
@@ -233,23 +234,23 @@
 	m.check()
 }
 
-func (m *model) ghostSince(g Grant, _ UpstreamID) clock.Milli { return m.pool.grants[g.ID].ghost }
+func (m *model) orphanedAt(g Grant, _ UpstreamID) clock.Milli { return m.pool.grants[g.ID].orphanedAt }
 
 func contains(ids []UpstreamID, id UpstreamID) bool { return avoided(ids, id) }
 
 func (m *model) check() {
 	for _, v := range m.pool.Upstreams(m.now) {
-		require.Equal(m.t, m.taken[v.ID], v.Taken, "books of %s differ", v.ID)
+		require.Equal(m.t, m.taken[v.ID], v.Taken, "reserved memory of %s differs", v.ID)
 		require.LessOrEqual(m.t, v.Taken, v.Memory)
 	}
 	require.Len(m.t, m.pool.Grants(), len(m.live))
 }
 
-// A caller sends a request and must get exactly one end for it, whatever comes in
-// between: upstreams that leave, come back or vanish, gates that fall silent,
-// reports that lag. An engine granted more than its memory would stall or evict
-// what runs there; a grant on a leaving one would be cut off.
-func TestRandomOperationsKeepThePromises(t *testing.T) {
+// Each submitted request must get exactly one decision, whatever happens in between: upstreams that
+// leave, come back or vanish, gates that do not respond, reports that lag. An engine granted more
+// than its memory would stall or evict running requests; a grant on a leaving engine would be cut
+// off.
+func TestRandomOperationsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -276,11 +277,11 @@
 				}
 			},
 		})
-		// Once time has passed every deadline nothing may be left without an end.
+		// After every deadline no request may be left without a decision.
 		m.now += 500_000
 		m.tick(t)
-		require.Empty(t, m.due, "grants that ended badly and were not told as lapsed")
-		require.Empty(t, m.open, "requests without an end")
+		require.Empty(t, m.lapseDue, "failed or canceled grants without a Lapsed decision")
+		require.Empty(t, m.open, "requests without a decision")
 		require.Empty(t, m.pool.Queue())
 	})
 }
--- a/lib/decide/queue.go
+++ b/lib/decide/queue.go
@@ -6,87 +6,90 @@
 	"snipeshift.example/lib/clock"
 )
 
-// A lane queues the requests of one urgency and of one side of the
-// long boundary. Within a lane workspaces share by start-time fair queueing
-// over tokens; within a workspace the request with the least slack goes first.
+// A lane is the queue of the requests of one urgency and one side of the boundary between short and
+// long prompts. Within a lane workspaces share by start-time fair queueing over tokens. Within a
+// workspace the request with the least slack is served first.
 
 const (
 	urgencies = 4
 	lanes     = 2 * urgencies
 )
 
-// lane is one queue of a pool.
+// lane is the queue of one urgency and one side.
 type lane struct {
 	urgency Urgency
 	long    bool
-	// virtual is the start tag of the request served last; it never falls.
-	virtual float64
-	// flows holds the workspaces with queued requests, least start tag first.
+	// virtualTime is the largest start tag of a served request. It never decreases.
+	virtualTime float64
+	// flows contains the workspaces with queued requests, smallest start tag first.
 	flows heap[*flow]
-	// count, work (milliseconds of prefill) and weight sum over its flows.
+	// count, work (milliseconds of prefill) and weight are totals over the flows.
 	count int
-	// hold sums memory times duration, in tokens times milliseconds.
-	work   float64
-	weight float64
-	hold   float64
-	// recent lists the workspaces that sent something in the last periods, and
-	// expected is the sum of their weights, asked of the work they were admitted with.
-	recent          []*flow
-	expected, asked float64
-	// started accumulates the work granted in this period; contended is set
-	// while the lane was never empty in it: only then is started what it can get.
-	started   float64
+	// memoryTime is the total memory times duration of queued requests, in token-milliseconds.
+	work       float64
+	weight     float64
+	memoryTime float64
+	// active lists the workspaces with a request in the last idlePeriods periods. activeWeight is
+	// the sum of their weights, admittedRate the sum of their rates of admitted work.
+	active                     []*flow
+	activeWeight, admittedRate float64
+	// granted is the work granted in this period. contended is set if the lane was not empty at the
+	// start of the period and has not been empty since; only then is granted the work that the lane
+	// can obtain.
+	granted   float64
 	contended bool
-	// rate is the smoothed work it gets while it queues, in upstreams kept busy.
+	// rate is the smoothed work granted while requests queue, in milliseconds of prefill per
+	// millisecond, that is, the number of upstreams kept busy.
 	rate    float64
 	periods int
-	// turned is the work refused lately that may come back, as of turnedAt.
-	turned   float64
-	turnedAt clock.Milli
-	// blocked is set within a tick once nothing more of it can be placed.
+	// refusedWork is the recently refused work that may come back, as of refusedAt.
+	refusedWork float64
+	refusedAt   clock.Milli
+	// blocked is set within a tick once no further request of the lane can be placed.
 	blocked bool
 }
 
-// flow is one workspace's part of a lane.
+// flow is the part of a lane that belongs to one workspace.
 type flow struct {
 	lane      *lane
 	workspace *workspace
-	// requests holds the queue, least slack first.
-	requests heap[*waiting]
-	// tag is the virtual time at which its next request starts: never below
-	// what it was served already, divided by its weight.
-	tag  float64
-	work float64
-	// admitted accumulates in this period; asked is its smoothed rate.
-	admitted, asked float64
-	// quiet counts periods without a request; while recent, the flow is in lane.recent.
-	quiet  int
-	recent bool
-	// place is its position in lane.flows, -1 while it is empty.
-	place int
+	// queue is the queue, least slack first.
+	queue heap[*waiting]
+	// startTag is the virtual time at which the next request starts. It is at least the service
+	// received so far divided by the weight.
+	startTag float64
+	work     float64
+	// admitted is the work admitted in this period, admittedRate its smoothed rate.
+	admitted, admittedRate float64
+	// idle is the number of periods since the last request. active is set while the flow is in
+	// lane.active.
+	idle   int
+	active bool
+	// heapIndex is the position in lane.flows, -1 if the flow is empty.
+	heapIndex int
 }
 
 func newLane(i int) *lane {
 	l := &lane{urgency: Urgency(i / 2), long: i%2 == 1}
 	l.flows.less = func(a, b *flow) bool {
-		if a.tag != b.tag {
-			return a.tag < b.tag
+		if a.startTag != b.startTag {
+			return a.startTag < b.startTag
 		}
 		return a.workspace.spec.ID < b.workspace.spec.ID
 	}
-	l.flows.moved = func(f *flow, i int) { f.place = i }
+	l.flows.moved = func(f *flow, i int) { f.heapIndex = i }
 	return l
 }
 
 func newFlow(l *lane, w *workspace) *flow {
-	f := &flow{lane: l, workspace: w, place: -1}
-	f.requests.less = func(a, b *waiting) bool {
-		if a.latest != b.latest {
-			return a.latest < b.latest
+	f := &flow{lane: l, workspace: w, heapIndex: -1}
+	f.queue.less = func(a, b *waiting) bool {
+		if a.latestStart != b.latestStart {
+			return a.latestStart < b.latestStart
 		}
 		return a.ID < b.ID
 	}
-	f.requests.moved = func(w *waiting, i int) { w.place = i }
+	f.queue.moved = func(w *waiting, i int) { w.heapIndex = i }
 	return f
 }
 
@@ -98,7 +101,7 @@
 	return i
 }
 
-// flow finds or makes the flow of a request.
+// flow returns the flow of a request and creates it if necessary.
 func (p *Pool) flow(r *Request) *flow {
 	w := p.workspaces[r.Workspace]
 	if w == nil {
@@ -112,89 +115,87 @@
 	return w.flows[i]
 }
 
-// enqueue adds an admitted request. A workspace that was idle starts at the
-// lane's virtual time: it has no claim on service that it did not ask for,
-// and owes nothing for service that no one else wanted.
+// enqueue adds an admitted request. A workspace that was idle starts at the virtual time of the
+// lane: it has no claim to service that it did not request, and is not charged for service that no
+// other workspace needed.
 func (p *Pool) enqueue(w *waiting) {
 	f, l := w.flow, w.flow.lane
-	l.expect(f)
+	l.markActive(f)
 	f.admitted += w.work
-	f.requests.push(w)
+	f.queue.push(w)
 	p.expiries.push(w)
 	f.work += w.work
 	l.work += w.work
-	l.hold += w.hold()
+	l.memoryTime += w.memoryTime()
 	l.count++
-	if f.place < 0 {
-		f.tag = max(f.tag, l.virtual)
+	if f.heapIndex < 0 {
+		f.startTag = max(f.startTag, l.virtualTime)
 		l.weight += f.workspace.spec.Weight
 		l.flows.push(f)
 	}
 }
 
-// expect counts a workspace among those that may ask for their share.
-func (l *lane) expect(f *flow) {
-	f.quiet = 0
-	if f.recent {
+// markActive adds a workspace to those that may request their share.
+func (l *lane) markActive(f *flow) {
+	f.idle = 0
+	if f.active {
 		return
 	}
-	f.recent = true
-	l.recent = append(l.recent, f)
-	l.expected += f.workspace.spec.Weight
+	f.active = true
+	l.active = append(l.active, f)
+	l.activeWeight += f.workspace.spec.Weight
 }
 
-// dequeue takes a request out of every table but does not free the row.
+// dequeue removes a request from every table but does not release its row.
 func (p *Pool) dequeue(w *waiting) {
 	f, l := w.flow, w.flow.lane
-	f.requests.remove(w.place)
-	p.expiries.remove(w.expiry)
+	f.queue.remove(w.heapIndex)
+	p.expiries.remove(w.expiryIndex)
 	delete(p.queued, w.ID)
-	if p.claim.holder == w {
-		p.release()
+	if p.claim.request == w {
+		p.releaseClaim()
 	}
 	f.work -= w.work
 	l.work -= w.work
-	l.hold -= w.hold()
+	l.memoryTime -= w.memoryTime()
 	l.count--
-	if f.requests.len() == 0 {
+	if f.queue.len() == 0 {
 		f.work = 0
 		l.weight -= f.workspace.spec.Weight
-		l.flows.remove(f.place)
+		l.flows.remove(f.heapIndex)
 	}
 	if l.count == 0 {
 		l.contended = false
-		l.work, l.weight, l.hold = 0, 0, 0
+		l.work, l.weight, l.memoryTime = 0, 0, 0
 	}
 }
 
-// charge books the service of a request that is about to leave its flow.
-// Between two workspaces that both stay queued in a lane, the tokens served
-// divided by the weights never differ by more than each one's longest request
-// divided by its weight, added up: a burst of one workspace delays another by
-// one request, not by the burst.
+// charge accounts for the service of a request that is about to leave its flow. Between two
+// workspaces with queued requests in a lane, the tokens served divided by the weights differ by at
+// most the sum of each one's longest request divided by its weight: a burst of one workspace delays
+// another by one request, not by the whole burst.
 func (f *flow) charge(w *waiting) {
-	f.lane.started += w.work
-	f.lane.virtual = max(f.lane.virtual, f.tag)
-	f.tag += float64(w.tokens()) / f.workspace.spec.Weight
-	f.lane.flows.fix(f.place)
+	f.lane.granted += w.work
+	f.lane.virtualTime = max(f.lane.virtualTime, f.startTag)
+	f.startTag += float64(w.tokens()) / f.workspace.spec.Weight
+	f.lane.flows.fix(f.heapIndex)
 }
 
-// rank is the order in which lanes are served: by urgency, moved up by one for
-// each third of its allowed time that the head has waited, so that steady
-// urgent work cannot hold back the rest for ever. It never reaches the most
-// urgent rank: a lookup must not wait because a draft is old. Of equal rank,
-// the head that must start first goes first.
+// rank returns the order in which lanes are served: by urgency, raised by one for each third of its
+// allowed time that the first request has waited, so that steady urgent work cannot starve less
+// urgent work. It never reaches the most urgent rank: a lookup must not wait because a draft is
+// old. With equal ranks the first request with the earliest latest start is served first.
 func (l *lane) rank(now clock.Milli) (float64, clock.Milli) {
 	f, _ := l.flows.first()
-	w, _ := f.requests.first()
+	w, _ := f.queue.first()
 	if l.urgency == 0 {
-		return 0, w.latest
+		return 0, w.latestStart
 	}
-	allowed := max(w.Deadline-w.since, 1)
-	waited := now - w.since
+	allowed := max(w.Deadline-w.queuedAt, 1)
+	waited := now - w.queuedAt
 	aged := float64(l.urgency) - math.Floor(agingSteps*float64(waited)/float64(allowed))
-	return max(aged, 1), w.latest
+	return max(aged, 1), w.latestStart
 }
 
-// agingSteps is how often a request moves up over its allowed time.
+// agingSteps is the number of ranks by which a request rises over its allowed time.
 const agingSteps = 3
--- a/lib/decide/ratelimit/doc.go
+++ b/lib/decide/ratelimit/doc.go
@@ -1,4 +1,5 @@
-// Package ratelimit paces the requests that upstreams are given by the limits that they name.
+// Package ratelimit limits the rate of requests to an upstream to the limit that the upstream
+// declares in its responses.
 //
-// Nothing here has sockets, goroutines or a clock.
+// It has no sockets, no goroutines and no clock.
 package ratelimit
--- a/lib/decide/ratelimit/pace.go
+++ b/lib/decide/ratelimit/pace.go
@@ -8,40 +8,44 @@
 )
 
 const (
-	// leastRate is granted whatever limit is named: an upstream that takes nothing could not say when it takes something again.
-	leastRate statement.PerSecond = 0.25
-	// burstSpan is how much of the rate may be granted at once, one request at least.
+	// minRate is granted whatever limit is declared: without any requests an upstream could not
+	// declare that it accepts more again.
+	minRate statement.PerSecond = 0.25
+	// burstSpan is the span of the rate that may be granted at once; at least one request.
 	burstSpan = 250 * clock.Milli(1)
-	// doubling is the time in which the rate doubles after the end of a limit, and returning how long that lasts: what waits, and
-	// what went elsewhere meanwhile, must not all come at once.
-	doubling  = 500 * clock.Milli(1)
-	returning = 3 * clock.Second
-	// renewal is how old a limit grows before a request is sent to hear whether it still holds.
-	renewal = 2 * clock.Second
-	// leastReturn is the rate from which on it doubles.
-	leastReturn statement.PerSecond = 1
-	// whole is one request, less what sums of fractions lose.
-	whole = 1 - 1e-9
+	// doublingTime is the time in which the rate doubles after the end of a limit, and rampSpan is
+	// how long this ramp lasts. It prevents that waiting requests, and those sent elsewhere
+	// meanwhile, arrive all at once.
+	doublingTime = 500 * clock.Milli(1)
+	rampSpan     = 3 * clock.Second
+	// probeAfter is the age of a limit after which a request is sent to find out whether the limit
+	// still applies.
+	probeAfter = 2 * clock.Second
+	// minRampRate is the minimum rate at which the ramp starts.
+	minRampRate statement.PerSecond = 1
+	// oneRequest is the level needed for one request, with a tolerance for rounding errors.
+	oneRequest = 1 - 1e-9
 )
 
-// Pace grants requests at one upstream within the limit that it names. The zero Pace knows of no limit and grants all.
+// Pace is a token bucket of requests for one upstream, filled at the rate that the upstream
+// declares. The zero Pace has no limit and allows all requests.
 type Pace struct {
 	known     bool
 	statement statement.Statement
-	// rate is the limit that was named last, lifted when that ended.
-	rate   statement.PerSecond
-	lifted clock.Milli
-	// taken is when a request was granted last.
-	taken clock.Milli
-	// part is the share of the limit that is granted here; zero for all of it.
-	part float64
-	// level is how many requests may be granted at the instant at; never more than a burst.
-	level float64
-	at    clock.Milli
+	// rate is the last declared limit; liftedAt is when the upstream stopped declaring one.
+	rate     statement.PerSecond
+	liftedAt clock.Milli
+	// lastGrant is when the last request was granted.
+	lastGrant clock.Milli
+	// fraction is the part of the limit available to this Pace; zero means all of it.
+	fraction float64
+	// level is the number of requests that may be granted as of filledAt. It never exceeds a burst.
+	level    float64
+	filledAt clock.Milli
 }
 
-// Learn takes a statement and reports whether the limit is another one now. A limit that was not known before is
-// kept from now on: nothing is saved up from the time before.
+// Learn processes a statement and reports whether it changes the limit. A limit takes effect from
+// now on: no credit accumulates for the time before.
 func (p *Pace) Learn(now clock.Milli, s statement.Statement) bool {
 	if !p.known && !s.Named || p.known && !s.Supersedes(p.statement) {
 		return false
@@ -53,36 +57,38 @@
 	case s.Named:
 		p.rate = s.Rate
 	case before.Named:
-		p.lifted = now
+		p.liftedAt = now
 	}
 	p.known, p.statement = true, s
 	p.level = min(p.level, p.burst(now))
 	return changed
 }
 
-// Divide has a part of the limit granted here: others, which cannot be asked, grant the rest.
-func (p *Pace) Divide(now clock.Milli, part float64) {
+// Divide limits this Pace to a part of the declared limit. The rest is for other VMs, which cannot
+// be reached.
+func (p *Pace) Divide(now clock.Milli, fraction float64) {
 	p.fill(now)
-	p.part = part
+	p.fraction = fraction
 	p.level = min(p.level, p.burst(now))
 }
 
-// Named reports whether the upstream names a limit.
+// Named reports whether the upstream currently declares a limit.
 func (p *Pace) Named() bool { return p.known && p.statement.Named }
 
-// Bounds reports whether the upstream's requests are bounded at all.
+// Bounds reports whether requests to the upstream are currently limited, by a declared limit or by
+// the ramp after its end.
 func (p *Pace) Bounds(now clock.Milli) bool {
-	return p.Named() || p.known && now-p.lifted < returning
+	return p.Named() || p.known && now-p.liftedAt < rampSpan
 }
 
-// Rate is how many requests a second are granted, where they are bounded.
+// Rate is the number of requests per second that may be granted while requests are limited.
 func (p *Pace) Rate(now clock.Milli) statement.PerSecond {
-	rate := max(p.rate, leastRate)
+	rate := max(p.rate, minRate)
 	if !p.statement.Named {
-		rate = max(p.rate, leastReturn) * statement.PerSecond(math.Exp2(float64(now-p.lifted)/float64(doubling)))
+		rate = max(p.rate, minRampRate) * statement.PerSecond(math.Exp2(float64(now-p.liftedAt)/float64(doublingTime)))
 	}
-	if p.part > 0 {
-		rate *= statement.PerSecond(p.part)
+	if p.fraction > 0 {
+		rate *= statement.PerSecond(p.fraction)
 	}
 	return rate
 }
@@ -93,51 +99,52 @@
 		return true
 	}
 	p.fill(now)
-	return p.level >= whole
+	return p.level >= oneRequest
 }
 
-// Level is how many requests may be granted now, where they are bounded.
+// Level is the number of requests that may be granted now, while requests are limited.
 func (p *Pace) Level(now clock.Milli) float64 {
 	p.fill(now)
 	return p.level
 }
 
-// Take notes a request that is granted.
+// Take records the grant of a request.
 func (p *Pace) Take(now clock.Milli) {
-	p.taken = now
+	p.lastGrant = now
 	if p.Bounds(now) {
 		p.fill(now)
 		p.level--
 	}
 }
 
-// Stale reports whether the limit was named so long ago, and nothing granted since, that a request should find out whether
-// it still holds.
+// Stale reports whether the limit was declared, and a request last granted, so long ago that a
+// request should be sent to find out whether the limit still applies.
 func (p *Pace) Stale(now clock.Milli) bool {
-	return p.Named() && now-max(p.statement.At, p.taken) >= renewal
+	return p.Named() && now-max(p.statement.At, p.lastGrant) >= probeAfter
 }
 
-// Statement returns what is known of the limit, if anything is.
+// Statement returns the last statement about the limit. The second result is false if there was
+// none.
 func (p *Pace) Statement() (statement.Statement, bool) { return p.statement, p.known }
 
-// Restore takes the level over from who granted before.
+// Restore sets the level to that of the previous owner.
 func (p *Pace) Restore(now clock.Milli, level float64) {
 	p.fill(now)
 	p.level = min(level, p.burst(now))
 }
 
-// Reset forgets all: another life of the upstream begins.
-func (p *Pace) Reset() { *p = Pace{part: p.part} }
+// Reset drops everything but the fraction: a new incarnation of the upstream has started.
+func (p *Pace) Reset() { *p = Pace{fraction: p.fraction} }
 
-// burst is the most that may be granted at once.
+// burst is the maximum level.
 func (p *Pace) burst(now clock.Milli) float64 {
 	return max(1, float64(p.Rate(now))*burstSpan.Duration().Seconds())
 }
 
-// fill lets the level rise for the time that has passed.
+// fill raises the level for the elapsed time.
 func (p *Pace) fill(now clock.Milli) {
-	if p.known && now > p.at {
-		p.level = min(p.burst(now), p.level+float64(p.Rate(now))*(now-p.at).Duration().Seconds())
+	if p.known && now > p.filledAt {
+		p.level = min(p.burst(now), p.level+float64(p.Rate(now))*(now-p.filledAt).Duration().Seconds())
 	}
-	p.at = max(p.at, now)
+	p.filledAt = max(p.filledAt, now)
 }
--- a/lib/decide/report.go
+++ b/lib/decide/report.go
@@ -3,26 +3,27 @@
 import "snipeshift.example/lib/clock"
 
 const (
-	// learn is the weight of one observation of speed: five in a row move the
-	// estimate by two thirds, one odd prompt moves it little.
-	learn = 0.2
-	// notable is the least expected time to first token, in milliseconds, that
-	// tells anything about speed; below it round trips dominate.
-	notable = 50
-	// patience is how far over its expected time a first token must be before
-	// its absence counts as an observation.
-	patience = 2
-	// slowest bounds the estimate, so that a recovered upstream, which then gets
-	// a little work, is believed again within some ten requests.
-	slowest = 16
-	// outlier is the slowness, relative to the pool's, from which no long prompt
-	// leads on an upstream: it would hold its memory for minutes. Relative, for
-	// where all are slower than rated none may be shut out.
-	outlier = 2.5
+	// slowdownSmoothing is the weight of one observation of speed: five in a row move the estimate
+	// by two thirds, while a single outlier moves it little.
+	slowdownSmoothing = 0.2
+	// minObservable is the least expected time to first token, in milliseconds, from which speed
+	// can be inferred; below it round trips dominate.
+	minObservable = 50
+	// overdueFactor is the multiple of its expected time after which a missing first token counts
+	// as an observation.
+	overdueFactor = 2
+	// maxSlowdown bounds the estimate, so that a recovered upstream, which then receives little
+	// work, is rated normal again within about ten requests.
+	maxSlowdown = 16
+	// outlierSlowdown is the slowdown, relative to the mean of the pool, from which an upstream
+	// does not lead long prompts, which would hold their memory for minutes. It is relative because
+	// no upstream may be excluded if all are slower than rated.
+	outlierSlowdown = 2.5
 )
 
-// Report takes an engine's own word on its load. It frees the memory of lapsed
-// grants that the engine no longer lists, and shows memory that others hold.
+// Report processes the load that an engine reports. It frees the memory of orphaned grants that the
+// engine no longer lists, and records external load: used memory that no grant of this owner
+// accounts for.
 func (p *Pool) Report(now clock.Milli, id UpstreamID, r Report) {
 	u := p.byID[id]
 	if u == nil {
@@ -35,32 +36,32 @@
 	u.report = r
 	u.report.Running = running
 	u.reported = true
-	ours := p.listed(u)
+	accounted := p.sumListed(u)
 	for i := len(u.grants) - 1; i >= 0; i-- {
 		g := u.grants[i]
-		if g.ghost > 0 && g.seen != p.reports && r.At-p.config.Lag >= g.ghost {
+		if g.orphanedAt > 0 && g.listedIn != p.reportSeq && r.At-p.config.Lag >= g.orphanedAt {
 			p.detach(g, u)
 		}
 	}
-	// A request that ended while the report was under way looks like a
-	// stranger's memory, but only in one report.
-	strange := max(r.Used-ours, 0)
-	u.foreign, u.prior = min(strange, u.prior), strange
+	// The memory of a request that ended after the engine made the report looks like external load,
+	// but only in one report.
+	unaccounted := max(r.Used-accounted, 0)
+	u.external, u.lastExternal = min(unaccounted, u.lastExternal), unaccounted
 	if u.leaving() != wasLeaving {
-		p.stale = true
+		p.treeStale = true
 	}
 	u.drain(now)
-	p.touch(u)
+	p.updateLeaf(u)
 }
 
-// listed marks the grants that the last report of u lists and sums their memory.
-func (p *Pool) listed(u *upstream) Tokens {
-	p.reports++
+// sumListed marks the grants listed in the last report of u and returns the sum of their memory.
+func (p *Pool) sumListed(u *upstream) Tokens {
+	p.reportSeq++
 	var sum Tokens
 	for _, id := range u.report.Running {
-		for _, g := range [...]*grant{p.live[id], p.ghosts[id]} {
-			if g != nil && holds(g, u) {
-				g.seen = p.reports
+		for _, g := range [...]*grant{p.live[id], p.orphans[id]} {
+			if g != nil && runsOn(g, u) {
+				g.listedIn = p.reportSeq
 				sum += g.Reserved
 			}
 		}
@@ -68,7 +69,7 @@
 	return sum
 }
 
-func holds(g *grant, u *upstream) bool {
+func runsOn(g *grant, u *upstream) bool {
 	for _, o := range g.on {
 		if o == u {
 			return true
@@ -77,81 +78,82 @@
 	return false
 }
 
-// Progress takes what a gate has seen of a live grant; with first, now is the
-// instant of the first token, which may lie before the last tick. The first token tells how
-// fast the upstream really prefills: a slow upstream's own report would show it
-// as lightly loaded, since it holds few requests, and attract more.
+// Progress records the progress that a gate reports for a live grant. With first, now is the time
+// of the first token, which may be before the last tick. The first token shows how fast the
+// upstream really prefills. The report of a slow upstream would show a light load, since it runs
+// few requests, and attract more.
 func (p *Pool) Progress(now clock.Milli, id GrantID, first bool, output Tokens) {
 	g := p.grants[id]
-	if g == nil || g.ghost > 0 {
+	if g == nil || g.orphanedAt > 0 {
 		return
 	}
 	g.output = max(g.output, output)
-	if !first || g.first {
+	if !first || g.gotFirst {
 		return
 	}
 	u := g.on[0]
-	if g.expect >= notable {
-		p.observe(now, u, g.slow*float64(now-g.made)/g.expect)
+	if g.expectedFirst >= minObservable {
+		p.observe(now, u, g.assumedSlowdown*float64(now-g.grantedAt)/g.expectedFirst)
 	}
-	p.unlead(now, g)
+	p.removePrefill(now, g)
 	for _, x := range g.prefixes {
-		p.cached(u, x)
+		p.addPrefix(u, x)
 	}
-	p.touch(u)
+	p.updateLeaf(u)
 }
 
-// overdue counts the absence of a first token as an observation.
-func (p *Pool) overdue(now clock.Milli, g *grant) {
-	if g.first || g.expect < notable {
+// observeOverdue treats a missing first token as an observation of speed.
+func (p *Pool) observeOverdue(now clock.Milli, g *grant) {
+	if g.gotFirst || g.expectedFirst < minObservable {
 		return
 	}
-	waited := float64(now-g.made-p.config.Delay) / g.expect
-	if waited < patience || len(g.on) == 0 {
+	waited := float64(now-g.grantedAt-p.config.Delay) / g.expectedFirst
+	if waited < overdueFactor || len(g.on) == 0 {
 		return
 	}
-	p.observe(now, g.on[0], g.slow*waited)
-	p.touch(g.on[0])
+	p.observe(now, g.on[0], g.assumedSlowdown*waited)
+	p.updateLeaf(g.on[0])
 }
 
-// observe moves the estimate of an upstream's slowness toward what was seen.
-func (p *Pool) observe(now clock.Milli, u *upstream, seen float64) {
+// observe moves the estimated slowdown of an upstream toward an observed value.
+func (p *Pool) observe(now clock.Milli, u *upstream, observed float64) {
 	u.drain(now)
-	before, straggled := 1/u.slow, p.straggles(u)
-	u.slow += learn * (seen - u.slow)
-	u.slow = min(max(u.slow, 1), slowest)
-	if !u.gone && !u.leaving() && p.shift.taking > 0 {
-		p.speed += (1/u.slow - before) / float64(p.shift.taking)
+	before, wasOutlier := 1/u.slowdown, p.isOutlier(u)
+	u.slowdown += slowdownSmoothing * (observed - u.slowdown)
+	u.slowdown = min(max(u.slowdown, 1), maxSlowdown)
+	if !u.removed && !u.leaving() && p.boundaries.accepting > 0 {
+		p.meanSpeed += (1/u.slowdown - before) / float64(p.boundaries.accepting)
 	}
-	if p.straggles(u) != straggled {
-		p.shift.again = true
+	if p.isOutlier(u) != wasOutlier {
+		p.boundaries.outliersChanged = true
 	}
 }
 
-// straggles tells whether an upstream is an outlier.
-func (p *Pool) straggles(u *upstream) bool { return u.slow*p.speed >= outlier }
+// isOutlier reports whether an upstream is much slower than the mean of the pool.
+func (p *Pool) isOutlier(u *upstream) bool { return u.slowdown*p.meanSpeed >= outlierSlowdown }
 
-// schedule enters a grant into the timers.
-func (p *Pool) schedule(now clock.Milli, g *grant) {
-	g.check = p.checkAt(now, g)
+// startTimer sets the time of the next check of a grant and enters the grant into the timers.
+func (p *Pool) startTimer(now clock.Milli, g *grant) {
+	g.checkAt = p.nextCheck(now, g)
 	p.timers.push(g)
 }
 
-func (p *Pool) reschedule(now clock.Milli, g *grant) {
-	g.check = p.checkAt(now, g)
-	p.timers.fix(g.timer)
+func (p *Pool) resetTimer(now clock.Milli, g *grant) {
+	g.checkAt = p.nextCheck(now, g)
+	p.timers.fix(g.timerIndex)
 }
 
-// checkAt is when a grant may lapse or be overdue. A renewed lease is found out
-// at the old time, so that renewing does not cost a change of the heap.
-func (p *Pool) checkAt(now clock.Milli, g *grant) clock.Milli {
+// nextCheck is the next time at which a grant may lapse or be overdue. Renew does not update the
+// timer, so a renewed lease is noticed at the old time; this saves a heap operation for each
+// renewal.
+func (p *Pool) nextCheck(now clock.Milli, g *grant) clock.Milli {
 	at := min(g.Until, g.Deadline)
-	if g.first || g.expect < notable {
+	if g.gotFirst || g.expectedFirst < minObservable {
 		return at
 	}
-	late := g.made + clock.Milli(patience*g.expect) + p.config.Delay
+	late := g.grantedAt + clock.Milli(overdueFactor*g.expectedFirst) + p.config.Delay
 	if late <= now {
-		late = now + clock.Milli(g.expect)
+		late = now + clock.Milli(g.expectedFirst)
 	}
 	return min(at, late)
 }
--- a/lib/decide/serve.go
+++ b/lib/decide/serve.go
@@ -3,34 +3,33 @@
 import "snipeshift.example/lib/clock"
 
 const (
-	// backfill is how many other workspaces are tried where a long head waits
-	// for memory; more would cost a search each, every tick.
-	backfill = 4
-	// claimAfter is how long a head waits for memory before it claims upstreams.
-	// Most waits end sooner by themselves, and a claim idles memory.
+	// maxBackfill is the number of other workspaces tried while the first long request waits for
+	// memory. Each costs one search per tick.
+	maxBackfill = 4
+	// claimAfter is how long the first request of a lane waits for memory before it claims
+	// upstreams. Most waits end sooner, and a claim leaves memory unused.
 	claimAfter = 2 * clock.Second
 )
 
-// serve hands out grants, lane by lane in the order of their rank, until nothing
-// more can be placed. The load it is made for is short urgent work beside long
-// work: without ranks a lookup waits behind every dossier that came before it.
-func (p *Pool) serve(now clock.Milli) {
-	if p.shift.taking == 0 {
+// serveQueues grants queued requests, lane by lane in order of rank, until no more can be placed.
+// Without ranks an urgent lookup would wait behind every long dossier that arrived before it.
+func (p *Pool) serveQueues(now clock.Milli) {
+	if p.boundaries.accepting == 0 {
 		return
 	}
-	p.redeem(now)
-	p.shift.allow(now)
-	p.shared = p.mayShare()
-	p.pass(now)
-	if !p.shared {
-		// What the long side can not use for long work now, short work may. It
-		// holds an engine for a second or two, and long work is asked first again.
-		p.shared = true
-		p.pass(now)
+	p.grantClaim(now)
+	p.boundaries.refillBudget(now)
+	p.longSideShared = p.longSideOpen()
+	p.servePass(now)
+	if !p.longSideShared {
+		// Short work may use the capacity of the long side that no long request can use now. It
+		// occupies an engine for a second or two, and long work comes first again in the next tick.
+		p.longSideShared = true
+		p.servePass(now)
 	}
 }
 
-func (p *Pool) pass(now clock.Milli) {
+func (p *Pool) servePass(now clock.Milli) {
 	for _, l := range p.lanes {
 		l.blocked = l.count == 0
 	}
@@ -59,21 +58,21 @@
 	return next
 }
 
-// serveLane places one request of a lane; false if none can be placed now.
+// serveLane places one request of a lane. It returns false if none can be placed now.
 func (p *Pool) serveLane(now clock.Milli, l *lane) bool {
 	f, _ := l.flows.first()
-	w, _ := f.requests.first()
+	w, _ := f.queue.first()
 	if p.serveOne(now, w) {
 		return true
 	}
-	p.stake(now, w)
+	p.makeClaim(now, w)
 	if !l.long {
 		return false
 	}
-	// The head waits for memory. Smaller requests of others may go ahead, but
-	// not into what the head has claimed, so it is never starved by them.
-	for i := 1; i <= backfill && i < l.flows.len(); i++ {
-		o, _ := l.flows.items[i].requests.first()
+	// While the first request waits for memory, smaller requests of other workspaces may be placed,
+	// but not in the memory that the first one claimed, so they cannot starve it.
+	for i := 1; i <= maxBackfill && i < l.flows.len(); i++ {
+		o, _ := l.flows.items[i].queue.first()
 		if p.serveOne(now, o) {
 			return true
 		}
@@ -91,7 +90,7 @@
 }
 
 func (p *Pool) grant(now clock.Milli, w *waiting, g *grant) {
-	g.Upstreams = g.on[0].self
+	g.Upstreams = g.on[0].idList
 	if len(g.on) > 1 {
 		g.Upstreams = make([]UpstreamID, len(g.on))
 		for i, u := range g.on {
@@ -100,27 +99,26 @@
 	}
 	w.flow.charge(w)
 	p.drop(w)
-	p.book(now, g)
+	p.addGrant(now, g)
 	p.granted(g)
 }
 
 func (p *Pool) granted(g *grant) {
-	p.out = append(p.out, Decision{Action: Granted, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
+	p.decisions = append(p.decisions, Decision{Action: Granted, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
 }
 
-// claim keeps memory free for one request that is too large to find it by
-// chance: a group, a very long prompt, a suspect that must run alone. There is
-// one claim a pool at a time, and its holder holds nothing else while it
-// waits, so claims cannot wait for each other.
+// claim keeps memory free for one request that is unlikely to find enough of it by chance: a group,
+// a very long prompt, or a suspect that must run alone. There is at most one claim per pool, and
+// its request holds nothing else while it waits, so claims cannot deadlock.
 type claim struct {
-	holder *waiting
-	on     []*upstream
-	share  Tokens
+	request *waiting
+	on      []*upstream
+	share   Tokens
 }
 
-// stake makes a claim for the head of a lane that has waited long enough.
-func (p *Pool) stake(now clock.Milli, w *waiting) {
-	if p.claim.holder != nil || now-w.since < claimAfter {
+// makeClaim makes a claim for the first request of a lane if that has waited long enough.
+func (p *Pool) makeClaim(now clock.Milli, w *waiting) {
+	if p.claim.request != nil || now-w.queuedAt < claimAfter {
 		return
 	}
 	if !w.Suspect && !w.flow.lane.long {
@@ -128,14 +126,14 @@
 	}
 	need := w.tokens()
 	k := 1
-	if need > p.largest {
-		k = p.members(need)
+	if need > p.largestMemory {
+		k = p.groupSize(need)
 	}
 	share := (need + Tokens(k) - 1) / Tokens(k)
 	for len(p.claim.on) < k {
-		u := p.claimable(w, share, k)
+		u := p.nextToClaim(w, share, k)
 		if u == nil {
-			p.release()
+			p.releaseClaim()
 			return
 		}
 		u.claimed = share
@@ -144,10 +142,10 @@
 		}
 		p.claim.on = append(p.claim.on, u)
 	}
-	p.claim.holder, p.claim.share = w, share
+	p.claim.request, p.claim.share = w, share
 	sortByIndex(p.claim.on)
 	for _, u := range p.claim.on {
-		p.touch(u)
+		p.updateLeaf(u)
 	}
 }
 
@@ -159,9 +157,9 @@
 	}
 }
 
-// claimable picks the upstream whose memory is free soonest; the leader must be on
+// nextToClaim returns the upstream whose memory is expected to be free first. The leader must be on
 // the long side.
-func (p *Pool) claimable(w *waiting, share Tokens, k int) *upstream {
+func (p *Pool) nextToClaim(w *waiting, share Tokens, k int) *upstream {
 	leader := len(p.claim.on) == 0
 	var pick *upstream
 	var soonest clock.Milli
@@ -175,36 +173,36 @@
 		if !leader && u.index < p.claim.on[0].index && !w.Suspect {
 			continue
 		}
-		if at := p.clears(u, share); pick == nil || at < soonest {
+		if at := p.freeAt(u, share); pick == nil || at < soonest {
 			pick, soonest = u, at
 		}
 	}
 	return pick
 }
 
-// clears estimates when an upstream has share tokens free.
-func (p *Pool) clears(u *upstream, share Tokens) clock.Milli {
+// freeAt estimates when an upstream will have share tokens free.
+func (p *Pool) freeAt(u *upstream, share Tokens) clock.Milli {
 	var last clock.Milli
-	if p.free(u) >= share {
+	if p.freeMemory(u) >= share {
 		return last
 	}
 	for _, g := range u.grants {
-		last = max(last, g.made+clock.Milli(g.expect+float64(g.Output)/p.decode))
+		last = max(last, g.grantedAt+clock.Milli(g.expectedFirst+float64(g.Output)/p.decode))
 	}
 	return last
 }
 
-// redeem grants the claim once all of its memory is free, or nothing of it.
-func (p *Pool) redeem(now clock.Milli) {
-	w := p.claim.holder
-	if w == nil || w.Suspect && p.killers.live[w.Fingerprint] > 0 {
+// grantClaim grants the request of the claim once the memory on all of its upstreams is free.
+func (p *Pool) grantClaim(now clock.Milli) {
+	w := p.claim.request
+	if w == nil || w.Suspect && p.crashes.running[w.Fingerprint] > 0 {
 		return
 	}
 	for i, u := range p.claim.on {
-		if u.leaving() || u.alone || p.full(u) || p.free(u) < p.claim.share || w.Suspect && u.running > 0 {
+		if u.leaving() || u.exclusive || p.slotsFull(u) || p.freeMemory(u) < p.claim.share || w.Suspect && u.running > 0 {
 			return
 		}
-		if i == 0 && (u.prefilling >= longPrefills || p.tree.nodes[p.tree.base+u.index].ready > float64(now)+lookahead) {
+		if i == 0 && (u.longPrefilling >= longPrefills || p.tree.nodes[p.tree.base+u.index].ready > float64(now)+lookahead) {
 			return
 		}
 	}
@@ -214,22 +212,22 @@
 	p.grant(now, w, g)
 }
 
-// release gives up the claim.
-func (p *Pool) release() {
+// releaseClaim gives up the claim.
+func (p *Pool) releaseClaim() {
 	for _, u := range p.claim.on {
 		u.claimed = 0
-		if !p.stale && u.index >= 0 {
-			p.touch(u)
+		if !p.treeStale && u.index >= 0 {
+			p.updateLeaf(u)
 		}
 	}
-	p.claim.holder = nil
+	p.claim.request = nil
 	p.claim.on = p.claim.on[:0]
 }
 
-// claimHolds tells whether all claimed upstreams still take new work.
-func (p *Pool) claimHolds() bool {
+// claimValid reports whether all claimed upstreams still accept new work.
+func (p *Pool) claimValid() bool {
 	for _, u := range p.claim.on {
-		if u.gone || u.leaving() {
+		if u.removed || u.leaving() {
 			return false
 		}
 	}
