--- a/lib/decide/shift.go
+++ b/lib/decide/shift.go
@@ -7,98 +7,104 @@
 )
 
 const (
-	// period is how often the boundaries between the sides are looked at.
+	// period is the interval at which the boundaries between the sides are adjusted.
 	period = clock.Second
-	// smooth is the weight of one period in the demand; long prompts come about
-	// once a second and differ tenfold, so less than a minute would chase noise.
-	smooth = 0.02
-	// clearUse is the share of time that an upstream kept clear spends on urgent
-	// prefill while the pool is not saturated. A prefill slows all decoding
-	// beside it; at a quarter, urgent answers take a tenth longer.
-	clearUse = 0.25
-	// pressedUse replaces clearUse while other work queues: then capacity counts for
-	// more than the last percent of an urgent answer.
-	pressedUse = 0.45
-	// memoryMost bounds how far the need for memory moves the boundary beyond the
-	// share of prefill; what a wider long side wins in memory, short work loses.
-	memoryMost = 1.2
-	// fillShare is the share of time that upstreams kept clear spend on other
-	// short prompts while the pool is saturated, fillLongest the longest of these in
-	// milliseconds, and fillBurst how much may be saved up for each upstream.
+	// demandSmoothing is the weight of one period in the smoothed demand. Long prompts arrive about
+	// once a second and differ tenfold in size, so averaging over less than a minute would follow
+	// noise.
+	demandSmoothing = 0.02
+	// urgentSideUse is the share of time that upstreams of the urgent side are planned to spend on
+	// urgent prefill while the pool is not saturated. A prefill slows all decoding on the same
+	// engine; at a quarter, urgent answers take a tenth longer.
+	urgentSideUse = 0.25
+	// saturatedUse replaces urgentSideUse while the pool is saturated: then capacity matters more
+	// than the last percent of latency of urgent answers.
+	saturatedUse = 0.45
+	// maxMemoryFactor bounds how far the need for memory extends the long side beyond its share of
+	// prefill. The memory gained there is capacity lost for short work.
+	maxMemoryFactor = 1.2
+	// fillShare is the share of time that upstreams of the urgent side may spend on other short
+	// prompts while the pool is saturated. fillLongest is the maximum length of such a prompt, and
+	// fillBurst the maximum saved-up budget per upstream, both in milliseconds of prefill.
 	fillShare, fillLongest, fillBurst = 0.4, 300.0, 300.0
-	// clearMost bounds the share of healthy upstreams kept clear, whatever the demand:
-	// one of three would cost more work than it saves callers time.
-	clearMost = 0.25
-	// clearPatience is how many periods in a row the clear side must be too large to shrink.
-	clearPatience = 10
-	// growEvery is how many periods pass between two steps of the long side up;
-	// down it may go every period. Too many long upstreams harm every
-	// short request at once, too few only delay work that can wait.
+	// maxUrgentSide bounds the share of healthy upstreams in the urgent side whatever the demand:
+	// one of three would cost more capacity than the latency gained is worth.
+	maxUrgentSide = 0.25
+	// shrinkAfter is the number of consecutive periods for which the urgent side must be too large
+	// before it shrinks.
+	shrinkAfter = 10
+	// growEvery is the number of periods between two steps that enlarge the long side; it may
+	// shrink in every period. Too many upstreams on the long side delay every short request at
+	// once, too few only delay work that can wait.
 	growEvery = 5
-	// learning is for how many periods a new owner follows the mix without waiting:
-	// its first boundary is a guess from one second of demand.
-	learning = 30
-	// stepShare is the share of upstreams that one step moves at most, so that
-	// no pool changes the roles of many engines at once.
+	// learningPeriods is the number of periods in which a new owner adjusts the long side without
+	// waiting: its first boundary is a guess from one second of demand.
+	learningPeriods = 30
+	// stepShare is the maximum share of upstreams that one step moves, so that no pool changes the
+	// roles of many engines at once.
 	stepShare = 1.0 / 32
 )
 
-// demand is the work that callers offer, by lane, in upstreams kept busy.
+// demand is the work that callers offer, by lane. Rates are in milliseconds of prefill per
+// millisecond, that is, the number of upstreams kept busy.
 type demand struct {
-	// offered and admitted accumulate milliseconds of prefill in this period.
+	// offered and admitted are the totals of this period, in milliseconds of prefill.
 	offered, admitted [lanes]float64
-	// wanted is the smoothed rate of offered work; asked and recent are those of
-	// offered and of admitted work over a shorter time.
-	wanted, asked, recent [lanes]float64
-	// held and holds are the same for memory of long work, in tokens.
-	held, holds float64
-	// rates is the work that short and long lanes together get while any queues.
-	rates   [2]float64
-	periods int
+	// offeredRate is the smoothed rate of offered work. recentOffered and recentAdmitted are the
+	// rates of offered and admitted work over a shorter time.
+	offeredRate, recentOffered, recentAdmitted [lanes]float64
+	// offeredMemory is the memory times duration of long work offered in this period, in
+	// token-milliseconds; memoryRate is its smoothed rate, in tokens.
+	offeredMemory, memoryRate float64
+	// servedRate is the rate of work granted to the short and the long lanes while any of them
+	// queues.
+	servedRate [2]float64
+	periods    int
 }
 
 func (d *demand) offer(w *waiting) {
 	i := laneOf(w.Urgency, w.flow.lane.long)
 	d.offered[i] += w.work
 	if w.flow.lane.long {
-		d.held += w.hold()
+		d.offeredMemory += w.memoryTime()
 	}
 }
 
-func (d *demand) take(w *waiting) {
+func (d *demand) admit(w *waiting) {
 	d.admitted[laneOf(w.Urgency, w.flow.lane.long)] += w.work
 }
 
-// roll closes a period that lasted span milliseconds.
-func (d *demand) roll(span float64) {
+// endPeriod ends a period of span milliseconds.
+func (d *demand) endPeriod(span float64) {
 	d.periods++
-	a := max(smooth, 1/float64(d.periods))
+	weight := max(demandSmoothing, 1/float64(d.periods))
 	for i := range d.offered {
-		d.wanted[i] += a * (d.offered[i]/span - d.wanted[i])
-		d.asked[i] += max(a, pace) * (d.offered[i]/span - d.asked[i])
-		d.recent[i] += max(a, pace) * (d.admitted[i]/span - d.recent[i])
+		d.offeredRate[i] += weight * (d.offered[i]/span - d.offeredRate[i])
+		d.recentOffered[i] += max(weight, rateSmoothing) * (d.offered[i]/span - d.recentOffered[i])
+		d.recentAdmitted[i] += max(weight, rateSmoothing) * (d.admitted[i]/span - d.recentAdmitted[i])
 		d.offered[i], d.admitted[i] = 0, 0
 	}
-	d.holds += a * (d.held/span - d.holds)
-	d.held = 0
+	d.memoryRate += weight * (d.offeredMemory/span - d.memoryRate)
+	d.offeredMemory = 0
 }
 
-// above is the share of servers that more urgent work of the same side takes.
-func (d *demand) above(l *lane, servers float64) float64 {
+// moreUrgentShare is the share of servers that more urgent work of the same side takes.
+func (d *demand) moreUrgentShare(l *lane, servers float64) float64 {
 	sum := 0.0
 	for i := laneOf(l.urgency, l.long) - 2; i >= 0; i -= 2 {
-		sum += d.recent[i]
+		sum += d.recentAdmitted[i]
 	}
-	return min(sum/servers, stolen)
+	return min(sum/servers, maxUrgentShare)
 }
 
-// settleRates closes a period for the rates at which the sides and lanes are served.
-func (p *Pool) settleRates(span float64) {
+// updateRates updates, at the end of a period, the rates at which the sides and the lanes are
+// served.
+func (p *Pool) updateRates(span float64) {
 	var got [2]float64
 	var contended [2]bool
 	for _, l := range p.lanes[2:] {
 		i := sideOf(l.long)
-		got[i] += l.started / span
+		got[i] += l.granted / span
 		contended[i] = contended[i] || l.contended
 	}
 	for i := range got {
@@ -106,221 +112,226 @@
 		if !contended[i] {
 			got[i] = max(got[i], fair)
 		}
-		p.demand.rates[i] = follow(p.demand.rates[i], got[i])
+		p.demand.servedRate[i] = smoothRate(p.demand.servedRate[i], got[i])
 	}
 	for _, l := range p.lanes {
 		servers := p.servers(l)
-		l.settle(span, servers*(1-p.demand.above(l, servers)))
+		l.endPeriod(span, servers*(1-p.demand.moreUrgentShare(l, servers)))
 	}
 }
 
-// follow smooths a rate; zero means there is none yet.
-func follow(rate, got float64) float64 {
+// smoothRate updates a smoothed rate; a rate of zero has no observations yet.
+func smoothRate(rate, got float64) float64 {
 	if rate == 0 {
 		rate = got
 	}
-	return max(rate+pace*(got-rate), leastRate)
+	return max(rate+rateSmoothing*(got-rate), minRate)
 }
 
-// settle closes a period: what a lane got while it queued is what a request in it can
-// expect. A lane that never queued could have had more; its rate drifts
-// toward fair, the upstreams that its side has left for it.
-func (l *lane) settle(span, fair float64) {
-	got := l.started / span
+// endPeriod updates the rate of the lane at the end of a period. The work granted while requests
+// queued is what the next ones can expect. A lane that did not queue throughout could have obtained
+// more, so its rate moves toward fair, the upstreams that more urgent work of its side leaves over.
+func (l *lane) endPeriod(span, fair float64) {
+	got := l.granted / span
 	if !l.contended {
 		got = max(got, fair)
 	}
-	l.rate = follow(l.rate, got)
-	l.started, l.contended = 0, l.count > 0
-	l.expected, l.asked = 0, 0
+	l.rate = smoothRate(l.rate, got)
+	l.granted, l.contended = 0, l.count > 0
+	l.activeWeight, l.admittedRate = 0, 0
 	l.periods++
-	a := max(pace, 1/float64(l.periods))
-	kept := l.recent[:0]
-	for _, f := range l.recent {
-		f.quiet++
-		f.asked += a * (f.admitted/span - f.asked)
+	weight := max(rateSmoothing, 1/float64(l.periods))
+	kept := l.active[:0]
+	for _, f := range l.active {
+		f.idle++
+		f.admittedRate += weight * (f.admitted/span - f.admittedRate)
 		f.admitted = 0
-		f.recent = f.place >= 0 || f.quiet <= quietPeriods
-		if f.recent {
+		f.active = f.heapIndex >= 0 || f.idle <= idlePeriods
+		if f.active {
 			kept = append(kept, f)
-			l.expected += f.workspace.spec.Weight
-			l.asked += f.asked
+			l.activeWeight += f.workspace.spec.Weight
+			l.admittedRate += f.admittedRate
 		}
 	}
-	clear(l.recent[len(kept):])
-	l.recent = kept
+	clear(l.active[len(kept):])
+	l.active = kept
 }
 
-// quietPeriods is after how many periods a workspace no longer counts as asking.
-const quietPeriods = 60
+// idlePeriods is the number of periods without a request after which a workspace is no longer
+// active.
+const idlePeriods = 60
 
 const (
-	// pace is the weight of one period in a lane's rate: some 25 seconds, longer than
-	// one prompt of a million tokens distorts it, shorter than most deadlines.
-	pace = 0.04
-	// leastRate bounds the estimated wait of a lane that got nothing lately.
-	leastRate = 0.05
+	// rateSmoothing is the weight of one period in the rate of a lane. It averages over some 25
+	// seconds: longer than the time for which one prompt of a million tokens distorts the rate,
+	// shorter than most deadlines.
+	rateSmoothing = 0.04
+	// minRate bounds the estimated wait of a lane that was granted nothing recently.
+	minRate = 0.05
 )
 
-// shift is where the boundaries between the sides stand.
-type shift struct {
-	due  clock.Milli
-	last clock.Milli
-	// taking counts upstreams that take new work; long and clear of these are on those sides.
-	taking, long, clear int
-	// wait counts periods until the long side may grow again, surplus those in
-	// which the clear side was larger than needed.
-	wait, surplus int
-	// again is set when an upstream became an outlier or ceased to be one.
-	again bool
-	// pressed is set while the pool is saturated; fill is then the prefill in
-	// milliseconds that other short work may take on the clear side.
-	pressed bool
-	fill    float64
-	filled  clock.Milli
+// boundaries holds the sizes of the sides, the sets of upstreams reserved for long and for urgent
+// work.
+type boundaries struct {
+	nextMove clock.Milli
+	lastMove clock.Milli
+	// accepting is the number of upstreams that accept new work; long and urgent of these are on
+	// the respective side.
+	accepting, long, urgent int
+	// growWait is the number of periods until the long side may grow again. surplusPeriods is the
+	// number of periods in which the urgent side was larger than needed.
+	growWait, surplusPeriods int
+	// outliersChanged is set if an upstream became an outlier or ceased to be one.
+	outliersChanged bool
+	// saturated is set while the pool is saturated. fillBudget is then the prefill in milliseconds
+	// that other short work may take on the urgent side, as of filledAt.
+	saturated  bool
+	fillBudget float64
+	filledAt   clock.Milli
 }
 
-// move shifts the boundaries with the mix and orders engines to new roles. Long
-// work keeps to its own upstreams, because one prompt of a million tokens
-// occupies an engine for a minute; the boundary moves because a fixed one wastes
-// whichever side has less work.
-func (p *Pool) move(now clock.Milli) {
-	if now < p.shift.due {
+// moveBoundaries adjusts the sizes of the sides to the mix of requests and orders engines to their
+// new roles. Long work runs on its own upstreams, because one prompt of a million tokens occupies
+// an engine for a minute. The boundary moves because a fixed one wastes capacity on whichever side
+// has less work.
+func (p *Pool) moveBoundaries(now clock.Milli) {
+	if now < p.boundaries.nextMove {
 		return
 	}
-	span := now - p.shift.last
-	p.shift.last, p.shift.due = now, now+period
-	if span <= 0 || p.shift.taking == 0 {
+	span := now - p.boundaries.lastMove
+	p.boundaries.lastMove, p.boundaries.nextMove = now, now+period
+	if span <= 0 || p.boundaries.accepting == 0 {
 		return
 	}
-	p.demand.roll(float64(span))
-	p.settleRates(float64(span))
-	p.shift.pressed = p.pressed()
-	long, clear := p.targets()
+	p.demand.endPeriod(float64(span))
+	p.updateRates(float64(span))
+	p.boundaries.saturated = p.isSaturated()
+	long, urgent := p.targets()
 	changed := p.stepLong(long)
-	changed = p.stepClear(clear) || changed
-	if changed || p.shift.again {
-		p.shift.again = false
-		p.stale = true
-		p.rebuild(now)
+	changed = p.stepUrgent(urgent) || changed
+	if changed || p.boundaries.outliersChanged {
+		p.boundaries.outliersChanged = false
+		p.treeStale = true
+		p.rebuildTables(now)
 	}
-	p.order()
+	p.orderRoles()
 }
 
-// allow lets some short work onto the clear side while the pool is saturated. Kept
-// wholly clear, its idle time would be the tenth of capacity that overload
-// lacks; filled wholly, every urgent answer would be slowed by half.
-func (s *shift) allow(now clock.Milli) {
-	span := float64(now - s.filled)
-	s.filled = now
-	if !s.pressed {
-		s.fill = 0
+// refillBudget increases the budget for short work on the urgent side while the pool is saturated.
+// Without it the idle time of the urgent side would be the tenth of capacity that is missing under
+// overload; without a limit every urgent answer would be slowed by half.
+func (s *boundaries) refillBudget(now clock.Milli) {
+	span := float64(now - s.filledAt)
+	s.filledAt = now
+	if !s.saturated {
+		s.fillBudget = 0
 		return
 	}
-	s.fill = min(s.fill+fillShare*float64(s.clear)*span, fillBurst*float64(s.clear))
+	s.fillBudget = min(s.fillBudget+fillShare*float64(s.urgent)*span, fillBurst*float64(s.urgent))
 }
 
-// targets works out how many upstreams each side should have.
-func (p *Pool) targets() (long, clear int) {
-	var urgent, short, heavy float64
-	for i, rate := range p.demand.wanted {
+// targets computes the number of upstreams that each side should have.
+func (p *Pool) targets() (long, urgent int) {
+	var urgentRate, shortRate, longRate float64
+	for i, rate := range p.demand.offeredRate {
 		switch {
 		case i%2 == 1:
-			heavy += rate
+			longRate += rate
 		case i == 0:
-			urgent += rate
+			urgentRate += rate
 		default:
-			short += rate
+			shortRate += rate
 		}
 	}
-	n := p.shift.taking
+	n := p.boundaries.accepting
 	if n < minSides {
 		return max(n-1, min(n, 1)), 0
 	}
-	use := clearUse
-	if p.shift.pressed {
-		use = pressedUse
+	use := urgentSideUse
+	if p.boundaries.saturated {
+		use = saturatedUse
 	}
-	clear = min(int(math.Ceil(urgent/use)), int(clearMost*float64(n-p.outliers())))
-	rest := float64(n - clear)
+	urgent = min(int(math.Ceil(urgentRate/use)), int(maxUrgentSide*float64(n-p.outliers())))
+	remaining := float64(n - urgent)
 	share := 0.0
-	if heavy > 0 {
-		share = heavy / (heavy + short)
+	if longRate > 0 {
+		share = longRate / (longRate + shortRate)
 	}
-	memory := p.demand.holds / (packing * float64(p.whole) / float64(n))
-	want := max(rest*share, min(memory, rest*share*memoryMost))
-	long = min(max(int(math.Round(want)), p.config.Floor), n-clear-p.config.Floor)
-	return max(long, 1), clear
+	memory := p.demand.memoryRate / (memoryUtilization * float64(p.totalMemory) / float64(n))
+	wanted := max(remaining*share, min(memory, remaining*share*maxMemoryFactor))
+	long = min(max(int(math.Round(wanted)), p.config.Floor), n-urgent-p.config.Floor)
+	return max(long, 1), urgent
 }
 
-// minSides is the least number of upstreams that is divided into sides at all.
+// minSides is the minimum number of upstreams at which a pool is divided into three sides.
 const minSides = 4
 
-// pressed tells whether the pool is saturated: a part of what callers offer has to
-// be refused.
-func (p *Pool) pressed() bool {
+// isSaturated reports whether the pool is saturated: a part of the offered work is refused.
+func (p *Pool) isSaturated() bool {
 	offered, admitted := 0.0, 0.0
-	for i := range p.demand.wanted {
-		offered += p.demand.asked[i]
-		admitted += p.demand.recent[i]
+	for i := range p.demand.offeredRate {
+		offered += p.demand.recentOffered[i]
+		admitted += p.demand.recentAdmitted[i]
 	}
-	return admitted < (1-pressedRefusal)*offered
+	return admitted < (1-saturatedRefusal)*offered
 }
 
-// pressedRefusal is the share of refused work from which a pool counts as saturated.
-const pressedRefusal = 0.05
+// saturatedRefusal is the share of refused work from which a pool counts as saturated.
+const saturatedRefusal = 0.05
 
-func (p *Pool) step() int { return 1 + int(stepShare*float64(p.shift.taking)) }
+func (p *Pool) maxStep() int { return 1 + int(stepShare*float64(p.boundaries.accepting)) }
 
-// stepLong moves the long side toward its target: slowly up, fast down.
+// stepLong moves the size of the long side toward its target: slowly up, fast down.
 func (p *Pool) stepLong(target int) bool {
-	s := &p.shift
+	s := &p.boundaries
 	switch {
 	case s.long == 0:
 		s.long = target
 	case target > s.long:
-		s.wait--
-		if s.wait > 0 && p.demand.periods > learning {
+		s.growWait--
+		if s.growWait > 0 && p.demand.periods > learningPeriods {
 			return false
 		}
-		s.long += min(p.step(), target-s.long)
-	case target < s.long-1 || target < s.long && s.long > s.taking-s.clear-p.config.Floor:
-		// One too many is left alone, or every change of the mix would move it.
-		s.long -= min(p.step(), s.long-target)
+		s.long += min(p.maxStep(), target-s.long)
+	case target < s.long-1 || target < s.long && s.long > s.accepting-s.urgent-p.config.Floor:
+		// An excess of one upstream is tolerated, or every change of the mix would move the
+		// boundary.
+		s.long -= min(p.maxStep(), s.long-target)
 	default:
 		return false
 	}
-	s.wait = growEvery
+	s.growWait = growEvery
 	return true
 }
 
-// stepClear moves the clear side: up at once, down once it stayed too large.
-func (p *Pool) stepClear(target int) bool {
-	s := &p.shift
+// stepUrgent moves the size of the urgent side toward its target: up at once, down once it has been
+// too large for some time.
+func (p *Pool) stepUrgent(target int) bool {
+	s := &p.boundaries
 	switch {
-	case target > s.clear:
-		s.clear += min(p.step(), target-s.clear)
-	case target < s.clear:
-		s.surplus++
-		if s.surplus < clearPatience {
+	case target > s.urgent:
+		s.urgent += min(p.maxStep(), target-s.urgent)
+	case target < s.urgent:
+		s.surplusPeriods++
+		if s.surplusPeriods < shrinkAfter {
 			return false
 		}
-		s.clear--
+		s.urgent--
 	default:
-		s.surplus = 0
+		s.surplusPeriods = 0
 		return false
 	}
-	s.surplus = 0
+	s.surplusPeriods = 0
 	return true
 }
 
-// sides lays the upstreams out in ascending order: the long side first, since the
-// first member of a group leads, the clear side last. An outlier belongs to
-// neither: urgent answers would be slow on it, and no long prompt may lead there.
-func (p *Pool) sides() {
-	s := &p.shift
-	s.long = min(s.long, s.taking)
-	s.clear = min(s.clear, max(s.taking-s.long, 0))
+// assignSides assigns the upstreams in ascending order: the long side first, since the first member
+// of a group leads, the urgent side last. An outlier belongs to neither: urgent answers would be
+// slow on it, and no long prompt may lead there.
+func (p *Pool) assignSides() {
+	s := &p.boundaries
+	s.long = min(s.long, s.accepting)
+	s.urgent = min(s.urgent, max(s.accepting-s.long, 0))
 	for _, u := range p.upstreams {
 		u.side = anySide
 	}
@@ -328,47 +339,48 @@
 	for i := 0; i < len(p.upstreams) && left > 0; i++ {
 		left -= p.assign(p.upstreams[i], longSide)
 	}
-	left = s.clear
+	left = s.urgent
 	for i := len(p.upstreams) - 1; i >= 0 && left > 0; i-- {
-		left -= p.assign(p.upstreams[i], clearSide)
+		left -= p.assign(p.upstreams[i], urgentSide)
 	}
 }
 
-// outliers counts the upstreams that are much slower than the rest.
+// outliers is the number of upstreams that are much slower than the mean.
 func (p *Pool) outliers() int {
 	n := 0
 	for _, u := range p.upstreams {
-		if !u.leaving() && p.straggles(u) {
+		if !u.leaving() && p.isOutlier(u) {
 			n++
 		}
 	}
 	return n
 }
 
-// assign puts an upstream on a side if it may serve there, and returns how many it put.
+// assign assigns an upstream to a side if it is eligible, and returns the number of upstreams
+// assigned, 0 or 1.
 func (p *Pool) assign(u *upstream, s side) int {
-	if u.side != anySide || u.leaving() || p.straggles(u) {
+	if u.side != anySide || u.leaving() || p.isOutlier(u) {
 		return 0
 	}
 	u.side = s
 	return 1
 }
 
-// order tells engines of their new role, a few each period, so that a pool never
-// has many engines changing at once.
-func (p *Pool) order() {
-	left := p.step()
+// orderRoles orders engines to their new role, a few each period, so that a pool never has many
+// engines changing at once.
+func (p *Pool) orderRoles() {
+	left := p.maxStep()
 	for _, u := range p.upstreams {
 		if left == 0 {
 			return
 		}
 		role := u.side.role()
-		if u.leaving() || u.spec.Memory == 0 || u.ordered == role {
+		if u.leaving() || u.spec.Memory == 0 || u.orderedRole == role {
 			continue
 		}
-		u.ordered = role
+		u.orderedRole = role
 		left--
-		p.out = append(p.out, Decision{Action: Ordered, Order: Order{Upstream: u.spec.ID, Role: role}})
+		p.decisions = append(p.decisions, Decision{Action: Ordered, Order: Order{Upstream: u.spec.ID, Role: role}})
 	}
 }
 
@@ -376,17 +388,17 @@
 	switch s {
 	case longSide:
 		return "long"
-	case clearSide:
+	case urgentSide:
 		return "short"
 	default:
 		return "any"
 	}
 }
 
-// mayShare tells whether short work may enter the long side: while no long
-// request waits, or where there is no other side.
-func (p *Pool) mayShare() bool {
-	if p.shift.taking <= max(p.shift.long, 1)+p.shift.clear {
+// longSideOpen reports whether short work may be placed on the long side: while no long request is
+// queued, or if there is no upstream outside the long and urgent sides.
+func (p *Pool) longSideOpen() bool {
+	if p.boundaries.accepting <= max(p.boundaries.long, 1)+p.boundaries.urgent {
 		return true
 	}
 	for i := 1; i < lanes; i += 2 {
@@ -397,20 +409,20 @@
 	return true
 }
 
-// servers is how many upstreams serve a lane, at least one.
+// servers is the number of upstreams that serve a lane, at least one.
 func (p *Pool) servers(l *lane) float64 {
-	s := &p.shift
-	n := s.taking
+	s := &p.boundaries
+	n := s.accepting
 	switch {
 	case l.long:
 		n = s.long
-		if p.demand.periods < learning {
-			// A new owner's boundary has not found its place yet; judged by
-			// it, a burst of long work would be refused that half the pool can do.
-			n = max(n, s.taking/2)
+		if p.demand.periods < learningPeriods {
+			// The boundary of a new owner has not settled yet; judged by it, a burst of long work
+			// would be refused that half of the pool can do.
+			n = max(n, s.accepting/2)
 		}
 	case l.urgency > 0:
-		n = s.taking - s.clear
+		n = s.accepting - s.urgent
 	}
 	return float64(max(n, 1))
 }
--- a/lib/decide/statement/message.go
+++ b/lib/decide/statement/message.go
@@ -5,7 +5,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Aged is a statement in a message between VMs, with spans in place of instants.
+// Aged is a statement in a message between VMs, with durations in place of times, since the clocks
+// of VMs differ.
 type Aged struct {
 	Upstream decide.UpstreamID
 	Kind     Kind
@@ -14,11 +15,11 @@
 	Gate     decide.GateID
 	Born     decide.Born
 	Age      clock.Milli
-	// Left is what remains of a Rest; not above zero once it is over.
+	// Left is the remaining duration of a Rest, zero or less once it is over.
 	Left clock.Milli
 }
 
-// Aged makes a message of a statement.
+// Aged returns the message form of a statement.
 func (s Statement) Aged(now clock.Milli, u decide.UpstreamID) Aged {
 	a := Aged{Upstream: u, Kind: s.Kind, Named: s.Named, Rate: s.Rate, Gate: s.Gate, Born: s.Born, Age: now - s.At}
 	if s.Kind == Rest {
@@ -27,7 +28,7 @@
 	return a
 }
 
-// Statement is what a message says, by the clock of who got it.
+// Statement returns the statement in terms of the receiver's clock.
 func (a Aged) Statement(now clock.Milli) Statement {
 	s := Statement{Kind: a.Kind, Named: a.Named, Rate: a.Rate, Gate: a.Gate, Born: a.Born, At: now - a.Age}
 	if a.Kind == Rest {
@@ -36,7 +37,7 @@
 	return s
 }
 
-// Older is the message once it was passed on after a span.
+// Older returns the message as forwarded after a delay.
 func (a Aged) Older(by clock.Milli) Aged {
 	a.Age += by
 	if a.Kind == Rest {
--- a/lib/decide/statement/statement.go
+++ b/lib/decide/statement/statement.go
@@ -1,11 +1,12 @@
-// Package statement keeps what upstreams say of themselves in their answers: how many requests they take, that
-// they want none for a while, that they leave.
+// Package statement stores what upstreams declare about themselves in their responses: a rate
+// limit, a back-off (Retry-After), or a drain notice.
 //
-// One VM hears a statement while another one decides who gets work, and either may be lost. Statements of all VMs are
-// ordered, so that whoever has several of them knows the newest; a Table holds the newest one of each kind on each
-// upstream, and which of them somebody else has not been sent yet.
+// The VM that receives a statement is often not the VM that decides on placement, and either may
+// fail. Statements are ordered, so that any VM can determine the newest one of several. A Table
+// stores the newest statement of each kind for each upstream, and can list the statements that
+// changed since an earlier version.
 //
-// Nothing here has sockets, goroutines or a clock.
+// The package has no sockets, no goroutines and no clock.
 package statement
 
 import (
@@ -13,25 +14,27 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Kind is what a statement is about.
+// Kind is the subject of a statement.
 type Kind uint8
 
-// The closed list of kinds.
+// Kinds of statements.
 const (
-	// Limit is how many requests a second the upstream takes. It binds all VMs together.
+	// Limit is the number of requests per second that the upstream accepts. It applies to all VMs
+	// together.
 	Limit Kind = iota
-	// Rest is a time in which the upstream wants nothing from the VM that it answered. It binds that VM.
+	// Rest is a back-off: a time in which the upstream asks for no requests from the VM that it
+	// answered. It applies to that VM only.
 	Rest
-	// Leaving tells that the upstream ends soon. It binds each VM that it answered, until a later life.
+	// Leaving is a drain notice: the upstream will shut down soon. It applies to each VM that
+	// received it, until the next incarnation of the upstream.
 	Leaving
 )
 
-// kinds lists all of them.
 var kinds = [...]Kind{Limit, Rest, Leaving}
 
 var kindNames = [...]string{Limit: "limit", Rest: "rest", Leaving: "leaving"}
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if int(k) >= len(kindNames) {
 		return "unknown"
@@ -39,29 +42,33 @@
 	return kindNames[k]
 }
 
-// PerSecond is a rate of requests a second, from all VMs together.
+// PerSecond is a rate of requests per second, from all VMs together.
 type PerSecond float64
 
-// Statement is what an answer says of its upstream.
+// Statement is what an upstream declares about itself in one response.
 type Statement struct {
 	Kind Kind
-	// Named is false for an answer that names no limit; Rate is zero then. The other kinds are always named.
+	// Named is false for a response without a limit; Rate is zero then. It is always true for the
+	// other kinds.
 	Named bool
 	Rate  PerSecond
-	// Gate is the VM, in one life of its, that the upstream answered; empty for a Limit.
+	// Gate is the gate that the upstream answered, the VM with the client's connection, and the
+	// incarnation of its process; empty for a Limit.
 	Gate decide.GateID
-	// Born is the upstream's life that answered; zero if it is not known.
+	// Born is the incarnation of the upstream that answered; zero if unknown.
 	Born decide.Born
-	// At is an instant at which the statement certainly held: the arrival of an answer that says it; of an answer that
-	// names no limit the sending of its request, since other answers may have overtaken it.
+	// At is a time at which the statement certainly applied. It is the arrival of the response; for
+	// a response without a limit it is when the request was sent, since other responses may have
+	// overtaken this one.
 	At clock.Milli
 	// Until is the end of a Rest; zero for the other kinds.
 	Until clock.Milli
 }
 
-// Supersedes reports whether s is to be kept in place of what was known of the same kind. A later life always is. Within one, the newest
-// limit counts, of one instant the one that is named; the rest that lasts longest, since each answer is a promise to keep by
-// itself; and the first word of a leaving, which nothing takes back.
+// Supersedes reports whether s replaces an earlier stored statement of the same kind. A statement
+// of a later incarnation always does. Within one incarnation the newest limit counts, and at the
+// same time a declared limit rather than none. The back-off that ends last counts, since each
+// response has to be honored by itself. The first drain notice counts, since nothing revokes it.
 func (s Statement) Supersedes(before Statement) bool {
 	if s.Born > 0 && before.Born > 0 && s.Born != before.Born {
 		return s.Born > before.Born
@@ -79,33 +86,35 @@
 	}
 }
 
-// Same reports whether two statements of a kind mean the same to who acts on them.
+// Same reports whether two statements of a kind have the same effect.
 func (s Statement) Same(o Statement) bool {
 	return s.Named == o.Named && s.Rate == o.Rate && s.Until == o.Until && s.Born == o.Born
 }
 
-// Binds reports whether the VM that was answered must send nothing to a life of the upstream now; born is zero if that is not known.
-func (s Statement) Binds(now clock.Milli, born decide.Born) bool {
-	if s.Born > 0 && born > s.Born {
+// Binds reports whether the statement forbids the VM that received it to send requests to the given
+// incarnation of the upstream now. A zero incarnation means that it is unknown.
+func (s Statement) Binds(now clock.Milli, incarnation decide.Born) bool {
+	if s.Born > 0 && incarnation > s.Born {
 		return false
 	}
 	return s.Kind == Leaving || s.Kind == Rest && now < s.Until
 }
 
-// subject is what a statement is about.
+// subject is the key of a statement.
 type subject struct {
 	upstream decide.UpstreamID
 	kind     Kind
 }
 
-// Table holds the newest statement of each kind on each upstream that one VM has heard. It is not safe for concurrent use.
+// Table stores the newest statement of each kind for each upstream known to one VM. It is not safe
+// for concurrent use.
 type Table struct {
 	rows map[subject]entry
-	// version counts the changes.
+	// version is the number of changes.
 	version uint64
 }
 
-// entry is the newest statement on one subject, and the version at which its meaning last changed.
+// entry is the newest statement on one subject and the table version of its last change in effect.
 type entry struct {
 	Statement
 	version uint64
@@ -114,7 +123,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: map[subject]entry{}} }
 
-// Learn takes a statement and reports whether it changes what the upstream says.
+// Learn processes a statement and reports whether it changes the effect of the stored one.
 func (t *Table) Learn(u decide.UpstreamID, s Statement) bool {
 	key := subject{u, s.Kind}
 	before, known := t.rows[key]
@@ -133,23 +142,24 @@
 	return changed
 }
 
-// Of returns the newest statement of a kind on an upstream, if there is one.
+// Of returns the newest statement of a kind for an upstream, if there is one.
 func (t *Table) Of(u decide.UpstreamID, k Kind) (Statement, bool) {
 	e, ok := t.rows[subject{u, k}]
 	return e.Statement, ok
 }
 
-// Binding returns a statement by which nothing must be sent to a life of an upstream now, if there is one.
-func (t *Table) Binding(now clock.Milli, u decide.UpstreamID, born decide.Born) (Statement, bool) {
+// Binding returns a statement that forbids sending requests to the given incarnation of an upstream
+// now, if there is one.
+func (t *Table) Binding(now clock.Milli, u decide.UpstreamID, incarnation decide.Born) (Statement, bool) {
 	for _, k := range kinds {
-		if s, ok := t.Of(u, k); ok && s.Binds(now, born) {
+		if s, ok := t.Of(u, k); ok && s.Binds(now, incarnation) {
 			return s, true
 		}
 	}
 	return Statement{}, false
 }
 
-// About lists what is known of an upstream.
+// About returns all statements on an upstream.
 func (t *Table) About(now clock.Milli, u decide.UpstreamID) []Aged {
 	var out []Aged
 	for _, k := range kinds {
@@ -160,7 +170,7 @@
 	return out
 }
 
-// Since lists the statements that changed after a version, with the version up to which they are listed.
+// Since returns the statements that changed after a version, and the current version.
 func (t *Table) Since(now clock.Milli, version uint64) ([]Aged, uint64) {
 	if version == t.version {
 		return nil, version
@@ -184,18 +194,20 @@
 }
 
 const (
-	// overLives is how long a table keeps that a limit or a rest is over: as long as an older statement may still be on its way.
-	overLives = 10 * clock.Second
-	// AbsentLives is how long the statements of an upstream that is not listed are kept: lists lose upstreams that live for seconds.
+	// expiredRetention is how long an expired limit or back-off is stored: as long as an older
+	// statement may still arrive.
+	expiredRetention = 10 * clock.Second
+	// AbsentLives is how long the statements of an unlisted upstream are stored: upstreams are
+	// sometimes missing from a list for some seconds although they are running.
 	AbsentLives = clock.Minute
 )
 
-// Forget drops what nobody needs any more.
+// Forget drops expired statements and those of unlisted upstreams after the retention times.
 func (t *Table) Forget(now clock.Milli, listed func(decide.UpstreamID) bool) {
 	for key, s := range t.rows {
 		age := now - max(s.At, s.Until)
 		over := !s.Named || s.Kind == Rest
-		if over && age > overLives || age > AbsentLives && !listed(key.upstream) {
+		if over && age > expiredRetention || age > AbsentLives && !listed(key.upstream) {
 			delete(t.rows, key)
 		}
 	}
--- a/lib/decide/statement/statement_test.go
+++ b/lib/decide/statement/statement_test.go
@@ -10,8 +10,9 @@
 	"snipeshift.example/lib/decide"
 )
 
-// What VMs say of one upstream comes in any order; taken as it comes, an old statement would undo a newer one.
-func TestTheNewestStatementCountsInWhateverOrderTheyCome(t *testing.T) {
+// Statements on one upstream arrive from several VMs in any order. Processed in order of arrival,
+// an old statement would undo a newer one.
+func TestNewestStatementWinsInAnyOrder(t *testing.T) {
 	named := Statement{Named: true, Rate: 2, Born: 1, At: 100}
 	over := Statement{Born: 1, At: 200}
 	again := Statement{Named: true, Rate: 5, Born: 1, At: 300}
@@ -23,12 +24,12 @@
 		}
 		got, _ := x.Of("u", Limit)
 		require.Equal(t, again, got)
-		require.True(t, x.Learn("u", next), "a later life has its own limit, whatever its time")
+		require.True(t, x.Learn("u", next), "a later incarnation has its own limit, whatever its time")
 		require.False(t, x.Learn("u", again))
 	}
 }
 
-func TestOfOneInstantTheLimitCounts(t *testing.T) {
+func TestLimitWinsOverNoLimitAtTheSameInstant(t *testing.T) {
 	x := NewTable()
 	require.True(t, x.Learn("u", Statement{Named: true, Rate: 2, At: 100}))
 	require.False(t, x.Learn("u", Statement{At: 100}))
@@ -36,8 +37,9 @@
 	require.True(t, s.Named)
 }
 
-// Lists lose upstreams that live for some seconds. A limit that went with the entry would be exceeded when it is back.
-func TestALimitOutlivesAListThatLacksItsUpstream(t *testing.T) {
+// An upstream is missing from a list for some seconds although it is running. If its limit were
+// dropped with its entry, the limit would be exceeded when the upstream is listed again.
+func TestLimitSurvivesListsWithoutItsUpstream(t *testing.T) {
 	x := NewTable()
 	x.Learn("u", Statement{Named: true, Rate: 2, At: 1000})
 	x.Learn("v", Statement{Named: true, Rate: 2, At: 1000})
@@ -53,10 +55,11 @@
 	require.False(t, kept)
 }
 
-// VMs hear what an upstream says in different orders. One that ended up with another rest or leaving than the others would send where they must not.
-func TestWhatBindsDoesNotDependOnTheOrder(t *testing.T) {
+// VMs receive the statements of an upstream in different orders. A VM that ended up with another
+// back-off or drain notice than the others would send requests where it must not.
+func TestBlockingDoesNotDependOnTheOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Statement {
+		statements := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Statement {
 			s := Statement{
 				Kind: rapid.SampledFrom([]Kind{Rest, Leaving}).Draw(t, "kind"), Named: true,
 				Born: decide.Born(rapid.IntRange(1, 3).Draw(t, "born")), At: clock.Milli(rapid.IntRange(0, 1000).Draw(t, "at")),
@@ -67,24 +70,24 @@
 			return s
 		}), 1, 8).Draw(t, "said")
 		x, y := NewTable(), NewTable()
-		for _, s := range said {
+		for _, s := range statements {
 			x.Learn("u", s)
 		}
-		for _, s := range rapid.Permutation(said).Draw(t, "order") {
+		for _, s := range rapid.Permutation(statements).Draw(t, "order") {
 			y.Learn("u", s)
 		}
 		for now := clock.Milli(0); now < 2100; now += 100 {
 			for born := range decide.Born(4) {
 				_, one := x.Binding(now, "u", born)
 				_, other := y.Binding(now, "u", born)
-				require.Equal(t, one, other, "at %v of life %d", now, born)
+				require.Equal(t, one, other, "at %v, incarnation %d", now, born)
 			}
 		}
 	})
 }
 
-// A message is passed on by a VM that holds it for a while. The rest that it tells of must not grow by that.
-func TestAPassedOnRestEndsWhenItDid(t *testing.T) {
+// A message is forwarded by a VM that kept it for a while. This must not extend the back-off.
+func TestForwardedBackOffKeepsItsEnd(t *testing.T) {
 	s := Statement{Kind: Rest, Named: true, Gate: "g", Born: 3, At: 1000, Until: 4000}
 	a := s.Aged(1500, "u").Older(200)
 	got := a.Statement(7_700) // the receiver's clock is 6,000 ahead
--- a/lib/decide/table.go
+++ b/lib/decide/table.go
@@ -2,100 +2,106 @@
 
 import "snipeshift.example/lib/clock"
 
-// side tells which work an upstream is kept for.
+// side is the set that an upstream belongs to, which determines the work that it accepts.
 type side uint8
 
 const (
-	anySide   side = iota // short work and urgent work
-	longSide              // long work; short work only while no long work waits
-	clearSide             // urgent work; kept clear of other prefill
+	anySide    side = iota // short work and urgent work
+	longSide               // long work; short work only while no long work waits
+	urgentSide             // urgent work; as little other prefill as possible
 )
 
 // upstream is a row of the table of upstreams.
 type upstream struct {
 	spec Upstream
-	// self is the list of its id alone, shared by all grants on it; never changed.
-	self []UpstreamID
-	// index is its place in Pool.upstreams and its leaf in Pool.tree, or -1.
+	// idList contains only the id of the upstream. All grants on the upstream share it; it is never
+	// modified.
+	idList []UpstreamID
+	// index is the position in Pool.upstreams and the leaf in Pool.tree, or -1.
 	index int
 	side  side
-	// taken is the memory of its grants and ghosts; never above spec.Memory
-	// unless grants of an earlier owner were adopted.
-	taken Tokens
-	// heavy is the part of taken that long grants hold.
-	heavy Tokens
-	// running counts its grants and ghosts, delicate the urgent ones,
-	// prefilling the long ones that have no first token yet.
-	running, delicate, prefilling int
-	// ahead, early and soon are prompt tokens still to be prefilled at instant
-	// at: all of them, those of all but long grants, and those of urgent grants.
-	ahead, early, soon float64
-	at                 clock.Milli
-	// pending, brisk and hasty are the same sums, whole until the first token came.
-	pending, brisk, hasty Tokens
-	// shortNext is when the next short prompt may pass a long one that is prefilled here.
-	shortNext float64
-	// slow is how many times slower than rated it prefills, from its grants' progress.
-	slow float64
-	// gone is set once it was removed; the row stays while grants refer to it.
-	gone bool
-	// ordered is the role it was last ordered to take.
-	ordered string
-	// alone is set while a suspect runs on it.
-	alone bool
-	// claimed is memory that a waiting request holds a claim on; zero for none.
+	// reserved is the memory of its live and orphaned grants. It never exceeds spec.Memory unless
+	// grants of an earlier owner were adopted.
+	reserved Tokens
+	// reservedLong is the part of reserved that belongs to long grants.
+	reservedLong Tokens
+	// running is the number of its live and orphaned grants, runningUrgent that of the urgent ones,
+	// longPrefilling that of the long ones without a first token that it leads.
+	running, runningUrgent, longPrefilling int
+	// backlog, shortBacklog and urgentBacklog are the estimated prompt tokens left to prefill at
+	// drainedAt: of all grants, of all but the long ones, and of the urgent ones.
+	backlog, shortBacklog, urgentBacklog float64
+	drainedAt                            clock.Milli
+	// pendingTokens, pendingShort and pendingUrgent are the corresponding totals of whole prompts:
+	// a prompt counts in full until its first token.
+	pendingTokens, pendingShort, pendingUrgent Tokens
+	// nextPass is the time from which the next short prompt may pass a long one that is prefilled
+	// here.
+	nextPass float64
+	// slowdown is the factor by which it prefills slower than rated, as observed from its grants.
+	slowdown float64
+	// removed is set once the upstream was removed; the row stays while grants refer to it.
+	removed bool
+	// orderedRole is the role of the last order.
+	orderedRole string
+	// exclusive is set while a suspect runs on the upstream, which then accepts nothing else.
+	exclusive bool
+	// claimed is the memory claimed for a waiting request; zero if none.
 	claimed Tokens
-	// grants holds its live grants and ghosts.
+	// grants contains its live and orphaned grants.
 	grants []*grant
-	// report is the engine's last word; foreign is memory it says others hold,
-	// the lower of the last two reports.
-	report         Report
-	reported       bool
-	foreign, prior Tokens
-	hints          hints
+	// report is the last report of the engine. external is reported memory that no grant of this
+	// owner accounts for, the lower value of the last two reports; lastExternal is the value of the
+	// last report.
+	report                 Report
+	reported               bool
+	external, lastExternal Tokens
+	hints                  hints
 }
 
 // grant is a row of the table of grants.
 type grant struct {
 	Grant
 	on []*upstream
-	// made is when it was granted or adopted; ghost since when it lapsed, or zero.
-	made, ghost clock.Milli
-	// uncached is the part of the prompt that the upstream had to prefill.
+	// grantedAt is when the grant was made or adopted, orphanedAt when it lapsed, zero if it is
+	// live.
+	grantedAt, orphanedAt clock.Milli
+	// uncached is the part of the prompt, in tokens, that the upstream had to prefill.
 	uncached Tokens
-	// expect is how long the first token was expected to take, in milliseconds,
-	// with the upstream's slowness thought to be slow.
-	expect, slow float64
-	first        bool
-	output       Tokens
-	long         bool
-	// seen is the number of the last report, of any upstream, that listed it.
-	seen uint64
-	// prefixes are remembered as cached once the first token came.
+	// expectedFirst is the expected time to first token, in milliseconds, under assumedSlowdown,
+	// the estimated slowdown of the upstream at the time of the grant.
+	expectedFirst, assumedSlowdown float64
+	gotFirst                       bool
+	output                         Tokens
+	long                           bool
+	// listedIn is the number (Pool.reportSeq) of the last report of any upstream that listed the
+	// request.
+	listedIn uint64
+	// prefixes are recorded as cached on the upstream once the first token came.
 	prefixes []PrefixHash
-	// check is when the expire system looks at it next; timer is its place there.
-	check clock.Milli
-	timer int
+	// checkAt is the time of the next check by expire; timerIndex is the position in Pool.timers.
+	checkAt    clock.Milli
+	timerIndex int
 }
 
 // waiting is a row of the table of queued requests.
 type waiting struct {
 	Request
 	flow *flow
-	// work is its prefill time and total its whole time, in milliseconds, on an idle upstream.
-	work, total float64
-	since       clock.Milli
-	// latest is the last instant at which a start still meets the deadline.
-	latest clock.Milli
-	// place and expiry are its positions in the flow and in Pool.expiries.
-	place, expiry int
+	// work is the prefill time and serviceTime the total time on an idle upstream, in milliseconds.
+	work, serviceTime float64
+	queuedAt          clock.Milli
+	// latestStart is the latest start that still meets the deadline.
+	latestStart clock.Milli
+	// heapIndex and expiryIndex are the positions in the flow and in Pool.expiries.
+	heapIndex, expiryIndex int
 }
 
-// tokens is what the request is charged in fair sharing.
+// tokens is the amount charged in fair sharing.
 func (w *waiting) tokens() Tokens { return w.Prompt + w.Output }
 
-// hold is memory times duration that the request takes.
-func (w *waiting) hold() float64 { return float64(w.tokens()) * w.total }
+// memoryTime is the memory times the duration of the request, in token-milliseconds.
+func (w *waiting) memoryTime() float64 { return float64(w.tokens()) * w.serviceTime }
 
 // workspace is a row of the table of workspaces.
 type workspace struct {
@@ -103,13 +109,13 @@
 	flows [lanes]*flow
 }
 
-// free is the memory that new grants may take.
-func (p *Pool) free(u *upstream) Tokens {
+// freeMemory is the memory available to new grants.
+func (p *Pool) freeMemory(u *upstream) Tokens {
 	if u.spec.Memory == 0 {
-		return unlimited
+		return unlimitedMemory
 	}
-	free := u.spec.Memory - u.taken - u.foreign
-	if p.rebuilding {
+	free := u.spec.Memory - u.reserved - u.external
+	if p.recovering {
 		if !u.reported {
 			return closed
 		}
@@ -118,92 +124,92 @@
 	return max(free, 0)
 }
 
-// unlimited is the free memory of a plain service, which holds no KV cache.
-const unlimited Tokens = 1 << 50
+// unlimitedMemory is the free memory of a plain service, which has no KV cache.
+const unlimitedMemory Tokens = 1 << 50
 
 func (u *upstream) leaving() bool { return u.spec.Leaving || u.report.Leaving }
 
-// rate is its prefill speed as observed, in tokens per millisecond.
+// rate is the observed prefill speed, in tokens per millisecond.
 func (u *upstream) rate() float64 {
 	if u.spec.Prefill <= 0 {
 		return plainRate
 	}
-	return float64(u.spec.Prefill) / 1000 / u.slow
+	return float64(u.spec.Prefill) / 1000 / u.slowdown
 }
 
-// plainRate makes the prefill of a plain service take no time.
+// plainRate is a prefill speed so large that the prefill of a plain service takes no time.
 const plainRate = 1e9
 
-// drain moves the estimate of its work ahead on to now.
+// drain reduces the backlog by the prefill estimated to be done since drainedAt.
 func (u *upstream) drain(now clock.Milli) {
-	if now <= u.at {
+	if now <= u.drainedAt {
 		return
 	}
-	done := float64(now-u.at) * u.rate()
-	hasty := min(u.soon, done)
-	u.soon -= hasty
-	u.early = max(u.early-done, u.soon)
-	u.ahead = max(u.ahead-done, u.early)
-	u.at = now
+	done := float64(now-u.drainedAt) * u.rate()
+	urgentDone := min(u.urgentBacklog, done)
+	u.urgentBacklog -= urgentDone
+	u.shortBacklog = max(u.shortBacklog-done, u.urgentBacklog)
+	u.backlog = max(u.backlog-done, u.shortBacklog)
+	u.drainedAt = now
 }
 
-// leaf is what placing sees of an upstream.
+// leaf returns the tree node of an upstream.
 func (p *Pool) leaf(u *upstream) node {
-	if u.leaving() || u.alone || p.full(u) {
-		return barred
+	if u.leaving() || u.exclusive || p.slotsFull(u) {
+		return closedNode
 	}
-	n := barred
-	free := p.free(u)
+	n := closedNode
+	free := p.freeMemory(u)
 	n.rate = u.rate()
-	n.soon = float64(u.at) + u.soon/n.rate
-	n.early = float64(u.at) + u.early/n.rate
-	if u.prefilling > 0 {
-		n.early = max(n.early, u.shortNext)
+	n.urgentReady = float64(u.drainedAt) + u.urgentBacklog/n.rate
+	n.shortReady = float64(u.drainedAt) + u.shortBacklog/n.rate
+	if u.longPrefilling > 0 {
+		n.shortReady = max(n.shortReady, u.nextPass)
 	}
-	n.ready = max(float64(u.at)+u.ahead/n.rate, n.early)
+	n.ready = max(float64(u.drainedAt)+u.backlog/n.rate, n.shortReady)
 	n.running = int32(u.running)
-	n.delicate = int32(u.delicate)
+	n.runningUrgent = int32(u.runningUrgent)
 	n.urgent = free
-	n.noise = sideNoise
-	if u.side == clearSide {
-		n.noise = clearUse
+	n.interleave = defaultInterleave
+	if u.side == urgentSide {
+		n.interleave = urgentSideUse
 	}
 	if u.running == 0 {
 		n.idle = free
 	}
-	// Short work may pass a claim while long grants keep it from being redeemed
-	// anyway; once they are gone the last short ones drain in seconds.
-	rest := free
-	if u.claimed > 0 && u.heavy+u.claimed <= u.spec.Memory {
-		rest = max(free-u.claimed, closed)
+	// Short work may use claimed memory while running long grants prevent the claim from being
+	// granted. Once these have ended, the last short requests finish within seconds.
+	unclaimed := free
+	if u.claimed > 0 && u.reservedLong+u.claimed <= u.spec.Memory {
+		unclaimed = max(free-u.claimed, closed)
 	}
 	switch u.side {
 	case anySide:
-		n.short = rest
+		n.short = unclaimed
 	case longSide:
-		n.shared = rest
-		if u.prefilling < longPrefills && u.claimed == 0 && !p.straggles(u) {
-			n.long = rest
+		n.shortOnLong = unclaimed
+		if u.longPrefilling < longPrefills && u.claimed == 0 && !p.isOutlier(u) {
+			n.long = unclaimed
 		}
-	case clearSide:
-		n.fill = rest
+	case urgentSide:
+		n.shortOnUrgent = unclaimed
 	}
 	return n
 }
 
-// full tells whether all slots are taken. During a rebuild the engine's own
-// count is believed where it is higher, for it may run grants of the earlier owner.
-func (p *Pool) full(u *upstream) bool {
+// slotsFull reports whether all slots are taken. During recovery the engine's own count is used
+// where it is higher, since it may run grants of the earlier owner.
+func (p *Pool) slotsFull(u *upstream) bool {
 	running := u.running
-	if p.rebuilding {
+	if p.recovering {
 		running = max(running, len(u.report.Running))
 	}
 	return running >= u.spec.Slots
 }
 
-// touch makes placing see a changed upstream.
-func (p *Pool) touch(u *upstream) {
-	if p.stale || u.index < 0 {
+// updateLeaf updates the tree after a change of an upstream.
+func (p *Pool) updateLeaf(u *upstream) {
+	if p.treeStale || u.index < 0 {
 		return
 	}
 	p.tree.set(u.index, p.leaf(u))
--- a/lib/decide/tree.go
+++ b/lib/decide/tree.go
@@ -2,45 +2,45 @@
 
 import "math"
 
-// node is one upstream, or the best of a range of upstreams, as placing sees it.
-// Each field is the most favorable value of the range, so a cost worked out
-// from a node is never above that of an upstream below it.
+// node is the placement state of one upstream, or the best values of a range of upstreams. Each
+// field is the most favorable value of the range, so the cost computed from a node is never above
+// the cost of an upstream below it.
 type node struct {
-	// urgent, short, shared, fill and long are the largest free memory that urgent,
-	// short, short-on-the-long-side, short-on-the-clear-side and long work may
-	// take; closed if none.
-	urgent, short, shared, fill, long Tokens
-	// idle is the largest free memory of an upstream that runs nothing at all.
+	// urgent, short, shortOnLong, shortOnUrgent and long are the largest free memory available to
+	// urgent work, to short work on upstreams of neither side, to short work on the long side, to
+	// short work on the urgent side, and to long work; closed if none.
+	urgent, short, shortOnLong, shortOnUrgent, long Tokens
+	// idle is the largest free memory of an upstream without any grants.
 	idle Tokens
-	// soon, early and ready are when the work ahead of an urgent request, of a
-	// short one, and all work ahead will have been prefilled; instants in milliseconds.
-	soon, early, ready float64
+	// urgentReady, shortReady and ready are the times in milliseconds at which the prefill ahead of
+	// an urgent request, ahead of a short request, and all prefill will be done.
+	urgentReady, shortReady, ready float64
 	// rate is the prefill speed in tokens per millisecond.
 	rate float64
-	// running and delicate count grants, and urgent grants.
-	running, delicate int32
-	// noise is the share of time that other prefill is expected beside an output.
-	noise float64
+	// running and runningUrgent are the numbers of all grants and of urgent grants.
+	running, runningUrgent int32
+	// interleave is the expected share of an output's time in which the engine also prefills.
+	interleave float64
 }
 
-// closed marks memory that a class of work may not take. It is below every need.
+// closed marks memory as unavailable to a class of work. It is below every need.
 const closed Tokens = -1
 
-var barred = node{
-	urgent: closed, short: closed, shared: closed, fill: closed, long: closed, idle: closed,
-	soon: math.Inf(1), early: math.Inf(1), ready: math.Inf(1), running: math.MaxInt32, delicate: math.MaxInt32,
-	noise: math.Inf(1),
+var closedNode = node{
+	urgent: closed, short: closed, shortOnLong: closed, shortOnUrgent: closed, long: closed, idle: closed,
+	urgentReady: math.Inf(1), shortReady: math.Inf(1), ready: math.Inf(1), running: math.MaxInt32, runningUrgent: math.MaxInt32,
+	interleave: math.Inf(1),
 }
 
-// tree is a tournament over upstreams: one change and one search cost a
-// logarithm of their number instead of a scan.
+// tree is a tournament tree over upstreams: an update or a search takes logarithmic time instead of
+// a scan.
 type tree struct {
-	// nodes holds the root at 1 and the leaves from base on.
+	// nodes contains the root at index 1 and the leaves from index base on.
 	nodes []node
 	base  int
 }
 
-// resize makes room for n leaves, all barred.
+// resize makes room for n leaves and closes all of them.
 func (t *tree) resize(n int) {
 	t.base = 1
 	for t.base < n {
@@ -48,7 +48,7 @@
 	}
 	t.nodes = make([]node, 2*t.base)
 	for i := range t.nodes {
-		t.nodes[i] = barred
+		t.nodes[i] = closedNode
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	t.nodes[i] = n
 	for i /= 2; i > 0; i /= 2 {
-		n := best(&t.nodes[2*i], &t.nodes[2*i+1])
+		n := combine(&t.nodes[2*i], &t.nodes[2*i+1])
 		if t.nodes[i] == n {
 			return
 		}
@@ -67,20 +67,20 @@
 	}
 }
 
-func best(a, b *node) node {
+func combine(a, b *node) node {
 	return node{
-		urgent:   max(a.urgent, b.urgent),
-		short:    max(a.short, b.short),
-		shared:   max(a.shared, b.shared),
-		fill:     max(a.fill, b.fill),
-		long:     max(a.long, b.long),
-		idle:     max(a.idle, b.idle),
-		soon:     min(a.soon, b.soon),
-		early:    min(a.early, b.early),
-		ready:    min(a.ready, b.ready),
-		rate:     max(a.rate, b.rate),
-		running:  min(a.running, b.running),
-		delicate: min(a.delicate, b.delicate),
-		noise:    min(a.noise, b.noise),
+		urgent:        max(a.urgent, b.urgent),
+		short:         max(a.short, b.short),
+		shortOnLong:   max(a.shortOnLong, b.shortOnLong),
+		shortOnUrgent: max(a.shortOnUrgent, b.shortOnUrgent),
+		long:          max(a.long, b.long),
+		idle:          max(a.idle, b.idle),
+		urgentReady:   min(a.urgentReady, b.urgentReady),
+		shortReady:    min(a.shortReady, b.shortReady),
+		ready:         min(a.ready, b.ready),
+		rate:          max(a.rate, b.rate),
+		running:       min(a.running, b.running),
+		runningUrgent: min(a.runningUrgent, b.runningUrgent),
+		interleave:    min(a.interleave, b.interleave),
 	}
 }
--- a/lib/decide/view.go
+++ b/lib/decide/view.go
@@ -6,39 +6,40 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Waiting is a queued request as an operator sees it.
+// Waiting is a queued request as shown to operators.
 type Waiting struct {
 	Request RequestID
-	// Workspace, Urgency and Long name the queue it is in.
+	// Workspace, Urgency and Long identify the queue.
 	Workspace WorkspaceID
 	Urgency   Urgency
 	Long      bool
-	// Since is when it was admitted, Latest when it must start.
+	// Since is when the request was admitted, Latest its latest start.
 	Since, Latest clock.Milli
 }
 
-// View is an upstream as an operator sees it.
+// View is an upstream as shown to operators.
 type View struct {
 	Upstream
 	// Side is "long", "short" or "any", as in Order.Role.
 	Side string
-	// Running counts grants; Ghosts of these lapsed and are not yet gone.
+	// Running is the number of grants, including Ghosts: lapsed grants that the engine may still
+	// run.
 	Running, Ghosts int
-	// Taken is memory of grants, Foreign what others hold by the engine's report.
+	// Taken is the memory of grants, Foreign the reported memory that no grant accounts for.
 	Taken, Foreign Tokens
 	// Ahead is the estimated time until all granted prompts are prefilled.
 	Ahead clock.Milli
-	// Slow is how many times slower than rated it prefills.
+	// Slow is the factor by which the upstream prefills slower than rated.
 	Slow float64
-	// Claimed is memory kept free for a request that needs much at once.
+	// Claimed is the memory kept free for a request that needs much at once.
 	Claimed Tokens
 }
 
-// Grants lists all live grants by id.
+// Grants returns all live grants in order of id.
 func (p *Pool) Grants() []Grant {
 	list := make([]Grant, 0, len(p.grants))
 	for _, g := range p.grants {
-		if g.ghost == 0 {
+		if g.orphanedAt == 0 {
 			e := g.Grant
 			e.Upstreams = slices.Clone(e.Upstreams)
 			list = append(list, e)
@@ -48,20 +49,20 @@
 	return list
 }
 
-// Queue lists all queued requests, the one that must start first ahead.
+// Queue returns all queued requests in order of their latest start.
 func (p *Pool) Queue() []Waiting {
 	list := make([]Waiting, 0, len(p.queued))
 	for _, w := range p.queued {
-		list = append(list, Waiting{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.since, w.latest})
+		list = append(list, Waiting{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.queuedAt, w.latestStart})
 	}
 	slices.SortFunc(list, func(a, b Waiting) int { return int(a.Latest - b.Latest) })
 	return list
 }
 
-// Upstreams lists all upstreams in ascending order.
+// Upstreams returns all upstreams in ascending order of id.
 func (p *Pool) Upstreams(now clock.Milli) []View {
-	if p.stale {
-		p.rebuild(now)
+	if p.treeStale {
+		p.rebuildTables(now)
 	}
 	list := make([]View, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
@@ -70,15 +71,15 @@
 			Upstream: u.spec,
 			Side:     u.side.role(),
 			Running:  u.running,
-			Taken:    u.taken,
-			Foreign:  u.foreign,
-			Ahead:    clock.Milli(u.ahead / u.rate()),
-			Slow:     u.slow,
+			Taken:    u.reserved,
+			Foreign:  u.external,
+			Ahead:    clock.Milli(u.backlog / u.rate()),
+			Slow:     u.slowdown,
 			Claimed:  u.claimed,
 		}
 		v.Leaving = u.leaving()
 		for _, g := range u.grants {
-			if g.ghost > 0 {
+			if g.orphanedAt > 0 {
 				v.Ghosts++
 			}
 		}
@@ -87,35 +88,35 @@
 	return list
 }
 
-// Summary tells other VMs how the pool stands.
+// Summary returns the state of the pool for other VMs.
 func (p *Pool) Summary(now clock.Milli) Summary {
-	if p.stale {
-		p.rebuild(now)
+	if p.treeStale {
+		p.rebuildTables(now)
 	}
 	s := Summary{Queued: len(p.queued), Running: len(p.live)}
 	for i := range s.Wait {
-		s.Wait[i] = p.waitOf(Urgency(i), false)
-		s.Long[i] = p.waitOf(Urgency(i), true)
+		s.Wait[i] = p.newWorkspaceWait(Urgency(i), false)
+		s.Long[i] = p.newWorkspaceWait(Urgency(i), true)
 	}
 	for _, u := range p.upstreams {
 		if !u.leaving() && u.spec.Memory > 0 {
-			s.Free += p.free(u)
+			s.Free += p.freeMemory(u)
 			s.Largest += u.spec.Memory
 		}
 	}
 	return s
 }
 
-// waitOf is the wait of a request of somebody with nothing queued. A pool without an
-// upstream that takes work has no queue: taken for idle, it would be asked first by
-// every gate.
-func (p *Pool) waitOf(u Urgency, long bool) clock.Milli {
-	if p.shift.taking == 0 {
-		return farthest
+// newWorkspaceWait is the estimated wait of a request of a workspace with nothing queued. For a
+// pool without upstreams that accept work it is maxRetry: the empty queue would make the pool look
+// idle, and every gate would ask it first.
+func (p *Pool) newWorkspaceWait(u Urgency, long bool) clock.Milli {
+	if p.boundaries.accepting == 0 {
+		return maxRetry
 	}
-	fresh := flow{lane: p.lanes[laneOf(u, long)], workspace: newcomer, place: -1}
-	return clock.Milli(p.wait(&fresh))
+	fresh := flow{lane: p.lanes[laneOf(u, long)], workspace: newWorkspace, heapIndex: -1}
+	return clock.Milli(p.queueWait(&fresh))
 }
 
-// newcomer stands for a workspace with nothing queued.
-var newcomer = &workspace{spec: Workspace{Weight: 1}}
+// newWorkspace represents a workspace with nothing queued.
+var newWorkspace = &workspace{spec: Workspace{Weight: 1}}
--- a/lib/decide/word_test.go
+++ b/lib/decide/word_test.go
@@ -9,11 +9,11 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Gates tell an owner of first tokens with their renewals, a second late. Taken
-// at the time of the message every engine looks many times slower than it is,
-// gets next to no work, and ward officers wait seconds before idle engines.
-func TestLateWordOfAFirstTokenDoesNotMakeAnEngineSlow(t *testing.T) {
-	b := newBed(t, 1)
+// Gates report first tokens with their renewals, up to a second late. Measured at the arrival of
+// the report, every engine would look many times slower than it is and receive almost no work,
+// while requests wait seconds beside idle engines.
+func TestDelayedFirstTokenReportDoesNotCountAsSlowness(t *testing.T) {
+	b := newHarness(t, 1)
 	b.pool.config.Delay = 1300
 	for i := range 20 {
 		r := b.request(string(rune('a' + i)))
@@ -27,11 +27,11 @@
 	require.InDelta(t, 1, b.view(0).Slow, 0.05)
 }
 
-// A dossier of half a million tokens takes both engines of a small failure
-// domain for half a minute. Drafts of its ward officers must not wait for its
-// end, and the dossier must get at least about half of the time meanwhile.
-func TestShortWorkPassesALongPromptThatTakesAllEngines(t *testing.T) {
-	b := newBed(t, 2)
+// A dossier of half a million tokens occupies both engines of a small failure domain for half a
+// minute. Drafts must not wait for its end, and the dossier must get at least about half of the
+// time meanwhile.
+func TestShortPromptsPassALongPromptOnAllEngines(t *testing.T) {
+	b := newHarness(t, 2)
 	long := b.request("dossier")
 	long.Urgency, long.Prompt = 3, 500_000
 	b.submit(long)
