--- a/lib/decide/admit.go
+++ b/lib/decide/admit.go
@@ -40,7 +40,7 @@
 
 // admitOne admits or refuses one request. When more work is offered than the pool can finish,
 // unlimited queueing would make every answer late. Refusing at once, with an accurate retry time,
-// lets the caller do something else meanwhile.
+// lets the client do something else meanwhile.
 func (p *Pool) admitOne(now clock.Milli, r *Request) {
 	if g := p.live[r.ID]; g != nil {
 		g.Gate = r.Gate
--- a/lib/decide/api.go
+++ b/lib/decide/api.go
@@ -51,7 +51,7 @@
 	Urgency   Urgency
 	// Deadline is the time, on the owner's clock, by which the answer must be complete.
 	Deadline clock.Milli
-	// Prompt and Output are estimates: a quarter of the prompt's bytes, and the caller's output
+	// Prompt and Output are estimates: a quarter of the prompt's bytes, and the client's output
 	// limit or the usual output length of the kind.
 	Prompt, Output Tokens
 	// Prefixes are hashes of leading parts of the prompt, each twice as long as the one before.
@@ -145,7 +145,7 @@
 	Failed                  // the upstream answered with an error or cut the stream
 	Died                    // the upstream crashed or its VM is gone
 	Unused                  // returned before any byte was sent
-	Canceled                // the caller disconnected; the engine was notified
+	Canceled                // the client disconnected; the engine was notified
 )
 
 // Action is the kind of a Decision.
--- a/lib/decide/fault_test.go
+++ b/lib/decide/fault_test.go
@@ -130,7 +130,7 @@
 	b.submit(b.request("other"))
 	b.wait(10 * clock.Second)
 	require.NotContains(t, b.granted, RequestID("other"), "no other request runs beside the suspect")
-	b.first("suspect")
+	b.firstToken("suspect")
 	b.finish("suspect", Done)
 	require.Contains(t, b.granted, RequestID("other"))
 }
@@ -163,7 +163,7 @@
 	require.NotEqual(t, name(3), b.grant("s").Upstreams[0])
 }
 
-// A request crashes each engine that runs it. Its caller sends it through several VMs at once, so
+// A request crashes each engine that runs it. Its client sends it through several VMs at once, so
 // that no gate sees the other copies.
 func TestCopiesOfAPoisonRequestCrashAtMostTwoUpstreams(t *testing.T) {
 	b := newHarness(t, 6)
--- a/lib/decide/fixture_test.go
+++ b/lib/decide/fixture_test.go
@@ -20,10 +20,10 @@
 	orders  []Decision
 	// order lists granted requests in order.
 	order []RequestID
-	// free is when each simulated engine finishes its prefill; runs are the simulated requests of
-	// serve.
-	free map[UpstreamID]clock.Milli
-	runs map[GrantID]*run
+	// prefillFree is when each simulated engine finishes its prefill; running are the simulated
+	// requests of serve.
+	prefillFree map[UpstreamID]clock.Milli
+	running     map[GrantID]*run
 }
 
 // run has the times of the first token and of the end of a simulated request.
@@ -32,7 +32,7 @@
 func newHarness(t *testing.T, upstreams int) *harness {
 	b := &harness{
 		t: t, now: 1_000_000, granted: map[RequestID]Grant{}, refused: map[RequestID]Decision{}, lapsed: map[RequestID]Grant{},
-		free: map[UpstreamID]clock.Milli{}, runs: map[GrantID]*run{},
+		prefillFree: map[UpstreamID]clock.Milli{}, running: map[GrantID]*run{},
 		pool: New(Config{Epoch: 2, Lease: 5000}),
 	}
 	for i := range upstreams {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (b *harness) first(id string) {
+func (b *harness) firstToken(id string) {
 	b.pool.Progress(b.now, b.grant(id).ID, true, 1)
 	b.tick()
 }
@@ -113,13 +113,13 @@
 	for end := b.now + span; b.now < end; {
 		for _, g := range b.pool.Grants() {
 			lead := g.Upstreams[0]
-			s := b.runs[g.ID]
+			s := b.running[g.ID]
 			if s == nil {
 				factor := max(slow[lead], 1)
-				first := max(b.free[lead], b.now) + clock.Milli(float64(g.Prompt)/20*factor)
-				b.free[lead] = first
+				first := max(b.prefillFree[lead], b.now) + clock.Milli(float64(g.Prompt)/20*factor)
+				b.prefillFree[lead] = first
 				s = &run{first, first + clock.Milli(float64(g.Output)*20*factor)}
-				b.runs[g.ID] = s
+				b.running[g.ID] = s
 			}
 			b.pool.Renew(b.now, g.ID)
 			if s.first <= b.now {
--- a/lib/decide/gate/gate_test.go
+++ b/lib/decide/gate/gate_test.go
@@ -26,8 +26,8 @@
 	require.True(t, NewBudget(0, 0, 0).Retry(0), "a pool with little traffic may retry")
 }
 
-// One request crashes every engine that runs it, and its caller sends it again and again, through
-// other VMs too. Each time other callers on the engine lose their answers.
+// One request crashes every engine that runs it, and its client sends it again and again, through
+// other VMs too. Each time other clients on the engine lose their answers.
 func TestQuarantineStopsAtTheSecondCrash(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	require.True(t, a.Begin(0, 7))
@@ -120,7 +120,7 @@
 	require.Zero(t, NewLimit(0, 1000).Take(0, 1_000_000), "a request above the burst must be able to pass")
 }
 
-// Callers of one workspace use several VMs, and most of them one VM. With equal shares the busy VM
+// Clients of one workspace use several VMs, and most of them one VM. With equal shares the busy VM
 // would refuse work while the rate is not used up.
 func TestHomeDividesRateByDemandWithoutExceedingIt(t *testing.T) {
 	h := NewHome(1000)
--- a/lib/decide/gate/limit.go
+++ b/lib/decide/gate/limit.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Home divides the rate of one workspace among the VMs that have callers of it. It runs on the
+// Home divides the rate of one workspace among the VMs that have clients of it. It runs on the
 // workspace's home VM.
 type Home struct {
 	rate    decide.Rate
--- a/lib/decide/gate/quarantine.go
+++ b/lib/decide/gate/quarantine.go
@@ -11,7 +11,7 @@
 	// DeathsAllowed is the number of upstream crashes after which a request is quarantined. One crash
 	// may be a coincidence; a second one while the request ran alone is not.
 	DeathsAllowed = 2
-	// DefaultHold is how long an entry lasts after its last crash: longer than callers repeat a
+	// DefaultHold is how long an entry lasts after its last crash: longer than clients repeat a
 	// failed request, short enough that a repaired engine may run the request again within a work
 	// shift.
 	DefaultHold = 30 * clock.Minute
@@ -48,7 +48,7 @@
 }
 
 // Quarantine counts, by request fingerprint, the upstreams that crashed while running a request. It
-// stops a request that crashes every engine that runs it and whose caller sends it again and again:
+// stops a request that crashes every engine that runs it and whose client sends it again and again:
 // each repetition would take down one more engine with everything that runs there.
 //
 // A suspect that is still running must not be started a second time concurrently: Begin and End
@@ -112,7 +112,7 @@
 // verdict.
 //
 // A crash under several copies of one request counts once. Otherwise an alert lookup that many
-// callers send with identical content would be refused to all of them for half an hour because one
+// clients send with identical content would be refused to all of them for half an hour because one
 // engine lost power. Crashes of different known incarnations count separately, however close in
 // time.
 func (q *Quarantine) Died(now clock.Milli, fingerprint uint64, u decide.UpstreamID, incarnation decide.Born) Verdict {
--- a/lib/decide/killer.go
+++ b/lib/decide/killer.go
@@ -10,7 +10,7 @@
 	// request. The first crash may be a coincidence; a second one while the request ran alone is
 	// not.
 	maxCrashes = 2
-	// crashRetention is how long a crash is remembered: longer than callers repeat a failed
+	// crashRetention is how long a crash is remembered: longer than clients repeat a failed
 	// request, short enough that a repaired engine may run the request again.
 	crashRetention = 30 * clock.Minute
 	// maxCrashEntries bounds the table. Beyond it, entries with one crash are dropped, since a
@@ -25,10 +25,10 @@
 type crashTable struct {
 	// running is the number of live grants by fingerprint. Fingerprint zero is not counted.
 	running       map[uint64]int
-	byFingerprint map[uint64]crashCount
+	byFingerprint map[uint64]crashEntry
 }
 
-type crashCount struct {
+type crashEntry struct {
 	count int
 	until clock.Milli
 }
@@ -65,7 +65,7 @@
 		return
 	}
 	count := p.crashes.count(now, fingerprint) + 1
-	p.crashes.set(now, fingerprint, crashCount{count, now + crashRetention})
+	p.crashes.set(now, fingerprint, crashEntry{count, now + crashRetention})
 	for _, w := range p.queued {
 		if w.Fingerprint != fingerprint {
 			continue
@@ -78,7 +78,7 @@
 	}
 }
 
-func (k *crashTable) set(now clock.Milli, fingerprint uint64, d crashCount) {
+func (k *crashTable) set(now clock.Milli, fingerprint uint64, d crashEntry) {
 	k.byFingerprint[fingerprint] = d
 	if len(k.byFingerprint) <= maxCrashEntries {
 		return
--- a/lib/decide/ledger.go
+++ b/lib/decide/ledger.go
@@ -337,7 +337,7 @@
 }
 
 // expire lapses grants whose lease or deadline ran out, and refuses queued requests that can no
-// longer meet their deadline. The refusals go out in this tick, so that no caller waits for an
+// longer meet their deadline. The refusals go out in this tick, so that no client waits for an
 // answer that is already certain.
 func (p *Pool) expire(now clock.Milli) {
 	for {
--- a/lib/decide/outcome_test.go
+++ b/lib/decide/outcome_test.go
@@ -52,7 +52,7 @@
 	for i := range 16 {
 		b.submit(b.request(fmt.Sprint("r", i)))
 		b.wait(1000)
-		b.first(fmt.Sprint("r", i))
+		b.firstToken(fmt.Sprint("r", i))
 	}
 	r = b.request("late")
 	r.Deadline = b.now + 20*clock.Second
@@ -78,7 +78,7 @@
 		b.submit(r)
 		require.Contains(t, b.granted, r.ID, "granted in the tick of its arrival")
 		b.wait(60)
-		b.first(string(r.ID))
+		b.firstToken(string(r.ID))
 	}
 	b.serve(nil, 10*clock.Minute)
 	require.Len(t, b.granted, 60, "long requests are not starved")
@@ -194,7 +194,7 @@
 }
 
 // One engine becomes four times slower, and its report, which lists few requests, makes it look
-// idle. Callers placed on it wait four times as long.
+// idle. Clients placed on it wait four times as long.
 func TestSlowUpstreamGetsFewerGrantsAndNoLongPrompt(t *testing.T) {
 	b := newHarness(t, 6)
 	slow := map[UpstreamID]float64{name(2): 4}
--- a/lib/decide/pool.go
+++ b/lib/decide/pool.go
@@ -51,7 +51,7 @@
 	queued     map[RequestID]*waiting
 	expiries   heap[*waiting]
 	arrivals   []Request
-	claim      claim
+	earmark    earmark
 	// longSideShared is set while short work may be placed on the long side.
 	longSideShared bool
 
@@ -107,7 +107,7 @@
 		grants:         make(map[GrantID]*grant),
 		live:           make(map[RequestID]*grant),
 		orphans:        make(map[RequestID]*grant),
-		crashes:        crashTable{running: make(map[uint64]int), byFingerprint: make(map[uint64]crashCount)},
+		crashes:        crashTable{running: make(map[uint64]int), byFingerprint: make(map[uint64]crashEntry)},
 		recovering:     c.Rebuild > 0,
 		longSideShared: true,
 	}
@@ -269,8 +269,8 @@
 		u.drain(now)
 		p.updateLeaf(u)
 	}
-	if p.claim.request != nil && !p.claimValid() {
-		p.releaseClaim()
+	if p.earmark.request != nil && !p.earmarkValid() {
+		p.releaseEarmark()
 	}
 }
 
--- a/lib/decide/property_test.go
+++ b/lib/decide/property_test.go
@@ -20,10 +20,10 @@
 	leaving map[UpstreamID]bool
 	// taken is the memory of live grants and of orphaned grants not yet reported as gone.
 	taken map[UpstreamID]Tokens
-	// open contains submitted requests without a decision. live and orphans are grants.
-	open    map[RequestID]bool
-	live    map[GrantID]Grant
-	orphans map[GrantID]Grant
+	// undecided contains submitted requests without a decision. live and orphans are grants.
+	undecided map[RequestID]bool
+	live      map[GrantID]Grant
+	orphans   map[GrantID]Grant
 	// lapseDue contains failed or canceled grants for which exactly one Lapsed decision must
 	// follow.
 	lapseDue map[GrantID]bool
@@ -32,15 +32,15 @@
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		t:        t,
-		now:      1_000_000,
-		memory:   map[UpstreamID]Tokens{},
-		leaving:  map[UpstreamID]bool{},
-		taken:    map[UpstreamID]Tokens{},
-		open:     map[RequestID]bool{},
-		live:     map[GrantID]Grant{},
-		orphans:  map[GrantID]Grant{},
-		lapseDue: map[GrantID]bool{},
+		t:         t,
+		now:       1_000_000,
+		memory:    map[UpstreamID]Tokens{},
+		leaving:   map[UpstreamID]bool{},
+		taken:     map[UpstreamID]Tokens{},
+		undecided: map[RequestID]bool{},
+		live:      map[GrantID]Grant{},
+		orphans:   map[GrantID]Grant{},
+		lapseDue:  map[GrantID]bool{},
 	}
 	m.pool = New(Config{Epoch: 7, Lease: 3000, Rebuild: clock.Milli(rapid.IntRange(0, 1).Draw(t, "rebuild")) * 500})
 	for range rapid.IntRange(1, 9).Draw(t, "upstreams") {
@@ -99,7 +99,7 @@
 	m.next++
 	id := RequestID(fmt.Sprintf("r%d", m.next))
 	prompt := rapid.SampledFrom([]int{10, 2_000, 30_000, 150_000, 390_000, 900_000}).Draw(t, "prompt")
-	m.open[id] = true
+	m.undecided[id] = true
 	m.pool.Submit(m.now, Request{
 		ID:        id,
 		Workspace: WorkspaceID(fmt.Sprintf("w%d", rapid.IntRange(0, 3).Draw(t, "workspace"))),
@@ -120,8 +120,8 @@
 		case Granted:
 			m.granted(d)
 		case Refused:
-			require.True(m.t, m.open[d.Request], "%s decided twice", d.Request)
-			delete(m.open, d.Request)
+			require.True(m.t, m.undecided[d.Request], "%s decided twice", d.Request)
+			delete(m.undecided, d.Request)
 		case Lapsed:
 			m.lapsed(d)
 		case Ordered:
@@ -132,8 +132,8 @@
 
 func (m *model) granted(d Decision) {
 	g := d.Grant
-	require.True(m.t, m.open[d.Request], "%s decided twice", d.Request)
-	delete(m.open, d.Request)
+	require.True(m.t, m.undecided[d.Request], "%s decided twice", d.Request)
+	delete(m.undecided, d.Request)
 	require.Greater(m.t, g.Deadline, m.now)
 	require.GreaterOrEqual(m.t, g.Reserved*Tokens(len(g.Upstreams)), g.Prompt+g.Output)
 	for i, u := range g.Upstreams {
@@ -271,9 +271,9 @@
 			"next":   func(t *rapid.T) { m.now = max(m.now, m.pool.Next(m.now)); m.tick(t) },
 			"withdraw": func(t *rapid.T) {
 				id := RequestID(fmt.Sprintf("r%d", rapid.IntRange(0, m.next).Draw(t, "which")))
-				if m.open[id] {
+				if m.undecided[id] {
 					m.pool.Withdraw(m.now, id)
-					delete(m.open, id)
+					delete(m.undecided, id)
 				}
 			},
 		})
@@ -281,7 +281,7 @@
 		m.now += 500_000
 		m.tick(t)
 		require.Empty(t, m.lapseDue, "failed or canceled grants without a Lapsed decision")
-		require.Empty(t, m.open, "requests without a decision")
+		require.Empty(t, m.undecided, "requests without a decision")
 		require.Empty(t, m.pool.Queue())
 	})
 }
--- a/lib/decide/queue.go
+++ b/lib/decide/queue.go
@@ -152,8 +152,8 @@
 	f.queue.remove(w.heapIndex)
 	p.expiries.remove(w.expiryIndex)
 	delete(p.queued, w.ID)
-	if p.claim.request == w {
-		p.releaseClaim()
+	if p.earmark.request == w {
+		p.releaseEarmark()
 	}
 	f.work -= w.work
 	l.work -= w.work
--- a/lib/decide/serve.go
+++ b/lib/decide/serve.go
@@ -6,9 +6,9 @@
 	// maxBackfill is the number of other workspaces tried while the first long request waits for
 	// memory. Each costs one search per tick.
 	maxBackfill = 4
-	// claimAfter is how long the first request of a lane waits for memory before it claims
-	// upstreams. Most waits end sooner, and a claim leaves memory unused.
-	claimAfter = 2 * clock.Second
+	// earmarkAfter is how long the first request of a lane waits for memory before it earmarks
+	// upstreams. Most waits end sooner, and an earmark leaves memory unused.
+	earmarkAfter = 2 * clock.Second
 )
 
 // serveQueues grants queued requests, lane by lane in order of rank, until no more can be placed.
@@ -17,7 +17,7 @@
 	if p.boundaries.accepting == 0 {
 		return
 	}
-	p.grantClaim(now)
+	p.grantEarmarked(now)
 	p.boundaries.refillBudget(now)
 	p.longSideShared = p.longSideOpen()
 	p.servePass(now)
@@ -65,12 +65,12 @@
 	if p.serveOne(now, w) {
 		return true
 	}
-	p.makeClaim(now, w)
+	p.makeEarmark(now, w)
 	if !l.long {
 		return false
 	}
 	// While the first request waits for memory, smaller requests of other workspaces may be placed,
-	// but not in the memory that the first one claimed, so they cannot starve it.
+	// but not in the memory that the first one earmarked, so they cannot starve it.
 	for i := 1; i <= maxBackfill && i < l.flows.len(); i++ {
 		o, _ := l.flows.items[i].queue.first()
 		if p.serveOne(now, o) {
@@ -107,18 +107,18 @@
 	p.decisions = append(p.decisions, Decision{Action: Granted, Request: g.Request, Gate: g.Gate, Grant: g.Grant})
 }
 
-// claim keeps memory free for one request that is unlikely to find enough of it by chance: a group,
-// a very long prompt, or a suspect that must run alone. There is at most one claim per pool, and
-// its request holds nothing else while it waits, so claims cannot deadlock.
-type claim struct {
+// earmark is memory kept free for one request that is unlikely to find enough by chance: a group,
+// a very long prompt, or a suspect that must run alone. There is at most one earmark per pool, and
+// its request holds nothing else while it waits, so earmarks cannot deadlock.
+type earmark struct {
 	request *waiting
 	on      []*upstream
 	share   Tokens
 }
 
-// makeClaim makes a claim for the first request of a lane if that has waited long enough.
-func (p *Pool) makeClaim(now clock.Milli, w *waiting) {
-	if p.claim.request != nil || now-w.queuedAt < claimAfter {
+// makeEarmark makes an earmark for the first request of a lane if that has waited long enough.
+func (p *Pool) makeEarmark(now clock.Milli, w *waiting) {
+	if p.earmark.request != nil || now-w.queuedAt < earmarkAfter {
 		return
 	}
 	if !w.Suspect && !w.flow.lane.long {
@@ -130,21 +130,21 @@
 		k = p.groupSize(need)
 	}
 	share := (need + Tokens(k) - 1) / Tokens(k)
-	for len(p.claim.on) < k {
-		u := p.nextToClaim(w, share, k)
+	for len(p.earmark.on) < k {
+		u := p.nextToEarmark(w, share, k)
 		if u == nil {
-			p.releaseClaim()
+			p.releaseEarmark()
 			return
 		}
-		u.claimed = share
+		u.earmarked = share
 		if w.Suspect {
-			u.claimed = max(u.spec.Memory, 1)
+			u.earmarked = max(u.spec.Memory, 1)
 		}
-		p.claim.on = append(p.claim.on, u)
+		p.earmark.on = append(p.earmark.on, u)
 	}
-	p.claim.request, p.claim.share = w, share
-	sortByIndex(p.claim.on)
-	for _, u := range p.claim.on {
+	p.earmark.request, p.earmark.share = w, share
+	sortByIndex(p.earmark.on)
+	for _, u := range p.earmark.on {
 		p.updateLeaf(u)
 	}
 }
@@ -157,20 +157,20 @@
 	}
 }
 
-// nextToClaim returns the upstream whose memory is expected to be free first. The leader must be on
+// nextToEarmark returns the upstream whose memory is expected to be free first. The leader must be on
 // the long side.
-func (p *Pool) nextToClaim(w *waiting, share Tokens, k int) *upstream {
-	leader := len(p.claim.on) == 0
+func (p *Pool) nextToEarmark(w *waiting, share Tokens, k int) *upstream {
+	leader := len(p.earmark.on) == 0
 	var pick *upstream
 	var soonest clock.Milli
 	for _, u := range p.upstreams {
-		if u.leaving() || u.claimed > 0 || u.spec.Memory > 0 && u.spec.Memory < share || avoided(w.Avoid, u.spec.ID) {
+		if u.leaving() || u.earmarked > 0 || u.spec.Memory > 0 && u.spec.Memory < share || avoided(w.Avoid, u.spec.ID) {
 			continue
 		}
 		if leader && !w.Suspect && (u.side != longSide || u.index+k > len(p.upstreams)) {
 			continue
 		}
-		if !leader && u.index < p.claim.on[0].index && !w.Suspect {
+		if !leader && u.index < p.earmark.on[0].index && !w.Suspect {
 			continue
 		}
 		if at := p.freeAt(u, share); pick == nil || at < soonest {
@@ -192,41 +192,41 @@
 	return last
 }
 
-// grantClaim grants the request of the claim once the memory on all of its upstreams is free.
-func (p *Pool) grantClaim(now clock.Milli) {
-	w := p.claim.request
+// grantEarmarked grants the request of the earmark once the memory on all of its upstreams is free.
+func (p *Pool) grantEarmarked(now clock.Milli) {
+	w := p.earmark.request
 	if w == nil || w.Suspect && p.crashes.running[w.Fingerprint] > 0 {
 		return
 	}
-	for i, u := range p.claim.on {
-		if u.leaving() || u.exclusive || p.slotsFull(u) || p.freeMemory(u) < p.claim.share || w.Suspect && u.running > 0 {
+	for i, u := range p.earmark.on {
+		if u.leaving() || u.exclusive || p.slotsFull(u) || p.freeMemory(u) < p.earmark.share || w.Suspect && u.running > 0 {
 			return
 		}
 		if i == 0 && (u.longPrefilling >= longPrefills || p.tree.nodes[p.tree.base+u.index].ready > float64(now)+lookahead) {
 			return
 		}
 	}
-	g := p.newGrant(now, w, p.claim.share)
+	g := p.newGrant(now, w, p.earmark.share)
 	g.uncached = w.Prompt
-	g.on = append(g.on, p.claim.on...)
+	g.on = append(g.on, p.earmark.on...)
 	p.grant(now, w, g)
 }
 
-// releaseClaim gives up the claim.
-func (p *Pool) releaseClaim() {
-	for _, u := range p.claim.on {
-		u.claimed = 0
+// releaseEarmark gives up the earmark.
+func (p *Pool) releaseEarmark() {
+	for _, u := range p.earmark.on {
+		u.earmarked = 0
 		if !p.treeStale && u.index >= 0 {
 			p.updateLeaf(u)
 		}
 	}
-	p.claim.request = nil
-	p.claim.on = p.claim.on[:0]
+	p.earmark.request = nil
+	p.earmark.on = p.earmark.on[:0]
 }
 
-// claimValid reports whether all claimed upstreams still accept new work.
-func (p *Pool) claimValid() bool {
-	for _, u := range p.claim.on {
+// earmarkValid reports whether all earmarked upstreams still accept new work.
+func (p *Pool) earmarkValid() bool {
+	for _, u := range p.earmark.on {
 		if u.removed || u.leaving() {
 			return false
 		}
--- a/lib/decide/shift.go
+++ b/lib/decide/shift.go
@@ -45,7 +45,7 @@
 	stepShare = 1.0 / 32
 )
 
-// demand is the work that callers offer, by lane. Rates are in milliseconds of prefill per
+// demand is the work that clients offer, by lane. Rates are in milliseconds of prefill per
 // millisecond, that is, the number of upstreams kept busy.
 type demand struct {
 	// offered and admitted are the totals of this period, in milliseconds of prefill.
--- a/lib/decide/table.go
+++ b/lib/decide/table.go
@@ -46,8 +46,8 @@
 	orderedRole string
 	// exclusive is set while a suspect runs on the upstream, which then accepts nothing else.
 	exclusive bool
-	// claimed is the memory claimed for a waiting request; zero if none.
-	claimed Tokens
+	// earmarked is the memory earmarked for a waiting request; zero if none.
+	earmarked Tokens
 	// grants contains its live and orphaned grants.
 	grants []*grant
 	// report is the last report of the engine. external is reported memory that no grant of this
@@ -177,22 +177,22 @@
 	if u.running == 0 {
 		n.idle = free
 	}
-	// Short work may use claimed memory while running long grants prevent the claim from being
+	// Short work may use earmarked memory while running long grants prevent the earmark from being
 	// granted. Once these have ended, the last short requests finish within seconds.
-	unclaimed := free
-	if u.claimed > 0 && u.reservedLong+u.claimed <= u.spec.Memory {
-		unclaimed = max(free-u.claimed, closed)
+	available := free
+	if u.earmarked > 0 && u.reservedLong+u.earmarked <= u.spec.Memory {
+		available = max(free-u.earmarked, closed)
 	}
 	switch u.side {
 	case anySide:
-		n.short = unclaimed
+		n.short = available
 	case longSide:
-		n.shortOnLong = unclaimed
-		if u.longPrefilling < longPrefills && u.claimed == 0 && !p.isOutlier(u) {
-			n.long = unclaimed
+		n.shortOnLong = available
+		if u.longPrefilling < longPrefills && u.earmarked == 0 && !p.isOutlier(u) {
+			n.long = available
 		}
 	case urgentSide:
-		n.shortOnUrgent = unclaimed
+		n.shortOnUrgent = available
 	}
 	return n
 }
--- a/lib/decide/view.go
+++ b/lib/decide/view.go
@@ -75,7 +75,7 @@
 			Foreign:  u.external,
 			Ahead:    clock.Milli(u.backlog / u.rate()),
 			Slow:     u.slowdown,
-			Claimed:  u.claimed,
+			Claimed:  u.earmarked,
 		}
 		v.Leaving = u.leaving()
 		for _, g := range u.grants {
