--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -118,7 +118,7 @@
 	asks    atomic.Uint64
 	metrics *metrics
 	// heard holds which upstreams want nothing from this VM for a while.
-	heard *statements.Heard
+	heard *statements.Cache
 
 	mu sync.Mutex
 	// held is every request in work with its grant, if it has one.
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -291,7 +291,7 @@
 
 // status classifies an answer of the engine that is no stream.
 func (x *generation) status(gr granted, u document.Upstream, s *engine.StatusError) result {
-	if retryafter.TurnsAway(s.Status) {
+	if retryafter.IsRejection(s.Status) {
 		// The leader did not take the request, and may want no order either. The others of its group hold memory.
 		x.dismiss(gr)
 		rests := x.gate.hear(x.q.target, gr.grant.Upstreams[0], s)
--- a/daemon/caller/rest.go
+++ b/daemon/caller/rest.go
@@ -29,7 +29,7 @@
 func (g *Gate) wantsRest(target string, u decide.UpstreamID, span clock.Milli) {
 	now := g.Clock.Now()
 	st := statement.Statement{Kind: statement.Rest, Named: true, Gate: g.ID(), At: now, Until: now + span}
-	g.heard.Learn(route.ServiceID(target), u, st, statements.FromAnswer)
+	g.heard.Learn(route.ServiceID(target), u, st, statements.FromResponse)
 }
 
 // resting lists the upstreams of a model or service that want nothing from this VM now, and when the first of them does again.
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -187,7 +187,7 @@
 // charge is what a workspace is charged for a call that was answered.
 // By these two statuses a service says that it did not take a call on: nothing ran that could be charged.
 func charge(status int) peer.Usage {
-	if retryafter.TurnsAway(status) {
+	if retryafter.IsRejection(status) {
 		return peer.Usage{}
 	}
 	return peer.Usage{Requests: 1}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -70,7 +70,7 @@
 	peers       *peer.Server
 	quarantine  *quarantine.Quarantine
 	limits      *limit.Limits
-	door        *door.Door
+	door        *door.Endpoint
 	engines     *engine.Client
 	leases      *lease.Leases
 	orders      *orders.Holder
@@ -202,7 +202,7 @@
 // spawn runs a part; when it fails the daemon stops.
 func (d *daemon) spawn(g *errgroup.Group, name string, f func() error) {
 	g.Go(func() error {
-		defer guard.Report(d.log, name)
+		defer guard.ReportPanic(d.log, name)
 		err := f()
 		if err != nil {
 			d.log.Error().Str("part", name).Err(err).Msg("part failed")
@@ -314,7 +314,7 @@
 	if t.CallerCert == "" {
 		return ls, nil
 	}
-	conf, err := door.Callers(t.CallerCert, t.CallerKey, func(err error) {
+	conf, err := door.ClientListenerConfig(t.CallerCert, t.CallerKey, func(err error) {
 		d.log.Error().Err(err).Msg("changed certificate for callers cannot be used")
 	})
 	if err != nil {
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	h.leases.Want(names...)
+	h.leases.SetWanted(names...)
 }
 
 // Order implements pool.Orders: it sends an order under the pool's lease, or
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -66,9 +66,9 @@
 
 // The events of a grant.
 const (
-	First    Event = iota // the first byte came
-	Ended                 // the send is over
-	Withdraw              // nothing was sent, and nothing will be
+	FirstByte Event = iota // the first byte came
+	Ended                  // the send is over
+	Withdraw               // nothing was sent, and nothing will be
 )
 
 // NoteArgs tells of one grant.
@@ -89,7 +89,7 @@
 type PresentArgs struct {
 	Service route.ServiceID
 	Gate    decide.GateID
-	Live    []span.Live
+	Live    []span.LiveGrant
 	// Statements of upstreams are those that this owner has not acknowledged yet.
 	Statements []statement.Aged
 }
@@ -104,5 +104,5 @@
 type TakeArgs struct {
 	// Holder names the VM that is called, at the epoch after that of the caller.
 	Holder peer.Holder
-	Books  span.Books
+	Books  span.Snapshot
 }
--- a/daemon/relay/life_test.go
+++ b/daemon/relay/life_test.go
@@ -19,7 +19,7 @@
 	require.Equal(t, "[::1]:80", host("[::1]:80", 7))
 	require.NotEqual(t, host("10.0.0.1:80", 7), host("10.0.0.1:80", 8))
 	var dialed []string
-	d := DialLives(func(_ context.Context, _, address string) (net.Conn, error) {
+	d := DialPoolHost(func(_ context.Context, _, address string) (net.Conn, error) {
 		dialed = append(dialed, address)
 		return nil, errors.New("test")
 	})
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -155,8 +155,8 @@
 	return changed
 }
 
-// Divide tells the pool which part of the limits it may grant: other VMs, which it cannot ask, may grant at the same upstreams.
-func (p *Pool) Divide(now clock.Milli, part float64) {
+// SetLimitShare tells the pool which part of the limits it may grant: other VMs, which it cannot ask, may grant at the same upstreams.
+func (p *Pool) SetLimitShare(now clock.Milli, part float64) {
 	if p.declared.part == part {
 		return
 	}
