--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -78,7 +78,7 @@
 	// End undoes a Begin; whole tells that the request ran to its end.
 	End(fingerprint uint64, whole bool)
 	// Died records the death of an upstream, and returns once the other VMs had their time to hear of it.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Limits holds workspaces to their rates.
--- a/daemon/insight/insight.go
+++ b/daemon/insight/insight.go
@@ -89,7 +89,7 @@
 	}
 	p.Placer.Statements(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 		row := answers.Statement{Service: s, Upstream: u, Kind: st.Kind.String(), Gate: st.Gate, Rate: float64(st.Rate), Age: now - st.At}
-		if st.Kind == statement.Rest {
+		if st.Kind == statement.BackOff {
 			row.Left = st.Until - now
 		}
 		r.Statements = append(r.Statements, row)
--- a/daemon/limit/limit.go
+++ b/daemon/limit/limit.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		if b, ok := l.buckets[args.Demands[i].Workspace]; ok {
-			b.limit.Deal(now, r)
+			b.limit.SetShare(now, r)
 		}
 	}
 }
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -42,7 +42,7 @@
 	// the service.
 	Local bool
 	// Statements of upstreams are those that this owner has not acknowledged yet.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // AskReply is the answer to a placement query.
@@ -64,7 +64,7 @@
 	// Holder is set if the gate's epoch is not that of the current holder.
 	Holder *peer.Holder
 	// Limit is the rate limit known for the upstream that leads the grant; nil if none is known.
-	Limit *statement.Aged
+	Limit *statement.Message
 }
 
 // Event is a change in the state of a grant.
@@ -88,7 +88,7 @@
 	// Forwarded is set if another VM forwards the message.
 	Forwarded bool
 	// Statements are those of the grant's upstreams.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // PresentArgs lists all live grants of a gate at one service.
@@ -97,7 +97,7 @@
 	Gate    decide.GateID
 	Live    []span.LiveGrant
 	// Statements of upstreams are those that this owner has not acknowledged yet.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // PresentReply is the answer to a list of live grants.
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -102,7 +102,7 @@
 	now := o.Clock.Now()
 	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
 		o.statements.Learn(s, id, st, statements.FromResponse)
-		o.learnStatements(s, h, now, []statement.Aged{st.Aged(now, id)})
+		o.learnStatements(s, h, now, []statement.Message{st.Message(now, id)})
 	}
 	if err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("unverified upstream did not report its load")
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -36,7 +36,7 @@
 }
 
 // grantStatements returns the statements of the upstreams of a grant.
-func (c *Client) grantStatements(u *activeGrant) []statement.Aged {
+func (c *Client) grantStatements(u *activeGrant) []statement.Message {
 	us := []decide.UpstreamID{u.Grant.Leader.Upstream}
 	for _, p := range u.Grant.Helpers {
 		us = append(us, p.Upstream)
@@ -64,7 +64,7 @@
 }
 
 // learnStatements applies statements received from gates to the pool. The pool's lock is held.
-func (o *Owner) learnStatements(s route.ServiceID, h *ownedPool, now clock.Milli, received []statement.Aged) {
+func (o *Owner) learnStatements(s route.ServiceID, h *ownedPool, now clock.Milli, received []statement.Message) {
 	for _, a := range received {
 		st := a.Statement(now)
 		if h.pool.Learn(now, a.Upstream, st) {
@@ -87,11 +87,11 @@
 }
 
 // addAge returns statements with their age increased by the time since they were received.
-func addAge(received []statement.Aged, elapsed clock.Milli) []statement.Aged {
+func addAge(received []statement.Message, elapsed clock.Milli) []statement.Message {
 	if len(received) == 0 {
 		return nil
 	}
-	out := make([]statement.Aged, len(received))
+	out := make([]statement.Message, len(received))
 	for i, a := range received {
 		out[i] = a.Older(elapsed)
 	}
--- a/daemon/placer/statements_test.go
+++ b/daemon/placer/statements_test.go
@@ -157,7 +157,7 @@
 		require.EqualValues(t, "e1", reply.Grant.Leader.Upstream)
 		d.client.End(id, span.Done, "")
 	}
-	d.client.RecordStatement("s", "e1", statement.Statement{Kind: statement.Rest, Named: true, Gate: "gate", At: now, Until: now + 20*clock.Second})
+	d.client.RecordStatement("s", "e1", statement.Statement{Kind: statement.BackOff, Named: true, Gate: "gate", At: now, Until: now + 20*clock.Second})
 	began := time.Now()
 	reply, err := d.client.Ask(context.Background(), "s", ask("last"))
 	require.NoError(t, err)
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -67,7 +67,7 @@
 		seen:      map[decide.RequestID]clock.Milli{},
 		missed:    map[decide.UpstreamID]int{},
 	}
-	p.core = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Rebuild: rebuild, Seed: uint64(epoch), Delay: wordDelay})
+	p.core = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Recovery: rebuild, Seed: uint64(epoch), ProgressDelay: wordDelay})
 	p.configure()
 	return p
 }
@@ -389,7 +389,7 @@
 // Look is a pool as operators see it.
 type Look struct {
 	Summary   decide.Summary
-	Upstreams []decide.View
+	Upstreams []decide.UpstreamView
 	Grants    []decide.Grant
 	// Addresses, Used, Reported and Fenced are by upstream: host:port, the
 	// engine's own word on its memory, when it gave it, and whether it checks
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -663,7 +663,7 @@
 }
 
 // upstreamsBorn returns upstreams whose incarnation started at an instant.
-func upstreamsBorn(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
+func upstreamsBorn(born decide.Incarnation, ids ...decide.UpstreamID) []route.Upstream {
 	us := upstreams(ids...)
 	for i := range us {
 		us[i].Born = born
@@ -676,7 +676,7 @@
 // exclude the new one.
 func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := newHarness(t)
-	born := func() decide.Born {
+	born := func() decide.Incarnation {
 		return b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Born
 	}
 	b.changeUpstreams(listing(upstreamsBorn(5, "a")), mark(10), b.clock.Now())
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -72,7 +72,7 @@
 	// End reports the end of a send; whole is set if the client received a complete response.
 	End(fingerprint uint64, whole bool)
 	// Died reports that an upstream crashed while it ran the request.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Memory reserves and releases KV memory on engines.
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -140,7 +140,7 @@
 func (p *testPlacer) Binding(_ route.ServiceID, l span.Placement) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.statements.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
+	return p.statements.Blocking(clock.Boot{}.Now(), l.Upstream, l.Born)
 }
 
 // testRegistry is a Registry whose view a test sets.
@@ -182,7 +182,7 @@
 		*n.whole = append(*n.whole, whole)
 	}
 }
-func (testSuspects) Died(uint64, decide.UpstreamID, decide.Born) {}
+func (testSuspects) Died(uint64, decide.UpstreamID, decide.Incarnation) {}
 
 // fixture is a gate with upstreams whose responses a test defines.
 type fixture struct {
--- a/daemon/relay/statements.go
+++ b/daemon/relay/statements.go
@@ -60,7 +60,7 @@
 	g := x.gate
 	for i, p := range append([]span.Placement{grant.Leader}, grant.Helpers...) {
 		st, bound := g.Placer.Binding(x.service, p)
-		if helps := i > 0; !bound || helps && st.Kind == statement.Rest && p.Reserve == 0 {
+		if helps := i > 0; !bound || helps && st.Kind == statement.BackOff && p.Reserve == 0 {
 			continue
 		}
 		g.Log.Info().Str(logline.Key, logline.Withheld).Str("id", x.head.ID).Str("service", string(x.service)).Str("upstream", string(p.Upstream)).
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -71,7 +71,7 @@
 
 // Pending is a list of statements that an owner has not acknowledged.
 type Pending struct {
-	Statements     []statement.Aged
+	Statements     []statement.Message
 	epoch, version uint64
 }
 
@@ -101,7 +101,7 @@
 }
 
 // All returns all statements of a service's upstreams.
-func (h *Cache) All(s route.ServiceID) []statement.Aged {
+func (h *Cache) All(s route.ServiceID) []statement.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all, _ := h.of(s).Since(h.clock.Now(), 0)
@@ -109,10 +109,10 @@
 }
 
 // OfUpstreams returns the statements of the given upstreams.
-func (h *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Aged {
+func (h *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []statement.Aged
+	var out []statement.Message
 	for _, u := range us {
 		out = append(out, h.of(s).About(h.clock.Now(), u)...)
 	}
@@ -134,10 +134,10 @@
 
 // Binding returns a statement that forbids this VM to send to an incarnation of an upstream now, if
 // there is one.
-func (h *Cache) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Born) (statement.Statement, bool) {
+func (h *Cache) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Incarnation) (statement.Statement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(s).Binding(h.clock.Now(), u, started)
+	return h.of(s).Blocking(h.clock.Now(), u, started)
 }
 
 // Each calls f for each statement in force.
@@ -155,7 +155,7 @@
 	switch st.Kind {
 	case statement.Limit:
 		e.Str(logline.Key, logline.Limit).Bool("named", st.Named).Float64("rate", float64(st.Rate)).Msg("upstream changed its rate limit")
-	case statement.Rest:
+	case statement.BackOff:
 		e.Str(logline.Key, logline.Rest).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("upstream asks for back-off")
 	case statement.Leaving:
 		e.Str(logline.Key, logline.Leaving).Str("gate", string(st.Gate)).Msg("upstream is draining")
--- a/daemon/statements/statements_test.go
+++ b/daemon/statements/statements_test.go
@@ -60,7 +60,7 @@
 func TestLongestBackOffIsInForce(t *testing.T) {
 	h, k := newCache()
 	backOff := func(span clock.Milli) statement.Statement {
-		return statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: k.now, Until: k.now + span}
+		return statement.Statement{Kind: statement.BackOff, Named: true, Gate: "g", At: k.now, Until: k.now + span}
 	}
 	h.Learn("s", "u", backOff(3000), FromResponse)
 	k.now += 500
--- a/lib/decide/api.go
+++ b/lib/decide/api.go
@@ -21,9 +21,9 @@
 	WorkspaceID string
 	// UpstreamID names an upstream of the configuration document.
 	UpstreamID string
-	// Born is the start time of one run of an upstream, in Unix milliseconds by the clock of
+	// Incarnation is the start time of one run of an upstream, in Unix milliseconds by the clock of
 	// the upstream; zero if unknown. It distinguishes and orders the runs of one upstream.
-	Born int64
+	Incarnation int64
 	// GateID names a gate, the VM that holds the client's connection of a request, and the
 	// incarnation of its process.
 	GateID string
@@ -143,7 +143,7 @@
 const (
 	Done     Outcome = iota // the answer is complete
 	Failed                  // the upstream answered with an error or cut the stream
-	Died                    // the upstream crashed or its VM is gone
+	Lost                    // the upstream crashed or its VM is gone
 	Unused                  // returned before any byte was sent
 	Canceled                // the client disconnected; the engine was notified
 )
@@ -192,22 +192,22 @@
 	Epoch Epoch
 	// Lease is the duration of a grant without renewal.
 	Lease clock.Milli
-	// Rebuild is how long a new owner waits for gates to present grants of the earlier owner. In
+	// Recovery is how long a new owner waits for gates to present grants of the earlier owner. In
 	// this time it grants only memory that the reports of the upstreams also show as free.
-	Rebuild clock.Milli
+	Recovery clock.Milli
 	// Seed is for tie-breaks, so that repeated runs agree. It is currently unused.
 	Seed uint64
-	// Long is the prompt length from which a request counts as long; zero selects
+	// LongPrompt is the prompt length from which a request counts as long; zero selects
 	// DefaultLongPrompt.
-	Long Tokens
-	// Floor is the minimum number of upstreams per role while roles change; zero means one.
-	Floor int
-	// Lag is the maximum age of an engine's report; zero selects DefaultLag. A report
-	// proves nothing about events less than Lag before its arrival.
-	Lag clock.Milli
-	// Delay is the maximum delay with which gates report first tokens. A first token counts
+	LongPrompt Tokens
+	// MinPerRole is the minimum number of upstreams per role while roles change; zero means one.
+	MinPerRole int
+	// ReportLag is the maximum age of an engine's report; zero selects DefaultReportLag. A report
+	// proves nothing about events less than ReportLag before its arrival.
+	ReportLag clock.Milli
+	// ProgressDelay is the maximum delay with which gates report first tokens. A first token counts
 	// as overdue only after this additional time.
-	Delay clock.Milli
+	ProgressDelay clock.Milli
 }
 
 // Summary is the state of a pool as sent to other VMs in heartbeats.
--- a/lib/decide/shift.go
+++ b/lib/decide/boundaries.go
@@ -259,7 +259,7 @@
 	}
 	memory := p.demand.memoryRate / (memoryUtilization * float64(p.totalMemory) / float64(n))
 	wanted := max(remaining*share, min(memory, remaining*share*maxMemoryFactor))
-	long = min(max(int(math.Round(wanted)), p.config.Floor), n-urgent-p.config.Floor)
+	long = min(max(int(math.Round(wanted)), p.config.MinPerRole), n-urgent-p.config.MinPerRole)
 	return max(long, 1), urgent
 }
 
@@ -293,7 +293,7 @@
 			return false
 		}
 		s.long += min(p.maxStep(), target-s.long)
-	case target < s.long-1 || target < s.long && s.long > s.accepting-s.urgent-p.config.Floor:
+	case target < s.long-1 || target < s.long && s.long > s.accepting-s.urgent-p.config.MinPerRole:
 		// An excess of one upstream is tolerated, or every change of the mix would move the
 		// boundary.
 		s.long -= min(p.maxStep(), s.long-target)
--- a/lib/decide/fixture_test.go
+++ b/lib/decide/fixture_test.go
@@ -105,7 +105,7 @@
 	return g
 }
 
-func (b *harness) view(i int) View { return b.pool.Upstreams(b.now)[i] }
+func (b *harness) view(i int) UpstreamView { return b.pool.Upstreams(b.now)[i] }
 
 // serve simulates engines for the given time. They run at the rated speed, divided by the factor in
 // slow if there is one.
--- a/lib/decide/gate/gate_test.go
+++ b/lib/decide/gate/gate_test.go
@@ -31,14 +31,14 @@
 func TestQuarantineStopsAtTheSecondCrash(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	require.True(t, a.Begin(0, 7))
-	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
+	require.Equal(t, Suspected, a.RecordCrash(10, 7, "engine-1", 0))
 	a.End(7)
 
 	b.Merge(20, a.Digest(20, 10))
 	require.Equal(t, Suspected, b.Check(20, 7))
 	require.True(t, b.Begin(20, 7))
 	require.False(t, b.Begin(21, 7), "a second copy must not start before the first one has ended")
-	require.Equal(t, Quarantined, b.Died(30, 7, "engine-2", 0))
+	require.Equal(t, Quarantined, b.RecordCrash(30, 7, "engine-2", 0))
 	b.End(7)
 	require.False(t, b.Begin(40, 7))
 
@@ -54,7 +54,7 @@
 // request would be quarantined by these messages alone.
 func TestMergeDoesNotCountACrashTwice(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
-	a.Died(0, 7, "engine-1", 0)
+	a.RecordCrash(0, 7, "engine-1", 0)
 	for i := range clock.Milli(10) {
 		b.Merge(i, a.Digest(i, 10))
 		a.Merge(i, b.Digest(i, 10))
@@ -69,13 +69,13 @@
 // one crash: counted twice, the lookup would be quarantined for everybody.
 func TestOneCrashUnderTwoCopiesCountsOnce(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
-	a.Died(0, 7, "engine-1", 0)
-	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
+	a.RecordCrash(0, 7, "engine-1", 0)
+	require.Equal(t, Suspected, a.RecordCrash(10, 7, "engine-1", 0))
 	b.Merge(20, a.Digest(20, 10))
-	require.Equal(t, Suspected, b.Died(30, 7, "engine-1", 0))
+	require.Equal(t, Suspected, b.RecordCrash(30, 7, "engine-1", 0))
 	a.Merge(40, b.Digest(40, 10))
 	require.Equal(t, Suspected, a.Check(40, 7))
-	require.Equal(t, Quarantined, a.Died(sameCrashWindow, 7, "engine-1", 0), "crashed again after a restart")
+	require.Equal(t, Quarantined, a.RecordCrash(sameCrashWindow, 7, "engine-1", 0), "crashed again after a restart")
 }
 
 // A request crashes an engine, the engine restarts under the same id within a second, and the
@@ -83,19 +83,19 @@
 // the crash of one incarnation count once.
 func TestCrashesOfTwoIncarnationsCountTwice(t *testing.T) {
 	a := NewQuarantine(0)
-	require.Equal(t, Suspected, a.Died(0, 7, "engine-1", 100))
-	require.Equal(t, Suspected, a.Died(sameCrashWindow+1, 7, "engine-1", 100))
-	require.Equal(t, Quarantined, a.Died(sameCrashWindow+2, 7, "engine-1", 200))
+	require.Equal(t, Suspected, a.RecordCrash(0, 7, "engine-1", 100))
+	require.Equal(t, Suspected, a.RecordCrash(sameCrashWindow+1, 7, "engine-1", 100))
+	require.Equal(t, Quarantined, a.RecordCrash(sameCrashWindow+2, 7, "engine-1", 200))
 }
 
 // An engine crashes under many requests, many times. The table must stay bounded, and proven poison
 // requests must not be dropped in favor of bystanders.
 func TestQuarantineStaysBounded(t *testing.T) {
 	q := NewQuarantine(0)
-	q.Died(0, 1, "engine-1", 0)
-	q.Died(0, 1, "engine-2", 0)
+	q.RecordCrash(0, 1, "engine-1", 0)
+	q.RecordCrash(0, 1, "engine-2", 0)
 	for i := range uint64(3 * maxSuspects) {
-		q.Died(clock.Milli(i+1), i+2, "engine-1", 0)
+		q.RecordCrash(clock.Milli(i+1), i+2, "engine-1", 0)
 	}
 	require.LessOrEqual(t, len(q.entries), maxSuspects)
 	require.Equal(t, Quarantined, q.Check(4*maxSuspects, 1))
@@ -139,7 +139,7 @@
 func TestLastShareStaysInForceWithoutTheHome(t *testing.T) {
 	l := NewLimit(0, 0)
 	require.Zero(t, l.Take(0, 1_000_000), "no limit")
-	l.Deal(0, 100)
+	l.SetShare(0, 100)
 	l.Take(1000, 100)
 	require.InDelta(t, 500_050, float64(l.Demand(2000)), 1)
 	require.Zero(t, l.Take(10*clock.Minute, 200))
--- a/lib/decide/gate/quarantine.go
+++ b/lib/decide/gate/quarantine.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// DeathsAllowed is the number of upstream crashes after which a request is quarantined. One crash
+	// MaxCrashes is the number of upstream crashes after which a request is quarantined. One crash
 	// may be a coincidence; a second one while the request ran alone is not.
-	DeathsAllowed = 2
+	MaxCrashes = 2
 	// DefaultHold is how long an entry lasts after its last crash: longer than clients repeat a
 	// failed request, short enough that a repaired engine may run the request again within a work
 	// shift.
@@ -43,7 +43,7 @@
 	// Last is the upstream of the newest crash counted, Born its incarnation, Ago the time since
 	// the crash.
 	Last decide.UpstreamID
-	Born decide.Born
+	Born decide.Incarnation
 	Ago  clock.Milli
 }
 
@@ -65,7 +65,7 @@
 	// upstream and incarnation identify the upstream of the newest crash counted, crashedAt the
 	// time.
 	upstream    decide.UpstreamID
-	incarnation decide.Born
+	incarnation decide.Incarnation
 	crashedAt   clock.Milli
 }
 
@@ -83,7 +83,7 @@
 	if !ok || e.until <= now {
 		return Clean
 	}
-	if e.crashes >= DeathsAllowed {
+	if e.crashes >= MaxCrashes {
 		return Quarantined
 	}
 	return Suspected
@@ -108,14 +108,14 @@
 	}
 }
 
-// Died records that an upstream crashed while it ran the request, and returns the new
+// RecordCrash records that an upstream crashed while it ran the request, and returns the new
 // verdict.
 //
 // A crash under several copies of one request counts once. Otherwise an alert lookup that many
 // clients send with identical content would be refused to all of them for half an hour because one
 // engine lost power. Crashes of different known incarnations count separately, however close in
 // time.
-func (q *Quarantine) Died(now clock.Milli, fingerprint uint64, u decide.UpstreamID, incarnation decide.Born) Verdict {
+func (q *Quarantine) RecordCrash(now clock.Milli, fingerprint uint64, u decide.UpstreamID, incarnation decide.Incarnation) Verdict {
 	e := q.entries[fingerprint]
 	if e.until <= now {
 		e = entry{}
--- a/lib/decide/ledger.go
+++ b/lib/decide/grants.go
@@ -279,10 +279,10 @@
 	if o == Done {
 		p.answerTime += slowdownSmoothing * (float64(now-g.grantedAt) - p.answerTime)
 	}
-	if o == Died {
+	if o == Lost {
 		p.countCrash(now, g)
 	}
-	if o == Done || o == Died || o == Unused {
+	if o == Done || o == Lost || o == Unused {
 		p.removeGrant(now, g)
 		return
 	}
--- a/lib/decide/pool.go
+++ b/lib/decide/pool.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// DefaultLong is the prompt length from which a request counts as long: about 1.5 s of
+	// DefaultLongPrompt is the prompt length from which a request counts as long: about 1.5 s of
 	// prefill on current engines, a delay that an alert lookup would notice.
-	DefaultLong Tokens = 32 * 1024
-	// DefaultLag is the default maximum age of an engine's report.
-	DefaultLag = 2 * clock.Second
+	DefaultLongPrompt Tokens = 32 * 1024
+	// DefaultReportLag is the default maximum age of an engine's report.
+	DefaultReportLag = 2 * clock.Second
 	// pollInterval is the maximum time to the next tick while requests are queued. It is below
 	// lookahead, so that an engine receives its next prompt before it idles.
 	pollInterval clock.Milli = 20
@@ -22,7 +22,7 @@
 type Pool struct {
 	config Config
 	start  clock.Milli
-	// started is set by the first tick. recovering is set from then on for Config.Rebuild, while
+	// started is set by the first tick. recovering is set from then on for Config.Recovery, while
 	// gates present the grants of the earlier owner.
 	started, recovering bool
 	ticked              clock.Milli
@@ -87,16 +87,16 @@
 	decisions        []Decision
 }
 
-// New returns an empty pool. The recovery period of Config.Rebuild begins with the first tick.
+// New returns an empty pool. The recovery period of Config.Recovery begins with the first tick.
 func New(c Config) *Pool {
-	if c.Long <= 0 {
-		c.Long = DefaultLong
+	if c.LongPrompt <= 0 {
+		c.LongPrompt = DefaultLongPrompt
 	}
-	if c.Floor <= 0 {
-		c.Floor = 1
+	if c.MinPerRole <= 0 {
+		c.MinPerRole = 1
 	}
-	if c.Lag <= 0 {
-		c.Lag = DefaultLag
+	if c.ReportLag <= 0 {
+		c.ReportLag = DefaultReportLag
 	}
 	p := &Pool{
 		config:         c,
@@ -108,7 +108,7 @@
 		live:           make(map[RequestID]*grant),
 		orphans:        make(map[RequestID]*grant),
 		crashes:        crashTable{running: make(map[uint64]int), byFingerprint: make(map[uint64]crashEntry)},
-		recovering:     c.Rebuild > 0,
+		recovering:     c.Recovery > 0,
 		longSideShared: true,
 	}
 	p.tree.resize(1)
@@ -232,7 +232,7 @@
 func (p *Pool) applyChanges(now clock.Milli) {
 	p.decisions = append(p.decisions, p.pendingDecisions...)
 	p.pendingDecisions = p.pendingDecisions[:0]
-	if p.recovering && now-p.start >= p.config.Rebuild {
+	if p.recovering && now-p.start >= p.config.Recovery {
 		p.recovering = false
 		p.treeStale = true
 	}
@@ -313,7 +313,7 @@
 
 // isLong reports whether a prompt counts as long. A plain service has no prefill, so there is no
 // reason to hold back a large body.
-func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.Long && !p.plainService }
+func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.LongPrompt && !p.plainService }
 
 // drop removes a request from the queue and releases its row.
 func (p *Pool) drop(w *waiting) {
--- a/lib/decide/word_test.go
+++ b/lib/decide/progress_test.go
@@ -14,7 +14,7 @@
 // while requests wait seconds beside idle engines.
 func TestDelayedFirstTokenReportDoesNotCountAsSlowness(t *testing.T) {
 	b := newHarness(t, 1)
-	b.pool.config.Delay = 1300
+	b.pool.config.ProgressDelay = 1300
 	for i := range 20 {
 		r := b.request(string(rune('a' + i)))
 		r.Prompt = 2000 // 100 ms of prefill
@@ -24,7 +24,7 @@
 		b.pool.Progress(made+100, b.grant(string(r.ID)).ID, true, 5)
 		b.finish(string(r.ID), Done)
 	}
-	require.InDelta(t, 1, b.view(0).Slow, 0.05)
+	require.InDelta(t, 1, b.view(0).Slowdown, 0.05)
 }
 
 // A dossier of half a million tokens occupies both engines of a small failure domain for half a
--- a/lib/decide/ratelimit/pace.go
+++ b/lib/decide/ratelimit/pace.go
@@ -27,9 +27,9 @@
 	oneRequest = 1 - 1e-9
 )
 
-// Pace is a token bucket of requests for one upstream, filled at the rate that the upstream
-// declares. The zero Pace has no limit and allows all requests.
-type Pace struct {
+// Limiter is a token bucket of requests for one upstream, filled at the rate that the upstream
+// declares. The zero Limiter has no limit and allows all requests.
+type Limiter struct {
 	known     bool
 	statement statement.Statement
 	// rate is the last declared limit; liftedAt is when the upstream stopped declaring one.
@@ -37,7 +37,7 @@
 	liftedAt clock.Milli
 	// lastGrant is when the last request was granted.
 	lastGrant clock.Milli
-	// fraction is the part of the limit available to this Pace; zero means all of it.
+	// fraction is the part of the limit available to this Limiter; zero means all of it.
 	fraction float64
 	// level is the number of requests that may be granted as of filledAt. It never exceeds a burst.
 	level    float64
@@ -46,12 +46,12 @@
 
 // Learn processes a statement and reports whether it changes the limit. A limit takes effect from
 // now on: no credit accumulates for the time before.
-func (p *Pace) Learn(now clock.Milli, s statement.Statement) bool {
+func (p *Limiter) Learn(now clock.Milli, s statement.Statement) bool {
 	if !p.known && !s.Named || p.known && !s.Supersedes(p.statement) {
 		return false
 	}
 	before := p.statement
-	changed := !p.known || !s.Same(before)
+	changed := !p.known || !s.Equivalent(before)
 	p.fill(now)
 	switch {
 	case s.Named:
@@ -64,25 +64,25 @@
 	return changed
 }
 
-// Divide limits this Pace to a part of the declared limit. The rest is for other VMs, which cannot
+// SetFraction limits p to a part of the declared limit. The rest is for other VMs, which cannot
 // be reached.
-func (p *Pace) Divide(now clock.Milli, fraction float64) {
+func (p *Limiter) SetFraction(now clock.Milli, fraction float64) {
 	p.fill(now)
 	p.fraction = fraction
 	p.level = min(p.level, p.burst(now))
 }
 
-// Named reports whether the upstream currently declares a limit.
-func (p *Pace) Named() bool { return p.known && p.statement.Named }
+// HasLimit reports whether the upstream currently declares a limit.
+func (p *Limiter) HasLimit() bool { return p.known && p.statement.Named }
 
-// Bounds reports whether requests to the upstream are currently limited, by a declared limit or by
+// Limited reports whether requests to the upstream are currently limited, by a declared limit or by
 // the ramp after its end.
-func (p *Pace) Bounds(now clock.Milli) bool {
-	return p.Named() || p.known && now-p.liftedAt < rampSpan
+func (p *Limiter) Limited(now clock.Milli) bool {
+	return p.HasLimit() || p.known && now-p.liftedAt < rampSpan
 }
 
 // Rate is the number of requests per second that may be granted while requests are limited.
-func (p *Pace) Rate(now clock.Milli) statement.PerSecond {
+func (p *Limiter) Rate(now clock.Milli) statement.PerSecond {
 	rate := max(p.rate, minRate)
 	if !p.statement.Named {
 		rate = max(p.rate, minRampRate) * statement.PerSecond(math.Exp2(float64(now-p.liftedAt)/float64(doublingTime)))
@@ -94,8 +94,8 @@
 }
 
 // Allows reports whether a request may be granted now.
-func (p *Pace) Allows(now clock.Milli) bool {
-	if !p.Bounds(now) {
+func (p *Limiter) Allows(now clock.Milli) bool {
+	if !p.Limited(now) {
 		return true
 	}
 	p.fill(now)
@@ -103,46 +103,46 @@
 }
 
 // Level is the number of requests that may be granted now, while requests are limited.
-func (p *Pace) Level(now clock.Milli) float64 {
+func (p *Limiter) Level(now clock.Milli) float64 {
 	p.fill(now)
 	return p.level
 }
 
 // Take records the grant of a request.
-func (p *Pace) Take(now clock.Milli) {
+func (p *Limiter) Take(now clock.Milli) {
 	p.lastGrant = now
-	if p.Bounds(now) {
+	if p.Limited(now) {
 		p.fill(now)
 		p.level--
 	}
 }
 
-// Stale reports whether the limit was declared, and a request last granted, so long ago that a
+// ProbeDue reports whether the limit was declared, and a request last granted, so long ago that a
 // request should be sent to find out whether the limit still applies.
-func (p *Pace) Stale(now clock.Milli) bool {
-	return p.Named() && now-max(p.statement.At, p.lastGrant) >= probeAfter
+func (p *Limiter) ProbeDue(now clock.Milli) bool {
+	return p.HasLimit() && now-max(p.statement.At, p.lastGrant) >= probeAfter
 }
 
 // Statement returns the last statement about the limit. The second result is false if there was
 // none.
-func (p *Pace) Statement() (statement.Statement, bool) { return p.statement, p.known }
+func (p *Limiter) Statement() (statement.Statement, bool) { return p.statement, p.known }
 
 // Restore sets the level to that of the previous owner.
-func (p *Pace) Restore(now clock.Milli, level float64) {
+func (p *Limiter) Restore(now clock.Milli, level float64) {
 	p.fill(now)
 	p.level = min(level, p.burst(now))
 }
 
 // Reset drops everything but the fraction: a new incarnation of the upstream has started.
-func (p *Pace) Reset() { *p = Pace{fraction: p.fraction} }
+func (p *Limiter) Reset() { *p = Limiter{fraction: p.fraction} }
 
 // burst is the maximum level.
-func (p *Pace) burst(now clock.Milli) float64 {
+func (p *Limiter) burst(now clock.Milli) float64 {
 	return max(1, float64(p.Rate(now))*burstSpan.Duration().Seconds())
 }
 
 // fill raises the level for the elapsed time.
-func (p *Pace) fill(now clock.Milli) {
+func (p *Limiter) fill(now clock.Milli) {
 	if p.known && now > p.filledAt {
 		p.level = min(p.burst(now), p.level+float64(p.Rate(now))*(now-p.filledAt).Duration().Seconds())
 	}
--- a/lib/decide/ratelimit/pace_test.go
+++ b/lib/decide/ratelimit/pace_test.go
@@ -14,7 +14,7 @@
 const window = 4 * clock.Second
 
 // grantAll requests a grant every millisecond and returns the times of those granted.
-func grantAll(p *Pace, from, to clock.Milli) []clock.Milli {
+func grantAll(p *Limiter, from, to clock.Milli) []clock.Milli {
 	var granted []clock.Milli
 	for now := from; now < to; now++ {
 		if p.Allows(now) {
@@ -43,7 +43,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 60).Draw(t, "rate")
 		renew := rapid.Int64Range(1, 3000).Draw(t, "renew")
-		var p Pace
+		var p Limiter
 		var granted []clock.Milli
 		const end = 20 * clock.Second
 		for at := clock.Milli(0); at < end; at += clock.Milli(renew) {
@@ -59,7 +59,7 @@
 // An upstream with a limit of zero must still receive a request now and then, or it could never
 // declare a higher limit.
 func TestLimitOfZeroStillAllowsProbes(t *testing.T) {
-	var p Pace
+	var p Limiter
 	p.Learn(0, statement.Statement{Named: true})
 	granted := grantAll(&p, 0, 20*clock.Second)
 	require.InDelta(t, 5, len(granted), 1)
@@ -68,13 +68,13 @@
 // The limit ends while many requests wait. Sent all at once, they would overload the upstream
 // again.
 func TestRateRampsUpAfterALimitEnds(t *testing.T) {
-	var p Pace
+	var p Limiter
 	p.Learn(0, statement.Statement{Named: true, Rate: 2})
 	grantAll(&p, 0, clock.Second)
 	p.Learn(clock.Second, statement.Statement{At: clock.Second})
 	require.LessOrEqual(t, len(grantAll(&p, clock.Second, 1500)), 2)
 	require.LessOrEqual(t, len(grantAll(&p, 1500, 2000)), 4)
-	require.False(t, p.Bounds(clock.Second+rampSpan))
+	require.False(t, p.Limited(clock.Second+rampSpan))
 	require.True(t, p.Learn(2*clock.Second, statement.Statement{Named: true, Rate: 2, At: 2 * clock.Second}))
 	require.LessOrEqual(t, len(grantAll(&p, 2*clock.Second, 3*clock.Second)), 3)
 }
@@ -84,8 +84,8 @@
 func TestIndependentVMsDivideTheLimit(t *testing.T) {
 	all := 0
 	for range 5 {
-		var p Pace
-		p.Divide(0, 1.0/5)
+		var p Limiter
+		p.SetFraction(0, 1.0/5)
 		p.Learn(0, statement.Statement{Named: true, Rate: 5})
 		all += maxInWindow(grantAll(&p, 0, 10*clock.Second))
 	}
--- a/lib/decide/report.go
+++ b/lib/decide/report.go
@@ -39,7 +39,7 @@
 	accounted := p.sumListed(u)
 	for i := len(u.grants) - 1; i >= 0; i-- {
 		g := u.grants[i]
-		if g.orphanedAt > 0 && g.listedIn != p.reportSeq && r.At-p.config.Lag >= g.orphanedAt {
+		if g.orphanedAt > 0 && g.listedIn != p.reportSeq && r.At-p.config.ReportLag >= g.orphanedAt {
 			p.detach(g, u)
 		}
 	}
@@ -107,7 +107,7 @@
 	if g.gotFirst || g.expectedFirst < minObservable {
 		return
 	}
-	waited := float64(now-g.grantedAt-p.config.Delay) / g.expectedFirst
+	waited := float64(now-g.grantedAt-p.config.ProgressDelay) / g.expectedFirst
 	if waited < overdueFactor || len(g.on) == 0 {
 		return
 	}
@@ -151,7 +151,7 @@
 	if g.gotFirst || g.expectedFirst < minObservable {
 		return at
 	}
-	late := g.grantedAt + clock.Milli(overdueFactor*g.expectedFirst) + p.config.Delay
+	late := g.grantedAt + clock.Milli(overdueFactor*g.expectedFirst) + p.config.ProgressDelay
 	if late <= now {
 		late = now + clock.Milli(g.expectedFirst)
 	}
--- a/lib/decide/statement/statement.go
+++ b/lib/decide/statement/statement.go
@@ -22,17 +22,17 @@
 	// Limit is the number of requests per second that the upstream accepts. It applies to all VMs
 	// together.
 	Limit Kind = iota
-	// Rest is a back-off: a time in which the upstream asks for no requests from the VM that it
+	// BackOff is a time (Retry-After) in which the upstream asks for no requests from the VM that it
 	// answered. It applies to that VM only.
-	Rest
+	BackOff
 	// Leaving is a drain notice: the upstream will shut down soon. It applies to each VM that
 	// received it, until the next incarnation of the upstream.
 	Leaving
 )
 
-var kinds = [...]Kind{Limit, Rest, Leaving}
+var kinds = [...]Kind{Limit, BackOff, Leaving}
 
-var kindNames = [...]string{Limit: "limit", Rest: "rest", Leaving: "leaving"}
+var kindNames = [...]string{Limit: "limit", BackOff: "rest", Leaving: "leaving"}
 
 // String returns the name of the kind.
 func (k Kind) String() string {
@@ -56,12 +56,12 @@
 	// incarnation of its process; empty for a Limit.
 	Gate decide.GateID
 	// Born is the incarnation of the upstream that answered; zero if unknown.
-	Born decide.Born
+	Born decide.Incarnation
 	// At is a time at which the statement certainly applied. It is the arrival of the response; for
 	// a response without a limit it is when the request was sent, since other responses may have
 	// overtaken this one.
 	At clock.Milli
-	// Until is the end of a Rest; zero for the other kinds.
+	// Until is the end of a BackOff; zero for the other kinds.
 	Until clock.Milli
 }
 
@@ -74,7 +74,7 @@
 		return s.Born > before.Born
 	}
 	switch s.Kind {
-	case Rest:
+	case BackOff:
 		return s.Until > before.Until
 	case Leaving:
 		return false
@@ -86,18 +86,18 @@
 	}
 }
 
-// Same reports whether two statements of a kind have the same effect.
-func (s Statement) Same(o Statement) bool {
+// Equivalent reports whether two statements of a kind have the same effect.
+func (s Statement) Equivalent(o Statement) bool {
 	return s.Named == o.Named && s.Rate == o.Rate && s.Until == o.Until && s.Born == o.Born
 }
 
-// Binds reports whether the statement forbids the VM that received it to send requests to the given
+// Blocks reports whether the statement forbids the VM that received it to send requests to the given
 // incarnation of the upstream now. A zero incarnation means that it is unknown.
-func (s Statement) Binds(now clock.Milli, incarnation decide.Born) bool {
+func (s Statement) Blocks(now clock.Milli, incarnation decide.Incarnation) bool {
 	if s.Born > 0 && incarnation > s.Born {
 		return false
 	}
-	return s.Kind == Leaving || s.Kind == Rest && now < s.Until
+	return s.Kind == Leaving || s.Kind == BackOff && now < s.Until
 }
 
 // subject is the key of a statement.
@@ -133,7 +133,7 @@
 	case known && !s.Supersedes(before.Statement):
 		return false
 	}
-	changed := !known || !s.Same(before.Statement)
+	changed := !known || !s.Equivalent(before.Statement)
 	if changed {
 		t.version++
 		before.version = t.version
@@ -148,11 +148,11 @@
 	return e.Statement, ok
 }
 
-// Binding returns a statement that forbids sending requests to the given incarnation of an upstream
+// Blocking returns a statement that forbids sending requests to the given incarnation of an upstream
 // now, if there is one.
-func (t *Table) Binding(now clock.Milli, u decide.UpstreamID, incarnation decide.Born) (Statement, bool) {
+func (t *Table) Blocking(now clock.Milli, u decide.UpstreamID, incarnation decide.Incarnation) (Statement, bool) {
 	for _, k := range kinds {
-		if s, ok := t.Of(u, k); ok && s.Binds(now, incarnation) {
+		if s, ok := t.Of(u, k); ok && s.Blocks(now, incarnation) {
 			return s, true
 		}
 	}
@@ -160,25 +160,25 @@
 }
 
 // About returns all statements on an upstream.
-func (t *Table) About(now clock.Milli, u decide.UpstreamID) []Aged {
-	var out []Aged
+func (t *Table) About(now clock.Milli, u decide.UpstreamID) []Message {
+	var out []Message
 	for _, k := range kinds {
 		if s, ok := t.Of(u, k); ok {
-			out = append(out, s.Aged(now, u))
+			out = append(out, s.Message(now, u))
 		}
 	}
 	return out
 }
 
 // Since returns the statements that changed after a version, and the current version.
-func (t *Table) Since(now clock.Milli, version uint64) ([]Aged, uint64) {
+func (t *Table) Since(now clock.Milli, version uint64) ([]Message, uint64) {
 	if version == t.version {
 		return nil, version
 	}
-	var out []Aged
+	var out []Message
 	for key, e := range t.rows {
 		if e.version > version {
-			out = append(out, e.Aged(now, key.upstream))
+			out = append(out, e.Message(now, key.upstream))
 		}
 	}
 	return out, t.version
@@ -187,7 +187,7 @@
 // Each calls f for each statement that is in force.
 func (t *Table) Each(now clock.Milli, f func(decide.UpstreamID, Statement)) {
 	for key, s := range t.rows {
-		if s.Named && (s.Kind != Rest || now < s.Until) {
+		if s.Named && (s.Kind != BackOff || now < s.Until) {
 			f(key.upstream, s.Statement)
 		}
 	}
@@ -197,17 +197,17 @@
 	// expiredRetention is how long an expired limit or back-off is stored: as long as an older
 	// statement may still arrive.
 	expiredRetention = 10 * clock.Second
-	// AbsentLives is how long the statements of an unlisted upstream are stored: upstreams are
+	// AbsentRetention is how long the statements of an unlisted upstream are stored: upstreams are
 	// sometimes missing from a list for some seconds although they are running.
-	AbsentLives = clock.Minute
+	AbsentRetention = clock.Minute
 )
 
 // Forget drops expired statements and those of unlisted upstreams after the retention times.
 func (t *Table) Forget(now clock.Milli, listed func(decide.UpstreamID) bool) {
 	for key, s := range t.rows {
 		age := now - max(s.At, s.Until)
-		over := !s.Named || s.Kind == Rest
-		if over && age > expiredRetention || age > AbsentLives && !listed(key.upstream) {
+		over := !s.Named || s.Kind == BackOff
+		if over && age > expiredRetention || age > AbsentRetention && !listed(key.upstream) {
 			delete(t.rows, key)
 		}
 	}
--- a/lib/decide/view.go
+++ b/lib/decide/view.go
@@ -6,8 +6,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Waiting is a queued request as shown to operators.
-type Waiting struct {
+// QueuedRequest is a queued request as shown to operators.
+type QueuedRequest struct {
 	Request RequestID
 	// Workspace, Urgency and Long identify the queue.
 	Workspace WorkspaceID
@@ -17,22 +17,22 @@
 	Since, Latest clock.Milli
 }
 
-// View is an upstream as shown to operators.
-type View struct {
+// UpstreamView is an upstream as shown to operators.
+type UpstreamView struct {
 	Upstream
 	// Side is "long", "short" or "any", as in Order.Role.
 	Side string
-	// Running is the number of grants, including Ghosts: lapsed grants that the engine may still
+	// Running is the number of grants, including Orphans: lapsed grants that the engine may still
 	// run.
-	Running, Ghosts int
-	// Taken is the memory of grants, Foreign the reported memory that no grant accounts for.
-	Taken, Foreign Tokens
-	// Ahead is the estimated time until all granted prompts are prefilled.
-	Ahead clock.Milli
-	// Slow is the factor by which the upstream prefills slower than rated.
-	Slow float64
-	// Claimed is the memory kept free for a request that needs much at once.
-	Claimed Tokens
+	Running, Orphans int
+	// Reserved is the memory of grants, External the reported memory that no grant accounts for.
+	Reserved, External Tokens
+	// Backlog is the estimated time until all granted prompts are prefilled.
+	Backlog clock.Milli
+	// Slowdown is the factor by which the upstream prefills slower than rated.
+	Slowdown float64
+	// Earmarked is the memory kept free for a request that needs much at once.
+	Earmarked Tokens
 }
 
 // Grants returns all live grants in order of id.
@@ -50,37 +50,37 @@
 }
 
 // Queue returns all queued requests in order of their latest start.
-func (p *Pool) Queue() []Waiting {
-	list := make([]Waiting, 0, len(p.queued))
+func (p *Pool) Queue() []QueuedRequest {
+	list := make([]QueuedRequest, 0, len(p.queued))
 	for _, w := range p.queued {
-		list = append(list, Waiting{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.queuedAt, w.latestStart})
+		list = append(list, QueuedRequest{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.queuedAt, w.latestStart})
 	}
-	slices.SortFunc(list, func(a, b Waiting) int { return int(a.Latest - b.Latest) })
+	slices.SortFunc(list, func(a, b QueuedRequest) int { return int(a.Latest - b.Latest) })
 	return list
 }
 
 // Upstreams returns all upstreams in ascending order of id.
-func (p *Pool) Upstreams(now clock.Milli) []View {
+func (p *Pool) Upstreams(now clock.Milli) []UpstreamView {
 	if p.treeStale {
 		p.rebuildTables(now)
 	}
-	list := make([]View, 0, len(p.upstreams))
+	list := make([]UpstreamView, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		u.drain(now)
-		v := View{
-			Upstream: u.spec,
-			Side:     u.side.role(),
-			Running:  u.running,
-			Taken:    u.reserved,
-			Foreign:  u.external,
-			Ahead:    clock.Milli(u.backlog / u.rate()),
-			Slow:     u.slowdown,
-			Claimed:  u.earmarked,
+		v := UpstreamView{
+			Upstream:  u.spec,
+			Side:      u.side.role(),
+			Running:   u.running,
+			Reserved:  u.reserved,
+			External:  u.external,
+			Backlog:   clock.Milli(u.backlog / u.rate()),
+			Slowdown:  u.slowdown,
+			Earmarked: u.earmarked,
 		}
 		v.Leaving = u.leaving()
 		for _, g := range u.grants {
 			if g.orphanedAt > 0 {
-				v.Ghosts++
+				v.Orphans++
 			}
 		}
 		list = append(list, v)
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -240,7 +240,7 @@
 	Left clock.Milli
 	// Last is the upstream of the newest death counted, Born its life, Ago the time since.
 	Last decide.UpstreamID
-	Born decide.Born
+	Born decide.Incarnation
 	Ago  clock.Milli
 }
 
