--- a/daemon/pool/life_test.go
+++ b/daemon/pool/life_test.go
@@ -15,7 +15,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// pausedOrders stands for the daemon, which looks for a pause before each order.
+// pausedOrders stands in for the daemon, which checks before each order whether the
+// process was paused. Here the check always finds a pause.
 type pausedOrders struct {
 	owner *Owner
 	done  chan struct{}
@@ -29,10 +30,11 @@
 	}
 }
 
-// A daemon is frozen and thawed, and the first thing that its pool decides is an
-// order to an engine. The look before the order finds the pause and gives all pools
-// up. A user would see the daemon accept requests and answer none, for good.
-func TestPauseFoundBeforeAnOrderLocksNothingUp(t *testing.T) {
+// After a pause of the process, the first decision of a pool is an order to an engine.
+// The check before the order detects the pause and discards all pools. If it ran under
+// the lock of the pool it would deadlock, and the daemon would accept requests but never
+// answer them.
+func TestPauseDetectedBeforeOrderDoesNotDeadlock(t *testing.T) {
 	o := newTestOwner(t, 1)
 	od := &pausedOrders{owner: o, done: make(chan struct{}, 1)}
 	o.orders = od
@@ -41,7 +43,7 @@
 	go func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.carry(o.clock.Now(), decide.Decision{Action: decide.Ordered, Order: decide.Order{Upstream: "engine-1", Role: "long"}})
+		p.execute(o.clock.Now(), decide.Decision{Action: decide.Ordered, Order: decide.Order{Upstream: "engine-1", Role: "long"}})
 	}()
 	select {
 	case <-od.done:
@@ -50,31 +52,31 @@
 	}
 }
 
-// A gate returns a grant, and its renewal of a moment before arrives after it. Were
-// the grant taken for live again, the pool would be kept open for good, and what the
-// engine still holds for the request would never be freed.
-func TestRenewalAfterTheReturnRevivesNothing(t *testing.T) {
+// A gate renews a grant and then returns it, and the renewal arrives after the return.
+// If the renewal made the grant live again, the pool would never be closed, and memory
+// that the engine still uses for the request would never be freed.
+func TestRenewalAfterReturnDoesNotReviveGrant(t *testing.T) {
 	o := newTestOwner(t, 1)
-	g := ask(t, o)
+	g := acquire(t, o)
 	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: g.ID, Request: g.Request, Outcome: decide.Done}, &peer.Empty{}))
 	require.NoError(t, o.Renew(peer.RenewArgs{Pool: testPool, Grants: []peer.Progress{{Grant: g}}}, &peer.RenewReply{}))
 	p := o.find(testPool)
 	p.mu.Lock()
-	require.False(t, p.explained(g.Request, "engine-1"))
+	require.False(t, p.hasGrantOn(g.Request, "engine-1"))
 	p.mu.Unlock()
 	o.Keep(nil)
 	require.Empty(t, o.Pools())
 }
 
-// An owner stands still, forgets its pools, and its gates present what runs. A grant
-// from before the pause must not end one from after it: its engine would get a prompt
-// for which it has no memory.
-func TestReturnFromBeforeAPauseEndsNoNewGrant(t *testing.T) {
+// An owner is paused and discards its pools, and the gates present their live grants. The
+// return of a grant from before the pause must not end a grant from after it: the
+// engine would be sent a prompt for which it has no memory.
+func TestReturnFromBeforePauseDoesNotEndNewGrant(t *testing.T) {
 	o := newTestOwner(t, 2)
-	old := ask(t, o)
+	old := acquire(t, o)
 	o.Paused()
 	require.NoError(t, o.Renew(peer.RenewArgs{Pool: testPool, Grants: []peer.Progress{{Grant: old}}}, &peer.RenewReply{}))
-	require.Len(t, o.find(testPool).Look().Grants, 1, "what runs is in the books again")
+	require.Len(t, o.find(testPool).Look().Grants, 1, "a running request has its grant again")
 	r := decide.Request{ID: "vm-1.1.1.2", Workspace: "wards", Gate: "vm-1.1", Urgency: 1, Prompt: 10, Output: 10, Repeatable: true}
 	var reply peer.AcquireReply
 	require.NoError(t, o.Acquire(peer.AcquireArgs{Pool: testPool, Left: 20 * clock.Second, Request: r}, &reply))
@@ -85,10 +87,10 @@
 	require.Equal(t, reply.Grant.ID, left[0].ID)
 }
 
-// A VM that started late owns a pool and dies; one that started earlier succeeds it.
-// Were the grants of the later life not taken over, the successor would count their
-// memory as free and crowd the engines.
-func TestSuccessorThatStartedEarlierTakesGrantsOver(t *testing.T) {
+// The owner of a pool crashes, and its successor is a VM that started before it. If the
+// successor did not adopt the grants, which have a higher epoch than its own, it would
+// count their memory as free and overload the engines.
+func TestSuccessorThatStartedEarlierAdoptsGrants(t *testing.T) {
 	o := newTestOwner(t, 1)
 	o.open(testPool)
 	g := decide.Grant{ID: 1 << 40, Epoch: decide.Epoch(o.clock.Now() + clock.Minute), Request: "vm-2.1.1.1", Upstreams: []decide.UpstreamID{"engine-1"}, Reserved: 10, Prompt: 10, Deadline: clock.Minute}
@@ -96,9 +98,9 @@
 	require.Len(t, o.find(testPool).Look().Grants, 1)
 }
 
-// A pool that this VM does not own is closed just as a gate asks it. The request
-// must go to the next owner at once and not wait for an answer until its deadline.
-func TestQuestionToAPoolThatIsBeingClosed(t *testing.T) {
+// A gate calls a pool while this VM, which does not own it, is closing it. The call must
+// be redirected to the next owner at once; queued here, it would wait until its deadline.
+func TestAcquireOfPoolBeingClosedIsRedirected(t *testing.T) {
 	o := newTestOwner(t, 1)
 	p, ok := o.open(testPool)
 	require.True(t, ok)
@@ -109,24 +111,24 @@
 	require.Equal(t, fault.Draining, reply.Fault.Kind)
 }
 
-// mute are engines of which those at some addresses do not answer.
-type mute struct {
-	absent
+// partlySilentEngines implements Engines; the engines at the addresses in silent do not answer.
+type partlySilentEngines struct {
+	unreachableEngines
 	silent map[string]bool
 }
 
-func (m mute) Load(_ context.Context, address string) (engine.Load, error) {
+func (m partlySilentEngines) Load(_ context.Context, address string) (engine.Load, error) {
 	if m.silent[address] {
-		return engine.Load{}, errAbsent
+		return engine.Load{}, errNoAnswer
 	}
 	return engine.Load{}, nil
 }
 
-// An engine's VM is gone. Its engine holds no grant and looks idle, so every request
-// would be placed there first and wait for a dial that nobody answers.
+// The VM of an engine is down. The engine has no grants and looks idle, so every request
+// would be placed there first and wait for a connection attempt to time out.
 func TestEngineThatDoesNotAnswerGetsNoWork(t *testing.T) {
 	o := newTestOwner(t, 2)
-	m := mute{silent: map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true}}
+	m := partlySilentEngines{silent: map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true}}
 	o.engines = m
 	p := newPool(o, testPool, 1)
 	o.pools[testPool] = p
@@ -139,25 +141,26 @@
 		return n
 	}
 	after := map[decide.UpstreamID]uint64{}
-	for range 2 * awayAfter {
-		p.look(after)
+	for range 2 * missedPollLimit {
+		p.pollOnce(after)
 	}
-	require.Zero(t, leaving(), "an owner that reaches no engine may be cut off itself")
+	require.Zero(t, leaving(), "no engine answers, so the owner itself may be cut off")
 	delete(m.silent, "127.0.0.1:2")
-	for range awayAfter {
-		p.look(after)
+	for range missedPollLimit {
+		p.pollOnce(after)
 	}
 	require.Equal(t, 1, leaving())
 	require.True(t, p.Look().Upstreams[0].Leaving)
 	delete(m.silent, "127.0.0.1:1")
-	p.look(after)
-	require.Zero(t, leaving(), "one that answers gets work at once")
+	p.pollOnce(after)
+	require.Zero(t, leaving(), "an engine that answers again gets work at once")
 }
 
-// An owner stands still, its gate takes the question back and asks again, and on waking
-// the owner reads the two in the wrong order. A caller that waits would be told that it
-// went away, and what runs under the new grant would lose its memory.
-func TestLateWithdrawalLeavesTheNewerQuestionAlone(t *testing.T) {
+// A gate withdraws an Acquire call to a paused owner and calls again, and the owner then
+// processes the two in the wrong order. If the withdrawal applied to the newer call, a
+// waiting client would get a canceled fault, and the memory of the new grant would be
+// freed while its request is running.
+func TestLateWithdrawalDoesNotEndNewerAcquire(t *testing.T) {
 	o := newTestOwner(t, 1)
 	r := decide.Request{ID: "vm-1.1.1.1", Workspace: "wards", Urgency: 1, Prompt: 10, Output: 10}
 	var reply peer.AcquireReply
@@ -168,20 +171,20 @@
 	require.Len(t, p.Look().Grants, 1)
 	require.NoError(t, o.Withdraw(peer.WithdrawArgs{Pool: testPool, Request: r.ID, Serial: 2}, &peer.Empty{}))
 	require.Empty(t, p.Look().Grants)
-	require.Empty(t, p.asked)
+	require.Empty(t, p.serials)
 }
 
-// frozen are engines that take every order and answer none.
-type frozen struct{ absent }
+// hungEngines implements Engines; its Cancel calls are never answered.
+type hungEngines struct{ unreachableEngines }
 
-func (frozen) Cancel(ctx context.Context, _ string, _ decide.RequestID) error {
+func (hungEngines) Cancel(ctx context.Context, _ string, _ decide.RequestID) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-type goneGates struct{}
+type forgetfulGates struct{}
 
-func (goneGates) Evidence(_ context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
+func (forgetfulGates) Evidence(_ context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := map[decide.RequestID]Evidence{}
 	for _, id := range ids {
 		out[id] = Gone
@@ -189,20 +192,20 @@
 	return out
 }
 
-// A gate dies with many requests on an engine that stands still. Cancelled one after the
-// other, they would keep the whole pool blind for a minute: no report is read meanwhile,
-// so nobody's memory is given back on the other engines either.
-func TestFrozenEngineDoesNotBlindThePool(t *testing.T) {
+// A gate crashes that has many requests on a paused engine. If they were cancelled in
+// sequence, the pool would fetch no reports for a minute, and memory that becomes free on
+// the other engines would not be granted again meanwhile.
+func TestFrozenEngineDoesNotStopPolling(t *testing.T) {
 	o := newTestOwner(t, 1)
-	o.engines, o.gates = frozen{}, goneGates{}
+	o.engines, o.gates = hungEngines{}, forgetfulGates{}
 	p := newPool(o, testPool, 1)
-	var strays []stray
+	var orphans []orphan
 	for i := range 20 {
-		s := stray{request: peer.Origin{VM: "vm-9", Incarnation: 1, Count: uint64(i)}.ID()}
-		strays = append(strays, s)
-		p.seen[s.request] = o.clock.Now() - unexplained
+		s := orphan{request: peer.Origin{VM: "vm-9", Incarnation: 1, Count: uint64(i)}.ID()}
+		orphans = append(orphans, s)
+		p.orphanSince[s.request] = o.clock.Now() - orphanGrace
 	}
 	start := time.Now()
-	p.reap(strays)
+	p.freeOrphans(orphans)
 	require.Less(t, time.Since(start), 5*pollTimeout)
 }
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -1,8 +1,11 @@
-// Package pool is the owner's side of pools: it feeds the decision library with
-// what gates ask and engines report, and carries its decisions out.
+// Package pool is the server side of pools, run by the VM that owns them. It passes
+// the requests of gates (the VMs that hold the client connections) and the load
+// reports of engines to the scheduler in package decide, and carries out the
+// decisions of the scheduler.
 //
-// Ownership is soft state. Two owners at once may grant more than an engine
-// has room for, and the engine queues; no promise depends on there being one.
+// Ownership is soft state. If a pool has two owners for a while, they may together
+// grant more than an engine has room for, and the engine queues the excess. No
+// guarantee of the system depends on a pool having a single owner.
 package pool
 
 import (
@@ -22,25 +25,29 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Times of an owner.
+// Timing of an owner.
 const (
-	// Lease is how long a grant lives without renewal: five renewals, so that a
-	// lost one, or the change of an owner, never ends a live request.
+	// Lease is how long a grant stays valid without renewal. It spans five renewal
+	// periods, so that neither a lost renewal nor a change of the owner ends a
+	// running request.
 	Lease = 5 * clock.Second
-	// rebuild is how long a new owner waits for gates to present their grants.
-	rebuild = 1500 * clock.Milli(1)
-	// wordDelay is how late the word of a first token may be: a renewal is sent
-	// every second, and takes its way.
-	wordDelay = 1300 * clock.Milli(1)
-	// pollEvery is the time between two looks at an engine's report.
-	pollEvery = 500 * time.Millisecond
-	// pollTimeout bounds one look, so that a frozen engine does not hold up the next.
+	// rebuildPeriod is how long a new owner waits for gates to present their grants before
+	// it grants anything itself.
+	rebuildPeriod = 1500 * clock.Milli(1)
+	// firstTokenDelay is the longest time from a first token at the gate until the owner
+	// learns of it: gates send a renewal every second, and the message takes time
+	// to arrive.
+	firstTokenDelay = 1300 * clock.Milli(1)
+	// pollInterval is the interval at which the load report of each engine is fetched.
+	pollInterval = 500 * time.Millisecond
+	// pollTimeout bounds each round of calls to an engine, so that a frozen engine
+	// does not delay the next poll.
 	pollTimeout = time.Second
-	// idleTick is the longest wait between two ticks.
-	idleTick = 200 * clock.Milli(1)
+	// maxTickInterval is the longest wait between two ticks of the scheduler.
+	maxTickInterval = 200 * clock.Milli(1)
 )
 
-// Engines is what an owner asks of engines.
+// Engines is the client for the engines' control interface.
 type Engines interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 	Events(ctx context.Context, address string, after uint64) ([]engine.Event, error)
@@ -48,64 +55,68 @@
 	Drop(ctx context.Context, address, handle string) error
 }
 
-// Book gives the configuration in force for a pool.
+// Book provides the current configuration and the state of upstreams.
 type Book interface {
 	Index() (*document.Index, bool)
-	// Leaving tells whether the platform lists an upstream as leaving.
+	// Leaving reports whether the platform lists an upstream as about to be removed.
 	Leaving(id decide.UpstreamID) bool
 }
 
-// Evidence is what is known of a request's gate.
+// Evidence states whether the gate of a request still holds the request.
 type Evidence uint8
 
-// The closed list of evidence.
+// All values of Evidence.
 const (
-	Unsure Evidence = iota // the gate cannot be asked; it may still be there
+	Unsure Evidence = iota // the gate did not answer; it may still be running
 	Held                   // the gate holds the request
-	Gone                   // proved: the gate does not hold it, or that life of the gate is over
+	Gone                   // the gate denied holding the request, or its process has ended
 )
 
-// Gates finds out whether requests are still held.
+// Gates finds out whether the gates of requests still hold them.
 type Gates interface {
 	Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence
 }
 
-// Orders sends orders to engines, or does not where it must not.
+// Orders sends orders to engines. It drops an order to an engine that it may not
+// send orders to.
 type Orders interface {
 	Order(id peer.PoolID, u document.Upstream, o decide.Order)
 }
 
-// Owner serves the pools that gates ask this VM for.
+// Owner serves the pools for which gates send requests to this VM.
 type Owner struct {
-	clock   *clock.Clock
-	log     *log.Logger
-	ring    *timeline.Ring
-	engines Engines
-	book    Book
-	gates   Gates
-	orders  Orders
+	clock    *clock.Clock
+	log      *log.Logger
+	ring     *timeline.Ring
+	engines  Engines
+	registry Book
+	gates    Gates
+	orders   Orders
 
 	mu sync.Mutex
-	// epoch is that of the newest pool; it starts as the incarnation of this VM.
+	// epoch is the epoch of the pool opened last. It starts as the incarnation of
+	// this process.
 	epoch decide.Epoch
-	// pools holds a pool from the first call for it until it is idle and not owned.
+	// pools holds each pool from the first call for it until it is idle and no longer
+	// owned by this VM.
 	pools map[peer.PoolID]*Pool
-	// moved is set while this VM hands its duties over; it then takes no queued request.
-	moved bool
-	ctx   context.Context //nolint:containedctx // the life of the process, for pools made later
+	// handedOver is set once this VM hands its pools over; it then opens no new pools.
+	handedOver bool
+	ctx        context.Context //nolint:containedctx // ends with the process; parent context of pools opened later
 }
 
-// New returns an owner without pools. Ctx ends all its work.
-func New(ctx context.Context, c *clock.Clock, l *log.Logger, r *timeline.Ring, e Engines, b Book, g Gates, od Orders, epoch decide.Epoch) *Owner {
-	return &Owner{clock: c, log: l, ring: r, engines: e, book: b, gates: g, orders: od, epoch: epoch, pools: map[peer.PoolID]*Pool{}, ctx: ctx}
+// New returns an owner without pools. Cancelling ctx stops all pools.
+func New(ctx context.Context, c *clock.Clock, l *log.Logger, ring *timeline.Ring, engines Engines, registry Book, gates Gates, orders Orders, epoch decide.Epoch) *Owner {
+	return &Owner{clock: c, log: l, ring: ring, engines: engines, registry: registry, gates: gates, orders: orders, epoch: epoch, pools: map[peer.PoolID]*Pool{}, ctx: ctx}
 }
 
-// Acquire waits for the decision on a request. It is the method Pool.Acquire of the peer door.
+// Acquire queues a request and waits for its grant or refusal. Peers call it as
+// Pool.Acquire over net/rpc.
 func (o *Owner) Acquire(args peer.AcquireArgs, reply *peer.AcquireReply) error {
 	o.ring.Receive(args.Stamp)
 	p, ok := o.open(args.Pool)
 	if !ok {
-		reply.Fault = peer.Wire(moved())
+		reply.Fault = peer.Wire(handingOverFault())
 		return nil
 	}
 	*reply = p.acquire(args)
@@ -114,7 +125,7 @@
 	return nil
 }
 
-// Return ends a grant.
+// Return ends a grant that its gate no longer needs.
 func (o *Owner) Return(args peer.ReturnArgs, _ *peer.Empty) error {
 	o.ring.Receive(args.Stamp)
 	if p := o.find(args.Pool); p != nil {
@@ -123,7 +134,8 @@
 	return nil
 }
 
-// Renew takes the live grants of a gate; those unknown here are adopted.
+// Renew extends the leases of a gate's live grants and adopts grants that another
+// owner issued.
 func (o *Owner) Renew(args peer.RenewArgs, reply *peer.RenewReply) error {
 	if p, ok := o.open(args.Pool); ok {
 		reply.Unknown = p.renew(args)
@@ -131,7 +143,7 @@
 	return nil
 }
 
-// Withdraw takes a queued request back.
+// Withdraw cancels a queued request at the demand of its gate.
 func (o *Owner) Withdraw(args peer.WithdrawArgs, _ *peer.Empty) error {
 	if p := o.find(args.Pool); p != nil {
 		p.withdraw(args.Request, args.Serial)
@@ -139,25 +151,25 @@
 	return nil
 }
 
-// HandOver answers every queued request with "moved", so that its gate asks the
-// next owner, and takes no new one. Grants stay: their gates present them to
-// the next owner.
+// HandOver answers every queued request with the Draining fault, so that its gate
+// asks the next owner, and accepts no new ones. Grants stay valid: their gates
+// present them to the next owner.
 func (o *Owner) HandOver() {
 	o.mu.Lock()
-	o.moved = true
-	ps := o.list()
+	o.handedOver = true
+	ps := o.openPools()
 	o.mu.Unlock()
 	for _, p := range ps {
 		p.handOver()
 	}
 }
 
-// Paused forgets all pools after this process stood still for longer than a
-// lease: others own them by now, and what is in these tables is history. Gates
-// present what is live.
+// Paused discards all pools. It is called after this process was paused for longer
+// than a lease: other VMs own the pools by then, and the state here is outdated. Gates
+// present their live grants again.
 func (o *Owner) Paused() {
 	o.mu.Lock()
-	ps := o.list()
+	ps := o.openPools()
 	o.pools = map[peer.PoolID]*Pool{}
 	o.mu.Unlock()
 	for _, p := range ps {
@@ -166,36 +178,36 @@
 	}
 }
 
-// Reconfigure makes every pool take the configuration in force.
+// Reconfigure applies the current configuration to every pool.
 func (o *Owner) Reconfigure() {
 	o.mu.Lock()
-	ps := o.list()
+	ps := o.openPools()
 	o.mu.Unlock()
 	for _, p := range ps {
 		p.configure()
 	}
 }
 
-// Keep opens the pools that this VM owns now and lets go of idle ones it does not.
+// Keep opens the pools that this VM owns now and closes idle pools that it doesn't own.
 func (o *Owner) Keep(owned []peer.PoolID) {
-	mine := make(map[peer.PoolID]bool, len(owned))
+	isOwned := make(map[peer.PoolID]bool, len(owned))
 	for _, id := range owned {
-		mine[id] = true
+		isOwned[id] = true
 		o.open(id)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id, p := range o.pools {
-		if !mine[id] && p.retire() {
+		if !isOwned[id] && p.closeIfIdle() {
 			delete(o.pools, id)
 		}
 	}
 }
 
-// Summaries returns one summary a pool.
+// Summaries returns a load summary of each open pool.
 func (o *Owner) Summaries() []peer.PoolSummary {
 	o.mu.Lock()
-	ps := o.list()
+	ps := o.openPools()
 	o.mu.Unlock()
 	out := make([]peer.PoolSummary, 0, len(ps))
 	for _, p := range ps {
@@ -204,15 +216,15 @@
 	return out
 }
 
-// Pools returns the open pools for operators.
+// Pools returns the open pools, for display to operators.
 func (o *Owner) Pools() []*Pool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.list()
+	return o.openPools()
 }
 
-// list needs mu.
-func (o *Owner) list() []*Pool {
+// openPools returns the open pools. The caller holds mu.
+func (o *Owner) openPools() []*Pool {
 	out := make([]*Pool, 0, len(o.pools))
 	for _, p := range o.pools {
 		out = append(out, p)
@@ -226,20 +238,20 @@
 	return o.pools[id]
 }
 
-// open returns the pool, making it when it is new here; ok is false while this VM hands over.
+// open returns the pool and opens it if necessary; ok is false if the pool is not
+// open and this VM is handing over.
 //
-// Each pool has an epoch of its own, the instant it was opened. With one epoch a
-// process, a pool that is opened anew after a pause would issue the same grant ids
-// again: a return under an old one would free the memory of somebody's live
-// request. And a VM that started early would succeed one that started late with
-// the smaller epoch, though it is the later owner.
+// Each pool gets its own epoch, the time at which it was opened. With one epoch per
+// process, a pool reopened after a pause would issue the same grant ids again, and
+// the return of an old grant would free the memory of a running request. Also, a
+// successor that started before its predecessor would have the smaller epoch.
 func (o *Owner) open(id peer.PoolID) (p *Pool, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if p, ok := o.pools[id]; ok {
 		return p, true
 	}
-	if o.moved {
+	if o.handedOver {
 		return nil, false
 	}
 	o.epoch = max(o.epoch+1, decide.Epoch(o.clock.Now()))
@@ -249,7 +261,7 @@
 	return p, true
 }
 
-// moved is the answer that sends a gate to the next owner.
-func moved() *fault.Error {
+// handingOverFault returns the fault that makes a gate ask the next owner.
+func handingOverFault() *fault.Error {
 	return fault.New(fault.Draining, "the owner of the pool is handing over")
 }
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -15,66 +15,69 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Pool is one pool's tables with the calls that wait on them.
+// Pool holds the scheduling state of one pool and the calls that wait for its decisions.
 type Pool struct {
 	id    peer.PoolID
 	owner *Owner
 	epoch decide.Epoch
-	ctx   context.Context //nolint:containedctx // the life of the pool
+	ctx   context.Context //nolint:containedctx // ends when the pool is closed
 	stop  context.CancelFunc
-	// kick wakes the run loop when the next tick may have moved nearer.
-	kick chan struct{}
-
-	mu   sync.Mutex
-	core *decide.Pool
-	// waiting holds the calls that wait for the decision on a request; a gate
-	// that lost its connection asks again under the same id.
-	waiting map[decide.RequestID][]chan peer.AcquireReply
-	// asked is the serial of the newest question for each request in waiting, and in
-	// granted unless its grant was adopted.
-	asked map[decide.RequestID]uint64
-	// granted holds live grants, to give the same answer to the same question.
-	granted map[decide.RequestID]given
-	// upstreams are the ones of the configuration in force.
+	// wakeup wakes the run loop when the next tick may be needed earlier than planned.
+	wakeup chan struct{}
+
+	mu        sync.Mutex
+	scheduler *decide.Pool
+	// waiters holds the calls that wait for the decision on a request. A request can
+	// have several, because a gate that lost its connection calls Acquire again
+	// under the same id.
+	waiters map[decide.RequestID][]chan peer.AcquireReply
+	// serials has the serial number of the newest Acquire call for each request in
+	// waiters, and for each in granted whose grant was not adopted.
+	serials map[decide.RequestID]uint64
+	// granted holds the live grants, so that a repeated Acquire call gets the same grant.
+	granted map[decide.RequestID]liveGrant
+	// upstreams are the pool's upstreams in the current configuration.
 	upstreams map[decide.UpstreamID]document.Upstream
-	// reports holds the last report of each engine.
+	// reports holds the latest load report of each engine.
 	reports map[decide.UpstreamID]decide.Report
-	// missed counts the looks in a row that each engine left unanswered while another
-	// one answered.
-	missed map[decide.UpstreamID]int
-	// handed is set once; a pool that was handed over takes no request.
-	handed bool
-	// seen is when each request that no grant explains was first reported.
-	seen map[decide.RequestID]clock.Milli
+	// missedPolls counts the consecutive polls that each engine did not answer while at
+	// least one other engine answered.
+	missedPolls map[decide.UpstreamID]int
+	// handedOver is set when the pool is handed over or closed, and never cleared; the
+	// pool then accepts no requests.
+	handedOver bool
+	// orphanSince is when an engine first reported each request that has no live grant
+	// on that engine.
+	orphanSince map[decide.RequestID]clock.Milli
 }
 
-// given is a live grant with the instant at which it was granted or adopted here.
-type given struct {
+// liveGrant is a live grant with the time at which it was granted or adopted here.
+type liveGrant struct {
 	decide.Grant
-	made clock.Milli
+	since clock.Milli
 }
 
 func newPool(o *Owner, id peer.PoolID, epoch decide.Epoch) *Pool {
 	ctx, cancel := context.WithCancel(o.ctx)
 	p := &Pool{
 		id: id, owner: o, epoch: epoch, ctx: ctx, stop: cancel,
-		kick:      make(chan struct{}, 1),
-		waiting:   map[decide.RequestID][]chan peer.AcquireReply{},
-		asked:     map[decide.RequestID]uint64{},
-		granted:   map[decide.RequestID]given{},
-		upstreams: map[decide.UpstreamID]document.Upstream{},
-		reports:   map[decide.UpstreamID]decide.Report{},
-		seen:      map[decide.RequestID]clock.Milli{},
-		missed:    map[decide.UpstreamID]int{},
+		wakeup:      make(chan struct{}, 1),
+		waiters:     map[decide.RequestID][]chan peer.AcquireReply{},
+		serials:     map[decide.RequestID]uint64{},
+		granted:     map[decide.RequestID]liveGrant{},
+		upstreams:   map[decide.UpstreamID]document.Upstream{},
+		reports:     map[decide.UpstreamID]decide.Report{},
+		orphanSince: map[decide.RequestID]clock.Milli{},
+		missedPolls: map[decide.UpstreamID]int{},
 	}
-	p.core = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Rebuild: rebuild, Seed: uint64(epoch), Delay: wordDelay})
+	p.scheduler = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Rebuild: rebuildPeriod, Seed: uint64(epoch), Delay: firstTokenDelay})
 	p.configure()
 	return p
 }
 
-// configure brings the tables in line with the configuration in force.
+// configure applies the current configuration to the scheduler.
 func (p *Pool) configure() {
-	c, ok := p.owner.book.Index()
+	c, ok := p.owner.registry.Index()
 	if !ok {
 		return
 	}
@@ -86,33 +89,34 @@
 	for _, u := range us {
 		id := decide.UpstreamID(u.Name)
 		next[id] = *u
-		p.set(now, *u)
+		p.setUpstream(now, *u)
 	}
 	for id := range p.upstreams {
 		if _, ok := next[id]; !ok {
-			p.core.RemoveUpstream(now, id)
-			delete(p.missed, id)
+			p.scheduler.RemoveUpstream(now, id)
+			delete(p.missedPolls, id)
 		}
 	}
 	p.upstreams = next
 	for _, w := range c.Document().Workspaces {
-		p.core.SetWorkspace(now, decide.Workspace{ID: decide.WorkspaceID(w.Name), Weight: w.Weight})
+		p.scheduler.SetWorkspace(now, decide.Workspace{ID: decide.WorkspaceID(w.Name), Weight: w.Weight})
 	}
 	p.tick(now)
 }
 
-// set gives an upstream to the tables; one that does not answer takes no work. It needs mu.
-func (p *Pool) set(now clock.Milli, u document.Upstream) {
+// setUpstream passes an upstream to the scheduler. An upstream that has not answered its
+// recent polls is marked as leaving, so that it gets no work. The caller holds mu.
+func (p *Pool) setUpstream(now clock.Milli, u document.Upstream) {
 	id := decide.UpstreamID(u.Name)
-	p.core.SetUpstream(now, decide.Upstream{
+	p.scheduler.SetUpstream(now, decide.Upstream{
 		ID: id, Memory: u.Memory, Slots: u.Slots, Prefill: u.Prefill, Decode: u.Decode,
-		Leaving: u.Drain || p.owner.book.Leaving(id) || p.missed[id] >= awayAfter,
+		Leaving: u.Drain || p.owner.registry.Leaving(id) || p.missedPolls[id] >= missedPollLimit,
 	})
 }
 
-// run ticks the tables when they are due and polls the engines.
+// run ticks the scheduler whenever it has something to do, and polls the engines.
 func (p *Pool) run() {
-	guard.Go(p.owner.log, "poll", p.poll)
+	guard.Go(p.owner.log, "poll", p.pollPeriodically)
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
@@ -120,41 +124,41 @@
 		case <-p.ctx.Done():
 			return
 		case <-t.C:
-		case <-p.kick:
+		case <-p.wakeup:
 		}
 		p.mu.Lock()
 		now := p.owner.clock.Now()
 		p.tick(now)
-		wait := min(p.core.Next(now)-now, idleTick)
+		wait := min(p.scheduler.Next(now)-now, maxTickInterval)
 		p.mu.Unlock()
 		t.Reset(max(wait, 1).Duration())
 	}
 }
 
-// acquire waits for the decision on a request.
+// acquire queues a request and waits for the decision on it.
 func (p *Pool) acquire(args peer.AcquireArgs) peer.AcquireReply {
 	c := make(chan peer.AcquireReply, 1)
 	p.mu.Lock()
-	if p.handed {
+	if p.handedOver {
 		p.mu.Unlock()
-		return peer.AcquireReply{Fault: peer.Wire(moved())}
+		return peer.AcquireReply{Fault: peer.Wire(handingOverFault())}
 	}
 	now := p.owner.clock.Now()
 	r := args.Request
 	r.Deadline = now + args.Left
-	p.asked[r.ID] = max(p.asked[r.ID], args.Serial)
-	if g, ok := p.granted[r.ID]; ok && !gaveUp(r, g.Grant) {
+	p.serials[r.ID] = max(p.serials[r.ID], args.Serial)
+	if g, ok := p.granted[r.ID]; ok && !isReplaced(r, g.Grant) {
 		p.mu.Unlock()
-		return peer.AcquireReply{Grant: spans(g.Grant, now)}
+		return peer.AcquireReply{Grant: withRelativeTimes(g.Grant, now)}
 	} else if ok {
 		delete(p.granted, r.ID)
-		p.core.Finish(now, g.ID, decide.Failed)
+		p.scheduler.Finish(now, g.ID, decide.Failed)
 	}
-	cs, known := p.waiting[r.ID]
-	p.waiting[r.ID] = append(cs, c)
+	cs, known := p.waiters[r.ID]
+	p.waiters[r.ID] = append(cs, c)
 	if !known {
-		p.core.Submit(now, r)
-		p.note(timeline.Queued, r.ID, r.Workspace, "", "")
+		p.scheduler.Submit(now, r)
+		p.recordEvent(timeline.Queued, r.ID, r.Workspace, "", "")
 	}
 	p.tick(now)
 	p.mu.Unlock()
@@ -162,112 +166,121 @@
 	return <-c
 }
 
-// gaveUp reports whether the gate asks for a grant in place of g.
+// isReplaced reports whether the gate has given up g and asks for another grant, which it
+// indicates by listing an upstream of g as one to avoid.
 //
-// A gate returns a grant in the background and asks for the next one at once, so
-// the question may come first. Given the old grant again, it would send the
-// request to the same dead upstream until its tries are spent, and be refused
-// while others are idle.
-func gaveUp(r decide.Request, g decide.Grant) bool {
+// A gate returns a grant in the background and calls Acquire again at once, so the
+// call may arrive before the return. If it were answered with the old grant, the gate
+// would send the request to the same failed upstream until its attempts are used up,
+// and the request would be refused although other upstreams are idle.
+func isReplaced(r decide.Request, g decide.Grant) bool {
 	return slices.ContainsFunc(r.Avoid, func(u decide.UpstreamID) bool { return slices.Contains(g.Upstreams, u) })
 }
 
-// drop lets go of a request's grant. It needs mu.
-func (p *Pool) drop(r decide.RequestID) {
+// dropGrant removes the grant of a request. The caller holds mu.
+func (p *Pool) dropGrant(r decide.RequestID) {
 	delete(p.granted, r)
-	if len(p.waiting[r]) == 0 {
-		delete(p.asked, r)
+	if len(p.waiters[r]) == 0 {
+		delete(p.serials, r)
 	}
 }
 
-// forget lets go of a request's grant unless it has a newer one already. It needs mu.
-func (p *Pool) forget(r decide.RequestID, id decide.GrantID) {
+// dropGrantIfCurrent removes the grant of a request, unless the request has another grant
+// by now. The caller holds mu.
+func (p *Pool) dropGrantIfCurrent(r decide.RequestID, id decide.GrantID) {
 	if p.granted[r].ID == id {
-		p.drop(r)
+		p.dropGrant(r)
 	}
 }
 
+// finish ends a grant and records the final progress of its request.
 func (p *Pool) finish(args peer.ReturnArgs) {
 	p.mu.Lock()
 	now := p.owner.clock.Now()
 	if g, ok := p.granted[args.Request]; ok && g.ID == args.Grant {
-		p.note(timeline.Returned, g.Request, g.Workspace, g.Upstreams[0], "")
+		p.recordEvent(timeline.Returned, g.Request, g.Workspace, g.Upstreams[0], "")
 	}
-	p.progress(now, args.Request, args.Grant, args.First, args.Usage.Output)
-	p.forget(args.Request, args.Grant)
-	p.core.Finish(now, args.Grant, args.Outcome)
+	p.recordProgress(now, args.Request, args.Grant, args.First, args.Usage.Output)
+	p.dropGrantIfCurrent(args.Request, args.Grant)
+	p.scheduler.Finish(now, args.Grant, args.Outcome)
 	p.tick(now)
 	p.mu.Unlock()
 	p.wake()
 }
 
+// renew extends the leases of grants and adopts unknown grants that are presented in full.
+// For grants presented only by id, it returns the requests whose grant is unknown here.
 func (p *Pool) renew(args peer.RenewArgs) (unknown []decide.RequestID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
 	for _, r := range args.Grants {
 		g := r.Grant
-		if !p.core.Renew(now, g.ID) && !p.adopt(now, g) {
+		if !p.scheduler.Renew(now, g.ID) && !p.adopt(now, g) {
 			continue
 		}
-		p.progress(now, g.Request, g.ID, r.First, r.Output)
+		p.recordProgress(now, g.Request, g.ID, r.First, r.Output)
 	}
 	for _, r := range args.Known {
-		if !p.core.Renew(now, r.Grant) {
+		if !p.scheduler.Renew(now, r.Grant) {
 			unknown = append(unknown, r.Request)
 			continue
 		}
-		p.progress(now, r.Request, r.Grant, r.First, r.Output)
+		p.recordProgress(now, r.Request, r.Grant, r.First, r.Output)
 	}
 	return unknown
 }
 
-// progress feeds what a gate saw. A renewal comes up to a second after the first
-// token, and a short answer ends before any; taken at the time of the message,
-// every engine would look many times slower than it is and get no work. So the
-// message says when the token came, and the tables take that instant.
-func (p *Pool) progress(now clock.Milli, id decide.RequestID, g decide.GrantID, first clock.Milli, output decide.Tokens) {
+// recordProgress passes the progress of a request, as its gate observed it, to the
+// scheduler. A renewal arrives up to a second after the first token, and a short
+// answer ends before any renewal. If the time of the message counted as the time of
+// the first token, every engine would look many times slower than it is and get no
+// work. So the message contains the time of the token since the grant, first, and the
+// scheduler gets the time that follows from it. The caller holds mu.
+func (p *Pool) recordProgress(now clock.Milli, id decide.RequestID, g decide.GrantID, first clock.Milli, output decide.Tokens) {
 	at := now
 	if x, ok := p.granted[id]; ok && first > 0 {
-		at = min(now, x.made+first)
+		at = min(now, x.since+first)
 	}
-	p.core.Progress(at, g, first > 0, output)
+	p.scheduler.Progress(at, g, first > 0, output)
 }
 
-// adopt enters a grant that its gate presents; false means that the tables do not
-// take it. It needs mu.
+// adopt records a grant that its gate presents and that this pool did not issue. It
+// returns false if the scheduler rejects the grant. The caller holds mu.
 //
-// A renewal can arrive after the return of its grant. Kept as granted, a row that
-// the tables do not know would never lapse: the pool would never be idle, and what
-// the engine may still hold for the request would count as explained for good.
+// A renewal can arrive after the return of its grant, and the scheduler then rejects
+// the grant. If it were recorded in granted all the same, it would never expire: the
+// pool would never become idle, and memory that the engine still uses for the request
+// would never be reclaimed.
 func (p *Pool) adopt(now clock.Milli, g decide.Grant) bool {
 	g.Until = now + Lease
 	g.Deadline += now
-	if !p.core.Adopt(now, g) || !p.core.Renew(now, g.ID) {
+	if !p.scheduler.Adopt(now, g) || !p.scheduler.Renew(now, g.ID) {
 		return false
 	}
-	p.granted[g.Request] = given{g, now}
-	p.note(timeline.Presented, g.Request, g.Workspace, g.Upstreams[0], "")
+	p.granted[g.Request] = liveGrant{g, now}
+	p.recordEvent(timeline.Presented, g.Request, g.Workspace, g.Upstreams[0], "")
 	return true
 }
 
-// withdraw takes a question back.
-// The serial keeps a withdrawal that was overtaken by the next question from ending that one.
+// withdraw cancels an Acquire call of a gate. The serial number ensures that a late
+// withdrawal doesn't cancel a newer call for the same request.
 func (p *Pool) withdraw(id decide.RequestID, serial uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if serial < p.asked[id] {
+	if serial < p.serials[id] {
 		return
 	}
 	now := p.owner.clock.Now()
 	if g, ok := p.granted[id]; ok {
-		// The grant crossed the withdrawal, or its answer was lost; nothing was sent under it.
-		p.drop(id)
-		p.core.Finish(now, g.ID, decide.Unused)
+		// The grant was issued while the withdrawal was on its way, or the reply with
+		// the grant was lost; nothing was sent to an upstream under it.
+		p.dropGrant(id)
+		p.scheduler.Finish(now, g.ID, decide.Unused)
 	}
-	p.core.Withdraw(now, id)
-	if p.answer(id, peer.AcquireReply{Fault: peer.Wire(fault.New(fault.Canceled, "withdrawn"))}) {
-		p.note(timeline.Withdrawn, id, "", "", "")
+	p.scheduler.Withdraw(now, id)
+	if p.reply(id, peer.AcquireReply{Fault: peer.Wire(fault.New(fault.Canceled, "withdrawn"))}) {
+		p.recordEvent(timeline.Withdrawn, id, "", "", "")
 	}
 	p.tick(now)
 }
@@ -275,81 +288,84 @@
 func (p *Pool) handOver() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handed = true
+	p.handedOver = true
 	now := p.owner.clock.Now()
-	for id := range p.waiting {
-		p.core.Withdraw(now, id)
-		p.answer(id, peer.AcquireReply{Fault: peer.Wire(moved())})
+	for id := range p.waiters {
+		p.scheduler.Withdraw(now, id)
+		p.reply(id, peer.AcquireReply{Fault: peer.Wire(handingOverFault())})
 	}
 }
 
 func (p *Pool) summary() decide.Summary {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.core.Summary(p.owner.clock.Now())
+	return p.scheduler.Summary(p.owner.clock.Now())
 }
 
-// retire ends an idle pool; false means that it is in use. A call that found the
-// pool before its end is told to ask the next owner: queued in tables that nothing
-// ticks any more, its request would wait until its deadline.
-func (p *Pool) retire() bool {
+// closeIfIdle closes an idle pool; it returns false if the pool is in use. A call that
+// looked the pool up before it was closed is then answered with the Draining fault. If
+// its request were queued here it would wait until its deadline, because nothing ticks
+// the scheduler of a closed pool.
+func (p *Pool) closeIfIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.waiting) > 0 || len(p.granted) > 0 {
+	if len(p.waiters) > 0 || len(p.granted) > 0 {
 		return false
 	}
-	p.handed = true
+	p.handedOver = true
 	p.stop()
 	return true
 }
 
-// tick runs the systems and carries out what they decided. It needs mu.
+// tick runs the scheduler and carries out its decisions. The caller holds mu.
 func (p *Pool) tick(now clock.Milli) {
-	for _, d := range p.core.Tick(now) {
-		p.carry(now, d)
+	for _, d := range p.scheduler.Tick(now) {
+		p.execute(now, d)
 	}
 }
 
-// carry carries one decision out. It needs mu.
-func (p *Pool) carry(now clock.Milli, d decide.Decision) {
+// execute carries out one decision of the scheduler. The caller holds mu.
+func (p *Pool) execute(now clock.Milli, d decide.Decision) {
 	switch d.Action {
 	case decide.Granted:
-		p.granted[d.Request] = given{d.Grant, now}
-		p.note(timeline.Granted, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
-		if !p.answer(d.Request, peer.AcquireReply{Grant: spans(d.Grant, now)}) {
-			// Nobody waits any more: the call was withdrawn in this very tick.
-			p.drop(d.Request)
-			p.core.Finish(now, d.Grant.ID, decide.Unused)
+		p.granted[d.Request] = liveGrant{d.Grant, now}
+		p.recordEvent(timeline.Granted, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
+		if !p.reply(d.Request, peer.AcquireReply{Grant: withRelativeTimes(d.Grant, now)}) {
+			// No call waits for the grant any more: it was withdrawn during this tick.
+			p.dropGrant(d.Request)
+			p.scheduler.Finish(now, d.Grant.ID, decide.Unused)
 		}
 	case decide.Refused:
-		e := fault.New(d.Fault, "%s", refusal(d.Fault)).WithRan(fault.RanNo).WithRetry(d.Retry)
-		p.note(timeline.Refused, d.Request, "", "", e.Error())
-		p.answer(d.Request, peer.AcquireReply{Fault: peer.Wire(e)})
+		e := fault.New(d.Fault, "%s", refusalText(d.Fault)).WithRan(fault.RanNo).WithRetry(d.Retry)
+		p.recordEvent(timeline.Refused, d.Request, "", "", e.Error())
+		p.reply(d.Request, peer.AcquireReply{Fault: peer.Wire(e)})
 	case decide.Lapsed:
-		p.note(timeline.Lapsed, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
-		// The memory stays reserved until the engine's report shows it free;
-		// the reaper cancels it once its gate is proved not to hold it.
-		p.forget(d.Request, d.Grant.ID)
+		p.recordEvent(timeline.Lapsed, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
+		// The memory stays reserved until the engine reports it as free. freeOrphans
+		// cancels the request on the engine once it is certain that the gate doesn't
+		// hold it.
+		p.dropGrantIfCurrent(d.Request, d.Grant.ID)
 	case decide.Ordered:
 		if u, ok := p.upstreams[d.Order.Upstream]; ok {
-			// Not under mu: before an order goes out this process checks whether it stood
-			// still, and if it did, every pool is forgotten, which takes mu. Held
-			// here, the daemon would stand for good after a pause that it noticed so.
+			// Before it sends an order the daemon checks whether this process was paused,
+			// and if so discards all pools, which locks mu. Called here, under mu, that
+			// check would deadlock.
 			guard.Go(p.owner.log, "order", func() { p.owner.orders.Order(p.id, u, d.Order) })
 		}
 	}
 }
 
-func (p *Pool) note(k timeline.Kind, id decide.RequestID, w decide.WorkspaceID, u decide.UpstreamID, text string) {
+func (p *Pool) recordEvent(k timeline.Kind, id decide.RequestID, w decide.WorkspaceID, u decide.UpstreamID, text string) {
 	p.owner.ring.Add(timeline.Event{Kind: k, Request: id, Workspace: w, Upstream: u, Peer: string(p.id), Text: text})
 }
 
-// answer gives every call that waits on a request its reply. It needs mu.
-func (p *Pool) answer(id decide.RequestID, r peer.AcquireReply) bool {
-	cs := p.waiting[id]
-	delete(p.waiting, id)
+// reply sends a reply to all calls that wait for the decision on a request, and
+// reports whether there were any. The caller holds mu.
+func (p *Pool) reply(id decide.RequestID, r peer.AcquireReply) bool {
+	cs := p.waiters[id]
+	delete(p.waiters, id)
 	if _, ok := p.granted[id]; !ok {
-		delete(p.asked, id)
+		delete(p.serials, id)
 	}
 	for _, c := range cs {
 		c <- r
@@ -359,19 +375,20 @@
 
 func (p *Pool) wake() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// spans turns a grant's instants into remaining spans for the wire.
-func spans(g decide.Grant, now clock.Milli) decide.Grant {
+// withRelativeTimes converts the absolute times of a grant to durations from now, because
+// the clock of the receiver may differ.
+func withRelativeTimes(g decide.Grant, now clock.Milli) decide.Grant {
 	g.Until -= now
 	g.Deadline -= now
 	return g
 }
 
-func refusal(k fault.Kind) string {
+func refusalText(k fault.Kind) string {
 	switch k {
 	case fault.Overloaded:
 		return "it would not finish within its allowed time"
@@ -386,33 +403,35 @@
 	}
 }
 
-// Look is a pool as operators see it.
+// Look describes a pool for operators.
 type Look struct {
 	Summary   decide.Summary
 	Upstreams []decide.View
 	Grants    []decide.Grant
-	// Addresses, Used, Reported and Fenced are by upstream: host:port, the
-	// engine's own word on its memory, when it gave it, and whether it checks
-	// fencing numbers.
+	// Addresses has the host:port of each upstream.
 	Addresses map[decide.UpstreamID]string
-	Used      map[decide.UpstreamID]decide.Tokens
-	Reported  map[decide.UpstreamID]clock.Milli
-	Fenced    map[decide.UpstreamID]bool
+	// Used has the memory in use as each engine last reported it, in tokens, and
+	// Reported the time at which that report was received.
+	Used     map[decide.UpstreamID]decide.Tokens
+	Reported map[decide.UpstreamID]clock.Milli
+	// Fenced tells which upstreams check fencing numbers.
+	Fenced map[decide.UpstreamID]bool
 }
 
-// ID is the pool's id.
+// ID returns the id of the pool.
 func (p *Pool) ID() peer.PoolID { return p.id }
 
-// Epoch tells this pool from the ones of earlier and other owners.
+// Epoch returns the epoch of the pool: the time at which this VM opened it. It differs
+// between successive owners, and each time that a pool is reopened.
 func (p *Pool) Epoch() decide.Epoch { return p.epoch }
 
-// Look copies what operators see.
+// Look returns a copy of the pool's state for operators.
 func (p *Pool) Look() Look {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
 	l := Look{
-		Summary: p.core.Summary(now), Upstreams: p.core.Upstreams(now), Grants: p.core.Grants(),
+		Summary: p.scheduler.Summary(now), Upstreams: p.scheduler.Upstreams(now), Grants: p.scheduler.Grants(),
 		Addresses: map[decide.UpstreamID]string{}, Used: map[decide.UpstreamID]decide.Tokens{},
 		Reported: map[decide.UpstreamID]clock.Milli{}, Fenced: map[decide.UpstreamID]bool{},
 	}
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -18,22 +18,27 @@
 	"snipeshift.example/lib/peer"
 )
 
-// absent are engines that never answer.
-type absent struct{}
+// unreachableEngines implements Engines with engines that never answer.
+type unreachableEngines struct{}
 
-var errAbsent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (absent) Load(context.Context, string) (engine.Load, error) { return engine.Load{}, errAbsent }
-func (absent) Events(context.Context, string, uint64) ([]engine.Event, error) {
-	return nil, errAbsent
+func (unreachableEngines) Load(context.Context, string) (engine.Load, error) {
+	return engine.Load{}, errNoAnswer
 }
-func (absent) Cancel(context.Context, string, decide.RequestID) error { return errAbsent }
-func (absent) Drop(context.Context, string, string) error             { return errAbsent }
 
-type fixedBook struct{ index *document.Index }
+func (unreachableEngines) Events(context.Context, string, uint64) ([]engine.Event, error) {
+	return nil, errNoAnswer
+}
+
+func (unreachableEngines) Cancel(context.Context, string, decide.RequestID) error { return errNoAnswer }
+
+func (unreachableEngines) Drop(context.Context, string, string) error { return errNoAnswer }
+
+type fixedRegistry struct{ index *document.Index }
 
-func (b fixedBook) Index() (*document.Index, bool) { return b.index, true }
-func (fixedBook) Leaving(decide.UpstreamID) bool   { return false }
+func (b fixedRegistry) Index() (*document.Index, bool) { return b.index, true }
+func (fixedRegistry) Leaving(decide.UpstreamID) bool   { return false }
 
 type unsureGates struct{}
 
@@ -62,10 +67,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	return New(ctx, clock.New(), l, nil, absent{}, fixedBook{document.NewIndex(d)}, unsureGates{}, noOrders{}, 1)
+	return New(ctx, clock.New(), l, nil, unreachableEngines{}, fixedRegistry{document.NewIndex(d)}, unsureGates{}, noOrders{}, 1)
 }
 
-func ask(t *testing.T, o *Owner, avoid ...decide.UpstreamID) decide.Grant {
+func acquire(t *testing.T, o *Owner, avoid ...decide.UpstreamID) decide.Grant {
 	t.Helper()
 	r := decide.Request{ID: "vm-1.1.1.1", Workspace: "wards", Gate: "vm-1.1", Urgency: 1, Prompt: 10, Output: 10, Repeatable: true, Avoid: avoid}
 	var reply peer.AcquireReply
@@ -74,32 +79,34 @@
 	return reply.Grant
 }
 
-// A gate finds the granted engine dead, gives the grant back in the background
-// and asks for another at once, and the question overtakes the return. A user
-// would be refused after four tries of the same dead engine, with others idle.
+// A gate finds that the granted engine has crashed, returns the grant in the background
+// and calls Acquire again, and this call arrives before the return. If the owner repeated
+// the old grant, the request would be refused after four attempts on the crashed engine
+// although others are idle.
 func TestAcquireThatOvertakesTheReturnGetsAnotherUpstream(t *testing.T) {
 	o := newTestOwner(t, 3)
-	first := ask(t, o)
-	second := ask(t, o, first.Upstreams...)
+	first := acquire(t, o)
+	second := acquire(t, o, first.Upstreams...)
 	require.NotEqual(t, first.Upstreams, second.Upstreams)
 
-	// The late return must not take the new grant away.
+	// The late return of the first grant must not end the second one.
 	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: first.ID, Request: first.Request, Outcome: decide.Died}, &peer.Empty{}))
-	require.Equal(t, second.ID, ask(t, o, first.Upstreams...).ID)
+	require.Equal(t, second.ID, acquire(t, o, first.Upstreams...).ID)
 }
 
-// A gate loses its connection after the owner granted, and asks again under the
-// same id. A second grant would hold memory twice for one request.
+// A gate loses its connection after the owner granted its request, and calls Acquire
+// again under the same id. A second grant would reserve memory twice for one request.
 func TestAcquireTwiceGetsTheSameGrant(t *testing.T) {
 	o := newTestOwner(t, 3)
-	require.Equal(t, ask(t, o).ID, ask(t, o).ID)
+	require.Equal(t, acquire(t, o).ID, acquire(t, o).ID)
 }
 
-// The only engine of a failure domain dies under a request. Queued behind it again, an
-// alert lookup would wait until its time is over, though other failure domains are idle.
-func TestRequestThatFailedOnEveryUpstreamIsSentOnAtOnce(t *testing.T) {
+// The only engine of a failure domain crashes while it runs a request. If the request
+// were queued in the same pool again, it would wait until its deadline although other
+// failure domains are idle.
+func TestRequestThatFailedOnEveryUpstreamIsRefusedAtOnce(t *testing.T) {
 	o := newTestOwner(t, 1)
-	g := ask(t, o)
+	g := acquire(t, o)
 	r := decide.Request{ID: g.Request, Workspace: "wards", Gate: "vm-1.1", Urgency: 1, Prompt: 10, Output: 10, Repeatable: true, Avoid: g.Upstreams}
 	var reply peer.AcquireReply
 	require.NoError(t, o.Acquire(peer.AcquireArgs{Pool: testPool, Left: 3 * clock.Second, Request: r}, &reply))
--- a/daemon/pool/reap.go
+++ b/daemon/pool/reap.go
@@ -14,37 +14,41 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Times of the reaper.
+// Timing and limits of polling and of freeing orphaned memory.
 const (
-	// unexplained is how long a request must be on an engine without a grant
-	// before its gate is asked: longer than a renewal and the lag of reports.
-	unexplained = 3 * clock.Second
-	// skew allows for the difference between the clocks of two VMs.
-	skew = 10 * clock.Second
-	// awayAfter is how many looks in a row an engine leaves unanswered before it gets
-	// no new work: one may be lost on the way.
-	awayAfter = 2
-	// pollers bounds the looks at engines that run at once.
-	pollers = 32
+	// orphanGrace is how long an engine must report a request without a live grant
+	// before the gate of the request is asked about it. It is longer than the renewal
+	// interval plus the delay of the engine's reports.
+	orphanGrace = 3 * clock.Second
+	// maxClockSkew is the largest expected difference between the clocks of two VMs.
+	maxClockSkew = 10 * clock.Second
+	// missedPollLimit is the number of consecutive unanswered polls after which an engine
+	// gets no new work. A single poll may fail because a message was lost.
+	missedPollLimit = 2
+	// maxConcurrentCalls bounds the number of engines that are called concurrently.
+	maxConcurrentCalls = 32
 )
 
-// stray is memory on an engine that no live grant explains.
-type stray struct {
+// orphan is memory that an engine uses for a request without a live grant there.
+type orphan struct {
 	upstream document.Upstream
 	request  decide.RequestID
-	// handle is set for an export.
+	// handle identifies the export that uses the memory; it is empty if the request
+	// itself is running.
 	handle string
 }
 
-// poll looks at every engine's report, again and again.
-func (p *Pool) poll() {
+// pollPeriodically polls all engines at pollInterval until the pool is closed.
+func (p *Pool) pollPeriodically() {
 	after := map[decide.UpstreamID]uint64{}
-	p.look(after)
-	guard.Every(p.ctx, pollEvery, func() { p.look(after) })
+	p.pollOnce(after)
+	guard.Every(p.ctx, pollInterval, func() { p.pollOnce(after) })
 }
 
-// look takes one report of each engine and cancels what is proved abandoned.
-func (p *Pool) look(after map[decide.UpstreamID]uint64) {
+// pollOnce fetches one report and the new events of each engine, passes them to the
+// scheduler, and frees memory of requests that their gates no longer hold. Argument
+// after has the number of the last event received from each upstream.
+func (p *Pool) pollOnce(after map[decide.UpstreamID]uint64) {
 	p.mu.Lock()
 	us := make([]document.Upstream, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
@@ -56,32 +60,33 @@
 	loads := make([]*engine.Load, len(us))
 	events := make([][]engine.Event, len(us))
 	g, ctx := errgroup.WithContext(p.ctx)
-	g.SetLimit(pollers)
+	g.SetLimit(maxConcurrentCalls)
 	for i, u := range us {
 		seq := after[decide.UpstreamID(u.Name)]
 		g.Go(func() error {
-			loads[i], events[i] = p.ask(ctx, u.Address, seq)
+			loads[i], events[i] = p.fetch(ctx, u.Address, seq)
 			return nil
 		})
 	}
 	_ = g.Wait()
-	p.attend(us, loads)
-	var strays []stray
+	p.updateReachability(us, loads)
+	var orphans []orphan
 	for i, u := range us {
 		if loads[i] == nil {
 			continue
 		}
-		strays = append(strays, p.report(u, *loads[i])...)
-		p.hint(u, events[i], after)
+		orphans = append(orphans, p.applyReport(u, *loads[i])...)
+		p.applyEvents(u, events[i], after)
 	}
-	p.reap(strays)
+	p.freeOrphans(orphans)
 	p.wake()
 }
 
-// attend shuts engines out that do not answer, until they do.
-// An engine that died holds no grant, so it looks idle and would be chosen first. An owner to which no engine answers may be the one that
-// is cut off, and shuts out none.
-func (p *Pool) attend(us []document.Upstream, loads []*engine.Load) {
+// updateReachability excludes engines that do not answer polls from new work until they
+// answer. An engine that crashed has no grants, so it would look idle and be chosen first.
+// If no engine at all answers, this owner may be the one that is cut off from the network,
+// and no engine is excluded.
+func (p *Pool) updateReachability(us []document.Upstream, loads []*engine.Load) {
 	if p.ctx.Err() != nil || !slices.ContainsFunc(loads, func(l *engine.Load) bool { return l != nil }) {
 		return
 	}
@@ -90,21 +95,21 @@
 	now := p.owner.clock.Now()
 	for i, u := range us {
 		id := decide.UpstreamID(u.Name)
-		before := p.missed[id]
-		p.missed[id] = before + 1
+		before := p.missedPolls[id]
+		p.missedPolls[id] = before + 1
 		if loads[i] != nil {
-			p.missed[id] = 0
+			p.missedPolls[id] = 0
 		}
-		x, ours := p.upstreams[id]
-		if ours && (before >= awayAfter) != (p.missed[id] >= awayAfter) {
-			p.owner.log.Info().Str("upstream", u.Name).Bool("answers", loads[i] != nil).Msg("engine")
-			p.set(now, x)
+		x, current := p.upstreams[id]
+		if current && (before >= missedPollLimit) != (p.missedPolls[id] >= missedPollLimit) {
+			p.owner.log.Info().Str("upstream", u.Name).Bool("answers", loads[i] != nil).Msg("upstream reachability changed")
+			p.setUpstream(now, x)
 		}
 	}
 	p.tick(now)
 }
 
-func (p *Pool) ask(ctx context.Context, address string, after uint64) (*engine.Load, []engine.Event) {
+func (p *Pool) fetch(ctx context.Context, address string, after uint64) (*engine.Load, []engine.Event) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	l, err := p.owner.engines.Load(ctx, address)
@@ -118,31 +123,33 @@
 	return &l, es
 }
 
-// report feeds a report to the tables and returns what no live grant explains.
-func (p *Pool) report(u document.Upstream, l engine.Load) []stray {
+// applyReport passes the load report of an engine to the scheduler, and returns the memory
+// in it that belongs to no live grant.
+func (p *Pool) applyReport(u document.Upstream, l engine.Load) []orphan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
 	r := decide.Report{At: now, Used: l.Used, Leaving: l.Leaving}
-	var strays []stray
+	var orphans []orphan
 	for _, x := range l.Running {
 		r.Running = append(r.Running, x.ID)
-		if !p.explained(x.ID, u.Name) {
-			strays = append(strays, stray{upstream: u, request: x.ID})
+		if !p.hasGrantOn(x.ID, u.Name) {
+			orphans = append(orphans, orphan{upstream: u, request: x.ID})
 		}
 	}
 	for _, x := range l.Exports {
-		if !p.explained(x.Request, u.Name) {
-			strays = append(strays, stray{upstream: u, request: x.Request, handle: x.Handle})
+		if !p.hasGrantOn(x.Request, u.Name) {
+			orphans = append(orphans, orphan{upstream: u, request: x.Request, handle: x.Handle})
 		}
 	}
-	p.core.Report(now, decide.UpstreamID(u.Name), r)
+	p.scheduler.Report(now, decide.UpstreamID(u.Name), r)
 	p.reports[decide.UpstreamID(u.Name)] = r
-	return strays
+	return orphans
 }
 
-// explained reports whether a live grant puts the request on the upstream. It needs mu.
-func (p *Pool) explained(id decide.RequestID, upstream string) bool {
+// hasGrantOn reports whether the request has a live grant on the upstream. The caller
+// holds mu.
+func (p *Pool) hasGrantOn(id decide.RequestID, upstream string) bool {
 	g, ok := p.granted[id]
 	if !ok {
 		return false
@@ -155,22 +162,24 @@
 	return false
 }
 
-func (p *Pool) hint(u document.Upstream, es []engine.Event, after map[decide.UpstreamID]uint64) {
+func (p *Pool) applyEvents(u document.Upstream, es []engine.Event, after map[decide.UpstreamID]uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := decide.UpstreamID(u.Name)
 	now := p.owner.clock.Now()
 	for _, e := range es {
-		p.core.Hint(now, id, decide.Hint{Seq: e.Seq, Prefix: e.Prefix, Evicted: e.Evicted})
+		p.scheduler.Hint(now, id, decide.Hint{Seq: e.Seq, Prefix: e.Prefix, Evicted: e.Evicted})
 		after[id] = max(after[id], e.Seq)
 	}
 }
 
-// reap cancels requests and drops exports whose gate is proved not to hold them.
-// A lapsed lease is no proof that the gate is gone, since this owner may be the one that is cut off. So memory is freed on evidence: the gate
-// says that it does not hold the request, that life of the gate is over, or the request's time has passed by more than clocks differ.
-func (p *Pool) reap(strays []stray) {
-	due := p.due(strays)
+// freeOrphans cancels requests and drops exports that are certain not to be held by their
+// gate. An expired lease is not enough, because this owner may be the one that is cut off from
+// the network. Memory is freed only if the gate denies holding the request, the gate
+// process has ended, or the deadline of the request has passed by more than the clocks of
+// two VMs can differ.
+func (p *Pool) freeOrphans(orphans []orphan) {
+	due := p.persistentOrphans(orphans)
 	if len(due) == 0 {
 		return
 	}
@@ -182,45 +191,47 @@
 	defer cancel()
 	evidence := p.owner.gates.Evidence(ctx, ids)
 	now := p.owner.clock.Now()
-	// At the same time: one after the other, what a dead gate left on an engine that
-	// stands still would keep the reports of all others from being read for a second each.
+	// The calls run concurrently. In sequence, each call to a paused engine would take
+	// a full timeout of one second, and reports of all engines would not be fetched
+	// meanwhile. A crashed gate can leave many requests on such an engine.
 	var g errgroup.Group
-	g.SetLimit(pollers)
+	g.SetLimit(maxConcurrentCalls)
 	for _, s := range due {
-		if evidence[s.request] == Gone || overdue(s.request, now) {
-			g.Go(func() error { p.free(s); return nil })
+		if evidence[s.request] == Gone || deadlinePassed(s.request, now) {
+			g.Go(func() error { p.freeOrphan(s); return nil })
 		}
 	}
 	_ = g.Wait()
 }
 
-// due returns the strays that were unexplained for long enough.
-func (p *Pool) due(strays []stray) []stray {
+// persistentOrphans returns the orphans that have been reported for longer than
+// orphanGrace.
+func (p *Pool) persistentOrphans(orphans []orphan) []orphan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
-	old := p.seen
-	p.seen = make(map[decide.RequestID]clock.Milli, len(strays))
-	var out []stray
-	for _, s := range strays {
+	old := p.orphanSince
+	p.orphanSince = make(map[decide.RequestID]clock.Milli, len(orphans))
+	var out []orphan
+	for _, s := range orphans {
 		first, ok := old[s.request]
 		if !ok {
 			first = now
 		}
-		p.seen[s.request] = first
-		if now-first >= unexplained {
+		p.orphanSince[s.request] = first
+		if now-first >= orphanGrace {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func overdue(id decide.RequestID, now clock.Milli) bool {
+func deadlinePassed(id decide.RequestID, now clock.Milli) bool {
 	o, ok := peer.ParseRequest(id)
-	return ok && now > o.Deadline+skew
+	return ok && now > o.Deadline+maxClockSkew
 }
 
-func (p *Pool) free(s stray) {
+func (p *Pool) freeOrphan(s orphan) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
 	var err error
@@ -230,5 +241,5 @@
 		err = p.owner.engines.Cancel(ctx, s.upstream.Address, s.request)
 	}
 	p.owner.log.Info().Str("upstream", s.upstream.Name).Str("request", string(s.request)).
-		Str("handle", s.handle).Err(err).Msg("freed memory that no gate holds")
+		Str("handle", s.handle).Err(err).Msg("tried to free engine memory of a request that its gate no longer holds")
 }
--- a/daemon/pool/witness.go
+++ b/daemon/pool/witness.go
@@ -10,9 +10,9 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Directory finds members by name.
+// Directory looks up members by the name of their VM.
 type Directory interface {
-	// Find returns the newest word on a VM, and whether it counts as live.
+	// Find returns the latest membership entry of a VM, and whether the VM is live.
 	Find(v peer.VM) (m peer.Member, live, known bool)
 }
 
@@ -21,16 +21,16 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Witness finds out from gates whether they still hold requests.
+// Witness asks gates whether they still hold requests. It implements Gates.
 type Witness struct {
 	directory Directory
 	peers     Peers
 }
 
-// NewWitness returns a witness that asks the members of d.
+// NewWitness returns a client that looks up gates in d and calls them through p.
 func NewWitness(d Directory, p Peers) *Witness { return &Witness{directory: d, peers: p} }
 
-// Evidence implements Gates. It asks each gate once, all at the same time.
+// Evidence implements Gates. It sends one call to each gate, to all gates concurrently.
 func (w *Witness) Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := make(map[decide.RequestID]Evidence, len(ids))
 	byGate := map[decide.GateID][]decide.RequestID{}
@@ -43,12 +43,12 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, of := range byGate {
+	for _, requests := range byGate {
 		wg.Go(func() {
-			es := w.ask(ctx, of)
+			es := w.askGate(ctx, requests)
 			mu.Lock()
 			defer mu.Unlock()
-			for i, id := range of {
+			for i, id := range requests {
 				out[id] = es[i]
 			}
 		})
@@ -57,8 +57,8 @@
 	return out
 }
 
-// ask returns the evidence on requests of one gate.
-func (w *Witness) ask(ctx context.Context, ids []decide.RequestID) []Evidence {
+// askGate returns the evidence on requests that all have the same gate.
+func (w *Witness) askGate(ctx context.Context, ids []decide.RequestID) []Evidence {
 	es := make([]Evidence, len(ids))
 	o, _ := peer.ParseRequest(ids[0])
 	m, _, known := w.directory.Find(o.VM)
@@ -66,14 +66,14 @@
 		return es
 	}
 	if m.Incarnation > o.Incarnation {
-		return all(es, Gone)
+		return fill(es, Gone)
 	}
 	var reply peer.HoldsReply
 	err := w.peers.Call(ctx, m.Address, "Gate.Holds", peer.HoldsArgs{Requests: ids}, &reply)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		// The VM answers and says that nothing listens there: the process is gone.
-		return all(es, Gone)
+		// The VM is up and nothing listens on the port, so the process has ended.
+		return fill(es, Gone)
 	case err != nil || len(reply.Held) != len(ids):
 		return es
 	}
@@ -86,7 +86,7 @@
 	return es
 }
 
-func all(es []Evidence, e Evidence) []Evidence {
+func fill(es []Evidence, e Evidence) []Evidence {
 	for i := range es {
 		es[i] = e
 	}
