--- a/daemon/claim/breaker.go
+++ b/daemon/claim/breaker.go
@@ -6,43 +6,44 @@
 	"snipeshift.example/lib/clock"
 )
 
-// breaker shortens the time of claims while the store does not answer.
-// Claims that cannot be answered then fail in a fraction of their timeout. One at a time keeps the whole time, or a store that is only
-// slow would be taken to be out for good.
+// breaker is a circuit breaker that shortens the timeout of claims while the store does
+// not respond, so that claims fail in a fraction of their full timeout. Periodically one
+// claim may use its full timeout as a probe; otherwise a store that is merely slow would
+// be considered unavailable for ever.
 type breaker struct {
 	mu sync.Mutex
-	// open is set while the store is taken to be out.
+	// open is set while the store is considered unavailable.
 	open bool
-	// probe is when the next claim may take its whole time while open.
-	probe clock.Milli
+	// nextProbe is when the next claim may use its full timeout while the breaker is open.
+	nextProbe clock.Milli
 }
 
-// whole tells whether a claim may take its whole time; rest is the time between
-// two that may while the store is out.
-func (b *breaker) whole(now, rest clock.Milli) bool {
+// allowFull reports whether a claim may use its full timeout. While the breaker is open, one
+// claim per probeInterval may.
+func (b *breaker) allowFull(now, probeInterval clock.Milli) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.open {
 		return true
 	}
-	if now < b.probe {
+	if now < b.nextProbe {
 		return false
 	}
-	b.probe = now + rest
+	b.nextProbe = now + probeInterval
 	return true
 }
 
-// failed notes that the store did not answer.
-func (b *breaker) failed(now, rest clock.Milli) {
+// recordFailure records that the store did not respond, and opens the breaker.
+func (b *breaker) recordFailure(now, probeInterval clock.Milli) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.open {
-		b.open, b.probe = true, now+rest
+		b.open, b.nextProbe = true, now+probeInterval
 	}
 }
 
-// worked notes that the store answered.
-func (b *breaker) worked() {
+// recordSuccess records that the store responded, and closes the breaker.
+func (b *breaker) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.open = false
--- a/daemon/claim/claim.go
+++ b/daemon/claim/claim.go
@@ -1,16 +1,18 @@
-// Package claim gives each request that must not be repeated to one gate only.
+// Package claim ensures that each request that must not run twice is sent to an upstream
+// by at most one gate. A gate is the VM that holds the client connection of a request.
 //
-// A gate claims the workspace and idempotency key before the first byte of the
-// request goes to an upstream. Claims stand in journals in the platform's
-// store, one for each shard of the keys. One VM is the home of a shard, so that
-// many claims share a write; but who is home is only a matter of speed. Any VM
-// may write a journal, and exclusion comes from nothing but the conditional
-// write: each one is tied to the version it was decided on.
+// A gate claims the pair of workspace and idempotency key before it sends the first byte
+// of the request to an upstream. Claims are recorded in journals in the platform's
+// store, one journal for each shard of the keys. Each shard has a home, the VM that
+// normally writes its journal, so that many claims share one write. The home is only an
+// optimization: any VM may write any journal, and mutual exclusion relies solely on
+// conditional writes, each of which succeeds only on the version of the journal on which
+// its decisions are based.
 //
-// What a gate must do: dispatch only after ClaimWon, and look at the time
-// between that answer and the first byte. A gate that was frozen in between may
-// have run out of the request's allowed time; it then calls Release and answers
-// "not run". It never dispatches after any other answer.
+// A gate must send the request only after ClaimWon and after no other reply. It must
+// also check the time between that reply and the first byte: a gate that was frozen in
+// between may have passed the deadline of the request. It then calls Release and
+// answers the client that the request did not run.
 package claim
 
 import (
@@ -35,7 +37,7 @@
 	Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error
 }
 
-// Caller calls a method of a peer.
+// Caller calls methods of other VMs over net/rpc.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
@@ -51,38 +53,42 @@
 	Live() []peer.Member
 }
 
-// Rules bound the journals.
+// Rules are the timing and size limits of the journals.
 type Rules struct {
-	// Pace is the least time between two writes of one shard.
+	// Pace is the shortest interval between two writes of one shard.
 	Pace clock.Milli
-	// Commit bounds the work on one batch, Attempts its conditional writes.
-	Commit   clock.Milli
+	// Commit is the timeout for committing one batch.
+	Commit clock.Milli
+	// Attempts is the largest number of conditional writes tried for one batch.
 	Attempts int
-	// Batch is the most ops in one write, Queue the most withdrawals that wait.
+	// Batch is the largest number of operations in one write. Queue is the number of
+	// queued operations of a shard from which on withdrawals are discarded.
 	Batch, Queue int
-	// Page is the size in bytes, and Window the age, at which a page is moved
-	// to an archive. Page and a whole batch stay under the store's limit.
-	Page   int
+	// Page is the size in bytes above which the records of a page are moved to an
+	// archive. A page of this size and a full batch together fit the store's limit.
+	Page int
+	// Window is the age of a page's oldest record above which its records are moved.
 	Window clock.Milli
-	// Archive is the largest size in bytes that merged archives reach.
+	// Archive is the largest size in bytes of merged archives.
 	Archive int
-	// Retention is how long a key is remembered at least.
+	// Retention is the minimum time for which a key is remembered.
 	Retention clock.Milli
-	// Retry is the time between two tries to write what a caller doesn't wait for.
+	// Retry is the interval between attempts to record a settlement, and the delay
+	// before a claim that may have been written is withdrawn.
 	Retry clock.Milli
-	// Rest is the time between two claims that take their whole time while the
-	// store does not answer; the others' commits are bounded by Brief. With Rest
-	// zero all take their whole time.
+	// Rest is the interval at which one claim may use its full timeout while the store
+	// does not respond, and Brief is the commit timeout of all other claims during that
+	// time. If Rest is zero, all claims use their full timeout.
 	Rest, Brief clock.Milli
-	// Home is the timeout of a call to the home of a shard. A claim waits up to a
-	// Pace there; twice Home fits into the 1.5 s that a gate gives a claim.
+	// Home is the timeout of a call to the home of a shard. A claim waits there for up
+	// to one Pace. Two such calls fit into the 1.5 s that a gate allows for a claim.
 	Home clock.Milli
 }
 
-// DefaultRules allow 64 shards x 5 = 320 writes a second at the most, of the
-// several hundred that the store takes. Each claim writes its page, so a page is
-// short: 16 KB. A batch of 100 answers of 4 KB in base64 makes 600 KB with it, of
-// the 1 MB that a value may have.
+// DefaultRules allow at most 64 shards x 5 = 320 writes per second, of the several
+// hundred that the store can handle. Every commit writes the whole page, so pages are
+// kept short, at 16 KB. Together with a batch of 100 answers of 4 KB each in base64 that
+// makes 600 KB, within the store's limit of 1 MB per value.
 var DefaultRules = Rules{
 	Pace: 200, Commit: 2 * clock.Second, Attempts: 8,
 	Batch: 100, Queue: 10000,
@@ -90,21 +96,21 @@
 	Retry: clock.Second, Rest: clock.Second, Brief: 250, Home: 700,
 }
 
-// Kept is the largest answer in bytes that a journal keeps.
+// Kept is the size in bytes up to which the journal stores an answer.
 const Kept = 4096
 
-// Ticket is a claim that was won.
+// Ticket identifies a claim that was won.
 type Ticket struct {
 	Workspace decide.WorkspaceID
 	Key       string
-	// Nonce stands in the journal.
+	// Nonce identifies the claim in the journal.
 	Nonce string
 }
 
-// Claims claims keys, here or at the home of their shard.
+// Claims claims idempotency keys, on this VM or through the home of their shard.
 type Claims struct {
 	store  Store
-	caller Caller
+	client Caller
 	clock  Clock
 	rules  Rules
 	peers  Peers
@@ -115,51 +121,53 @@
 	shards map[shardID]*shard
 }
 
-// New returns claims kept in a store.
+// New returns Claims whose journals are in s.
 func New(s Store, c Caller, k Clock, r Rules, p Peers) *Claims {
-	return &Claims{store: s, caller: c, clock: k, rules: r, peers: p, shards: map[shardID]*shard{}}
+	return &Claims{store: s, client: c, clock: k, rules: r, peers: p, shards: map[shardID]*shard{}}
 }
 
-// Claim claims a key. The nonce is made by the gate for this request alone and
-// is never used again. On ClaimWon the ticket is to be settled or released.
+// Claim claims a key. The gate generates the nonce for this request alone and never uses
+// it again. After ClaimWon the gate must settle or release the ticket.
 func (c *Claims) Claim(ctx context.Context, w decide.WorkspaceID, key, nonce string) (Ticket, peer.ClaimReply) {
 	k, id := digestOf(w, key)
 	self := c.peers.Self()
 	t := Ticket{Workspace: w, Key: key, Nonce: nonce}
-	var void []string
+	var voidNonces []string
 	for _, h := range c.homes(id) {
 		if h.VM == self.VM {
 			break
 		}
-		reply, err := c.there(ctx, h, t, void)
+		reply, err := c.claimRemotely(ctx, h, t, voidNonces)
 		if err == nil {
 			return t, reply
 		}
-		// It may be dead, or may have written the claim and its answer got lost.
-		// The next nonce takes over from the ones before in one write: what was
-		// written of them is released there, and what comes later is void.
-		void = append(void, t.Nonce)
+		// The home may have crashed, or it may have written the claim and its reply was
+		// lost. So the next attempt uses a new nonce, and the write that claims the key
+		// under it also voids the earlier nonces: it releases a claim under one of them
+		// that is in the journal already, and prevents one from being written later.
+		voidNonces = append(voidNonces, t.Nonce)
 		t.Nonce += "+"
 	}
-	return t, c.here(ctx, id, &op{key: k, nonce: t.Nonce, want: claimed, void: void})
+	return t, c.runLocally(ctx, id, &op{key: k, nonce: t.Nonce, want: claimed, voidNonces: voidNonces})
 }
 
-// Settle records the answer to a claim that was won; answers over Kept bytes
-// are not kept. It tries until it is written or ctx ends, so it is called
-// beside the answer to the caller, not before it.
+// Settle records the answer of a request whose claim was won; an answer of more than Kept
+// bytes is recorded without its content. It retries until the record is written or ctx
+// ends, so it should run concurrently with the response to the client and not delay it.
 func (c *Claims) Settle(ctx context.Context, t Ticket, status int, answer []byte) error {
 	if len(answer) > Kept {
 		status, answer = 0, nil
 	}
-	return c.end(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Status: status, Answer: answer})
+	return c.settleWithRetries(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Status: status, Answer: answer})
 }
 
-// Release gives a key back. The gate must be certain that nothing was sent.
+// Release makes a key available again. The gate must be certain that nothing of the
+// request was sent. Like Settle it retries until ctx ends.
 func (c *Claims) Release(ctx context.Context, t Ticket) error {
-	return c.end(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Released: true})
+	return c.settleWithRetries(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Released: true})
 }
 
-func (c *Claims) end(ctx context.Context, a *peer.SettleArgs) error {
+func (c *Claims) settleWithRetries(ctx context.Context, a *peer.SettleArgs) error {
 	for {
 		if c.settleOnce(ctx, a) {
 			return nil
@@ -174,7 +182,8 @@
 	}
 }
 
-// settleOnce repeats freely: a record that stands already is not written again.
+// settleOnce tries once to record the end of a claim. It may be repeated, because a
+// record that is in the journal already is not written again.
 func (c *Claims) settleOnce(ctx context.Context, a *peer.SettleArgs) bool {
 	_, id := digestOf(a.Workspace, a.Key)
 	for _, h := range c.homes(id) {
@@ -185,54 +194,55 @@
 			return true
 		}
 	}
-	return c.settleHere(ctx, a)
+	return c.settleLocally(ctx, a)
 }
 
 func (c *Claims) call(ctx context.Context, to peer.Member, method string, args, reply any) error {
 	limited, cancel := context.WithTimeout(ctx, c.rules.Home.Duration())
 	defer cancel()
-	return c.caller.Call(limited, to.Address, Name+method, args, reply)
+	return c.client.Call(limited, to.Address, Name+method, args, reply)
 }
 
-func (c *Claims) settleHere(ctx context.Context, a *peer.SettleArgs) bool {
+func (c *Claims) settleLocally(ctx context.Context, a *peer.SettleArgs) bool {
 	k, id := digestOf(a.Workspace, a.Key)
 	o := &op{key: k, nonce: a.Nonce, want: done, status: a.Status, answer: a.Answer}
 	if a.Released {
 		o.want = released
 	}
-	return c.here(ctx, id, o).Fault == nil
+	return c.runLocally(ctx, id, o).Fault == nil
 }
 
-// homes are where the claims of a shard meet, so that they share a write: the
-// home, and the one that stands in for it while it does not answer. Were each VM
-// to act by itself then, each would have to read the whole journal first.
+// homes returns the VMs that write the journal of a shard: its home and the VM that stands
+// in for the home while it does not respond. Without a stand-in, each VM would write the
+// journal itself, and would have to read the whole journal first.
 func (c *Claims) homes(id shardID) []peer.Member {
 	ranked := member.Rank("claims/"+string(id.page()), c.peers.Live())
 	return ranked[:min(len(ranked), 2)]
 }
 
-func (c *Claims) there(ctx context.Context, home peer.Member, t Ticket, void []string) (peer.ClaimReply, error) {
-	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: void, Left: c.rules.Home}
+func (c *Claims) claimRemotely(ctx context.Context, home peer.Member, t Ticket, voidNonces []string) (peer.ClaimReply, error) {
+	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: voidNonces, Left: c.rules.Home}
 	var reply peer.ClaimReply
 	err := c.call(ctx, home, ".Claim", args, &reply)
 	return reply, err
 }
 
-// here runs an op on this VM and adds an answer that was moved to an archive.
-func (c *Claims) here(ctx context.Context, id shardID, o *op) peer.ClaimReply {
-	if o.want == claimed && !c.breaker.whole(c.clock.Now(), c.rules.Rest) {
+// runLocally runs an operation on this VM. If the key has an answer that was moved to an
+// archive, it is read from there.
+func (c *Claims) runLocally(ctx context.Context, id shardID, o *op) peer.ClaimReply {
+	if o.want == claimed && !c.breaker.allowFull(c.clock.Now(), c.rules.Rest) {
 		o.brief = true
-		// It may have to wait for one commit before its own.
+		// The operation may have to wait for one commit that is under way before its own.
 		limited, cancel := context.WithTimeout(ctx, 2*c.rules.Brief.Duration())
 		defer cancel()
 		ctx = limited
 	}
 	s := c.shard(id)
 	reply := s.do(ctx, o)
-	if reply.State != peer.ClaimDone || reply.Fault != nil || o.in == (archive{}) {
+	if reply.State != peer.ClaimDone || reply.Fault != nil || o.archive == (archive{}) {
 		return reply
 	}
-	return s.recall(ctx, o)
+	return s.readAnswer(ctx, o)
 }
 
 func (c *Claims) shard(id shardID) *shard {
@@ -252,23 +262,23 @@
 // NewReceiver returns the receiver to register under Name.
 func NewReceiver(c *Claims) *Receiver { return &Receiver{claims: c} }
 
-// Claim writes a claim on this VM, whoever is home by now.
+// Claim runs a claim on this VM, whether or not it is the home of the shard.
 func (r *Receiver) Claim(args *peer.ClaimArgs, reply *peer.ClaimReply) error {
 	c := r.claims
-	left := min(args.Left, c.rules.Commit)
-	ctx, cancel := context.WithTimeout(context.Background(), left.Duration())
+	timeout := min(args.Left, c.rules.Commit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
 	defer cancel()
 	k, id := digestOf(args.Workspace, args.Key)
-	*reply = c.here(ctx, id, &op{key: k, nonce: args.Nonce, want: claimed, void: args.Void})
+	*reply = c.runLocally(ctx, id, &op{key: k, nonce: args.Nonce, want: claimed, voidNonces: args.Void})
 	return nil
 }
 
-// Settle records the end of a claim.
+// Settle records the end of a claim: an answer or a release.
 func (r *Receiver) Settle(args *peer.SettleArgs, _ *peer.Empty) error {
 	c := r.claims
 	ctx, cancel := context.WithTimeout(context.Background(), c.rules.Commit.Duration())
 	defer cancel()
-	if !c.settleHere(ctx, args) {
+	if !c.settleLocally(ctx, args) {
 		return platform.ErrUnavailable
 	}
 	return nil
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -19,33 +19,34 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// quick are the rules of tests: the same decisions without waiting.
-func quick() Rules {
+// testRules returns rules for tests, which don't limit the rate of writes or of retries, and
+// never shorten the timeout of a claim.
+func testRules() Rules {
 	r := DefaultRules
 	r.Pace, r.Retry, r.Rest = 0, 1, 0
 	return r
 }
 
-var errCut = errors.New("cut")
+var errNoReply = errors.New("cut")
 
-// wire carries calls between the VMs of one test.
-type wire struct {
+// network delivers calls between the VMs of one test.
+type network struct {
 	mu     sync.Mutex
 	claims map[string]*Claims
-	// lose is how many calls are carried out and lose their answer.
-	lose int
+	// loseReplies is the number of calls to come that are executed but whose reply is lost.
+	loseReplies int
 }
 
-func (w *wire) Call(_ context.Context, address, method string, args, reply any) error {
+func (w *network) Call(_ context.Context, address, method string, args, reply any) error {
 	w.mu.Lock()
 	c := w.claims[address]
-	lost := w.lose > 0
+	lost := w.loseReplies > 0
 	if lost {
-		w.lose--
+		w.loseReplies--
 	}
 	w.mu.Unlock()
 	if c == nil {
-		return errCut
+		return errNoReply
 	}
 	r := NewReceiver(c)
 	var err error
@@ -60,12 +61,12 @@
 		err = r.Settle(args.(*peer.SettleArgs), &peer.Empty{})
 	}
 	if lost {
-		return errCut
+		return errNoReply
 	}
 	return err
 }
 
-// peers is one VM's belief about who is live.
+// peers is the membership as one VM sees it.
 type peers struct {
 	mu   sync.Mutex
 	self peer.Member
@@ -75,7 +76,7 @@
 func (p *peers) Self() peer.Member   { return p.self }
 func (p *peers) Live() []peer.Member { p.mu.Lock(); defer p.mu.Unlock(); return p.live }
 
-func (p *peers) believe(vms ...string) {
+func (p *peers) setLive(vms ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.live = nil
@@ -85,36 +86,36 @@
 }
 
 type fixture struct {
-	store *platformtest.Store
-	wire  *wire
-	rules Rules
-	clock Clock
-	peers map[string]*peers
+	store   *platformtest.Store
+	network *network
+	rules   Rules
+	clock   Clock
+	peers   map[string]*peers
 }
 
 func newFixture() *fixture {
 	return &fixture{
-		store: platformtest.New(), rules: quick(), clock: clock.New(),
-		wire: &wire{claims: map[string]*Claims{}}, peers: map[string]*peers{},
+		store: platformtest.New(), rules: testRules(), clock: clock.New(),
+		network: &network{claims: map[string]*Claims{}}, peers: map[string]*peers{},
 	}
 }
 
-// start begins a life of a VM, which believes that it is alone.
+// start starts a new incarnation of a VM, with itself as the only live member.
 func (x *fixture) start(vm string) *Claims {
 	p := &peers{self: peer.Member{VM: peer.VM(vm), Address: vm}}
-	p.believe(vm)
-	c := New(x.store, x.wire, x.clock, x.rules, p)
-	x.wire.mu.Lock()
-	x.wire.claims[vm] = c
-	x.wire.mu.Unlock()
+	p.setLive(vm)
+	c := New(x.store, x.network, x.clock, x.rules, p)
+	x.network.mu.Lock()
+	x.network.claims[vm] = c
+	x.network.mu.Unlock()
 	x.peers[vm] = p
 	return c
 }
 
-// keyOf returns a key of which "home" and "stand-in" are the homes, in the eyes
-// of the gate, which believes in both.
-func keyOf(t *testing.T, x *fixture, gate *Claims) string {
-	x.peers["gate"].believe("gate", "home", "stand-in")
+// keyWithHomes returns a key whose home is "home" and whose stand-in is "stand-in" in the
+// membership of the gate, and adds both VMs to that membership.
+func keyWithHomes(t *testing.T, x *fixture, gate *Claims) string {
+	x.peers["gate"].setLive("gate", "home", "stand-in")
 	for i := range 1000 {
 		key := fmt.Sprintf("key-%d", i)
 		_, id := digestOf("w", key)
@@ -170,10 +171,10 @@
 	require.Equal(t, peer.ClaimTaken, claimState(t, c, "key", "n3"))
 }
 
-// During a split two VMs both believe that they are home of a shard, and a
-// caller sends the same notice through both at once. Sent twice, a ward would
-// get two SMS; only one of the two may win.
-func TestTwoHomesRacing(t *testing.T) {
+// During a network partition two VMs both consider themselves the home of a shard, and a
+// client sends the same request through both at once. If both claims were won, the
+// notice would be sent twice.
+func TestTwoHomesClaimSameKeyConcurrently(t *testing.T) {
 	x := newFixture()
 	homes := []*Claims{x.start("a"), x.start("b")}
 	for i := range 50 {
@@ -192,8 +193,8 @@
 	}
 }
 
-// The store writes a claim and the answer gets lost, or the write itself does.
-// The gate must learn which, or the request would run twice or never.
+// The store executes the write of a claim and its response is lost, or the write itself
+// is lost. The gate must find out which, or the request would run twice or never.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
@@ -205,8 +206,8 @@
 	require.Equal(t, peer.ClaimTaken, claimState(t, x.start("b"), "key2", "n4"))
 }
 
-// A write gets stuck on its way and arrives after the same claim was written
-// again. It must have no effect any more.
+// A write is delayed and reaches the store after the same claim was written again and
+// released. It must have no effect.
 func TestLateWriteHasNoEffect(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
@@ -219,10 +220,10 @@
 	require.Equal(t, peer.ClaimTaken, claimState(t, c, "key", "n3"))
 }
 
-// All writes of a claim stay without an answer. The gate is told to send
-// nothing; when a write arrives later all the same, the key would stay taken by
-// a request that never ran. It is released, and the caller's next try runs.
-func TestClaimThatNobodyActsOnIsWithdrawn(t *testing.T) {
+// No write of a claim is answered, so the gate does not send the request; then a write
+// takes effect late. Unless the claim is released, the key remains claimed by a request
+// that never ran, and the client's retries are refused.
+func TestUnconfirmedClaimIsWithdrawn(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
 	x.store.DelayWrites(x.rules.Attempts)
@@ -237,9 +238,9 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// The store is out. The caller must be told at once that nothing ran, and when
-// to come back, and after the outage the same key must run.
-func TestOutageIsRefusedAtOnce(t *testing.T) {
+// The store is unavailable. The claim must fail at once, with the information that the
+// request did not run and when to retry. After the outage the same key can be claimed.
+func TestClaimDuringStoreOutageFailsAtOnce(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
 	x.store.Outage(true)
@@ -252,52 +253,52 @@
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key", "n2"))
 }
 
-// timedStore notes how much time the last read was given.
+// timedStore records the timeout of the last read.
 type timedStore struct {
 	*platformtest.Store
-	given atomic.Int64
+	timeout atomic.Int64
 }
 
 func (s *timedStore) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
 	if end, ok := ctx.Deadline(); ok {
-		s.given.Store(int64(time.Until(end)))
+		s.timeout.Store(int64(time.Until(end)))
 	}
 	return s.Store.Get(ctx, k, n)
 }
 
-// The store is silent: calls hang. The first claim waits its whole time to find
-// out. Those that come after must be refused much sooner, and the first one
-// after the outage must run.
-func TestSilentStoreHoldsOneCallerAtATime(t *testing.T) {
+// Calls to the store hang. The first claim waits for its full timeout. Later claims must
+// fail much sooner, and the first claim after the outage must succeed.
+func TestHungStoreDelaysOneClaimPerInterval(t *testing.T) {
 	x := newFixture()
-	hand := &handClock{}
+	hand := &manualClock{}
 	x.rules.Rest, x.rules.Commit, x.rules.Brief = 1000, 300, 5
 	p := &peers{self: peer.Member{VM: "a", Address: "a"}}
-	p.believe("a")
+	p.setLive("a")
 	s := &timedStore{Store: x.store}
-	c := New(s, x.wire, hand, x.rules, p)
+	c := New(s, x.network, hand, x.rules, p)
 	brief := x.rules.Brief.Duration()
 	release := x.store.Hold()
 	refused := func(key string) time.Duration {
 		_, r := c.Claim(t.Context(), "w", key, "n0")
 		require.Equal(t, peer.ClaimUnknown, r.State)
 		require.Equal(t, fault.RanNo, r.Fault.Ran)
-		return time.Duration(s.given.Load())
+		return time.Duration(s.timeout.Load())
 	}
 	require.Greater(t, refused("key-0"), brief)
 	for i := range 10 {
 		require.LessOrEqual(t, refused(fmt.Sprintf("key-%d", i)), brief)
 	}
 	hand.now.Add(int64(x.rules.Rest))
-	require.Greater(t, refused("key-0"), brief, "a slow store would answer this one")
+	require.Greater(t, refused("key-0"), brief, "the probe needs the full timeout, in case the store is only slow")
 	require.LessOrEqual(t, refused("key-0"), brief)
 	release()
 	require.Eventually(t, func() bool { return claimState(t, c, "key-0", "n1") == peer.ClaimWon }, 5*time.Second, time.Millisecond)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key-1", "n1"))
 }
 
-// A hung store must not hold a caller longer than its allowed time.
-func TestHungStoreEndsWithTheCallersTime(t *testing.T) {
+// Calls to the store hang. A claim must end at the deadline of its request, and be
+// released when the store responds again.
+func TestClaimOnHungStoreEndsAtDeadline(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
 	release := x.store.Hold()
@@ -313,9 +314,9 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// Reads of the store lag behind its writes. A VM that sees the journal as it
-// was before a claim must not give the key out a second time.
-func TestStaleReadNeverMakesASecondWinner(t *testing.T) {
+// Reads of the store return old versions. A VM that reads the journal as it was before a
+// claim must not let a second claim on the same key succeed.
+func TestStaleReadNeverLetsASecondClaimWin(t *testing.T) {
 	x := newFixture()
 	a := x.start("a")
 	require.Equal(t, peer.ClaimWon, claimState(t, a, "other", "n0"))
@@ -327,37 +328,37 @@
 	require.Equal(t, peer.ClaimTaken, claimState(t, b, "key", "n3"))
 }
 
-// The home dies right after it wrote a claim, and the gate gets no answer; then
-// its stand-in does so as well. The gate must be able to go on with its request,
-// and nobody else with the same key.
+// The home crashes right after it wrote a claim, so that the gate gets no reply, and then
+// the stand-in does as well. The gate must still win the claim, and no other request with
+// the same key may.
 func TestHomesCrashAfterTheWrite(t *testing.T) {
 	for lost := range 3 {
 		x := newFixture()
 		gate := x.start("gate")
-		key := keyOf(t, x, gate)
+		key := keyWithHomes(t, x, gate)
 		home, standIn := x.start("home"), x.start("stand-in")
-		x.wire.lose = lost
+		x.network.loseReplies = lost
 		ticket, r := gate.Claim(t.Context(), "w", key, "n")
 		require.Equal(t, peer.ClaimWon, r.State)
 		require.Equal(t, "n"+strings.Repeat("+", lost), ticket.Nonce)
-		require.Equal(t, lost == 2, len(gate.shards) == 1, "the gate acts by itself only if both are silent")
+		require.Equal(t, lost == 2, len(gate.shards) == 1, "the gate writes the journal itself only if neither home replies")
 		require.Equal(t, peer.ClaimTaken, claimState(t, home, key, "n2"))
 		require.Equal(t, peer.ClaimTaken, claimState(t, standIn, key, "n3"))
 		if lost > 0 {
 			require.Equal(t, peer.ClaimUnknown, claimState(t, home, key, "n"))
 		}
-		delete(x.wire.claims, "home")
+		delete(x.network.claims, "home")
 		require.NoError(t, gate.Settle(t.Context(), ticket, 200, []byte("x")))
 		require.Equal(t, peer.ClaimDone, claimState(t, x.start("b"), key, "n4"))
 	}
 }
 
-// The home is frozen with the claim before its write, the gate goes on by
-// itself, and the home thaws. Its claim is void by then.
-func TestHomeThawsWithAnOldClaim(t *testing.T) {
+// The home is frozen before it writes a claim, and the gate claims the key itself and
+// releases it. When the home resumes, its write must be rejected.
+func TestVoidClaimOfThawedHomeIsRejected(t *testing.T) {
 	x := newFixture()
 	gate := x.start("gate")
-	key := keyOf(t, x, gate)
+	key := keyWithHomes(t, x, gate)
 	ticket, r := gate.Claim(t.Context(), "w", key, "n1")
 	require.Equal(t, peer.ClaimWon, r.State)
 	require.NoError(t, gate.Release(t.Context(), ticket))
@@ -377,7 +378,7 @@
 		return func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return s.running && len(s.waiting) == n
+			return s.committing && len(s.queue) == n
 		}
 	}
 	var wg sync.WaitGroup
@@ -395,16 +396,16 @@
 	require.Equal(t, uint64(2), x.store.Counts().Writes)
 }
 
-// handClock is a clock that the test moves.
-type handClock struct{ now atomic.Int64 }
+// manualClock is a clock that the test moves.
+type manualClock struct{ now atomic.Int64 }
 
-func (h *handClock) Now() clock.Milli { return clock.Milli(h.now.Load()) }
+func (h *manualClock) Now() clock.Milli { return clock.Milli(h.now.Load()) }
 
-// Pages move to archives as they fill. A VM that becomes home later must know
-// every key of them, and one that can't read an archive must not guess.
+// Full pages are moved to archives. A VM that becomes home later must know all keys in
+// them; if it can't read an archive, claims must fail.
 func TestArchivesKeepKeysAndAnswers(t *testing.T) {
 	x := newFixture()
-	hand := &handClock{}
+	hand := &manualClock{}
 	hand.now.Store(1)
 	x.clock, x.rules.Page = hand, 4*recordSize
 	c := x.start("a")
@@ -431,7 +432,7 @@
 	require.NoError(t, x.store.Delete(t.Context(), Kind, archives[0].Name, platform.Always))
 	require.Equal(t, peer.ClaimUnknown, claimState(t, x.start("c"), keys[0], "n"))
 
-	// Past retention the archives go, and their keys with them.
+	// After the retention time archives and their keys are removed.
 	hand.now.Add(int64(x.rules.Retention) + 1)
 	for _, k := range sameShard(id, 34)[30:] {
 		require.Equal(t, peer.ClaimWon, claimState(t, c, k, "late"))
--- a/daemon/claim/extend.go
+++ b/daemon/claim/extend.go
@@ -8,30 +8,30 @@
 	"snipeshift.example/lib/platform"
 )
 
-// extension is the next state of a page.
+// extension is the next state of a page, with the changes to its list of archives.
 type extension struct {
 	page page
-	// moved is set when the earlier records are in an archive now.
-	moved bool
-	// expired are archives past retention, and merged those whose records are
-	// in a later one; the page lists neither any more.
+	// rotated is set if the earlier records of the page were moved to an archive.
+	rotated bool
+	// expired are the archives past retention, and merged are those whose records were
+	// copied to a later archive. The page no longer lists any of them.
 	expired, merged []archive
 }
 
-// extend returns the page with records added. A page that is full, or whose
-// window has passed, starts anew, and its records move to an archive.
-func (s *shard) extend(ctx context.Context, add []record) (extension, error) {
+// extend returns the page with records added. If the page is full, or its oldest record
+// too old, its earlier records are moved to an archive first.
+func (s *shard) extend(ctx context.Context, records []record) (extension, error) {
 	if !s.full() {
-		all := slices.Concat(s.page.Records, add)
+		all := slices.Concat(s.page.Records, records)
 		return extension{page: page{Archives: s.page.Archives, Records: all}}, nil
 	}
-	a, merged, err := s.move(ctx)
+	a, merged, err := s.rotate(ctx)
 	if err != nil {
 		return extension{}, err
 	}
-	left := s.page.Archives[:len(s.page.Archives)-len(merged)]
-	e := extension{page: page{Records: add}, moved: true, merged: merged}
-	for _, o := range append(slices.Clone(left), a) {
+	remaining := s.page.Archives[:len(s.page.Archives)-len(merged)]
+	e := extension{page: page{Records: records}, rotated: true, merged: merged}
+	for _, o := range append(slices.Clone(remaining), a) {
 		if o.Until < s.clock.Now()-s.rules.Retention {
 			e.expired = append(e.expired, o)
 		} else {
@@ -41,14 +41,14 @@
 	return e, nil
 }
 
-// move writes the records of the page, and those of the archives to be merged
+// rotate writes the records of the page, and those of the archives to be merged
 // with them, to a new archive.
-func (s *shard) move(ctx context.Context) (a archive, merged []archive, err error) {
+func (s *shard) rotate(ctx context.Context) (a archive, merged []archive, err error) {
 	records := s.page.Records
 	merged = s.mergeable(len((&page{Records: records}).encode()))
-	older, err := s.fetch(ctx, merged)
+	older, err := s.readArchives(ctx, merged)
 	if err != nil {
-		// Merging can wait; the claims can't.
+		// Don't delay the claims for the merge, which a later rotation can do.
 		older, merged = nil, nil
 	}
 	for _, p := range slices.Backward(older) {
@@ -59,13 +59,13 @@
 	for _, r := range records {
 		a.Until = max(a.Until, r.At)
 	}
-	return a, merged, s.keep(ctx, a, value)
+	return a, merged, s.putArchive(ctx, a, value)
 }
 
-// mergeable picks the newest archives that together are about as large as
-// what is added to them. So each record is moved only a few times more, as its
-// archive doubles, and the list in the page, which is written with each claim,
-// stays short.
+// mergeable returns the newest archives whose total size is about that of the records
+// to be merged with them, size bytes. An archive roughly doubles with each merge, so
+// each record is copied only a few times, and the list of archives, which is written with
+// every commit, stays short.
 func (s *shard) mergeable(size int) []archive {
 	as := s.page.Archives
 	from := len(as)
@@ -81,9 +81,9 @@
 	return slices.Clone(as[from:])
 }
 
-// keep writes an archive. If it exists already, another attempt wrote the
-// same content.
-func (s *shard) keep(ctx context.Context, a archive, value []byte) error {
+// putArchive writes an archive. If the object exists already, an earlier attempt or another VM
+// wrote the same content.
+func (s *shard) putArchive(ctx context.Context, a archive, value []byte) error {
 	_, err := s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
 	if errors.Is(err, platform.ErrUnknown) {
 		_, err = s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
@@ -94,7 +94,8 @@
 	return err
 }
 
-// full tells whether the page has to be moved out before the next record.
+// full reports whether the records of the page must be moved to an archive before more
+// are added.
 func (s *shard) full() bool {
 	if len(s.page.Records) == 0 {
 		return false
@@ -106,12 +107,13 @@
 	return size > s.rules.Page || s.clock.Now()-s.page.Records[0].At > s.rules.Window
 }
 
-// recordSize is what a record without an answer takes at most, in bytes.
+// recordSize is the largest encoded size in bytes of a record without an answer.
 const recordSize = 160
 
-// covering is the archive that holds what was moved out at a version: the
-// first one listed that is not older. The zero archive stands for the page.
-func (s *shard) covering(v platform.Version) archive {
+// archiveOf returns the archive with the records that were moved out of version v of the
+// page: the first one listed whose version is v or later. It returns the zero archive
+// for records that are still in the page, which v = 0 stands for.
+func (s *shard) archiveOf(v platform.Version) archive {
 	if v == 0 {
 		return archive{}
 	}
--- a/daemon/claim/journal.go
+++ b/daemon/claim/journal.go
@@ -14,36 +14,38 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Kind is the collection of the store that holds the journal.
+// Kind is the collection of the store that contains the journals.
 const Kind platform.Kind = "claims"
 
-// Shards is how many journals there are. It is part of the stored format: two
-// VMs that divided keys in different ways would not see each other's claims.
+// Shards is the number of journals. It is part of the stored format: VMs with different
+// values would look for the same key in different journals and miss each other's claims.
 const Shards = 64
 
-// shardID is the number of a journal, below Shards.
+// shardID is the number of a shard, from 0 to Shards-1.
 type shardID int
 
-// page names the one object of a shard that is written to. It is never deleted.
+// page returns the name of the object with the newest records of a shard. It is the only
+// object of the shard that is overwritten, and it is never deleted.
 func (s shardID) page() platform.Name { return platform.Name(fmt.Sprintf("%02x", int(s))) }
 
-// archive names the object of an archive. What the page held at a version, and
-// what stood before it, has one content, so whoever writes it writes the same.
+// archive returns the name of the object of an archive. The page version and the number
+// of merged archives determine its content, so all VMs that write it write the same.
 func (s shardID) archive(a archive) platform.Name {
 	return platform.Name(fmt.Sprintf("%02x-%d-%d", int(s), a.Version, a.Merged))
 }
 
-// digest stands for a workspace and its idempotency key in the journal.
+// digest is a hash of a workspace and an idempotency key, which identifies the pair in
+// the journal.
 type digest string
 
-// digestOf hashes to 128 bits; two keys that meet are out of reach for
-// anyone who can't search 2^64 keys.
+// digestOf returns the digest and the shard of a key. The digest has 128 bits, so finding
+// two keys that collide takes a search of about 2^64 keys.
 func digestOf(w decide.WorkspaceID, key string) (digest, shardID) {
 	h := sha256.Sum256([]byte(string(w) + "\x00" + key))
 	return digest(base64.RawURLEncoding.EncodeToString(h[:16])), shardID(int(h[31]) % Shards)
 }
 
-// state is what a record says.
+// state is the state of a key after a record.
 type state string
 
 const (
@@ -57,29 +59,30 @@
 	Key   digest `json:"key"`
 	Nonce string `json:"nonce"`
 	State state  `json:"state"`
-	// At is the wall clock of the VM that wrote it, for retention only.
+	// At is the time of the record by the wall clock of the VM that wrote it. It is
+	// used only for retention and for the age of a page.
 	At clock.Milli `json:"at"`
-	// Status is zero if the answer was not kept.
+	// Status is the HTTP status of the answer, or zero if the answer was not stored.
 	Status int    `json:"status,omitempty"`
 	Answer []byte `json:"answer,omitempty"`
 }
 
-// page is the value of a shard's object.
+// page is the content of the object that holds the newest records of a shard.
 type page struct {
-	// Archives lists what was moved out, oldest first.
+	// Archives lists the archives with earlier records, oldest first.
 	Archives []archive `json:"archives,omitempty"`
 	Records  []record  `json:"records"`
 }
 
 // archive is an object with records that were moved out of the page.
 type archive struct {
-	// Version is the page's when its records were moved here.
+	// Version is that of the page when its records were moved to the archive.
 	Version platform.Version `json:"version"`
-	// Merged is how many archives before it were merged into this one.
+	// Merged is the number of earlier archives that were merged into this one.
 	Merged int `json:"merged,omitempty"`
-	// Until is the time of its newest record.
+	// Until is the time of the archive's newest record.
 	Until clock.Milli `json:"until"`
-	// Size is in bytes.
+	// Size is the encoded size in bytes.
 	Size int `json:"size"`
 }
 
@@ -99,173 +102,182 @@
 	return p, nil
 }
 
-// entry is what the journal says of one key.
+// entry is the state of one key according to the journal.
 type entry struct {
 	nonce string
 	// state is claimed or done; a released key has no entry.
 	state  state
 	at     clock.Milli
 	status int
-	// answer is kept while its record is in the page.
+	// answer is set only while its record is in the page.
 	answer []byte
-	// in is the page's version when the record was moved out, or that of an
-	// archive it was merged into; zero while it is in the page.
-	in platform.Version
+	// archiveVersion identifies the archive with the record: it is the version of the page
+	// from which the record was moved out, or the Version of an archive that contains the
+	// record. It is zero while the record is in the page.
+	archiveVersion platform.Version
 }
 
-// index is the journal of one shard in memory.
+// index is the in-memory state of a shard's journal.
 type index struct {
 	keys map[digest]entry
-	// void holds nonces that were released, with the time. A claim under such
-	// a nonce may still be on its way and must not be written any more.
-	void map[string]clock.Milli
-	// seen are the keys that a scratch index has copied; see borrow.
-	seen map[digest]bool
+	// voidNonces has the nonces that were released, with the time of release. A claim under
+	// such a nonce may still be on its way and must not be written.
+	voidNonces map[string]clock.Milli
+	// copied is used only in the temporary index of a commit. It has the keys that were
+	// copied from the index of the shard; see copyFrom.
+	copied map[digest]bool
 }
 
-func newIndex() *index { return &index{keys: map[digest]entry{}, void: map[string]clock.Milli{}} }
+func newIndex() *index { return &index{keys: map[digest]entry{}, voidNonces: map[string]clock.Milli{}} }
 
-// fold applies one record, found in an archive or (zero) in the page.
-func (x *index) fold(r record, in platform.Version) {
-	e, held := x.keys[r.Key]
+// apply applies one record. Argument archiveVersion is the Version of the archive with the
+// record, or zero if the record is in the page.
+func (x *index) apply(r record, archiveVersion platform.Version) {
+	e, exists := x.keys[r.Key]
 	switch r.State {
 	case claimed:
-		x.keys[r.Key] = entry{nonce: r.Nonce, state: claimed, at: r.At, in: in}
+		x.keys[r.Key] = entry{nonce: r.Nonce, state: claimed, at: r.At, archiveVersion: archiveVersion}
 	case released:
-		x.void[r.Nonce] = r.At
-		if held && e.nonce == r.Nonce && e.state == claimed {
+		x.voidNonces[r.Nonce] = r.At
+		if exists && e.nonce == r.Nonce && e.state == claimed {
 			delete(x.keys, r.Key)
 		}
 	case done:
-		if held && e.nonce != r.Nonce {
+		if exists && e.nonce != r.Nonce {
 			return
 		}
-		d := entry{nonce: r.Nonce, state: done, at: r.At, status: r.Status, in: in}
-		if in == 0 {
+		d := entry{nonce: r.Nonce, state: done, at: r.At, status: r.Status, archiveVersion: archiveVersion}
+		if archiveVersion == 0 {
 			d.answer = r.Answer
 		}
 		x.keys[r.Key] = d
 	}
 }
 
-// forget drops what is not newer than a time.
-func (x *index) forget(until clock.Milli) {
+// expire removes the keys and the void nonces with a time of until or earlier.
+func (x *index) expire(until clock.Milli) {
 	for k, e := range x.keys {
 		if e.at <= until {
 			delete(x.keys, k)
 		}
 	}
-	for n, at := range x.void {
+	for n, at := range x.voidNonces {
 		if at <= until {
-			delete(x.void, n)
+			delete(x.voidNonces, n)
 		}
 	}
 }
 
-// archived notes that all records of the page have moved to an archive.
-func (x *index) archived(records []record, v platform.Version) {
+// markArchived records that all records of the page were moved to the archive of version v.
+func (x *index) markArchived(records []record, v platform.Version) {
 	for _, r := range records {
 		e, ok := x.keys[r.Key]
-		if ok && e.in == 0 {
-			e.in, e.answer = v, nil
+		if ok && e.archiveVersion == 0 {
+			e.archiveVersion, e.answer = v, nil
 			x.keys[r.Key] = e
 		}
 	}
 }
 
-// op is one thing asked of a shard.
+// op is one operation on a shard: a claim, a release or the recording of an answer.
 type op struct {
 	key   digest
 	nonce string
 	// want is claimed, released or done.
 	want state
-	// void lists earlier nonces of the same request, withdrawn in the same write.
-	void   []string
-	status int
-	answer []byte
-	// brief ops are given up early, since the store seems to be out.
+	// voidNonces lists earlier nonces of the same request, which are released in the same
+	// write.
+	voidNonces []string
+	status     int
+	answer     []byte
+	// brief is set if the operation has a short timeout because the store seems to be
+	// unavailable.
 	brief bool
 
-	// reply is set once, before ended is closed.
+	// reply is set once, before finished is closed.
 	reply peer.ClaimReply
-	// in is the archive that holds the answer, if it is not in reply.
-	in    archive
-	ended chan struct{}
-	// over is set when the reply is; left when nobody waits for it any more.
-	over, left bool
+	// archive is the archive with the answer, if the answer is not in reply.
+	archive archive
+	// finished is closed when the operation ends. It is nil if nothing waits for that.
+	finished chan struct{}
+	// completed is set once reply is set, and abandoned once the caller has stopped
+	// waiting for the reply.
+	completed, abandoned bool
 }
 
-// verdict is what the index says to an op.
+// verdict is the result of evaluating an operation against the index.
 type verdict struct {
 	reply peer.ClaimReply
-	// in is that of the entry that the reply is made from.
-	in platform.Version
-	// add is what has to be written before the reply is true.
-	add []record
-	// firm verdicts stay true whatever another VM has written meanwhile.
-	firm bool
+	// archiveVersion is copied from the entry from which the reply is derived.
+	archiveVersion platform.Version
+	// records has the records that must be written before the reply is valid.
+	records []record
+	// final is set if the verdict holds whatever other VMs have written meanwhile.
+	final bool
 }
 
-// judge decides one op by the index. It is the only place that lets a claim win.
-func (x *index) judge(o *op, now clock.Milli) verdict {
+// evaluate evaluates an operation against the index. It is the only function that grants a
+// claim.
+func (x *index) evaluate(o *op, now clock.Milli) verdict {
 	if o.want != claimed {
-		return x.judgeSettle(o, now)
+		return x.evaluateSettle(o, now)
 	}
-	if _, void := x.void[o.nonce]; void {
-		return verdict{reply: unknown("the claim was withdrawn"), firm: true}
+	if _, void := x.voidNonces[o.nonce]; void {
+		return verdict{reply: unknownReply("the claim was withdrawn"), final: true}
 	}
-	e, held := x.keys[o.key]
+	e, exists := x.keys[o.key]
 	switch {
-	case held && e.state == done:
-		return verdict{reply: answered(e), in: e.in, firm: true}
-	case held && e.nonce == o.nonce:
-		return verdict{reply: peer.ClaimReply{State: peer.ClaimWon}, firm: true}
-	case held && !slices.Contains(o.void, e.nonce):
-		return verdict{reply: taken()}
+	case exists && e.state == done:
+		return verdict{reply: doneReply(e), archiveVersion: e.archiveVersion, final: true}
+	case exists && e.nonce == o.nonce:
+		return verdict{reply: peer.ClaimReply{State: peer.ClaimWon}, final: true}
+	case exists && !slices.Contains(o.voidNonces, e.nonce):
+		return verdict{reply: takenReply()}
 	}
 	v := verdict{reply: peer.ClaimReply{State: peer.ClaimWon}}
-	for _, n := range o.void {
-		v.add = append(v.add, record{Key: o.key, Nonce: n, State: released, At: now})
+	for _, n := range o.voidNonces {
+		v.records = append(v.records, record{Key: o.key, Nonce: n, State: released, At: now})
 	}
-	v.add = append(v.add, record{Key: o.key, Nonce: o.nonce, State: claimed, At: now})
+	v.records = append(v.records, record{Key: o.key, Nonce: o.nonce, State: claimed, At: now})
 	return v
 }
 
-func (x *index) judgeSettle(o *op, now clock.Milli) verdict {
+func (x *index) evaluateSettle(o *op, now clock.Milli) verdict {
 	r := record{Key: o.key, Nonce: o.nonce, State: o.want, At: now, Status: o.status, Answer: o.answer}
-	_, void := x.void[o.nonce]
-	e, held := x.keys[o.key]
+	_, void := x.voidNonces[o.nonce]
+	e, exists := x.keys[o.key]
 	switch {
-	case void, held && e.nonce == o.nonce && e.state == done:
-		return verdict{firm: true}
-	case o.want == done && held && e.nonce != o.nonce:
+	case void, exists && e.nonce == o.nonce && e.state == done:
+		return verdict{final: true}
+	case o.want == done && exists && e.nonce != o.nonce:
 		return verdict{}
 	}
-	return verdict{add: []record{r}}
+	return verdict{records: []record{r}}
 }
 
-func answered(e entry) peer.ClaimReply {
+func doneReply(e entry) peer.ClaimReply {
 	r := peer.ClaimReply{State: peer.ClaimDone, Status: e.status, Answer: e.answer}
 	if e.status == 0 {
 		f := fault.New(fault.Duplicate, "the key was answered; the answer was too large to be kept").WithRan(fault.RanYes)
-		r.Fault = onWire(f)
+		r.Fault = wireFault(f)
 	}
 	return r
 }
 
-func taken() peer.ClaimReply {
+func takenReply() peer.ClaimReply {
 	f := fault.New(fault.Duplicate, "the key is in use, or its outcome is unknown")
-	return peer.ClaimReply{State: peer.ClaimTaken, Fault: onWire(f)}
+	return peer.ClaimReply{State: peer.ClaimTaken, Fault: wireFault(f)}
 }
 
-// again is when a caller is told to come back after the store was out of reach.
-const again = 2 * clock.Second
+// retryAfter is the time after which clients are asked to retry when the store is
+// unavailable.
+const retryAfter = 2 * clock.Second
 
-func unknown(text string) peer.ClaimReply {
-	f := fault.New(fault.Unavailable, "%s", text).WithRan(fault.RanNo).WithRetry(again)
-	return peer.ClaimReply{State: peer.ClaimUnknown, Fault: onWire(f)}
+func unknownReply(text string) peer.ClaimReply {
+	f := fault.New(fault.Unavailable, "%s", text).WithRan(fault.RanNo).WithRetry(retryAfter)
+	return peer.ClaimReply{State: peer.ClaimUnknown, Fault: wireFault(f)}
 }
 
-func onWire(e *fault.Error) *peer.Fault {
+func wireFault(e *fault.Error) *peer.Fault {
 	return &peer.Fault{Kind: e.Kind, Ran: e.Ran, Retry: e.Retry, Text: e.Text}
 }
--- a/daemon/claim/load.go
+++ b/daemon/claim/load.go
@@ -11,14 +11,15 @@
 	"snipeshift.example/lib/platform"
 )
 
-// errStale is a read that is older than what this VM knows was written.
+// errStale reports that a read returned a version older than one this VM has seen.
 var errStale = platform.Class.New("stale read")
 
-// readers is how many archives are read at once when a shard moves to this VM.
-const readers = 4
+// maxConcurrentReads is the number of archives that are read concurrently when this VM
+// loads a shard.
+const maxConcurrentReads = 4
 
-// load reads the page and the archives that are not in memory yet. A stale
-// read does no harm: what is written on top of it fails its condition.
+// load reads the page and the archives that are not in memory yet. A stale read does no
+// harm, because a conditional write that is based on it fails.
 func (s *shard) load(ctx context.Context) error {
 	o, err := s.store.Get(ctx, Kind, s.id.page())
 	if errors.Is(err, platform.ErrNotFound) && s.version == 0 {
@@ -35,8 +36,8 @@
 	if err != nil {
 		return err
 	}
-	// The page may hold less than before, if another VM moved records out, so
-	// the index is built anew unless nothing changed.
+	// Another VM may have moved records out of the page, so the index is rebuilt unless
+	// the version is unchanged.
 	if o.Version == s.version {
 		s.loaded = true
 		return nil
@@ -48,38 +49,39 @@
 	return nil
 }
 
-// rebuild folds archives and page in their order.
+// rebuild updates the index from the archives and the page, in the order in which they
+// were written.
 func (s *shard) rebuild(ctx context.Context, p page) error {
 	x := s.index
-	if !s.extends(p) {
+	if !s.isExtendedBy(p) {
 		x = newIndex()
-		s.folded = map[platform.Version]bool{}
+		s.loadedArchives = map[platform.Version]bool{}
 	}
 	var missing []archive
 	for _, a := range p.Archives {
-		if !s.folded[a.Version] {
+		if !s.loadedArchives[a.Version] {
 			missing = append(missing, a)
 		}
 	}
-	pages, err := s.fetch(ctx, missing)
+	pages, err := s.readArchives(ctx, missing)
 	if err != nil {
 		return err
 	}
 	for i, a := range missing {
 		for _, r := range pages[i].Records {
-			x.fold(r, a.Version)
+			x.apply(r, a.Version)
 		}
-		s.folded[a.Version] = true
+		s.loadedArchives[a.Version] = true
 	}
 	for _, r := range p.Records {
-		x.fold(r, 0)
+		x.apply(r, 0)
 	}
 	s.index = x
 	return nil
 }
 
-// extends tells whether p only adds records to the page in memory.
-func (s *shard) extends(p page) bool {
+// isExtendedBy reports whether p is the page in memory with only records appended.
+func (s *shard) isExtendedBy(p page) bool {
 	if s.version == 0 || len(p.Archives) != len(s.page.Archives) || len(p.Records) < len(s.page.Records) {
 		return false
 	}
@@ -96,23 +98,23 @@
 	return true
 }
 
-// fetch reads archives. One that can't be read, be it that a stale read does
-// not show it yet, fails the whole: its claims would be forgotten.
-func (s *shard) fetch(ctx context.Context, as []archive) ([]page, error) {
+// readArchives reads archives. If any archive can't be read, for example because a stale
+// read doesn't find it yet, readArchives fails: otherwise the claims in the archive would be lost.
+func (s *shard) readArchives(ctx context.Context, as []archive) ([]page, error) {
 	pages := make([]page, len(as))
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(readers)
+	g.SetLimit(maxConcurrentReads)
 	for i, a := range as {
 		g.Go(func() error {
 			var err error
-			pages[i], err = s.read(ctx, a)
+			pages[i], err = s.readArchive(ctx, a)
 			return err
 		})
 	}
 	return pages, g.Wait()
 }
 
-func (s *shard) read(ctx context.Context, a archive) (page, error) {
+func (s *shard) readArchive(ctx context.Context, a archive) (page, error) {
 	o, err := s.store.Get(ctx, Kind, s.id.archive(a))
 	if err != nil {
 		return page{}, err
@@ -120,10 +122,10 @@
 	return decodePage(o.Value)
 }
 
-// recall reads a kept answer that was moved to an archive with its record.
-func (s *shard) recall(ctx context.Context, o *op) peer.ClaimReply {
+// readAnswer completes the reply to o with an answer that was moved to an archive.
+func (s *shard) readAnswer(ctx context.Context, o *op) peer.ClaimReply {
 	reply := o.reply
-	p, err := s.read(ctx, o.in)
+	p, err := s.readArchive(ctx, o.archive)
 	for _, r := range p.Records {
 		if r.Key == o.key && r.State == done {
 			reply.Answer = r.Answer
@@ -131,6 +133,6 @@
 		}
 	}
 	f := fault.New(fault.Unavailable, "the key was answered; the kept answer can't be read now: %v", err)
-	reply.Fault = onWire(f.WithRan(fault.RanYes).WithRetry(again))
+	reply.Fault = wireFault(f.WithRan(fault.RanYes).WithRetry(retryAfter))
 	return reply
 }
--- a/daemon/claim/schedule_test.go
+++ b/daemon/claim/schedule_test.go
@@ -13,24 +13,25 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// schedule plays random events over three VMs, and notes who holds each key.
+// schedule runs random events on three VMs and records which claims on each key were won.
 type schedule struct {
 	*fixture
 	rt  *rapid.T
 	vms []string
-	// lives are the present lives; earlier ones go on in the background.
-	lives map[string]*Claims
-	nonce int
+	// incarnations has the current incarnation of each VM. Earlier incarnations may still be
+	// running in the background.
+	incarnations map[string]*Claims
+	nonce        int
 
 	mu sync.Mutex
-	// winners are the tickets won and neither released nor forgotten, by key.
+	// winners has, by key, the tickets that were won and not released.
 	winners map[string][]Ticket
 }
 
-// Callers repeat their requests through any VM while the store loses answers,
-// delays writes, shows old states and goes out, VMs are replaced, homes are
-// disputed and calls between VMs lose their answers. Whatever the order, no
-// key may be given to two gates, or a ward gets its notice twice.
+// Clients repeat their requests through any VM while the store loses responses, delays
+// writes, returns old versions and is unavailable, VMs are restarted and disagree on the
+// homes, and calls between VMs lose their replies. In no order of these events may claims
+// of two gates on the same key be won, or the request would run twice.
 func TestAtMostOneWinnerInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newFixture()
@@ -38,24 +39,24 @@
 		x.rules.Commit = 200
 		s := &schedule{
 			fixture: x, rt: rt, vms: []string{"a", "b", "c"},
-			lives: map[string]*Claims{}, winners: map[string][]Ticket{},
+			incarnations: map[string]*Claims{}, winners: map[string][]Ticket{},
 		}
 		for _, v := range s.vms {
-			s.lives[v] = x.start(v)
+			s.incarnations[v] = x.start(v)
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			s.step()
 		}
-		s.calm()
+		s.endFaults()
 	})
 }
 
 func (s *schedule) step() {
 	switch rapid.IntRange(0, 11).Draw(s.rt, "event") {
 	case 0, 1, 2, 3:
-		s.race()
+		s.claimConcurrently()
 	case 4, 5:
-		s.finish()
+		s.endClaims()
 	case 6:
 		s.store.LoseAnswers(rapid.IntRange(0, 10).Draw(s.rt, "lost answers"))
 	case 7:
@@ -65,10 +66,10 @@
 	case 9:
 		s.fault()
 	case 10:
-		s.believe()
+		s.changeMembership()
 	case 11:
 		v := rapid.SampledFrom(s.vms).Draw(s.rt, "replaced")
-		s.lives[v] = s.start(v)
+		s.incarnations[v] = s.start(v)
 	}
 }
 
@@ -81,14 +82,14 @@
 	case 2:
 		s.store.Deliver()
 	case 3, 4:
-		s.wire.mu.Lock()
-		s.wire.lose = rapid.IntRange(0, 3).Draw(s.rt, "lost calls")
-		s.wire.mu.Unlock()
+		s.network.mu.Lock()
+		s.network.loseReplies = rapid.IntRange(0, 3).Draw(s.rt, "lost calls")
+		s.network.mu.Unlock()
 	}
 }
 
-// believe sets what one VM takes for live, rightly or not.
-func (s *schedule) believe() {
+// changeMembership sets a random membership for one VM, which may be wrong.
+func (s *schedule) changeMembership() {
 	v := rapid.SampledFrom(s.vms).Draw(s.rt, "believer")
 	live := []string{v}
 	for _, o := range s.vms {
@@ -96,15 +97,15 @@
 			live = append(live, o)
 		}
 	}
-	s.peers[v].believe(live...)
+	s.peers[v].setLive(live...)
 }
 
-// race lets several gates claim one of a few keys at once.
-func (s *schedule) race() {
+// claimConcurrently makes several gates claim the same key concurrently.
+func (s *schedule) claimConcurrently() {
 	key := rapid.SampledFrom([]string{"key-0", "key-1", "key-2"}).Draw(s.rt, "key")
 	var wg sync.WaitGroup
 	for range rapid.IntRange(1, 3).Draw(s.rt, "gates") {
-		c := s.lives[rapid.SampledFrom(s.vms).Draw(s.rt, "gate")]
+		c := s.incarnations[rapid.SampledFrom(s.vms).Draw(s.rt, "gate")]
 		s.nonce++
 		nonce := fmt.Sprintf("n%d", s.nonce)
 		wg.Go(func() { s.claim(c, key, nonce) })
@@ -129,15 +130,15 @@
 	return r
 }
 
-// finish releases or settles a claim that was won. A key counts as free from
-// before the release is sent, since it may take effect without an answer.
-func (s *schedule) finish() {
+// endClaims releases or settles claims that were won. A key counts as released before the
+// call to Release, because a release may take effect without a reply.
+func (s *schedule) endClaims() {
 	for _, key := range []string{"key-0", "key-1", "key-2"} {
 		if len(s.winners[key]) == 0 || !rapid.Bool().Draw(s.rt, "finish "+key) {
 			continue
 		}
 		ticket := s.winners[key][0]
-		c := s.lives[rapid.SampledFrom(s.vms).Draw(s.rt, "finisher")]
+		c := s.incarnations[rapid.SampledFrom(s.vms).Draw(s.rt, "finisher")]
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		if rapid.Bool().Draw(s.rt, "release") {
 			s.winners[key] = nil
@@ -149,24 +150,24 @@
 	}
 }
 
-// calm ends all faults: each key must then have an answer, and a key that was
-// won and not given back must not be given out again.
-func (s *schedule) calm() {
+// endFaults ends all faults. A claim on each key must then have a definite result, and a key
+// that was won and not released must not be won again.
+func (s *schedule) endFaults() {
 	s.store.Outage(false)
 	s.store.Stale(false)
 	s.store.LoseAnswers(0)
 	s.store.LoseWrites(0)
 	s.store.DelayWrites(0)
 	s.store.Deliver()
-	s.wire.mu.Lock()
-	s.wire.lose = 0
-	s.wire.mu.Unlock()
+	s.network.mu.Lock()
+	s.network.loseReplies = 0
+	s.network.mu.Unlock()
 	for _, key := range []string{"key-0", "key-1", "key-2"} {
 		s.nonce++
 		before := len(s.winners[key])
-		r := s.claim(s.lives["a"], key, fmt.Sprintf("n%d", s.nonce))
+		r := s.claim(s.incarnations["a"], key, fmt.Sprintf("n%d", s.nonce))
 		if r.State == peer.ClaimUnknown {
-			s.rt.Fatalf("%s has no answer after all faults ended: %+v", key, r.Fault)
+			s.rt.Fatalf("claim on %s has no definite result after all faults ended: %+v", key, r.Fault)
 		}
 		if before == 1 && r.State == peer.ClaimWon {
 			s.rt.Fatalf("%s was won by %v", key, s.winners[key])
--- a/daemon/claim/shard.go
+++ b/daemon/claim/shard.go
@@ -12,8 +12,8 @@
 	"snipeshift.example/lib/platform"
 )
 
-// shard writes one journal. Many ops wait while one write is under way, and
-// the next write carries them all.
+// shard writes the journal of one shard. Operations that arrive while a write is under
+// way are queued and committed together by the next write.
 type shard struct {
 	id    shardID
 	store Store
@@ -23,67 +23,69 @@
 	breaker *breaker
 
 	mu sync.Mutex
-	// waiting are ops for the next write.
-	waiting []*op
-	// running is set while a goroutine commits.
-	running bool
+	// queue has the operations for the next writes.
+	queue []*op
+	// committing is set while a goroutine executes run.
+	committing bool
 
-	// The rest belongs to the committing goroutine.
+	// The fields below are used only by the committing goroutine.
 
-	// loaded is set while version, page and index are one committed state.
+	// loaded is set while version, page and index describe one committed state of the
+	// journal.
 	loaded  bool
 	version platform.Version
 	page    page
 	index   *index
-	// folded are the archives that index holds.
-	folded map[platform.Version]bool
-	// written is when the last write began.
-	written clock.Milli
+	// loadedArchives has the versions of the archives whose records are in index.
+	loadedArchives map[platform.Version]bool
+	// lastWrite is when the last write was started.
+	lastWrite clock.Milli
 }
 
 func newShard(id shardID, s Store, k Clock, r Rules, b *breaker) *shard {
-	return &shard{id: id, store: s, clock: k, rules: r, breaker: b, index: newIndex(), folded: map[platform.Version]bool{}}
+	return &shard{id: id, store: s, clock: k, rules: r, breaker: b, index: newIndex(), loadedArchives: map[platform.Version]bool{}}
 }
 
-// do runs one op and waits for its end.
+// do queues an operation and waits until it ends or ctx ends.
 func (s *shard) do(ctx context.Context, o *op) peer.ClaimReply {
-	o.ended = make(chan struct{})
+	o.finished = make(chan struct{})
 	s.mu.Lock()
 	s.enqueue(o)
 	s.mu.Unlock()
 	select {
-	case <-o.ended:
+	case <-o.finished:
 		return o.reply
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.over {
+	if o.completed {
 		return o.reply
 	}
-	// Nobody will act on this claim, so if it still wins it is released.
-	o.left = true
-	return unknown("the claim was not confirmed in time")
+	// The request will not run, so if the claim is still won, it is released.
+	o.abandoned = true
+	return unknownReply("the claim was not confirmed in time")
 }
 
-// enqueue needs the lock.
+// enqueue queues an operation and starts the committing goroutine if it is not running.
+// The caller holds mu.
 func (s *shard) enqueue(o *op) {
-	s.waiting = append(s.waiting, o)
-	if !s.running {
-		s.running = true
+	s.queue = append(s.queue, o)
+	if !s.committing {
+		s.committing = true
 		go s.run()
 	}
 }
 
-// run commits until nothing waits.
+// run commits queued operations until the queue is empty.
 func (s *shard) run() {
 	for {
-		s.pace()
+		s.waitToWrite()
 		s.mu.Lock()
-		ops := s.waiting[:min(len(s.waiting), s.rules.Batch)]
-		s.waiting = s.waiting[len(ops):]
+		ops := s.queue[:min(len(s.queue), s.rules.Batch)]
+		s.queue = s.queue[len(ops):]
 		if len(ops) == 0 {
-			s.waiting, s.running = nil, false
+			s.queue, s.committing = nil, false
 			s.mu.Unlock()
 			return
 		}
@@ -92,40 +94,42 @@
 	}
 }
 
-// pace spaces writes out: 64 shards must not take more of the store's several
-// hundred writes a second than the rest can spare. An idle shard writes at once.
-func (s *shard) pace() {
-	left := s.written + s.rules.Pace - s.clock.Now()
-	if left > 0 {
-		time.Sleep(left.Duration())
+// waitToWrite waits until the next write is allowed, so that the 64 shards together leave
+// some of the store's several hundred writes per second to other uses. A shard that has
+// been idle writes at once.
+func (s *shard) waitToWrite() {
+	wait := s.lastWrite + s.rules.Pace - s.clock.Now()
+	if wait > 0 {
+		time.Sleep(wait.Duration())
 	}
 }
 
-// commit ends each of the ops.
+// commit runs a batch of operations and completes each of them.
 func (s *shard) commit(ops []*op) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.limit(ops).Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), s.commitTimeout(ops).Duration())
 	defer cancel()
 	c := &commit{shard: s, ops: ops}
 	for range s.rules.Attempts {
 		if c.attempt(ctx) {
-			s.breaker.worked()
-			s.finish(ops, c.verdicts)
+			s.breaker.recordSuccess()
+			s.completeAll(ops, c.verdicts)
 			return
 		}
-		if c.hopeless || ctx.Err() != nil {
+		if c.giveUp || ctx.Err() != nil {
 			break
 		}
 	}
-	if c.silent {
-		s.breaker.failed(s.clock.Now(), s.rules.Rest)
+	if c.noResponse {
+		s.breaker.recordFailure(s.clock.Now(), s.rules.Rest)
 	}
-	// What stands in the journal is not known: read it again before the next write.
+	// The state of the journal is unknown, so it is read again before the next write.
 	s.loaded = false
 	s.fail(ops, c.ambiguous)
 }
 
-// limit is the time for a commit: a brief one only if all of its ops are.
-func (s *shard) limit(ops []*op) clock.Milli {
+// commitTimeout returns the timeout for a commit: the short one only if all its operations are
+// brief.
+func (s *shard) commitTimeout(ops []*op) clock.Milli {
 	for _, o := range ops {
 		if !o.brief {
 			return s.rules.Commit
@@ -134,55 +138,59 @@
 	return s.rules.Brief
 }
 
-// finish hands out the verdicts.
-func (s *shard) finish(ops []*op, vs []verdict) {
+// completeAll completes operations with their verdicts, and releases claims that were won
+// after their caller had stopped waiting.
+func (s *shard) completeAll(ops []*op, vs []verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, o := range ops {
-		s.end(o, vs[i])
-		if o.left && vs[i].reply.State == peer.ClaimWon && o.want == claimed {
+		s.complete(o, vs[i])
+		if o.abandoned && vs[i].reply.State == peer.ClaimWon && o.want == claimed {
 			s.withdraw(o)
 		}
 	}
 }
 
-// fail ends ops whose outcome is not known. A claim that may have been written
-// is withdrawn as soon as the store answers again, or its key would stay taken
-// by a request that never ran.
+// fail completes operations whose outcome is unknown. A claim that may have been written
+// is withdrawn once the store responds again; otherwise its key would remain claimed by
+// a request that never ran.
 func (s *shard) fail(ops []*op, ambiguous bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range ops {
-		if v := s.index.judge(o, s.clock.Now()); v.firm {
-			// What was committed earlier answers it, whatever became of this write.
-			s.end(o, v)
+		if v := s.index.evaluate(o, s.clock.Now()); v.final {
+			// Records committed earlier determine the reply, whatever the outcome of
+			// this write.
+			s.complete(o, v)
 			continue
 		}
-		s.end(o, verdict{reply: unknown("the platform's store did not confirm the claim")})
-		if o.ended == nil || o.want == claimed && (ambiguous || len(o.void) > 0) {
+		s.complete(o, verdict{reply: unknownReply("the platform's store did not confirm the claim")})
+		if o.finished == nil || o.want == claimed && (ambiguous || len(o.voidNonces) > 0) {
 			s.withdrawLater(o)
 		}
 	}
 }
 
-// end needs the lock.
-func (s *shard) end(o *op, v verdict) {
-	if o.ended == nil {
+// complete completes an operation with its verdict. The caller holds mu.
+func (s *shard) complete(o *op, v verdict) {
+	if o.finished == nil {
 		return
 	}
-	o.reply, o.in, o.over = v.reply, s.covering(v.in), true
-	close(o.ended)
+	o.reply, o.archive, o.completed = v.reply, s.archiveOf(v.archiveVersion), true
+	close(o.finished)
 }
 
-// withdraw needs the lock. It releases a claim that nobody will act on.
+// withdraw queues the release of a claim whose request will not run. The caller holds
+// mu.
 func (s *shard) withdraw(o *op) {
-	for _, nonce := range append([]string{o.nonce}, o.void...) {
-		if len(s.waiting) < s.rules.Queue {
+	for _, nonce := range append([]string{o.nonce}, o.voidNonces...) {
+		if len(s.queue) < s.rules.Queue {
 			s.enqueue(&op{key: o.key, nonce: nonce, want: released, brief: true})
 		}
 	}
 }
 
+// withdrawLater withdraws a claim after the retry interval.
 func (s *shard) withdrawLater(o *op) {
 	time.AfterFunc(s.rules.Retry.Duration(), func() {
 		s.mu.Lock()
@@ -191,139 +199,142 @@
 	})
 }
 
-// commit is the work on one batch.
+// commit is the state of committing one batch.
 type commit struct {
 	shard    *shard
 	ops      []*op
 	verdicts []verdict
-	// confirmed is set once the journal was read or written for this batch.
+	// confirmed is set once the journal was read for this batch.
 	confirmed bool
 	// ambiguous is set when a write of this batch may have taken effect.
 	ambiguous bool
-	// hopeless is set when another attempt can't help.
-	hopeless bool
-	// silent is set when the last call of the store was not answered.
-	silent bool
+	// giveUp is set when another attempt can't succeed.
+	giveUp bool
+	// noResponse is set when the store did not answer the last call.
+	noResponse bool
 }
 
-// attempt tells whether the verdicts are true.
+// attempt tries once to commit the batch, and reports whether the verdicts are valid.
 func (c *commit) attempt(ctx context.Context) bool {
 	s := c.shard
 	if !s.loaded {
 		if err := s.load(ctx); err != nil {
-			// A read that was stale, or met an archive that was just merged
-			// into another, may be right the next time.
-			c.silent = errors.Is(err, platform.ErrUnavailable)
-			c.hopeless = c.silent && !c.ambiguous
+			// A read that was stale, or that missed an archive just merged into another,
+			// may succeed next time.
+			c.noResponse = errors.Is(err, platform.ErrUnavailable)
+			c.giveUp = c.noResponse && !c.ambiguous
 			return false
 		}
 		c.confirmed = true
 	}
-	add, firm := c.judge()
-	if len(add) == 0 && !firm && !c.confirmed {
-		// Another VM may have released the key since this one last looked.
+	records, final := c.evaluate()
+	if len(records) == 0 && !final && !c.confirmed {
+		// Another VM may have released a key since this VM last read the journal.
 		s.loaded = false
 		return false
 	}
-	if len(add) == 0 {
+	if len(records) == 0 {
 		return true
 	}
-	return c.write(ctx, add)
+	return c.write(ctx, records)
 }
 
-// judge decides the ops one after the other, each on top of those before.
-func (c *commit) judge() (add []record, firm bool) {
+// evaluate evaluates the operations in order, each against the index with the records of
+// those before it applied. It returns the records to be written, and whether all verdicts
+// hold without reading the journal again.
+func (c *commit) evaluate() (records []record, final bool) {
 	s := c.shard
 	c.verdicts = c.verdicts[:0]
-	firm = true
+	final = true
 	scratch := newIndex()
 	for _, o := range c.ops {
-		scratch.borrow(s.index, o)
-		v := scratch.judge(o, s.clock.Now())
-		for _, r := range v.add {
-			scratch.fold(r, 0)
+		scratch.copyFrom(s.index, o)
+		v := scratch.evaluate(o, s.clock.Now())
+		for _, r := range v.records {
+			scratch.apply(r, 0)
 		}
-		add = append(add, v.add...)
-		firm = firm && v.firm
+		records = append(records, v.records...)
+		final = final && v.final
 		c.verdicts = append(c.verdicts, v)
 	}
-	return add, firm
+	return records, final
 }
 
-// borrow copies what an op is judged by, unless an earlier op did.
-func (x *index) borrow(from *index, o *op) {
-	if _, ok := x.void[o.nonce]; !ok {
-		if at, void := from.void[o.nonce]; void {
-			x.void[o.nonce] = at
+// copyFrom copies the entries that evaluating o needs from another index, unless they were
+// copied before.
+func (x *index) copyFrom(from *index, o *op) {
+	if _, ok := x.voidNonces[o.nonce]; !ok {
+		if at, void := from.voidNonces[o.nonce]; void {
+			x.voidNonces[o.nonce] = at
 		}
 	}
-	if x.seen == nil {
-		x.seen = map[digest]bool{}
+	if x.copied == nil {
+		x.copied = map[digest]bool{}
 	}
-	if x.seen[o.key] {
+	if x.copied[o.key] {
 		return
 	}
-	x.seen[o.key] = true
+	x.copied[o.key] = true
 	if e, ok := from.keys[o.key]; ok {
 		x.keys[o.key] = e
 	}
 }
 
-// write appends records under the condition that nobody wrote since the page
-// was read. That condition is the only thing that excludes a second winner.
-func (c *commit) write(ctx context.Context, add []record) bool {
+// write appends records under the condition that the page has not been written since it
+// was read. This condition alone ensures that only one claim on a key is won.
+func (c *commit) write(ctx context.Context, records []record) bool {
 	s := c.shard
-	next, err := s.extend(ctx, add)
+	next, err := s.extend(ctx, records)
 	if err != nil {
-		c.silent, c.hopeless = true, !c.ambiguous
+		c.noResponse, c.giveUp = true, !c.ambiguous
 		return false
 	}
-	s.written = s.clock.Now()
+	s.lastWrite = s.clock.Now()
 	v, err := s.store.Put(ctx, Kind, s.id.page(), next.page.encode(), platform.At(s.version))
-	c.silent = errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
+	c.noResponse = errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
 	switch {
 	case err == nil:
-		s.adopt(v, next, add)
+		s.applyWrite(v, next, records)
 		return true
 	case errors.Is(err, platform.ErrConflict):
 		s.loaded = false
 	case errors.Is(err, platform.ErrUnknown):
-		// It may have taken effect or may yet do so. The next attempt reads
-		// the page back; if the nonces are not there it writes again under
-		// the same condition, and of two writes at one version one fails.
+		// The write may have taken effect or may still do so. The next attempt reads
+		// the page; if the nonces are missing, it writes again under the same
+		// condition. Of two writes based on the same version, one fails.
 		c.ambiguous, s.loaded = true, false
 	default:
-		c.hopeless = !c.ambiguous
+		c.giveUp = !c.ambiguous
 	}
 	return false
 }
 
-// adopt makes a confirmed write the state of this shard.
-func (s *shard) adopt(v platform.Version, next extension, add []record) {
-	if next.moved {
-		s.index.archived(s.page.Records, s.version)
-		s.folded[s.version] = true
+// applyWrite updates the in-memory state after a successful write.
+func (s *shard) applyWrite(v platform.Version, next extension, records []record) {
+	if next.rotated {
+		s.index.markArchived(s.page.Records, s.version)
+		s.loadedArchives[s.version] = true
 	}
 	s.version, s.page, s.loaded = v, next.page, true
-	for _, r := range add {
-		s.index.fold(r, 0)
+	for _, r := range records {
+		s.index.apply(r, 0)
 	}
 	for _, a := range next.expired {
-		s.index.forget(a.Until)
+		s.index.expire(a.Until)
 	}
-	gone := slices.Concat(next.expired, next.merged)
-	for _, a := range gone {
-		delete(s.folded, a.Version)
+	unlisted := slices.Concat(next.expired, next.merged)
+	for _, a := range unlisted {
+		delete(s.loadedArchives, a.Version)
 	}
-	if len(gone) > 0 {
-		go s.remove(gone)
+	if len(unlisted) > 0 {
+		go s.deleteArchives(unlisted)
 	}
 }
 
-// remove deletes archives that nobody lists any more. One that stays, because
-// the store was out, takes room and does no harm.
-func (s *shard) remove(gone []archive) {
-	for _, a := range gone {
+// deleteArchives deletes archives that the page no longer lists. An archive that can't be
+// deleted because the store is unavailable uses space but does no harm.
+func (s *shard) deleteArchives(unlisted []archive) {
+	for _, a := range unlisted {
 		ctx, cancel := context.WithTimeout(context.Background(), s.rules.Commit.Duration())
 		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Always)
 		cancel()
