--- a/daemon/usage/usage.go
+++ b/daemon/usage/usage.go
@@ -1,16 +1,18 @@
-// Package usage counts what each workspace consumes, so that no answer that
-// is lost and no repeat counts twice, and a VM that dies loses next to nothing.
+// Package usage counts the requests and tokens that each workspace consumes. Lost
+// responses and repeated messages never make usage count twice, and a VM that crashes
+// loses almost none of it.
 //
-// A VM counts in absolute numbers for each workspace and its own incarnation.
-// Numbers only grow, so of two copies the larger of each field is right, and
-// writing or merging one twice changes nothing. Two neighbours get what
-// changed with each heartbeat; the store gets the whole every few seconds.
-// When a VM is gone, whoever holds a copy writes what the store lacks.
+// Each incarnation of a VM has one counter per workspace, with absolute numbers that only
+// grow. So the merge of two copies is the larger value of each field, and writing or
+// merging a copy twice changes nothing. With each heartbeat a VM sends the counters that
+// changed to two other members, its neighbours, and every few seconds it writes all its
+// counters to the store. When a VM is gone, the VMs that have a copy of its counters
+// write to the store what is missing there.
 //
-// What can be lost: of a VM that dies, what it counted after its last answered
-// heartbeat, that is one period of heartbeats (0.5 s up to 12 members, 1 s
-// beyond) and one round trip. Only if both neighbours die with it, up to one
-// period between writes.
+// A VM that crashes loses what it counted after its last acknowledged heartbeat: at most
+// the usage of one heartbeat interval (0.5 s with up to 12 members, 1 s with more) and one
+// round trip. Only if both neighbours crash together with it, up to one interval between
+// writes to the store is lost.
 package usage
 
 import (
@@ -23,18 +25,18 @@
 	"snipeshift.example/lib/platform"
 )
 
-// life is one incarnation of a VM.
-type life struct {
+// incarnation identifies one incarnation of a VM: one run of its daemon process.
+type incarnation struct {
 	vm          peer.VM
 	incarnation peer.Incarnation
 }
 
-// sheet holds the counters of one life by workspace.
-type sheet map[decide.WorkspaceID]peer.Usage
+// counters has the counters of one incarnation by workspace.
+type counters map[decide.WorkspaceID]peer.Usage
 
-// merge raises the counters to those of another copy of the same sheet, and
-// tells whether that changed any.
-func (s sheet) merge(o sheet) bool {
+// merge raises the counters to those of another copy of the same incarnation, and reports
+// whether any counter changed.
+func (s counters) merge(o counters) bool {
 	changed := false
 	for w, u := range o {
 		m := Max(s[w], u)
@@ -46,7 +48,7 @@
 	return changed
 }
 
-// Max is the larger of each field.
+// Max returns the larger value of each field. It merges two copies of one counter.
 func Max(a, b peer.Usage) peer.Usage {
 	return peer.Usage{
 		Requests: max(a.Requests, b.Requests),
@@ -56,7 +58,7 @@
 	}
 }
 
-// Sum adds two counts of different lives.
+// Sum adds two counts, for example counters of different incarnations.
 func Sum(a, b peer.Usage) peer.Usage {
 	return peer.Usage{
 		Requests: a.Requests + b.Requests,
@@ -66,80 +68,83 @@
 	}
 }
 
-// Rules set the pace of writing.
+// Rules are the timing of writes to the store.
 type Rules struct {
-	// Least is the time between two writes of a small sheet.
+	// Least is the shortest interval between two writes of a VM's counters.
 	Least clock.Milli
-	// Speed is the most bytes a second that writes take on average. A sheet of
-	// 3,500 workspaces has about 400 KB; written every 5 s it would take eleven
-	// times the 7 KB a second that a node may spend, so it is written less often.
+	// Speed is the largest average write rate in bytes per second. The counters of
+	// 3,500 workspaces have about 400 KB. Written every 5 s they would take eleven times
+	// the 7 KB per second that a VM may use, so they are written less often.
 	Speed int
-	// Tick is the time between two looks at what is to be written.
+	// Tick is the interval at which a VM checks for counters to be written.
 	Tick clock.Milli
-	// Forget is how long a copy of a dead VM's sheet is kept after it was written.
+	// Forget is how long a copy of the counters of a VM that is gone is retained after
+	// it was written.
 	Forget clock.Milli
 }
 
-// DefaultRules write a small sheet every 5 s and one of 400 KB every 200 s.
+// DefaultRules write counters of up to 10 KB every 5 s, and of 400 KB every 200 s.
 var DefaultRules = Rules{Least: 5 * clock.Second, Speed: 2048, Tick: clock.Second, Forget: 10 * clock.Minute}
 
-// counter is one workspace of this VM's own sheet.
+// counter is the usage of one workspace as counted by this VM.
 type counter struct {
 	usage peer.Usage
-	// change is the Book's count of changes when this one changed last.
+	// change is the Book's change number of the last change to this counter.
 	change uint64
 }
 
-// tail is the copy of another VM's sheet.
-type tail struct {
-	sheet sheet
-	// dirty is set while the store may lack part of it.
+// replica is a copy of the counters of another VM's incarnation.
+type replica struct {
+	counters counters
+	// dirty is set while the store may lack some of the usage in the copy.
 	dirty bool
-	// since is when it was last found written.
-	since clock.Milli
+	// writtenAt is when the copy was last written to the store.
+	writtenAt clock.Milli
 }
 
-// Book counts for this VM and keeps copies for others.
+// Book counts the usage on this VM and retains copies of other VMs' counters.
 type Book struct {
 	store Store
 	clock Clock
 	rules Rules
 	peers Peers
-	self  life
+	self  incarnation
 
 	mu  sync.Mutex
 	own map[decide.WorkspaceID]*counter
-	// change counts changes of own; it orders them for acknowledgment.
+	// change is the number of changes made to own. It identifies the changes that a
+	// peer has acknowledged.
 	change uint64
-	// sent and arrived are the changes that each neighbour's life was sent
-	// last, and is known to have.
-	sent, arrived map[life]uint64
-	copies        map[life]*tail
-
-	// writing holds one writer at a time, and guards the rest.
-	writing sync.Mutex
-	// version is that of this VM's object, zero if not known.
+	// sent has the number of the last change sent to each neighbour, and acked that of the
+	// last change which the neighbour acknowledged.
+	sent, acked map[incarnation]uint64
+	// replicas has the counters received from other VMs.
+	replicas map[incarnation]*replica
+
+	// writeMu serializes writes to the store and protects the fields below.
+	writeMu sync.Mutex
+	// version is the version of this VM's object in the store, zero if unknown.
 	version platform.Version
-	// stored is the change that the store has.
-	stored uint64
-	// next is when this VM's sheet may be written again.
-	next clock.Milli
+	// storedChange is the number of the last change that is in the store.
+	storedChange uint64
+	// nextWrite is when this VM's counters may be written again.
+	nextWrite clock.Milli
 }
 
-// New returns the book of one life of a VM.
+// New returns a Book without counters for the present incarnation of this VM.
 func New(s Store, k Clock, r Rules, p Peers) *Book {
 	self := p.Self()
 	return &Book{
 		store: s, clock: k, rules: r, peers: p,
-		self: life{self.VM, self.Incarnation},
+		self: incarnation{self.VM, self.Incarnation},
 		own:  map[decide.WorkspaceID]*counter{},
-		sent: map[life]uint64{}, arrived: map[life]uint64{},
-		copies: map[life]*tail{},
+		sent: map[incarnation]uint64{}, acked: map[incarnation]uint64{},
+		replicas: map[incarnation]*replica{},
 	}
 }
 
-// Add counts. It is called with what was consumed since the last call, also
-// while a request still runs, so that a gate that dies loses little of it.
+// Add adds usage to the counter of a workspace. It is also called while a request is
+// running, with the usage since the last call, so that little is lost if this VM crashes.
 func (b *Book) Add(w decide.WorkspaceID, u peer.Usage) {
 	if u == (peer.Usage{}) {
 		return
@@ -155,7 +160,7 @@
 	c.usage, c.change = Sum(c.usage, u), b.change
 }
 
-// Own is what this life has counted for a workspace.
+// Own returns the usage of a workspace that this VM has counted since its start.
 func (b *Book) Own(w decide.WorkspaceID) peer.Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,10 +170,10 @@
 	return peer.Usage{}
 }
 
-// Fill implements member.Part.
+// Fill implements member.Part. It adds nothing, because usage is sent by Load.
 func (b *Book) Fill(peer.VM, *peer.BeatArgs) {}
 
-// Counters lists every counter known here: this life's own and the copies of others'.
+// Counters returns this VM's own counters and the copies of other VMs' counters.
 func (b *Book) Counters() []peer.WorkspaceUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,24 +181,25 @@
 	for w, c := range b.own {
 		us = append(us, peer.WorkspaceUsage{VM: b.self.vm, Incarnation: b.self.incarnation, Workspace: w, Usage: c.usage})
 	}
-	for l, t := range b.copies {
-		for w, u := range t.sheet {
-			us = append(us, peer.WorkspaceUsage{VM: l.vm, Incarnation: l.incarnation, Workspace: w, Usage: u})
+	for inc, r := range b.replicas {
+		for w, u := range r.counters {
+			us = append(us, peer.WorkspaceUsage{VM: inc.vm, Incarnation: inc.incarnation, Workspace: w, Usage: u})
 		}
 	}
 	return us
 }
 
-// Load implements member.AckedPart: a neighbour gets what it is not known to have.
+// Load implements member.AckedPart. It adds the counters that changed since the last
+// heartbeat that the neighbour acknowledged.
 func (b *Book) Load(to peer.Member, m *peer.BeatArgs) {
-	if !b.keeps(to) {
+	if !b.isNeighbour(to) {
 		return
 	}
-	l := life{to.VM, to.Incarnation}
+	inc := incarnation{to.VM, to.Incarnation}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	after := b.arrived[l]
-	b.sent[l] = b.change
+	after := b.acked[inc]
+	b.sent[inc] = b.change
 	if after == b.change {
 		return
 	}
@@ -204,8 +210,8 @@
 	}
 }
 
-// keeps tells whether a member is to hold a copy of this VM's sheet.
-func (b *Book) keeps(m peer.Member) bool {
+// isNeighbour reports whether a member is to store a copy of this VM's counters.
+func (b *Book) isNeighbour(m peer.Member) bool {
 	for _, n := range b.peers.Neighbours() {
 		if n.VM == m.VM && n.Incarnation == m.Incarnation {
 			return true
@@ -214,30 +220,31 @@
 	return false
 }
 
-// Arrived implements member.AckedPart.
+// Arrived implements member.AckedPart. It records that a member acknowledged the last
+// heartbeat sent to it.
 func (b *Book) Arrived(to peer.Member) {
-	l := life{to.VM, to.Incarnation}
+	inc := incarnation{to.VM, to.Incarnation}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.arrived[l] = b.sent[l]
+	b.acked[inc] = b.sent[inc]
 }
 
-// Learn implements member.Part: it keeps copies of others' counters.
+// Learn implements member.Part. It stores copies of other VMs' counters.
 func (b *Book) Learn(m *peer.BeatArgs, _ bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, u := range m.Usage {
-		l := life{u.VM, u.Incarnation}
-		if l == b.self {
+		inc := incarnation{u.VM, u.Incarnation}
+		if inc == b.self {
 			continue
 		}
-		t := b.copies[l]
-		if t == nil {
-			t = &tail{sheet: sheet{}}
-			b.copies[l] = t
+		r := b.replicas[inc]
+		if r == nil {
+			r = &replica{counters: counters{}}
+			b.replicas[inc] = r
 		}
-		if t.sheet.merge(sheet{u.Workspace: u.Usage}) {
-			t.dirty = true
+		if r.counters.merge(counters{u.Workspace: u.Usage}) {
+			r.dirty = true
 		}
 	}
 }
--- a/daemon/usage/usage_test.go
+++ b/daemon/usage/usage_test.go
@@ -16,11 +16,11 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-type handClock struct{ now atomic.Int64 }
+type manualClock struct{ now atomic.Int64 }
 
-func (h *handClock) Now() clock.Milli { return clock.Milli(h.now.Load()) }
+func (h *manualClock) Now() clock.Milli { return clock.Milli(h.now.Load()) }
 
-// peers is one VM's belief; in these small groups all others are neighbours.
+// peers is the membership as one VM sees it. All other VMs are its neighbours.
 type peers struct {
 	mu   sync.Mutex
 	self peer.Member
@@ -41,17 +41,17 @@
 }
 
 type fixture struct {
-	store *platformtest.Store
-	clock *handClock
-	books map[peer.VM]*Book
-	peers map[peer.VM]*peers
-	lives map[peer.VM]peer.Incarnation
+	store        *platformtest.Store
+	clock        *manualClock
+	meters       map[peer.VM]*Book
+	peers        map[peer.VM]*peers
+	incarnations map[peer.VM]peer.Incarnation
 }
 
 func newFixture(vms ...peer.VM) *fixture {
 	x := &fixture{
-		store: platformtest.New(), clock: &handClock{}, books: map[peer.VM]*Book{},
-		peers: map[peer.VM]*peers{}, lives: map[peer.VM]peer.Incarnation{},
+		store: platformtest.New(), clock: &manualClock{}, meters: map[peer.VM]*Book{},
+		peers: map[peer.VM]*peers{}, incarnations: map[peer.VM]peer.Incarnation{},
 	}
 	x.clock.now.Store(1000)
 	for _, v := range vms {
@@ -60,24 +60,24 @@
 	return x
 }
 
-// start begins a new life of a VM, and tells all.
+// start starts a new incarnation of a VM and updates the membership of all VMs.
 func (x *fixture) start(v peer.VM) {
-	x.lives[v]++
-	x.peers[v] = &peers{self: peer.Member{VM: v, Incarnation: x.lives[v]}}
-	x.books[v] = New(x.store, x.clock, DefaultRules, x.peers[v])
-	x.agree()
+	x.incarnations[v]++
+	x.peers[v] = &peers{self: peer.Member{VM: v, Incarnation: x.incarnations[v]}}
+	x.meters[v] = New(x.store, x.clock, DefaultRules, x.peers[v])
+	x.updateMembership()
 }
 
-// die ends a VM without warning, and tells all.
-func (x *fixture) die(v peer.VM) {
-	delete(x.books, v)
-	x.agree()
+// crash crashes a VM and updates the membership of all VMs.
+func (x *fixture) crash(v peer.VM) {
+	delete(x.meters, v)
+	x.updateMembership()
 }
 
-func (x *fixture) agree() {
+func (x *fixture) updateMembership() {
 	var live []peer.Member
-	for v := range x.books {
-		live = append(live, peer.Member{VM: v, Incarnation: x.lives[v]})
+	for v := range x.meters {
+		live = append(live, peer.Member{VM: v, Incarnation: x.incarnations[v]})
 	}
 	for _, p := range x.peers {
 		p.mu.Lock()
@@ -86,13 +86,13 @@
 	}
 }
 
-// beat plays one heartbeat; lost ones arrive and lose their answer.
-func (x *fixture) beat(from, to peer.VM, lost bool) {
-	a, b := x.books[from], x.books[to]
+// heartbeat delivers one heartbeat. If lost is set, its acknowledgment is lost.
+func (x *fixture) heartbeat(from, to peer.VM, lost bool) {
+	a, b := x.meters[from], x.meters[to]
 	if a == nil || b == nil {
 		return
 	}
-	target := peer.Member{VM: to, Incarnation: x.lives[to]}
+	target := peer.Member{VM: to, Incarnation: x.incarnations[to]}
 	m := peer.BeatArgs{From: x.peers[from].self}
 	a.Load(target, &m)
 	b.Learn(&m, false)
@@ -101,10 +101,11 @@
 	}
 }
 
-// owes tells whether a VM holds what the store may lack of a life that is over.
-func (x *fixture) owes(v peer.VM) bool {
-	for l, t := range x.books[v].copies {
-		if t.dirty && x.lives[l.vm] != l.incarnation {
+// hasUnwritten reports whether a VM has usage of an ended incarnation that the store may
+// lack.
+func (x *fixture) hasUnwritten(v peer.VM) bool {
+	for inc, r := range x.meters[v].replicas {
+		if r.dirty && x.incarnations[inc.vm] != inc.incarnation {
 			return true
 		}
 	}
@@ -112,7 +113,7 @@
 }
 
 func (x *fixture) write(t require.TestingT, v peer.VM) {
-	if b := x.books[v]; b != nil {
+	if b := x.meters[v]; b != nil {
 		_ = b.Flush(contextOf(t))
 	}
 }
@@ -123,100 +124,98 @@
 	return totals
 }
 
-func count(n int) peer.Usage {
+func usageOf(n int) peer.Usage {
 	return peer.Usage{Requests: uint64(n), Prompt: decide.Tokens(10 * n), Output: decide.Tokens(n)}
 }
 
-// A VM dies between two writes. What it counted since then is charged to its
-// teams all the same, from the copies of its neighbours, and once only although
-// both write it.
-func TestTailOfADeadVMIsWrittenOnce(t *testing.T) {
+// A VM crashes between two writes to the store. What it counted since the last write must
+// be written from the copies of its neighbours, and count only once although both write.
+func TestUsageOfCrashedVMCountsOnce(t *testing.T) {
 	x := newFixture("a", "b", "c")
-	x.books["a"].Add("w", count(1))
+	x.meters["a"].Add("w", usageOf(1))
 	x.write(t, "a")
-	x.books["a"].Add("w", count(2))
-	x.beat("a", "b", false)
-	x.beat("a", "c", true)
-	require.Len(t, x.books["b"].Counters(), 1)
-	x.die("a")
+	x.meters["a"].Add("w", usageOf(2))
+	x.heartbeat("a", "b", false)
+	x.heartbeat("a", "c", true)
+	require.Len(t, x.meters["b"].Counters(), 1)
+	x.crash("a")
 	x.write(t, "b")
 	x.write(t, "c")
 	x.write(t, "b")
-	require.Equal(t, count(3), x.totals(t)["w"])
+	require.Equal(t, usageOf(3), x.totals(t)["w"])
 }
 
-// The store writes a sheet and the answer gets lost, so it is written again.
-// A team must not be charged twice.
-func TestLostAnswerCountsOnce(t *testing.T) {
+// The store executes a write and its response is lost, so the counters are written again.
+// The usage must not count twice.
+func TestWriteWithLostResponseCountsOnce(t *testing.T) {
 	x := newFixture("a")
-	x.books["a"].Add("w", count(1))
+	x.meters["a"].Add("w", usageOf(1))
 	x.store.LoseAnswers(1)
-	require.Error(t, x.books["a"].Flush(t.Context()))
-	x.books["a"].Add("w", count(1))
-	require.NoError(t, x.books["a"].Flush(t.Context()))
-	require.Equal(t, count(2), x.totals(t)["w"])
+	require.Error(t, x.meters["a"].Flush(t.Context()))
+	x.meters["a"].Add("w", usageOf(1))
+	require.NoError(t, x.meters["a"].Flush(t.Context()))
+	require.Equal(t, usageOf(2), x.totals(t)["w"])
 }
 
-// A write gets stuck, later ones succeed, and then it arrives. It must not
-// take the count back.
-func TestLateWriteTakesNothingBack(t *testing.T) {
+// A write is delayed and reaches the store after later writes. It must not lower the
+// counters.
+func TestDelayedWriteDoesNotLowerCounters(t *testing.T) {
 	x := newFixture("a")
-	x.books["a"].Add("w", count(1))
+	x.meters["a"].Add("w", usageOf(1))
 	x.store.DelayWrites(1)
-	require.Error(t, x.books["a"].Flush(t.Context()))
-	x.books["a"].Add("w", count(1))
-	require.NoError(t, x.books["a"].Flush(t.Context()))
+	require.Error(t, x.meters["a"].Flush(t.Context()))
+	x.meters["a"].Add("w", usageOf(1))
+	require.NoError(t, x.meters["a"].Flush(t.Context()))
 	x.store.Deliver()
-	require.Equal(t, count(2), x.totals(t)["w"])
+	require.Equal(t, usageOf(2), x.totals(t)["w"])
 }
 
-func TestOnlyWhatChangedTravels(t *testing.T) {
+func TestHeartbeatContainsOnlyUnackedChanges(t *testing.T) {
 	x := newFixture("a", "b")
-	a := x.books["a"]
+	a := x.meters["a"]
 	to := peer.Member{VM: "b", Incarnation: 1}
 	fill := func() int {
 		var m peer.BeatArgs
 		a.Load(to, &m)
 		return len(m.Usage)
 	}
-	a.Add("w1", count(1))
-	a.Add("w2", count(1))
+	a.Add("w1", usageOf(1))
+	a.Add("w2", usageOf(1))
 	require.Equal(t, 2, fill())
 	a.Arrived(to)
 	require.Zero(t, fill())
-	a.Add("w2", count(1))
+	a.Add("w2", usageOf(1))
 	require.Equal(t, 1, fill())
-	require.Equal(t, 1, fill(), "not answered yet")
-	a.Add("w1", count(1))
+	require.Equal(t, 1, fill(), "the last heartbeat is not acknowledged yet")
+	a.Add("w1", usageOf(1))
 	a.Arrived(to)
-	require.Equal(t, 1, fill(), "counted while the beat was under way")
+	require.Equal(t, 1, fill(), "w1 changed after the acknowledged heartbeat was sent")
 	to.Incarnation = 2
-	require.Zero(t, fill(), "not a neighbour")
+	require.Zero(t, fill(), "this incarnation is not a neighbour")
 	x.start("b")
-	require.Equal(t, 2, fill(), "a new life of the neighbour has nothing")
+	require.Equal(t, 2, fill(), "a new incarnation of the neighbour has no copies")
 }
 
-func TestLargeSheetsAreWrittenLessOften(t *testing.T) {
+func TestLargeCountersAreWrittenLessOften(t *testing.T) {
 	x := newFixture("a")
-	b := x.books["a"]
-	b.Add("w", count(1))
+	b := x.meters["a"]
+	b.Add("w", usageOf(1))
 	require.NoError(t, b.writeOwn(t.Context()))
-	require.Equal(t, x.clock.Now()+DefaultRules.Least, b.next)
+	require.Equal(t, x.clock.Now()+DefaultRules.Least, b.nextWrite)
 	for i := range 3500 {
 		b.Add(decide.WorkspaceID(fmt.Sprintf("workspace-%04d", i)), peer.Usage{Requests: 1e4, Prompt: 1e9, Cached: 1e8, Output: 1e7})
 	}
 	require.NoError(t, b.writeOwn(t.Context()))
-	o, err := x.store.Get(t.Context(), Kind, b.self.object())
+	o, err := x.store.Get(t.Context(), Kind, b.self.objectName())
 	require.NoError(t, err)
-	t.Logf("3500 workspaces: %d bytes, next write after %d ms", len(o.Value), b.next-x.clock.Now())
-	require.GreaterOrEqual(t, b.next-x.clock.Now(), clock.Milli(len(o.Value))*clock.Second/clock.Milli(DefaultRules.Speed))
+	t.Logf("3500 workspaces: %d bytes, next write after %d ms", len(o.Value), b.nextWrite-x.clock.Now())
+	require.GreaterOrEqual(t, b.nextWrite-x.clock.Now(), clock.Milli(len(o.Value))*clock.Second/clock.Milli(DefaultRules.Speed))
 }
 
-// VMs die and come back, heartbeats and writes lose their answers or arrive
-// late, and neighbours write for VMs that are not dead at all. In the end each
-// team is charged exactly what reached a neighbour or the store, never more
-// than what was used.
-func TestCountsAreExactInAnySchedule(t *testing.T) {
+// VMs crash and restart, acknowledgments of heartbeats and responses to writes are lost,
+// writes arrive late, and neighbours write counters of VMs that are still running. In the
+// end the store must have exactly the usage that was counted.
+func TestUsageIsExactInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		vms := []peer.VM{"a", "b", "c"}
 		x := newFixture(vms...)
@@ -227,9 +226,9 @@
 			case 0, 1:
 				n := rapid.IntRange(1, 5).Draw(rt, "used")
 				used += n
-				x.books[v].Add("w", count(n))
+				x.meters[v].Add("w", usageOf(n))
 			case 2, 3:
-				x.beat(v, rapid.SampledFrom(vms).Draw(rt, "to"), rapid.Bool().Draw(rt, "lost"))
+				x.heartbeat(v, rapid.SampledFrom(vms).Draw(rt, "to"), rapid.Bool().Draw(rt, "lost"))
 			case 4:
 				x.write(rt, v)
 			case 5:
@@ -237,14 +236,14 @@
 			case 6:
 				x.store.DelayWrites(rapid.IntRange(0, 2).Draw(rt, "delayed"))
 			case 7:
-				// It dies after a last heartbeat and comes back with a new life. A
-				// VM that owes the store a tail goes on living: that two die
-				// within one tick is beyond the stated bound.
-				if x.owes(v) {
+				// The VM crashes after a last heartbeat and restarts. A VM with usage
+				// of another ended incarnation that the store lacks doesn't crash:
+				// two crashes within one tick may lose usage by design.
+				if x.hasUnwritten(v) {
 					break
 				}
 				for _, o := range vms {
-					x.beat(v, o, false)
+					x.heartbeat(v, o, false)
 				}
 				x.start(v)
 			}
@@ -253,17 +252,17 @@
 		x.store.DelayWrites(0)
 		for range 2 {
 			for _, v := range vms {
-				require.NoError(rt, x.books[v].Flush(contextOf(rt)))
+				require.NoError(rt, x.meters[v].Flush(contextOf(rt)))
 			}
 		}
 		x.store.Deliver()
 		if used > 0 {
-			require.Equal(rt, count(used), x.totals(rt)["w"])
+			require.Equal(rt, usageOf(used), x.totals(rt)["w"])
 		}
 	})
 }
 
-// contextOf is the context of a test or of one check of rapid.
+// contextOf returns the context of a test or of a rapid check.
 func contextOf(t require.TestingT) context.Context {
 	if c, ok := t.(interface{ Context() context.Context }); ok {
 		return c.Context()
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -14,16 +14,17 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Kind is the collection of the store that holds the sheets.
+// Kind is the collection of the store that contains the counters, one object per
+// incarnation of a VM.
 const Kind platform.Kind = "usage"
 
-// Store is the part of the platform's store that a book needs.
+// Store is the part of the platform's store that a Book needs.
 type Store interface {
 	Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error)
 	Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error)
 }
 
-// Lister lists the sheets for totals.
+// Lister lists objects of the store.
 type Lister interface {
 	List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error)
 }
@@ -33,15 +34,15 @@
 	Now() clock.Milli
 }
 
-// Peers is the part of the membership that a book needs.
+// Peers is the part of the membership that a Book needs.
 type Peers interface {
 	Self() peer.Member
 	Live() []peer.Member
 	Neighbours() []peer.Member
 }
 
-// line is one workspace of a stored sheet.
-type line struct {
+// storedCounter is the stored form of one workspace's counter.
+type storedCounter struct {
 	Workspace decide.WorkspaceID `json:"workspace"`
 	Requests  uint64             `json:"requests"`
 	Prompt    decide.Tokens      `json:"prompt"`
@@ -49,37 +50,37 @@
 	Output    decide.Tokens      `json:"output"`
 }
 
-func (l life) object() platform.Name {
-	return platform.Name(fmt.Sprintf("%s-%d", l.vm, l.incarnation))
+func (i incarnation) objectName() platform.Name {
+	return platform.Name(fmt.Sprintf("%s-%d", i.vm, i.incarnation))
 }
 
-func (s sheet) encode() []byte {
-	ls := make([]line, 0, len(s))
+func (s counters) encode() []byte {
+	stored := make([]storedCounter, 0, len(s))
 	for w, u := range s {
-		ls = append(ls, line{Workspace: w, Requests: u.Requests, Prompt: u.Prompt, Cached: u.Cached, Output: u.Output})
+		stored = append(stored, storedCounter{Workspace: w, Requests: u.Requests, Prompt: u.Prompt, Cached: u.Cached, Output: u.Output})
 	}
-	sort.Slice(ls, func(i, j int) bool { return ls[i].Workspace < ls[j].Workspace })
-	value, err := json.Marshal(ls)
+	sort.Slice(stored, func(i, j int) bool { return stored[i].Workspace < stored[j].Workspace })
+	value, err := json.Marshal(stored)
 	if err != nil {
 		panic(err) // no value of these types fails to encode
 	}
 	return value
 }
 
-func decodeSheet(value []byte) (sheet, error) {
-	var ls []line
-	if err := json.Unmarshal(value, &ls); err != nil {
+func decodeCounters(value []byte) (counters, error) {
+	var stored []storedCounter
+	if err := json.Unmarshal(value, &stored); err != nil {
 		return nil, fmt.Errorf("usage: %w", err)
 	}
-	s := sheet{}
-	for _, l := range ls {
+	s := counters{}
+	for _, l := range stored {
 		s[l.Workspace] = peer.Usage{Requests: l.Requests, Prompt: l.Prompt, Cached: l.Cached, Output: l.Output}
 	}
 	return s, nil
 }
 
-// Totals sums the sheets in the store by workspace. They lag by what the
-// running VMs have not written yet.
+// Totals returns the usage of each workspace, summed over all counters in the store. It
+// lacks the usage that running VMs have not written yet.
 func Totals(ctx context.Context, l Lister) (map[decide.WorkspaceID]peer.Usage, error) {
 	os, err := l.List(ctx, Kind, "")
 	if err != nil {
@@ -87,7 +88,7 @@
 	}
 	totals := map[decide.WorkspaceID]peer.Usage{}
 	for _, o := range os {
-		s, err := decodeSheet(o.Value)
+		s, err := decodeCounters(o.Value)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", o.Name, err)
 		}
@@ -98,7 +99,8 @@
 	return totals, nil
 }
 
-// Run writes until ctx ends, and does not write then; see Flush.
+// Run writes counters to the store periodically until ctx ends. It writes nothing when
+// ctx ends; see Flush.
 func (b *Book) Run(ctx context.Context) error {
 	t := time.NewTicker(b.rules.Tick.Duration())
 	defer t.Stop()
@@ -113,56 +115,58 @@
 }
 
 func (b *Book) tick(ctx context.Context) {
-	b.writing.Lock()
-	defer b.writing.Unlock()
-	if b.clock.Now() >= b.next {
-		// What could not be written now is written by a later tick.
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
+	if b.clock.Now() >= b.nextWrite {
+		// On failure a later tick tries again.
 		_ = b.writeOwn(ctx)
 	}
-	b.writeTails(ctx)
+	b.writeReplicas(ctx)
 }
 
-// Flush writes what the store lacks, at the end of a planned stop.
+// Flush writes everything that the store lacks. It is called at the end of a planned
+// stop.
 func (b *Book) Flush(ctx context.Context) error {
-	b.writing.Lock()
-	defer b.writing.Unlock()
-	b.writeTails(ctx)
+	b.writeMu.Lock()
+	defer b.writeMu.Unlock()
+	b.writeReplicas(ctx)
 	return b.writeOwn(ctx)
 }
 
-// writeOwn writes this VM's sheet if it changed.
+// writeOwn writes this VM's counters if they changed.
 func (b *Book) writeOwn(ctx context.Context) error {
 	b.mu.Lock()
-	change, s := b.change, sheet{}
+	change, s := b.change, counters{}
 	for w, c := range b.own {
 		s[w] = c.usage
 	}
 	b.mu.Unlock()
-	if change == b.stored {
+	if change == b.storedChange {
 		return nil
 	}
 	value := s.encode()
-	b.next = b.clock.Now() + max(b.rules.Least, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.Speed))
+	b.nextWrite = b.clock.Now() + max(b.rules.Least, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.Speed))
 	v, err := b.put(ctx, b.self, s, b.version)
 	if err != nil {
-		// Whatever became of it, the next try reads first.
-		b.version, b.next = 0, b.clock.Now()+b.rules.Least
+		// The write may have taken effect or not, so the next attempt reads first.
+		b.version, b.nextWrite = 0, b.clock.Now()+b.rules.Least
 		return err
 	}
-	b.version, b.stored = v, change
+	b.version, b.storedChange = v, change
 	return nil
 }
 
-// put raises a stored sheet to s. The write is tied to the version that was
-// read, so that a write that got stuck can't undo a later one.
-func (b *Book) put(ctx context.Context, l life, s sheet, known platform.Version) (platform.Version, error) {
+// put merges s into the stored counters of inc and returns the new version. The write is
+// conditional on the version that was read, or on version known if it is not zero, so that a
+// delayed write can't undo a later one.
+func (b *Book) put(ctx context.Context, inc incarnation, s counters, known platform.Version) (platform.Version, error) {
 	if known == 0 {
-		o, err := b.store.Get(ctx, Kind, l.object())
+		o, err := b.store.Get(ctx, Kind, inc.objectName())
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
 			return 0, err
 		}
 		if err == nil {
-			old, err := decodeSheet(o.Value)
+			old, err := decodeCounters(o.Value)
 			if err != nil {
 				return 0, err
 			}
@@ -172,51 +176,53 @@
 			s, known = old, o.Version
 		}
 	}
-	return b.store.Put(ctx, Kind, l.object(), s.encode(), platform.At(known))
+	return b.store.Put(ctx, Kind, inc.objectName(), s.encode(), platform.At(known))
 }
 
-// writeTails writes the copies of lives that are over.
-func (b *Book) writeTails(ctx context.Context) {
-	live := map[life]bool{}
+// writeReplicas writes the copies of counters whose incarnation is no longer live.
+func (b *Book) writeReplicas(ctx context.Context) {
+	live := map[incarnation]bool{}
 	for _, m := range b.peers.Live() {
-		live[life{m.VM, m.Incarnation}] = true
+		live[incarnation{m.VM, m.Incarnation}] = true
 	}
-	for l, s := range b.tails(live) {
-		_, err := b.put(ctx, l, s, 0)
+	for inc, s := range b.unwrittenReplicas(live) {
+		_, err := b.put(ctx, inc, s, 0)
 		if err == nil {
-			b.written(l, s)
+			b.markWritten(inc, s)
 		}
 	}
 }
 
-// tails copies what is to be written, and forgets what has long been.
-func (b *Book) tails(live map[life]bool) map[life]sheet {
+// unwrittenReplicas returns copies of the counters to be written, and discards those that
+// were written long ago. Counters of live incarnations are neither written nor discarded.
+func (b *Book) unwrittenReplicas(live map[incarnation]bool) map[incarnation]counters {
 	now := b.clock.Now()
-	todo := map[life]sheet{}
+	unwritten := map[incarnation]counters{}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for l, t := range b.copies {
+	for inc, r := range b.replicas {
 		switch {
-		case live[l]:
-		case t.dirty:
-			s := sheet{}
-			s.merge(t.sheet)
-			todo[l] = s
-		case now-t.since > b.rules.Forget:
-			delete(b.copies, l)
+		case live[inc]:
+		case r.dirty:
+			s := counters{}
+			s.merge(r.counters)
+			unwritten[inc] = s
+		case now-r.writtenAt > b.rules.Forget:
+			delete(b.replicas, inc)
 		}
 	}
-	return todo
+	return unwritten
 }
 
-func (b *Book) written(l life, s sheet) {
+// markWritten records that s was written to the store.
+func (b *Book) markWritten(inc incarnation, s counters) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.copies[l]
-	if t == nil {
+	r := b.replicas[inc]
+	if r == nil {
 		return
 	}
-	t.since = b.clock.Now()
-	// More may have come while it was written.
-	t.dirty = s.merge(t.sheet)
+	r.writtenAt = b.clock.Now()
+	// The copy may have grown during the write.
+	r.dirty = s.merge(r.counters)
 }
