--- a/daemon/quarantine/quarantine.go
+++ b/daemon/quarantine/quarantine.go
@@ -1,5 +1,6 @@
-// Package quarantine keeps the fingerprints of requests that killed upstreams,
-// on this VM and, by heartbeats and urgent messages, on all others.
+// Package quarantine maintains the table of requests that crash upstreams, identified by
+// their fingerprints, and shares the table with all other VMs in heartbeats and, right
+// after a crash, in direct messages.
 package quarantine
 
 import (
@@ -16,23 +17,24 @@
 // Name is the name under which the receiver is registered with net/rpc.
 const Name = "Quarantine"
 
-// Limits of what is sent.
+// Limits of sharing.
 const (
-	// digest bounds the entries in a heartbeat; the worst come first.
-	digest = 16
-	// spread bounds how long a death waits for peers to hear of it, before the
-	// request runs again or its caller is answered. A peer that does not answer
-	// in this time hears of it by heartbeat.
-	spread = 500 * time.Millisecond
+	// maxHeartbeatEntries is the largest number of entries in a heartbeat; those with the
+	// most crashes come first.
+	maxHeartbeatEntries = 16
+	// notifyTimeout is how long a VM waits for peers to acknowledge a crash, before the
+	// request is retried or its client gets an answer. A peer that does not respond in this
+	// time learns of the crash by heartbeat.
+	notifyTimeout = 500 * time.Millisecond
 )
 
-// Members lists the daemons to tell.
+// Members provides the membership.
 type Members interface {
 	Live() []peer.Member
 	Self() peer.Member
 }
 
-// Peers calls methods of other daemons.
+// Peers calls methods of other daemons over net/rpc.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
@@ -40,7 +42,7 @@
 // Clock reads the time of this process.
 type Clock interface{ Now() clock.Milli }
 
-// Quarantine is this VM's table. It is safe for concurrent use.
+// Quarantine is this VM's copy of the table. It is safe for concurrent use.
 type Quarantine struct {
 	clock   Clock
 	members Members
@@ -55,51 +57,55 @@
 	return &Quarantine{clock: c, members: m, peers: p, table: gate.NewQuarantine(0)}
 }
 
-// Check tells how a request may run.
+// Check returns whether a request may run as usual, only alone as a suspect, or not at
+// all.
 func (q *Quarantine) Check(fingerprint uint64) gate.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Check(q.clock.Now(), fingerprint)
 }
 
-// Begin counts a run; false means that it must not start now.
+// Begin records that a request starts to run. It returns false if the request must not
+// start now.
 func (q *Quarantine) Begin(fingerprint uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Begin(q.clock.Now(), fingerprint)
 }
 
-// End undoes a Begin. Whole tells that the request ran to its end, which clears a suspect.
-func (q *Quarantine) End(fingerprint uint64, whole bool) {
+// End records that a request has stopped running. If completed is set, the request ran
+// to its end, which clears it of suspicion.
+func (q *Quarantine) End(fingerprint uint64, completed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.table.End(fingerprint)
-	if whole {
+	if completed {
 		q.table.Clear(q.clock.Now(), fingerprint)
 	}
 }
 
-// Died records the death of an upstream and tells all live peers before it returns.
-// The next heartbeat would be too late: the caller sends the request again at once, and the balancer hands it to another VM.
+// Died records that an upstream crashed while it ran a request, and notifies all live
+// peers before it returns. The next heartbeat would be too late: the client retries at
+// once, and the load balancer may send the retry to another VM.
 func (q *Quarantine) Died(fingerprint uint64, u decide.UpstreamID, born decide.Born) {
 	q.mu.Lock()
 	now := q.clock.Now()
 	q.table.Died(now, fingerprint, u, born)
-	var word []peer.Suspect
-	for _, s := range q.table.Digest(now, maxTable) {
+	var entries []peer.Suspect
+	for _, s := range q.table.Digest(now, wholeTable) {
 		if s.Fingerprint == fingerprint {
-			word = append(word, peer.Suspect(s))
+			entries = append(entries, peer.Suspect(s))
 		}
 	}
 	q.mu.Unlock()
-	q.tell(word)
+	q.notifyPeers(entries)
 }
 
-// maxTable asks for the whole table.
-const maxTable = 1 << 20
+// wholeTable is a limit for Digest that is larger than any table.
+const wholeTable = 1 << 20
 
-func (q *Quarantine) tell(word []peer.Suspect) {
-	ctx, cancel := context.WithTimeout(context.Background(), spread)
+func (q *Quarantine) notifyPeers(entries []peer.Suspect) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	self := q.members.Self().VM
 	var wg sync.WaitGroup
@@ -107,7 +113,7 @@
 		if m.VM == self {
 			continue
 		}
-		wg.Go(func() { _ = q.peers.Call(ctx, m.Address, Name+".Learn", word, &peer.Empty{}) })
+		wg.Go(func() { _ = q.peers.Call(ctx, m.Address, Name+".Learn", entries, &peer.Empty{}) })
 	}
 	wg.Wait()
 }
@@ -118,18 +124,18 @@
 // NewReceiver returns the receiver to register under Name.
 func NewReceiver(q *Quarantine) *Receiver { return &Receiver{quarantine: q} }
 
-// Learn takes entries of a peer.
-func (r *Receiver) Learn(word []peer.Suspect, _ *peer.Empty) error {
-	r.quarantine.merge(word)
+// Learn merges the entries that a peer sent after a crash.
+func (r *Receiver) Learn(entries []peer.Suspect, _ *peer.Empty) error {
+	r.quarantine.merge(entries)
 	return nil
 }
 
-func (q *Quarantine) merge(word []peer.Suspect) {
-	if len(word) == 0 {
+func (q *Quarantine) merge(entries []peer.Suspect) {
+	if len(entries) == 0 {
 		return
 	}
-	ss := make([]gate.Suspect, len(word))
-	for i, s := range word {
+	ss := make([]gate.Suspect, len(entries))
+	for i, s := range entries {
 		ss[i] = gate.Suspect(s)
 	}
 	q.mu.Lock()
@@ -137,14 +143,15 @@
 	q.table.Merge(q.clock.Now(), ss)
 }
 
-// Fill implements member.Part.
+// Fill implements member.Part. It adds the entries with the most crashes to a
+// heartbeat.
 func (q *Quarantine) Fill(_ peer.VM, b *peer.BeatArgs) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, s := range q.table.Digest(q.clock.Now(), digest) {
+	for _, s := range q.table.Digest(q.clock.Now(), maxHeartbeatEntries) {
 		b.Quarantine = append(b.Quarantine, peer.Suspect(s))
 	}
 }
 
-// Learn implements member.Part.
+// Learn implements member.Part. It merges the entries in a peer's heartbeat.
 func (q *Quarantine) Learn(b *peer.BeatArgs, _ bool) { q.merge(b.Quarantine) }
--- a/daemon/quarantine/quarantine_test.go
+++ b/daemon/quarantine/quarantine_test.go
@@ -11,19 +11,19 @@
 	"snipeshift.example/lib/peer"
 )
 
-type still struct{}
+type fixedClock struct{}
 
-func (still) Now() clock.Milli { return 1000 }
+func (fixedClock) Now() clock.Milli { return 1000 }
 
-// net joins the tables of some VMs directly.
-type net struct {
+// testNetwork connects the tables of several VMs directly. It implements Members and Peers.
+type testNetwork struct {
 	self  peer.VM
 	nodes map[string]*Quarantine
 }
 
-func (n net) Self() peer.Member { return peer.Member{VM: n.self} }
+func (n testNetwork) Self() peer.Member { return peer.Member{VM: n.self} }
 
-func (n net) Live() []peer.Member {
+func (n testNetwork) Live() []peer.Member {
 	var ms []peer.Member
 	for a := range n.nodes {
 		ms = append(ms, peer.Member{VM: peer.VM(a), Address: a})
@@ -31,18 +31,18 @@
 	return ms
 }
 
-func (n net) Call(_ context.Context, address, _ string, args, _ any) error {
+func (n testNetwork) Call(_ context.Context, address, _ string, args, _ any) error {
 	return NewReceiver(n.nodes[address]).Learn(args.([]peer.Suspect), &peer.Empty{})
 }
 
-// A request kills two engines through one VM, and its caller sends it again to
-// another VM at once, before any heartbeat. Without the message that goes out
-// with each death, the other VM would risk a third engine.
-func TestDeathIsKnownEverywhereBeforeTheAnswer(t *testing.T) {
+// A request crashes two engines through one VM, and its client retries at once through
+// another VM, before any heartbeat. Without the message that is sent after each crash,
+// the other VM would let the request crash a third engine.
+func TestAllPeersKnowOfACrashBeforeTheAnswer(t *testing.T) {
 	nodes := map[string]*Quarantine{}
 	for _, v := range []string{"vm-1", "vm-2", "vm-3"} {
-		n := net{self: peer.VM(v), nodes: nodes}
-		nodes[v] = New(still{}, n, n)
+		n := testNetwork{self: peer.VM(v), nodes: nodes}
+		nodes[v] = New(fixedClock{}, n, n)
 	}
 	nodes["vm-1"].Died(42, "engine-1", 0)
 	require.Equal(t, gate.Suspected, nodes["vm-2"].Check(42))
@@ -54,9 +54,9 @@
 	}
 }
 
-func TestHeartbeatsCarryTheTable(t *testing.T) {
-	n := net{self: "vm-1", nodes: map[string]*Quarantine{}}
-	a, b := New(still{}, n, n), New(still{}, n, n)
+func TestHeartbeatsContainTheTable(t *testing.T) {
+	n := testNetwork{self: "vm-1", nodes: map[string]*Quarantine{}}
+	a, b := New(fixedClock{}, n, n), New(fixedClock{}, n, n)
 	a.Died(7, "engine-1", 0)
 	var beat peer.BeatArgs
 	a.Fill("vm-2", &beat)
