--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -1,5 +1,6 @@
-// Package orders sends engines the orders that pools decide on, under a lease of
-// the store and with its fencing number.
+// Package orders sends engines the orders that the schedulers of pools decide on, such as
+// a change of role. Each order is sent under a lease of the store and contains the fencing
+// number of the lease.
 package orders
 
 import (
@@ -19,46 +20,48 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// orderTimeout bounds an order. One is sent only while the lease has longer
-// left than this, so that it cannot arrive after the lease has lapsed unless
-// this process stands still in between; then the engine refuses its old fence.
+// orderTimeout is the timeout for sending an order. An order is sent only if the lease is
+// valid for longer than this, so it can't arrive after the lease has expired unless this
+// process is paused in between. In that case the engine rejects the old fencing number
+// once it has seen a newer one.
 const orderTimeout = 2 * clock.Second
 
-// Book gives the configuration in force.
+// Book provides the current configuration.
 type Book interface {
 	Index() (*document.Index, bool)
 }
 
-// Engines takes orders to engines.
+// Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, address string, o engine.Order) error
 }
 
 // Holder sends orders for the pools owned on this VM.
 type Holder struct {
-	// ctx ends orders under way with the process's work.
-	ctx     context.Context //nolint:containedctx // the life of the process
-	log     *log.Logger
-	ring    *timeline.Ring
-	book    Book
-	engines Engines
-	leases  *lease.Leases
+	// ctx cancels orders under way when the process stops.
+	ctx      context.Context //nolint:containedctx // ends with the process
+	log      *log.Logger
+	ring     *timeline.Ring
+	registry Book
+	engines  Engines
+	leases   *lease.Leases
 }
 
-// New returns a holder without leases; Want asks for them.
+// New returns a Holder without leases. Call Want to request them.
 func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Book, e Engines, ls *lease.Leases) *Holder {
-	return &Holder{ctx: ctx, log: l, ring: r, book: b, engines: e, leases: ls}
+	return &Holder{ctx: ctx, log: l, ring: r, registry: b, engines: e, leases: ls}
 }
 
-// orderLease is the lease under which a pool's engines take orders.
-func orderLease(id peer.PoolID) platform.Name { return platform.Name("orders-" + string(id)) }
+// leaseName returns the name of the lease under which orders are sent to the engines of
+// a pool.
+func leaseName(id peer.PoolID) platform.Name { return platform.Name("orders-" + string(id)) }
 
-// Want asks for the leases of the pools owned here that have an engine
-// which checks fencing numbers. No other engine is ever sent an order: a holder
-// that was frozen in the middle of one and thawed later could then overrule
-// its successor, and nothing would stop it.
+// Want requests the leases of those pools owned by this VM that have an engine which checks
+// fencing numbers. Other engines are never sent orders: if this VM were frozen while it
+// sends one and resumed later, the order would override those of its successor, and the
+// engine could not detect that.
 func (h *Holder) Want(owned []peer.PoolID) {
-	x, ok := h.book.Index()
+	x, ok := h.registry.Index()
 	if !ok {
 		return
 	}
@@ -66,7 +69,7 @@
 	for _, id := range owned {
 		for _, u := range x.Upstreams(id) {
 			if lease.Allowed(u.Fenced) {
-				names = append(names, orderLease(id))
+				names = append(names, leaseName(id))
 				break
 			}
 		}
@@ -74,20 +77,20 @@
 	h.leases.Want(names...)
 }
 
-// Order implements pool.Orders: it sends an order under the pool's lease, or
-// not at all. The decision is made again while it still holds.
+// Order implements pool.Orders. It sends an order if this VM has the lease of the pool, and
+// otherwise drops it. The scheduler repeats a dropped order as long as it applies.
 func (h *Holder) Order(id peer.PoolID, u document.Upstream, o decide.Order) {
 	if !lease.Allowed(u.Fenced) {
 		return
 	}
-	fence, left, ok := h.leases.Fence(orderLease(id))
+	fence, left, ok := h.leases.Fence(leaseName(id))
 	if !ok || left <= orderTimeout {
 		return
 	}
-	guard.Go(h.log, "order", func() { h.order(u, fence, o) })
+	guard.Go(h.log, "order", func() { h.send(u, fence, o) })
 }
 
-func (h *Holder) order(u document.Upstream, f lease.Fence, o decide.Order) {
+func (h *Holder) send(u document.Upstream, f lease.Fence, o decide.Order) {
 	ctx, cancel := context.WithTimeout(h.ctx, orderTimeout.Duration())
 	defer cancel()
 	start := time.Now()
@@ -95,9 +98,9 @@
 	err := h.engines.Order(ctx, u.Address, engine.Order{Fence: uint64(f), Order: "role", Value: o.Role})
 	if err != nil {
 		h.ring.Add(timeline.Event{Kind: timeline.Outdated, Upstream: o.Upstream, Text: err.Error()})
-		h.log.Warn().Str("upstream", u.Name).Err(err).Msg("order not obeyed")
+		h.log.Warn().Str("upstream", u.Name).Err(err).Msg("engine did not carry out order")
 		return
 	}
 	h.ring.Add(timeline.Event{Kind: timeline.Obeyed, Upstream: o.Upstream, Text: "role " + o.Role})
-	h.log.Info().Str("upstream", u.Name).Str("role", o.Role).Dur("took", time.Since(start)).Msg("order obeyed")
+	h.log.Info().Str("upstream", u.Name).Str("role", o.Role).Dur("took", time.Since(start)).Msg("engine carried out order")
 }
