--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-var errNoReply = errors.New("cut")
+var errNoReply = errors.New("no reply")
 
 // network delivers calls between the VMs of one test.
 type network struct {
@@ -270,12 +270,12 @@
 // fail much sooner, and the first claim after the outage must succeed.
 func TestHungStoreDelaysOneClaimPerInterval(t *testing.T) {
 	x := newFixture()
-	hand := &manualClock{}
+	clk := &manualClock{}
 	x.rules.Rest, x.rules.Commit, x.rules.Brief = 1000, 300, 5
 	p := &peers{self: peer.Member{VM: "a", Address: "a"}}
 	p.setLive("a")
 	s := &timedStore{Store: x.store}
-	c := New(s, x.network, hand, x.rules, p)
+	c := New(s, x.network, clk, x.rules, p)
 	brief := x.rules.Brief.Duration()
 	release := x.store.Hold()
 	refused := func(key string) time.Duration {
@@ -288,7 +288,7 @@
 	for i := range 10 {
 		require.LessOrEqual(t, refused(fmt.Sprintf("key-%d", i)), brief)
 	}
-	hand.now.Add(int64(x.rules.Rest))
+	clk.now.Add(int64(x.rules.Rest))
 	require.Greater(t, refused("key-0"), brief, "the probe needs the full timeout, in case the store is only slow")
 	require.LessOrEqual(t, refused("key-0"), brief)
 	release()
@@ -403,11 +403,11 @@
 
 // Full pages are moved to archives. A VM that becomes home later must know all keys in
 // them; if it can't read an archive, claims must fail.
-func TestArchivesKeepKeysAndAnswers(t *testing.T) {
+func TestArchivesRetainKeysAndAnswers(t *testing.T) {
 	x := newFixture()
-	hand := &manualClock{}
-	hand.now.Store(1)
-	x.clock, x.rules.Page = hand, 4*recordSize
+	clk := &manualClock{}
+	clk.now.Store(1)
+	x.clock, x.rules.Page = clk, 4*recordSize
 	c := x.start("a")
 	_, id := digestOf("w", "key-0")
 	keys := sameShard(id, 30)
@@ -433,7 +433,7 @@
 	require.Equal(t, peer.ClaimUnknown, claimState(t, x.start("c"), keys[0], "n"))
 
 	// After the retention time archives and their keys are removed.
-	hand.now.Add(int64(x.rules.Retention) + 1)
+	clk.now.Add(int64(x.rules.Retention) + 1)
 	for _, k := range sameShard(id, 34)[30:] {
 		require.Equal(t, peer.ClaimWon, claimState(t, c, k, "late"))
 	}
--- a/daemon/claim/schedule_test.go
+++ b/daemon/claim/schedule_test.go
@@ -90,10 +90,10 @@
 
 // changeMembership sets a random membership for one VM, which may be wrong.
 func (s *schedule) changeMembership() {
-	v := rapid.SampledFrom(s.vms).Draw(s.rt, "believer")
+	v := rapid.SampledFrom(s.vms).Draw(s.rt, "vm")
 	live := []string{v}
 	for _, o := range s.vms {
-		if o != v && rapid.Bool().Draw(s.rt, "believes in "+o) {
+		if o != v && rapid.Bool().Draw(s.rt, "live member "+o) {
 			live = append(live, o)
 		}
 	}
