--- a/daemon/pool/life_test.go
+++ b/daemon/pool/life_test.go
@@ -182,9 +182,9 @@
 	return ctx.Err()
 }
 
-type forgetfulGates struct{}
+type gatesWithoutRequests struct{}
 
-func (forgetfulGates) Evidence(_ context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
+func (gatesWithoutRequests) Evidence(_ context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := map[decide.RequestID]Evidence{}
 	for _, id := range ids {
 		out[id] = Gone
@@ -197,7 +197,7 @@
 // the other engines would not be granted again meanwhile.
 func TestFrozenEngineDoesNotStopPolling(t *testing.T) {
 	o := newTestOwner(t, 1)
-	o.engines, o.gates = hungEngines{}, forgetfulGates{}
+	o.engines, o.gates = hungEngines{}, gatesWithoutRequests{}
 	p := newPool(o, testPool, 1)
 	var orphans []orphan
 	for i := range 20 {
