--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -98,9 +98,9 @@
 	err := h.engines.Order(ctx, u.Address, engine.Order{Fence: uint64(f), Order: "role", Value: o.Role})
 	if err != nil {
 		h.ring.Add(timeline.Event{Kind: timeline.Outdated, Upstream: o.Upstream, Text: err.Error()})
-		h.log.Warn().Str("upstream", u.Name).Err(err).Msg("engine did not carry out order")
+		h.log.Warn().Str("upstream", u.Name).Err(err).Msg("engine did not confirm order")
 		return
 	}
 	h.ring.Add(timeline.Event{Kind: timeline.Obeyed, Upstream: o.Upstream, Text: "role " + o.Role})
-	h.log.Info().Str("upstream", u.Name).Str("role", o.Role).Dur("took", time.Since(start)).Msg("engine carried out order")
+	h.log.Info().Str("upstream", u.Name).Str("role", o.Role).Dur("took", time.Since(start)).Msg("engine confirmed order")
 }
