--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -78,7 +78,7 @@
 	// End undoes a Begin; whole tells that the request ran to its end.
 	End(fingerprint uint64, whole bool)
 	// Died records the death of an upstream, and returns once the other VMs had their time to hear of it.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Limits holds workspaces to their rates.
@@ -118,7 +118,7 @@
 	asks    atomic.Uint64
 	metrics *metrics
 	// heard holds which upstreams want nothing from this VM for a while.
-	heard *statements.Heard
+	heard *statements.Cache
 
 	mu sync.Mutex
 	// held is every request in work with its grant, if it has one.
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -232,7 +232,7 @@
 	g.mu.Lock()
 	h.granted = false
 	g.mu.Unlock()
-	if r.outcome == decide.Died && !r.unsent {
+	if r.outcome == decide.Lost && !r.unsent {
 		g.Suspects.Died(q.fingerprint, gr.grant.Upstreams[0], 0)
 	}
 	rest := r.usage
@@ -374,7 +374,7 @@
 // queue in the nearest pool, which looks idle, while others have memory free.
 func expected(x decide.Summary, q *request) clock.Milli {
 	waits := x.Wait
-	if q.prompt >= decide.DefaultLong {
+	if q.prompt >= decide.DefaultLongPrompt {
 		waits = x.Long
 	}
 	return waits[min(int(q.kind.Urgency), len(waits)-1)]
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -70,7 +70,7 @@
 	peers       *peer.Server
 	quarantine  *quarantine.Quarantine
 	limits      *limit.Limits
-	door        *door.Door
+	door        *door.Endpoint
 	engines     *engine.Client
 	leases      *lease.Leases
 	orders      *orders.Holder
@@ -314,7 +314,7 @@
 	if t.CallerCert == "" {
 		return ls, nil
 	}
-	conf, err := door.Callers(t.CallerCert, t.CallerKey, func(err error) {
+	conf, err := door.ClientListenerConfig(t.CallerCert, t.CallerKey, func(err error) {
 		d.log.Error().Err(err).Msg("changed certificate for callers cannot be used")
 	})
 	if err != nil {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -116,7 +116,7 @@
 		for _, u := range s.Upstreams {
 			a := answers.Upstream{
 				Name: u.ID, Pool: p.ID(), Owner: v.daemon.settings.Name, Address: s.Addresses[u.ID],
-				Running: u.Running, Slots: u.Slots, Reserved: u.Taken, Used: s.Used[u.ID], Memory: u.Memory, Age: -1, Fenced: s.Fenced[u.ID],
+				Running: u.Running, Slots: u.Slots, Reserved: u.Reserved, Used: s.Used[u.ID], Memory: u.Memory, Age: -1, Fenced: s.Fenced[u.ID],
 			}
 			if at, ok := s.Reported[u.ID]; ok {
 				a.Age = now - at
@@ -131,7 +131,7 @@
 // condition is an upstream's state, with the age of its last report, negative for none.
 // Silence goes first: an engine that does not answer is shut out like one that leaves,
 // and an operator who reads that it is draining would wait for its end.
-func condition(u decide.View, age clock.Milli) answers.State {
+func condition(u decide.UpstreamView, age clock.Milli) answers.State {
 	switch {
 	case u.Memory > 0 && (age < 0 || age > silentAfter):
 		return answers.Silent
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	h.leases.Want(names...)
+	h.leases.SetWanted(names...)
 }
 
 // Order implements pool.Orders. It sends an order if this VM has the lease of the pool, and
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -70,7 +70,7 @@
 		orphanSince: map[decide.RequestID]clock.Milli{},
 		missedPolls: map[decide.UpstreamID]int{},
 	}
-	p.scheduler = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Rebuild: rebuildPeriod, Seed: uint64(epoch), Delay: firstTokenDelay})
+	p.scheduler = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Recovery: rebuildPeriod, Seed: uint64(epoch), ProgressDelay: firstTokenDelay})
 	p.configure()
 	return p
 }
@@ -406,7 +406,7 @@
 // Look describes a pool for operators.
 type Look struct {
 	Summary   decide.Summary
-	Upstreams []decide.View
+	Upstreams []decide.UpstreamView
 	Grants    []decide.Grant
 	// Addresses has the host:port of each upstream.
 	Addresses map[decide.UpstreamID]string
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -90,7 +90,7 @@
 	require.NotEqual(t, first.Upstreams, second.Upstreams)
 
 	// The late return of the first grant must not end the second one.
-	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: first.ID, Request: first.Request, Outcome: decide.Died}, &peer.Empty{}))
+	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: first.ID, Request: first.Request, Outcome: decide.Lost}, &peer.Empty{}))
 	require.Equal(t, second.ID, acquire(t, o, first.Upstreams...).ID)
 }
 
