--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -77,8 +77,8 @@
 	Begin(fingerprint uint64) bool
 	// End undoes a Begin; whole tells that the request ran to its end.
 	End(fingerprint uint64, whole bool)
-	// Died records the death of an upstream, and returns once the other VMs had their time to hear of it.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
+	// RecordCrash records the death of an upstream, and returns once the other VMs had their time to hear of it.
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Limits holds workspaces to their rates.
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -233,7 +233,7 @@
 	h.granted = false
 	g.mu.Unlock()
 	if r.outcome == decide.Lost && !r.unsent {
-		g.Suspects.Died(q.fingerprint, gr.grant.Upstreams[0], 0)
+		g.Suspects.RecordCrash(q.fingerprint, gr.grant.Upstreams[0], 0)
 	}
 	rest := r.usage
 	rest.Output = max(0, rest.Output-r.counted)
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -224,7 +224,7 @@
 type keeper struct{ b []byte }
 
 func (k *keeper) add(p []byte) {
-	if room := claim.Kept + 1 - len(k.b); room > 0 {
+	if room := claim.MaxStoredAnswer + 1 - len(k.b); room > 0 {
 		k.b = append(k.b, p[:min(room, len(p))]...)
 	}
 }
--- a/daemon/claim/claim.go
+++ b/daemon/claim/claim.go
@@ -37,8 +37,8 @@
 	Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error
 }
 
-// Caller calls methods of other VMs over net/rpc.
-type Caller interface {
+// PeerClient calls methods of other VMs over net/rpc.
+type PeerClient interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -47,42 +47,42 @@
 	Now() clock.Milli
 }
 
-// Peers is the part of the membership that claims need.
-type Peers interface {
+// Membership is the part of the membership that claims need.
+type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
 }
 
 // Rules are the timing and size limits of the journals.
 type Rules struct {
-	// Pace is the shortest interval between two writes of one shard.
-	Pace clock.Milli
-	// Commit is the timeout for committing one batch.
-	Commit clock.Milli
-	// Attempts is the largest number of conditional writes tried for one batch.
-	Attempts int
-	// Batch is the largest number of operations in one write. Queue is the number of
+	// WriteInterval is the shortest interval between two writes of one shard.
+	WriteInterval clock.Milli
+	// CommitTimeout is the timeout for committing one batch.
+	CommitTimeout clock.Milli
+	// MaxAttempts is the largest number of conditional writes tried for one batch.
+	MaxAttempts int
+	// MaxBatch is the largest number of operations in one write. Queue is the number of
 	// queued operations of a shard from which on withdrawals are discarded.
-	Batch, Queue int
-	// Page is the size in bytes above which the records of a page are moved to an
+	MaxBatch, MaxQueue int
+	// MaxPageSize is the size in bytes above which the records of a page are moved to an
 	// archive. A page of this size and a full batch together fit the store's limit.
-	Page int
-	// Window is the age of a page's oldest record above which its records are moved.
-	Window clock.Milli
-	// Archive is the largest size in bytes of merged archives.
-	Archive int
+	MaxPageSize int
+	// MaxPageAge is the age of a page's oldest record above which its records are moved.
+	MaxPageAge clock.Milli
+	// MaxArchiveSize is the largest size in bytes of merged archives.
+	MaxArchiveSize int
 	// Retention is the minimum time for which a key is remembered.
 	Retention clock.Milli
-	// Retry is the interval between attempts to record a settlement, and the delay
+	// RetryInterval is the interval between attempts to record a settlement, and the delay
 	// before a claim that may have been written is withdrawn.
-	Retry clock.Milli
-	// Rest is the interval at which one claim may use its full timeout while the store
-	// does not respond, and Brief is the commit timeout of all other claims during that
-	// time. If Rest is zero, all claims use their full timeout.
-	Rest, Brief clock.Milli
-	// Home is the timeout of a call to the home of a shard. A claim waits there for up
-	// to one Pace. Two such calls fit into the 1.5 s that a gate allows for a claim.
-	Home clock.Milli
+	RetryInterval clock.Milli
+	// ProbeInterval is the interval at which one claim may use its full timeout while the
+	// store does not respond, and BriefTimeout is the commit timeout of all other claims
+	// during that time. If ProbeInterval is zero, all claims use their full timeout.
+	ProbeInterval, BriefTimeout clock.Milli
+	// HomeTimeout is the timeout of a call to the home of a shard. A claim waits there for up
+	// to one WriteInterval. Two such calls fit into the 1.5 s that a gate allows for a claim.
+	HomeTimeout clock.Milli
 }
 
 // DefaultRules allow at most 64 shards x 5 = 320 writes per second, of the several
@@ -90,14 +90,14 @@
 // kept short, at 16 KB. Together with a batch of 100 answers of 4 KB each in base64 that
 // makes 600 KB, within the store's limit of 1 MB per value.
 var DefaultRules = Rules{
-	Pace: 200, Commit: 2 * clock.Second, Attempts: 8,
-	Batch: 100, Queue: 10000,
-	Page: 16 << 10, Window: 60 * clock.Minute, Archive: 512 << 10, Retention: 24 * 60 * clock.Minute,
-	Retry: clock.Second, Rest: clock.Second, Brief: 250, Home: 700,
+	WriteInterval: 200, CommitTimeout: 2 * clock.Second, MaxAttempts: 8,
+	MaxBatch: 100, MaxQueue: 10000,
+	MaxPageSize: 16 << 10, MaxPageAge: 60 * clock.Minute, MaxArchiveSize: 512 << 10, Retention: 24 * 60 * clock.Minute,
+	RetryInterval: clock.Second, ProbeInterval: clock.Second, BriefTimeout: 250, HomeTimeout: 700,
 }
 
-// Kept is the size in bytes up to which the journal stores an answer.
-const Kept = 4096
+// MaxStoredAnswer is the size in bytes up to which the journal stores an answer.
+const MaxStoredAnswer = 4096
 
 // Ticket identifies a claim that was won.
 type Ticket struct {
@@ -110,10 +110,10 @@
 // Claims claims idempotency keys, on this VM or through the home of their shard.
 type Claims struct {
 	store  Store
-	client Caller
+	client PeerClient
 	clock  Clock
 	rules  Rules
-	peers  Peers
+	peers  Membership
 
 	breaker breaker
 
@@ -122,7 +122,7 @@
 }
 
 // New returns Claims whose journals are in s.
-func New(s Store, c Caller, k Clock, r Rules, p Peers) *Claims {
+func New(s Store, c PeerClient, k Clock, r Rules, p Membership) *Claims {
 	return &Claims{store: s, client: c, clock: k, rules: r, peers: p, shards: map[shardID]*shard{}}
 }
 
@@ -151,11 +151,12 @@
 	return t, c.runLocally(ctx, id, &op{key: k, nonce: t.Nonce, want: claimed, voidNonces: voidNonces})
 }
 
-// Settle records the answer of a request whose claim was won; an answer of more than Kept
-// bytes is recorded without its content. It retries until the record is written or ctx
-// ends, so it should run concurrently with the response to the client and not delay it.
+// Settle records the answer of a request whose claim was won; an answer of more than
+// MaxStoredAnswer bytes is recorded without its content. It retries until the record is
+// written or ctx ends, so it should run concurrently with the response to the client and
+// not delay it.
 func (c *Claims) Settle(ctx context.Context, t Ticket, status int, answer []byte) error {
-	if len(answer) > Kept {
+	if len(answer) > MaxStoredAnswer {
 		status, answer = 0, nil
 	}
 	return c.settleWithRetries(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Status: status, Answer: answer})
@@ -172,7 +173,7 @@
 		if c.settleOnce(ctx, a) {
 			return nil
 		}
-		t := time.NewTimer(c.rules.Retry.Duration())
+		t := time.NewTimer(c.rules.RetryInterval.Duration())
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -198,7 +199,7 @@
 }
 
 func (c *Claims) call(ctx context.Context, to peer.Member, method string, args, reply any) error {
-	limited, cancel := context.WithTimeout(ctx, c.rules.Home.Duration())
+	limited, cancel := context.WithTimeout(ctx, c.rules.HomeTimeout.Duration())
 	defer cancel()
 	return c.client.Call(limited, to.Address, Name+method, args, reply)
 }
@@ -221,7 +222,7 @@
 }
 
 func (c *Claims) claimRemotely(ctx context.Context, home peer.Member, t Ticket, voidNonces []string) (peer.ClaimReply, error) {
-	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: voidNonces, Left: c.rules.Home}
+	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: voidNonces, Left: c.rules.HomeTimeout}
 	var reply peer.ClaimReply
 	err := c.call(ctx, home, ".Claim", args, &reply)
 	return reply, err
@@ -230,10 +231,10 @@
 // runLocally runs an operation on this VM. If the key has an answer that was moved to an
 // archive, it is read from there.
 func (c *Claims) runLocally(ctx context.Context, id shardID, o *op) peer.ClaimReply {
-	if o.want == claimed && !c.breaker.allowFull(c.clock.Now(), c.rules.Rest) {
+	if o.want == claimed && !c.breaker.allowFull(c.clock.Now(), c.rules.ProbeInterval) {
 		o.brief = true
 		// The operation may have to wait for one commit that is under way before its own.
-		limited, cancel := context.WithTimeout(ctx, 2*c.rules.Brief.Duration())
+		limited, cancel := context.WithTimeout(ctx, 2*c.rules.BriefTimeout.Duration())
 		defer cancel()
 		ctx = limited
 	}
@@ -265,7 +266,7 @@
 // Claim runs a claim on this VM, whether or not it is the home of the shard.
 func (r *Receiver) Claim(args *peer.ClaimArgs, reply *peer.ClaimReply) error {
 	c := r.claims
-	timeout := min(args.Left, c.rules.Commit)
+	timeout := min(args.Left, c.rules.CommitTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout.Duration())
 	defer cancel()
 	k, id := digestOf(args.Workspace, args.Key)
@@ -276,7 +277,7 @@
 // Settle records the end of a claim: an answer or a release.
 func (r *Receiver) Settle(args *peer.SettleArgs, _ *peer.Empty) error {
 	c := r.claims
-	ctx, cancel := context.WithTimeout(context.Background(), c.rules.Commit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), c.rules.CommitTimeout.Duration())
 	defer cancel()
 	if !c.settleLocally(ctx, args) {
 		return platform.ErrUnavailable
--- a/daemon/claim/shard.go
+++ b/daemon/claim/shard.go
@@ -82,7 +82,7 @@
 	for {
 		s.waitToWrite()
 		s.mu.Lock()
-		ops := s.queue[:min(len(s.queue), s.rules.Batch)]
+		ops := s.queue[:min(len(s.queue), s.rules.MaxBatch)]
 		s.queue = s.queue[len(ops):]
 		if len(ops) == 0 {
 			s.queue, s.committing = nil, false
@@ -98,7 +98,7 @@
 // some of the store's several hundred writes per second to other uses. A shard that has
 // been idle writes at once.
 func (s *shard) waitToWrite() {
-	wait := s.lastWrite + s.rules.Pace - s.clock.Now()
+	wait := s.lastWrite + s.rules.WriteInterval - s.clock.Now()
 	if wait > 0 {
 		time.Sleep(wait.Duration())
 	}
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.commitTimeout(ops).Duration())
 	defer cancel()
 	c := &commit{shard: s, ops: ops}
-	for range s.rules.Attempts {
+	for range s.rules.MaxAttempts {
 		if c.attempt(ctx) {
 			s.breaker.recordSuccess()
 			s.completeAll(ops, c.verdicts)
@@ -120,7 +120,7 @@
 		}
 	}
 	if c.noResponse {
-		s.breaker.recordFailure(s.clock.Now(), s.rules.Rest)
+		s.breaker.recordFailure(s.clock.Now(), s.rules.ProbeInterval)
 	}
 	// The state of the journal is unknown, so it is read again before the next write.
 	s.loaded = false
@@ -132,10 +132,10 @@
 func (s *shard) commitTimeout(ops []*op) clock.Milli {
 	for _, o := range ops {
 		if !o.brief {
-			return s.rules.Commit
+			return s.rules.CommitTimeout
 		}
 	}
-	return s.rules.Brief
+	return s.rules.BriefTimeout
 }
 
 // completeAll completes operations with their verdicts, and releases claims that were won
@@ -184,7 +184,7 @@
 // mu.
 func (s *shard) withdraw(o *op) {
 	for _, nonce := range append([]string{o.nonce}, o.voidNonces...) {
-		if len(s.queue) < s.rules.Queue {
+		if len(s.queue) < s.rules.MaxQueue {
 			s.enqueue(&op{key: o.key, nonce: nonce, want: released, brief: true})
 		}
 	}
@@ -192,7 +192,7 @@
 
 // withdrawLater withdraws a claim after the retry interval.
 func (s *shard) withdrawLater(o *op) {
-	time.AfterFunc(s.rules.Retry.Duration(), func() {
+	time.AfterFunc(s.rules.RetryInterval.Duration(), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.withdraw(o)
@@ -335,7 +335,7 @@
 // deleted because the store is unavailable uses space but does no harm.
 func (s *shard) deleteArchives(unlisted []archive) {
 	for _, a := range unlisted {
-		ctx, cancel := context.WithTimeout(context.Background(), s.rules.Commit.Duration())
+		ctx, cancel := context.WithTimeout(context.Background(), s.rules.CommitTimeout.Duration())
 		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Always)
 		cancel()
 	}
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -26,8 +26,8 @@
 // once it has seen a newer one.
 const orderTimeout = 2 * clock.Second
 
-// Book provides the current configuration.
-type Book interface {
+// Registry provides the current configuration.
+type Registry interface {
 	Index() (*document.Index, bool)
 }
 
@@ -36,31 +36,31 @@
 	Order(ctx context.Context, address string, o engine.Order) error
 }
 
-// Holder sends orders for the pools owned on this VM.
-type Holder struct {
+// Sender sends orders for the pools owned on this VM.
+type Sender struct {
 	// ctx cancels orders under way when the process stops.
 	ctx      context.Context //nolint:containedctx // ends with the process
 	log      *log.Logger
 	ring     *timeline.Ring
-	registry Book
+	registry Registry
 	engines  Engines
 	leases   *lease.Leases
 }
 
-// New returns a Holder without leases. Call Want to request them.
-func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Book, e Engines, ls *lease.Leases) *Holder {
-	return &Holder{ctx: ctx, log: l, ring: r, registry: b, engines: e, leases: ls}
+// New returns a Sender without leases. Call RequestLeases to request them.
+func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Registry, e Engines, ls *lease.Leases) *Sender {
+	return &Sender{ctx: ctx, log: l, ring: r, registry: b, engines: e, leases: ls}
 }
 
 // leaseName returns the name of the lease under which orders are sent to the engines of
 // a pool.
 func leaseName(id peer.PoolID) platform.Name { return platform.Name("orders-" + string(id)) }
 
-// Want requests the leases of those pools owned by this VM that have an engine which checks
-// fencing numbers. Other engines are never sent orders: if this VM were frozen while it
-// sends one and resumed later, the order would override those of its successor, and the
-// engine could not detect that.
-func (h *Holder) Want(owned []peer.PoolID) {
+// RequestLeases requests the leases of those pools owned by this VM that have an engine
+// which checks fencing numbers. Other engines are never sent orders: if this VM were frozen
+// while it sends one and resumed later, the order would override those of its successor,
+// and the engine could not detect that.
+func (h *Sender) RequestLeases(owned []peer.PoolID) {
 	x, ok := h.registry.Index()
 	if !ok {
 		return
@@ -79,7 +79,7 @@
 
 // Order implements pool.Orders. It sends an order if this VM has the lease of the pool, and
 // otherwise drops it. The scheduler repeats a dropped order as long as it applies.
-func (h *Holder) Order(id peer.PoolID, u document.Upstream, o decide.Order) {
+func (h *Sender) Order(id peer.PoolID, u document.Upstream, o decide.Order) {
 	if !lease.Allowed(u.Fenced) {
 		return
 	}
@@ -90,7 +90,7 @@
 	guard.Go(h.log, "order", func() { h.send(u, fence, o) })
 }
 
-func (h *Holder) send(u document.Upstream, f lease.Fence, o decide.Order) {
+func (h *Sender) send(u document.Upstream, f lease.Fence, o decide.Order) {
 	ctx, cancel := context.WithTimeout(h.ctx, orderTimeout.Duration())
 	defer cancel()
 	start := time.Now()
--- a/daemon/pool/gate_client.go
+++ b/daemon/pool/gate_client.go
@@ -21,17 +21,17 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Witness asks gates whether they still hold requests. It implements Gates.
-type Witness struct {
+// GateClient asks gates whether they still hold requests. It implements Gates.
+type GateClient struct {
 	directory Directory
 	peers     Peers
 }
 
-// NewWitness returns a client that looks up gates in d and calls them through p.
-func NewWitness(d Directory, p Peers) *Witness { return &Witness{directory: d, peers: p} }
+// NewGateClient returns a client that looks up gates in d and calls them through p.
+func NewGateClient(d Directory, p Peers) *GateClient { return &GateClient{directory: d, peers: p} }
 
 // Evidence implements Gates. It sends one call to each gate, to all gates concurrently.
-func (w *Witness) Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
+func (w *GateClient) Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := make(map[decide.RequestID]Evidence, len(ids))
 	byGate := map[decide.GateID][]decide.RequestID{}
 	for _, id := range ids {
@@ -58,7 +58,7 @@
 }
 
 // askGate returns the evidence on requests that all have the same gate.
-func (w *Witness) askGate(ctx context.Context, ids []decide.RequestID) []Evidence {
+func (w *GateClient) askGate(ctx context.Context, ids []decide.RequestID) []Evidence {
 	es := make([]Evidence, len(ids))
 	o, _ := peer.ParseRequest(ids[0])
 	m, _, known := w.directory.Find(o.VM)
@@ -66,19 +66,19 @@
 		return es
 	}
 	if m.Incarnation > o.Incarnation {
-		return fill(es, Gone)
+		return fill(es, NotHeld)
 	}
 	var reply peer.HoldsReply
 	err := w.peers.Call(ctx, m.Address, "Gate.Holds", peer.HoldsArgs{Requests: ids}, &reply)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		// The VM is up and nothing listens on the port, so the process has ended.
-		return fill(es, Gone)
+		return fill(es, NotHeld)
 	case err != nil || len(reply.Held) != len(ids):
 		return es
 	}
 	for i, held := range reply.Held {
-		es[i] = Gone
+		es[i] = NotHeld
 		if held {
 			es[i] = Held
 		}
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -55,8 +55,8 @@
 	Drop(ctx context.Context, address, handle string) error
 }
 
-// Book provides the current configuration and the state of upstreams.
-type Book interface {
+// Registry provides the current configuration and the state of upstreams.
+type Registry interface {
 	Index() (*document.Index, bool)
 	// Leaving reports whether the platform lists an upstream as about to be removed.
 	Leaving(id decide.UpstreamID) bool
@@ -67,9 +67,9 @@
 
 // All values of Evidence.
 const (
-	Unsure Evidence = iota // the gate did not answer; it may still be running
-	Held                   // the gate holds the request
-	Gone                   // the gate denied holding the request, or its process has ended
+	Unknown Evidence = iota // the gate did not answer; it may still be running
+	Held                    // the gate holds the request
+	NotHeld                 // the gate denied holding the request, or its process has ended
 )
 
 // Gates finds out whether the gates of requests still hold them.
@@ -89,7 +89,7 @@
 	log      *log.Logger
 	ring     *timeline.Ring
 	engines  Engines
-	registry Book
+	registry Registry
 	gates    Gates
 	orders   Orders
 
@@ -106,7 +106,7 @@
 }
 
 // New returns an owner without pools. Cancelling ctx stops all pools.
-func New(ctx context.Context, c *clock.Clock, l *log.Logger, ring *timeline.Ring, engines Engines, registry Book, gates Gates, orders Orders, epoch decide.Epoch) *Owner {
+func New(ctx context.Context, c *clock.Clock, l *log.Logger, ring *timeline.Ring, engines Engines, registry Registry, gates Gates, orders Orders, epoch decide.Epoch) *Owner {
 	return &Owner{clock: c, log: l, ring: ring, engines: engines, registry: registry, gates: gates, orders: orders, epoch: epoch, pools: map[peer.PoolID]*Pool{}, ctx: ctx}
 }
 
@@ -164,10 +164,10 @@
 	}
 }
 
-// Paused discards all pools. It is called after this process was paused for longer
+// DiscardPools discards all pools. It is called after this process was paused for longer
 // than a lease: other VMs own the pools by then, and the state here is outdated. Gates
 // present their live grants again.
-func (o *Owner) Paused() {
+func (o *Owner) DiscardPools() {
 	o.mu.Lock()
 	ps := o.openPools()
 	o.pools = map[peer.PoolID]*Pool{}
@@ -188,8 +188,8 @@
 	}
 }
 
-// Keep opens the pools that this VM owns now and closes idle pools that it doesn't own.
-func (o *Owner) Keep(owned []peer.PoolID) {
+// SetOwned opens the pools that this VM owns now and closes idle pools that it doesn't own.
+func (o *Owner) SetOwned(owned []peer.PoolID) {
 	isOwned := make(map[peer.PoolID]bool, len(owned))
 	for _, id := range owned {
 		isOwned[id] = true
--- a/daemon/pool/poll.go
+++ b/daemon/pool/poll.go
@@ -197,7 +197,7 @@
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
 	for _, s := range due {
-		if evidence[s.request] == Gone || deadlinePassed(s.request, now) {
+		if evidence[s.request] == NotHeld || deadlinePassed(s.request, now) {
 			g.Go(func() error { p.freeOrphan(s); return nil })
 		}
 	}
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -403,8 +403,8 @@
 	}
 }
 
-// Look describes a pool for operators.
-type Look struct {
+// Status describes a pool for operators.
+type Status struct {
 	Summary   decide.Summary
 	Upstreams []decide.UpstreamView
 	Grants    []decide.Grant
@@ -425,12 +425,12 @@
 // between successive owners, and each time that a pool is reopened.
 func (p *Pool) Epoch() decide.Epoch { return p.epoch }
 
-// Look returns a copy of the pool's state for operators.
-func (p *Pool) Look() Look {
+// Status returns a copy of the pool's state for operators.
+func (p *Pool) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
-	l := Look{
+	l := Status{
 		Summary: p.scheduler.Summary(now), Upstreams: p.scheduler.Upstreams(now), Grants: p.scheduler.Grants(),
 		Addresses: map[decide.UpstreamID]string{}, Used: map[decide.UpstreamID]decide.Tokens{},
 		Reported: map[decide.UpstreamID]clock.Milli{}, Fenced: map[decide.UpstreamID]bool{},
--- a/daemon/usage/usage.go
+++ b/daemon/usage/usage.go
@@ -70,26 +70,26 @@
 
 // Rules are the timing of writes to the store.
 type Rules struct {
-	// Least is the shortest interval between two writes of a VM's counters.
-	Least clock.Milli
-	// Speed is the largest average write rate in bytes per second. The counters of
+	// MinInterval is the shortest interval between two writes of a VM's counters.
+	MinInterval clock.Milli
+	// MaxBytesPerSecond is the largest average write rate in bytes per second. The counters of
 	// 3,500 workspaces have about 400 KB. Written every 5 s they would take eleven times
 	// the 7 KB per second that a VM may use, so they are written less often.
-	Speed int
-	// Tick is the interval at which a VM checks for counters to be written.
-	Tick clock.Milli
-	// Forget is how long a copy of the counters of a VM that is gone is retained after
+	MaxBytesPerSecond int
+	// CheckInterval is the interval at which a VM checks for counters to be written.
+	CheckInterval clock.Milli
+	// Retention is how long a copy of the counters of a VM that is gone is retained after
 	// it was written.
-	Forget clock.Milli
+	Retention clock.Milli
 }
 
 // DefaultRules write counters of up to 10 KB every 5 s, and of 400 KB every 200 s.
-var DefaultRules = Rules{Least: 5 * clock.Second, Speed: 2048, Tick: clock.Second, Forget: 10 * clock.Minute}
+var DefaultRules = Rules{MinInterval: 5 * clock.Second, MaxBytesPerSecond: 2048, CheckInterval: clock.Second, Retention: 10 * clock.Minute}
 
 // counter is the usage of one workspace as counted by this VM.
 type counter struct {
 	usage peer.Usage
-	// change is the Book's change number of the last change to this counter.
+	// change is the Meter's change number of the last change to this counter.
 	change uint64
 }
 
@@ -102,12 +102,12 @@
 	writtenAt clock.Milli
 }
 
-// Book counts the usage on this VM and retains copies of other VMs' counters.
-type Book struct {
+// Meter counts the usage on this VM and retains copies of other VMs' counters.
+type Meter struct {
 	store Store
 	clock Clock
 	rules Rules
-	peers Peers
+	peers Membership
 	self  incarnation
 
 	mu  sync.Mutex
@@ -131,10 +131,10 @@
 	nextWrite clock.Milli
 }
 
-// New returns a Book without counters for the present incarnation of this VM.
-func New(s Store, k Clock, r Rules, p Peers) *Book {
+// New returns a Meter without counters for the present incarnation of this VM.
+func New(s Store, k Clock, r Rules, p Membership) *Meter {
 	self := p.Self()
-	return &Book{
+	return &Meter{
 		store: s, clock: k, rules: r, peers: p,
 		self: incarnation{self.VM, self.Incarnation},
 		own:  map[decide.WorkspaceID]*counter{},
@@ -145,7 +145,7 @@
 
 // Add adds usage to the counter of a workspace. It is also called while a request is
 // running, with the usage since the last call, so that little is lost if this VM crashes.
-func (b *Book) Add(w decide.WorkspaceID, u peer.Usage) {
+func (b *Meter) Add(w decide.WorkspaceID, u peer.Usage) {
 	if u == (peer.Usage{}) {
 		return
 	}
@@ -160,8 +160,8 @@
 	c.usage, c.change = Sum(c.usage, u), b.change
 }
 
-// Own returns the usage of a workspace that this VM has counted since its start.
-func (b *Book) Own(w decide.WorkspaceID) peer.Usage {
+// OwnUsage returns the usage of a workspace that this VM has counted since its start.
+func (b *Meter) OwnUsage(w decide.WorkspaceID) peer.Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c := b.own[w]; c != nil {
@@ -171,10 +171,10 @@
 }
 
 // Fill implements member.Part. It adds nothing, because usage is sent by Load.
-func (b *Book) Fill(peer.VM, *peer.BeatArgs) {}
+func (b *Meter) Fill(peer.VM, *peer.BeatArgs) {}
 
 // Counters returns this VM's own counters and the copies of other VMs' counters.
-func (b *Book) Counters() []peer.WorkspaceUsage {
+func (b *Meter) Counters() []peer.WorkspaceUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var us []peer.WorkspaceUsage
@@ -191,7 +191,7 @@
 
 // Load implements member.AckedPart. It adds the counters that changed since the last
 // heartbeat that the neighbour acknowledged.
-func (b *Book) Load(to peer.Member, m *peer.BeatArgs) {
+func (b *Meter) Load(to peer.Member, m *peer.BeatArgs) {
 	if !b.isNeighbour(to) {
 		return
 	}
@@ -211,7 +211,7 @@
 }
 
 // isNeighbour reports whether a member is to store a copy of this VM's counters.
-func (b *Book) isNeighbour(m peer.Member) bool {
+func (b *Meter) isNeighbour(m peer.Member) bool {
 	for _, n := range b.peers.Neighbours() {
 		if n.VM == m.VM && n.Incarnation == m.Incarnation {
 			return true
@@ -222,7 +222,7 @@
 
 // Arrived implements member.AckedPart. It records that a member acknowledged the last
 // heartbeat sent to it.
-func (b *Book) Arrived(to peer.Member) {
+func (b *Meter) Arrived(to peer.Member) {
 	inc := incarnation{to.VM, to.Incarnation}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -230,7 +230,7 @@
 }
 
 // Learn implements member.Part. It stores copies of other VMs' counters.
-func (b *Book) Learn(m *peer.BeatArgs, _ bool) {
+func (b *Meter) Learn(m *peer.BeatArgs, _ bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, u := range m.Usage {
@@ -249,4 +249,4 @@
 	}
 }
 
-var _ member.AckedPart = (*Book)(nil)
+var _ member.AckedPart = (*Meter)(nil)
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -18,7 +18,7 @@
 // incarnation of a VM.
 const Kind platform.Kind = "usage"
 
-// Store is the part of the platform's store that a Book needs.
+// Store is the part of the platform's store that a Meter needs.
 type Store interface {
 	Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error)
 	Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error)
@@ -34,8 +34,8 @@
 	Now() clock.Milli
 }
 
-// Peers is the part of the membership that a Book needs.
-type Peers interface {
+// Membership is the part of the membership that a Meter needs.
+type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
 	Neighbours() []peer.Member
@@ -101,8 +101,8 @@
 
 // Run writes counters to the store periodically until ctx ends. It writes nothing when
 // ctx ends; see Flush.
-func (b *Book) Run(ctx context.Context) error {
-	t := time.NewTicker(b.rules.Tick.Duration())
+func (b *Meter) Run(ctx context.Context) error {
+	t := time.NewTicker(b.rules.CheckInterval.Duration())
 	defer t.Stop()
 	for {
 		select {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (b *Book) tick(ctx context.Context) {
+func (b *Meter) tick(ctx context.Context) {
 	b.writeMu.Lock()
 	defer b.writeMu.Unlock()
 	if b.clock.Now() >= b.nextWrite {
@@ -126,7 +126,7 @@
 
 // Flush writes everything that the store lacks. It is called at the end of a planned
 // stop.
-func (b *Book) Flush(ctx context.Context) error {
+func (b *Meter) Flush(ctx context.Context) error {
 	b.writeMu.Lock()
 	defer b.writeMu.Unlock()
 	b.writeReplicas(ctx)
@@ -134,7 +134,7 @@
 }
 
 // writeOwn writes this VM's counters if they changed.
-func (b *Book) writeOwn(ctx context.Context) error {
+func (b *Meter) writeOwn(ctx context.Context) error {
 	b.mu.Lock()
 	change, s := b.change, counters{}
 	for w, c := range b.own {
@@ -145,11 +145,11 @@
 		return nil
 	}
 	value := s.encode()
-	b.nextWrite = b.clock.Now() + max(b.rules.Least, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.Speed))
+	b.nextWrite = b.clock.Now() + max(b.rules.MinInterval, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.MaxBytesPerSecond))
 	v, err := b.put(ctx, b.self, s, b.version)
 	if err != nil {
 		// The write may have taken effect or not, so the next attempt reads first.
-		b.version, b.nextWrite = 0, b.clock.Now()+b.rules.Least
+		b.version, b.nextWrite = 0, b.clock.Now()+b.rules.MinInterval
 		return err
 	}
 	b.version, b.storedChange = v, change
@@ -159,7 +159,7 @@
 // put merges s into the stored counters of inc and returns the new version. The write is
 // conditional on the version that was read, or on version known if it is not zero, so that a
 // delayed write can't undo a later one.
-func (b *Book) put(ctx context.Context, inc incarnation, s counters, known platform.Version) (platform.Version, error) {
+func (b *Meter) put(ctx context.Context, inc incarnation, s counters, known platform.Version) (platform.Version, error) {
 	if known == 0 {
 		o, err := b.store.Get(ctx, Kind, inc.objectName())
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -180,7 +180,7 @@
 }
 
 // writeReplicas writes the copies of counters whose incarnation is no longer live.
-func (b *Book) writeReplicas(ctx context.Context) {
+func (b *Meter) writeReplicas(ctx context.Context) {
 	live := map[incarnation]bool{}
 	for _, m := range b.peers.Live() {
 		live[incarnation{m.VM, m.Incarnation}] = true
@@ -195,7 +195,7 @@
 
 // unwrittenReplicas returns copies of the counters to be written, and discards those that
 // were written long ago. Counters of live incarnations are neither written nor discarded.
-func (b *Book) unwrittenReplicas(live map[incarnation]bool) map[incarnation]counters {
+func (b *Meter) unwrittenReplicas(live map[incarnation]bool) map[incarnation]counters {
 	now := b.clock.Now()
 	unwritten := map[incarnation]counters{}
 	b.mu.Lock()
@@ -207,7 +207,7 @@
 			s := counters{}
 			s.merge(r.counters)
 			unwritten[inc] = s
-		case now-r.writtenAt > b.rules.Forget:
+		case now-r.writtenAt > b.rules.Retention:
 			delete(b.replicas, inc)
 		}
 	}
@@ -215,7 +215,7 @@
 }
 
 // markWritten records that s was written to the store.
-func (b *Book) markWritten(inc incarnation, s counters) {
+func (b *Meter) markWritten(inc incarnation, s counters) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[inc]
