--- a/daemon/openai/answer.go
+++ b/daemon/openai/answer.go
@@ -5,54 +5,57 @@
 	"errors"
 )
 
-// errNoChunk is an answer that ended before its first chunk.
-var errNoChunk = errors.New("an answer without a chunk")
+// errNoChunks is returned for a stream that ended before its first chunk.
+var errNoChunks = errors.New("an answer without a chunk")
 
-// Answer is the part of a streamed answer that came. Its zero value is empty.
+// Answer collects the chunks of a streamed response. Its zero value is empty.
 type Answer struct {
-	// head is the first chunk; nil before it came. Its Tier, Print and Usage are the newest ones.
-	head *chunkBody
-	// text, refused and reasoning are content that came in pieces.
-	text, refused, reasoning []byte
-	tools                    []toolCall
-	// probs holds the lists of log probabilities by the API's name of each.
-	probs map[string][]json.RawMessage
-	// end is why the generation ended, stop what ended it.
-	end  string
-	stop json.RawMessage
+	// head is the first chunk, nil before it arrived. Its Tier, Fingerprint and Usage are replaced
+	// by those of later chunks.
+	head *streamChunk
+	// text, refusal and reasoning are the concatenated content of the chunks.
+	text, refusal, reasoning []byte
+	toolCalls                []toolCall
+	// logprobs holds the lists of log probabilities under their names in the API.
+	logprobs map[string][]json.RawMessage
+	// finishReason is why the generation ended, and stopReason the stop sequence or token that
+	// ended it.
+	finishReason string
+	stopReason   json.RawMessage
 }
 
-// chunkBody is a chunk of the API, as far as it is collected.
-type chunkBody struct {
-	ID      string          `json:"id"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Print   string          `json:"system_fingerprint"`
-	Tier    string          `json:"service_tier"`
-	Usage   json.RawMessage `json:"usage"`
-	Choices []choicePart    `json:"choices"`
+// streamChunk holds the fields of a chunk that are collected.
+type streamChunk struct {
+	ID          string          `json:"id"`
+	Created     int64           `json:"created"`
+	Model       string          `json:"model"`
+	Fingerprint string          `json:"system_fingerprint"`
+	Tier        string          `json:"service_tier"`
+	Usage       json.RawMessage `json:"usage"`
+	Choices     []choiceDelta   `json:"choices"`
 }
 
-type choicePart struct {
-	Text   string                       `json:"text"`
-	Finish string                       `json:"finish_reason"`
-	Stop   json.RawMessage              `json:"stop_reason"`
-	Probs  map[string][]json.RawMessage `json:"logprobs"`
-	Delta  struct {
-		Content   string     `json:"content"`
-		Refusal   string     `json:"refusal"`
-		Reasoning string     `json:"reasoning_content"`
-		Tools     []toolPart `json:"tool_calls"`
+// choiceDelta is the part of a choice that one chunk carries.
+type choiceDelta struct {
+	Text         string                       `json:"text"`
+	FinishReason string                       `json:"finish_reason"`
+	StopReason   json.RawMessage              `json:"stop_reason"`
+	Logprobs     map[string][]json.RawMessage `json:"logprobs"`
+	Delta        struct {
+		Content   string          `json:"content"`
+		Refusal   string          `json:"refusal"`
+		Reasoning string          `json:"reasoning_content"`
+		Tools     []toolCallDelta `json:"tool_calls"`
 	} `json:"delta"`
 }
 
-// toolPart is a part of the call of a tool with its place among the calls.
-type toolPart struct {
+// toolCallDelta is a part of a tool call, with the index of the call.
+type toolCallDelta struct {
 	Index int `json:"index"`
 	toolCall
 }
 
-// toolCall is a call of a tool.
+// toolCall is one tool call of a response.
 type toolCall struct {
 	index    int
 	ID       string       `json:"id,omitempty"`
@@ -65,76 +68,78 @@
 	Arguments string `json:"arguments"`
 }
 
-// whole is an answer of the API that is not streamed.
-type whole struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Print   string          `json:"system_fingerprint,omitempty"`
-	Tier    string          `json:"service_tier,omitempty"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage,omitempty"`
+// response is the body of a non-streaming response.
+type response struct {
+	ID          string           `json:"id"`
+	Object      string           `json:"object"`
+	Created     int64            `json:"created"`
+	Model       string           `json:"model"`
+	Fingerprint string           `json:"system_fingerprint,omitempty"`
+	Tier        string           `json:"service_tier,omitempty"`
+	Choices     []responseChoice `json:"choices"`
+	Usage       json.RawMessage  `json:"usage,omitempty"`
 }
 
-type wholeChoice struct {
-	Index   int                          `json:"index"`
-	Message *wholeMessage                `json:"message,omitempty"`
-	Text    *string                      `json:"text,omitempty"`
-	Probs   map[string][]json.RawMessage `json:"logprobs"`
-	Finish  string                       `json:"finish_reason"`
-	Stop    json.RawMessage              `json:"stop_reason,omitempty"`
+type responseChoice struct {
+	Index        int                          `json:"index"`
+	Message      *responseMessage             `json:"message,omitempty"`
+	Text         *string                      `json:"text,omitempty"`
+	Logprobs     map[string][]json.RawMessage `json:"logprobs"`
+	FinishReason string                       `json:"finish_reason"`
+	StopReason   json.RawMessage              `json:"stop_reason,omitempty"`
 }
 
-type wholeMessage struct {
+type responseMessage struct {
 	Role string `json:"role"`
-	// Content is null in an answer that only calls tools or refuses.
+	// Content is null in a response that only calls tools or refuses.
 	Content   *string    `json:"content"`
 	Refusal   *string    `json:"refusal"`
 	Reasoning string     `json:"reasoning_content,omitempty"`
 	Tools     []toolCall `json:"tool_calls,omitempty"`
 }
 
-// Add takes the next chunk of the stream.
+// Add adds the next chunk of the stream, given as JSON.
 func (a *Answer) Add(chunk string) error {
-	var b chunkBody
+	var b streamChunk
 	if err := json.Unmarshal([]byte(chunk), &b); err != nil {
 		return err
 	}
-	a.head = b.after(a.head)
+	a.head = b.mergeInto(a.head)
 	for _, x := range b.Choices {
-		a.add(x)
+		a.addDelta(x)
 	}
 	return nil
 }
 
-// Whole is the answer in one piece, for a chat completion or a completion.
+// Whole returns the collected response as the JSON body of a chat completion, or of a text
+// completion if chat is false. It fails if there was no chunk.
 func (a *Answer) Whole(chat bool) ([]byte, error) {
 	b := a.head
 	if b == nil {
-		return nil, errNoChunk
+		return nil, errNoChunks
 	}
-	out := whole{ID: b.ID, Object: "text_completion", Created: b.Created, Model: b.Model, Print: b.Print, Tier: b.Tier}
+	out := response{ID: b.ID, Object: "text_completion", Created: b.Created, Model: b.Model, Fingerprint: b.Fingerprint, Tier: b.Tier}
 	if chat {
 		out.Object = "chat.completion"
 	}
-	if given(b.Usage) {
+	if isSet(b.Usage) {
 		out.Usage = b.Usage
 	}
-	out.Choices = []wholeChoice{a.choice(chat)}
+	out.Choices = []responseChoice{a.choice(chat)}
 	return json.Marshal(out)
 }
 
-// after takes from b what only some chunks carry, and gives the head of the answer.
-func (b *chunkBody) after(head *chunkBody) *chunkBody {
+// mergeInto copies to head the fields that only some chunks carry, and returns the head. The first
+// chunk becomes the head itself.
+func (b *streamChunk) mergeInto(head *streamChunk) *streamChunk {
 	if head == nil {
 		return b
 	}
-	if given(b.Usage) {
+	if isSet(b.Usage) {
 		head.Usage = b.Usage
 	}
-	if b.Print != "" {
-		head.Print = b.Print
+	if b.Fingerprint != "" {
+		head.Fingerprint = b.Fingerprint
 	}
 	if b.Tier != "" {
 		head.Tier = b.Tier
@@ -142,57 +147,57 @@
 	return head
 }
 
-func given(j json.RawMessage) bool { return len(j) > 0 && string(j) != "null" }
+func isSet(j json.RawMessage) bool { return len(j) > 0 && string(j) != "null" }
 
-// add takes the next piece of the one choice.
-func (a *Answer) add(x choicePart) {
+// addDelta adds a chunk's part of the only choice.
+func (a *Answer) addDelta(x choiceDelta) {
 	a.text = append(a.text, x.Text...)
 	a.text = append(a.text, x.Delta.Content...)
-	a.refused = append(a.refused, x.Delta.Refusal...)
+	a.refusal = append(a.refusal, x.Delta.Refusal...)
 	a.reasoning = append(a.reasoning, x.Delta.Reasoning...)
-	if x.Finish != "" {
-		a.end = x.Finish
+	if x.FinishReason != "" {
+		a.finishReason = x.FinishReason
 	}
-	if given(x.Stop) {
-		a.stop = x.Stop
+	if isSet(x.StopReason) {
+		a.stopReason = x.StopReason
 	}
-	for name, ps := range x.Probs {
-		if a.probs == nil {
-			a.probs = map[string][]json.RawMessage{}
+	for name, ps := range x.Logprobs {
+		if a.logprobs == nil {
+			a.logprobs = map[string][]json.RawMessage{}
 		}
-		a.probs[name] = append(a.probs[name], ps...)
+		a.logprobs[name] = append(a.logprobs[name], ps...)
 	}
 	for _, t := range x.Delta.Tools {
-		a.tool(t)
+		a.addToolCall(t)
 	}
 }
 
-// tool adds a part of a tool call to the call of its index.
-func (a *Answer) tool(t toolPart) {
-	for i := range a.tools {
-		if a.tools[i].index == t.Index {
-			a.tools[i].Function.Arguments += t.Function.Arguments
+// addToolCall appends a part of a tool call to the call with the same index.
+func (a *Answer) addToolCall(t toolCallDelta) {
+	for i := range a.toolCalls {
+		if a.toolCalls[i].index == t.Index {
+			a.toolCalls[i].Function.Arguments += t.Function.Arguments
 			return
 		}
 	}
 	t.toolCall.index = t.Index
-	a.tools = append(a.tools, t.toolCall)
+	a.toolCalls = append(a.toolCalls, t.toolCall)
 }
 
-// choice is the one choice of the whole answer.
-func (a *Answer) choice(chat bool) wholeChoice {
-	c := wholeChoice{Finish: a.end, Stop: a.stop, Probs: a.probs}
+// choice returns the only choice of the collected response.
+func (a *Answer) choice(chat bool) responseChoice {
+	c := responseChoice{FinishReason: a.finishReason, StopReason: a.stopReason, Logprobs: a.logprobs}
 	text := string(a.text)
 	if !chat {
 		c.Text = &text
 		return c
 	}
-	c.Message = &wholeMessage{Role: "assistant", Reasoning: string(a.reasoning), Tools: a.tools}
-	if text != "" || len(a.tools) == 0 && len(a.refused) == 0 {
+	c.Message = &responseMessage{Role: "assistant", Reasoning: string(a.reasoning), Tools: a.toolCalls}
+	if text != "" || len(a.toolCalls) == 0 && len(a.refusal) == 0 {
 		c.Message.Content = &text
 	}
-	if len(a.refused) > 0 {
-		refused := string(a.refused)
+	if len(a.refusal) > 0 {
+		refused := string(a.refusal)
 		c.Message.Refusal = &refused
 	}
 	return c
--- a/daemon/openai/body.go
+++ b/daemon/openai/body.go
@@ -1,5 +1,5 @@
-// Package openai reads and writes the OpenAI-compatible API: the bodies of
-// generation requests, and whole answers put together from a stream's chunks.
+// Package openai reads and writes the OpenAI-compatible API: it parses generation requests, and
+// assembles non-streaming responses from the chunks of a stream.
 package openai
 
 import (
@@ -16,27 +16,27 @@
 	"snipeshift.example/lib/fault"
 )
 
-// maxOutput bounds the limit of output tokens: far above it sums would pass over,
-// and no engine has the memory.
-const maxOutput decide.Tokens = 1 << 30
+// maxOutputTokens bounds the token limit that a caller may set. Much larger limits would overflow
+// sums, and no engine has the memory for them.
+const maxOutputTokens decide.Tokens = 1 << 30
 
-// Body is a generation request as a gate reads it.
+// Body is a parsed generation request.
 type Body struct {
 	Model  string
 	Stream bool
-	// Usage tells whether the caller wants the chunk that reports usage.
+	// Usage reports whether the caller asked for the chunk with the token usage.
 	Usage bool
 	// Limit is the caller's limit of output tokens, zero for none.
 	Limit decide.Tokens
-	// Text is the prompt in the order in which an engine reads it.
+	// Text is the prompt, its parts in the order in which an engine reads them.
 	Text []byte
 
 	fields fields
 	size   int
 }
 
-// Read reads the body of a chat completion, or of a completion. Its faults are
-// Malformed and Oversize.
+// Read parses the body of a chat completion, or of a text completion if chat is false. Its faults
+// are of kind Malformed or Oversize.
 func Read(b []byte, chat bool) (*Body, *fault.Error) {
 	if len(b) == 0 {
 		return nil, fault.New(fault.Malformed, "the request has no body")
@@ -44,83 +44,83 @@
 	if !utf8.Valid(b) {
 		return nil, fault.New(fault.Malformed, "the body is not UTF-8")
 	}
-	f, err := object(b)
+	f, err := parseObject(b)
 	if err != nil {
 		return nil, fault.New(fault.Malformed, "the body is not a JSON object: %v", err)
 	}
-	x, err := f.call()
+	x, err := f.parameters()
 	if err != nil {
 		return nil, fault.New(fault.Malformed, "the body is not the JSON of the API: %v", err)
 	}
 	if x.Choices != nil && *x.Choices != 1 {
 		return nil, fault.New(fault.Malformed, "n is 1: send a request for each choice")
 	}
-	limit, e := x.limit()
+	limit, e := x.outputLimit()
 	if e != nil {
 		return nil, e
 	}
-	text, e := x.text(chat, len(b))
+	text, e := x.promptText(chat, len(b))
 	if e != nil {
 		return nil, e
 	}
-	return &Body{Model: x.Model, Stream: x.Stream, Usage: x.Usage, Limit: limit, Text: text, fields: f, size: len(b)}, nil
+	return &Body{Model: x.Model, Stream: x.Stream, Usage: x.IncludeUsage, Limit: limit, Text: text, fields: f, size: len(b)}, nil
 }
 
-// limit is the caller's limit of output tokens, zero for none.
-func (x *call) limit() (decide.Tokens, *fault.Error) {
+// outputLimit returns the caller's limit of output tokens, zero for none.
+func (x *parameters) outputLimit() (decide.Tokens, *fault.Error) {
 	var limit decide.Tokens
-	for _, n := range []*decide.Tokens{x.Max, x.Completion} {
+	for _, n := range []*decide.Tokens{x.MaxTokens, x.MaxCompletionTokens} {
 		if n == nil {
 			continue
 		}
 		if *n < 1 {
 			return 0, fault.New(fault.Malformed, "the limit of output tokens is 1 or more")
 		}
-		if *n > maxOutput {
-			return 0, fault.New(fault.Oversize, "the limit of output tokens is %d or less", maxOutput)
+		if *n > maxOutputTokens {
+			return 0, fault.New(fault.Oversize, "the limit of output tokens is %d or less", maxOutputTokens)
 		}
 		limit = *n
 	}
 	return limit, nil
 }
 
-// fields are the members of a JSON object by their exact names.
+// fields holds the members of a JSON object by their exact names.
 //
-// encoding/json fills a struct's field from any spelling of its name. A request
-// with "max_tokens" of a million and "MAX_TOKENS" of five would be placed as one
-// of five tokens, while the engine, which knows the exact name only, runs a million:
-// memory that nobody reserved, and work that nobody counted.
+// It is used because encoding/json matches the names of struct fields without regard to case. With
+// "max_tokens" of a million and "MAX_TOKENS" of five, five tokens would be reserved, while the
+// engine, which matches exact names, would generate a million: unreserved memory and uncounted
+// work.
 type fields map[string]json.RawMessage
 
-// object reads the members of a body.
-func object(b []byte) (fields, error) {
+// parseObject decodes the members of a JSON object.
+func parseObject(b []byte) (fields, error) {
 	var f fields
 	err := json.Unmarshal(b, &f)
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
-		return nil, fmt.Errorf("it is %s", kindOf(b))
+		return nil, fmt.Errorf("it is %s", describeValue(b))
 	}
 	return f, err
 }
 
-// get reads one member; into stays as it is where there is none. Wanted says what it is to be, for the caller who sent
-// something else.
-func (f fields) get(name, wanted string, into any) error {
+// decode decodes the member with the given name. If there is none, into remains unchanged. The
+// error tells the caller the expected type, given by wanted.
+func (f fields) decode(name, wanted string, into any) error {
 	raw, ok := f[name]
 	if !ok {
 		return nil
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		return fmt.Errorf("%s is %s, not %s", name, wanted, kindOf(raw))
+		return fmt.Errorf("%s is %s, not %s", name, wanted, describeValue(raw))
 	}
 	return nil
 }
 
-// shownValue is the longest value in bytes that an error shows.
-const shownValue = 40
+// maxShownValue is the longest value, in bytes, that an error message quotes.
+const maxShownValue = 40
 
-// kindOf tells what a JSON value is, as its writer would call it.
-func kindOf(raw []byte) string {
+// describeValue describes a JSON value for an error message.
+func describeValue(raw []byte) string {
 	raw = bytes.TrimSpace(raw)
 	switch {
 	case len(raw) == 0:
@@ -131,46 +131,46 @@
 		return "this list"
 	case raw[0] == '"':
 		return "a string"
-	case len(raw) > shownValue:
+	case len(raw) > maxShownValue:
 		return "this number"
 	default:
 		return string(raw)
 	}
 }
 
-// call is the part of a generation request that a gate reads.
-type call struct {
+// parameters holds the members of a generation request that a gate reads.
+type parameters struct {
 	Model    string
 	Stream   bool
 	Prompt   json.RawMessage
 	Messages []fields
 	Options  fields
-	// Usage tells whether the caller wants the chunk that reports usage.
-	Usage           bool
-	Max, Completion *decide.Tokens
-	Choices         *int
+	// IncludeUsage reports whether the caller asked for the chunk with the token usage.
+	IncludeUsage                   bool
+	MaxTokens, MaxCompletionTokens *decide.Tokens
+	Choices                        *int
 }
 
-func (f fields) call() (x call, err error) {
+func (f fields) parameters() (x parameters, err error) {
 	err = errors.Join(
-		f.get("model", "a string", &x.Model),
-		f.get("stream", "true or false", &x.Stream),
-		f.get("prompt", "a string", &x.Prompt),
-		f.get("messages", "a list of objects", &x.Messages),
-		f.get("stream_options", "an object", &x.Options),
-		f.get("max_tokens", "a whole number", &x.Max),
-		f.get("max_completion_tokens", "a whole number", &x.Completion),
-		f.get("n", "a whole number", &x.Choices),
+		f.decode("model", "a string", &x.Model),
+		f.decode("stream", "true or false", &x.Stream),
+		f.decode("prompt", "a string", &x.Prompt),
+		f.decode("messages", "a list of objects", &x.Messages),
+		f.decode("stream_options", "an object", &x.Options),
+		f.decode("max_tokens", "a whole number", &x.MaxTokens),
+		f.decode("max_completion_tokens", "a whole number", &x.MaxCompletionTokens),
+		f.decode("n", "a whole number", &x.Choices),
 	)
 	if err != nil {
 		return x, err
 	}
-	return x, x.Options.get("include_usage", "true or false", &x.Usage)
+	return x, x.Options.decode("include_usage", "true or false", &x.IncludeUsage)
 }
 
-// text joins the prompt's parts in the order in which an engine reads them; size
-// is that of the whole body.
-func (x *call) text(chat bool, size int) ([]byte, *fault.Error) {
+// promptText joins the parts of the prompt in the order in which an engine reads them. The
+// parameter size is the length of the whole body, an upper bound for the result.
+func (x *parameters) promptText(chat bool, size int) ([]byte, *fault.Error) {
 	if !chat {
 		var s string
 		if err := json.Unmarshal(x.Prompt, &s); err != nil {
@@ -187,21 +187,21 @@
 			out = append(out, '\n')
 		}
 		var s string
-		if err := m.get("content", "a string", &s); err == nil {
+		if err := m.decode("content", "a string", &s); err == nil {
 			out = append(out, s...)
 			continue
 		}
-		// Content in parts counts with its JSON text.
+		// Content that is not a string, such as a list of parts, is counted with its JSON text.
 		out = append(out, m["content"]...)
 	}
 	return out, nil
 }
 
-// ForEngine is the body that asks the engine for a stream that reports usage, whatever the caller
-// asked for: only a stream shows that an engine went silent. A request without a
-// limit of its own gets limit, the one that memory is reserved for: some client libraries
-// send null for a limit that was not set, and passed on it would let the engine
-// write for as long as it likes in memory reserved for less.
+// ForEngine returns the body to send to the engine. It always asks for a stream with usage,
+// whatever the caller asked for, since only a stream shows that an engine stopped responding. If
+// the caller set no limit of output tokens, limit is set, for which memory is reserved. This also
+// replaces a null, which some client libraries send for an unset limit: with it the engine would
+// generate without a limit in memory reserved for less.
 func (b *Body) ForEngine(limit decide.Tokens) []byte {
 	f := b.fields
 	f["stream"] = json.RawMessage("true")
@@ -209,14 +209,13 @@
 	if b.Limit == 0 {
 		f["max_tokens"] = json.RawMessage(strconv.FormatInt(int64(limit), 10))
 	}
-	return join(f, b.size)
+	return encodeObject(f, b.size)
 }
 
-// join writes an object from fields whose values are valid JSON already.
-// json.Marshal would check and copy every value once more, and the longest
-// prompts have megabytes.
-func join(fields map[string]json.RawMessage, size int) []byte {
-	out := append(make([]byte, 0, size+joinRoom), '{')
+// encodeObject encodes an object whose values are already valid JSON. It avoids json.Marshal, which
+// would validate and copy each value again, since the longest prompts take megabytes.
+func encodeObject(fields map[string]json.RawMessage, size int) []byte {
+	out := append(make([]byte, 0, size+addedFieldsSize), '{')
 	for i, name := range slices.Sorted(maps.Keys(fields)) {
 		if i > 0 {
 			out = append(out, ',')
@@ -232,5 +231,5 @@
 	return append(out, '}')
 }
 
-// joinRoom holds what is added to a caller's body.
-const joinRoom = 128
+// addedFieldsSize is extra capacity for the members that are added to a caller's body.
+const addedFieldsSize = 128
--- a/daemon/openai/body_test.go
+++ b/daemon/openai/body_test.go
@@ -9,8 +9,9 @@
 	"snipeshift.example/lib/fault"
 )
 
-// A field has a value of another type. The caller was told of a type of Go, and not which field is wrong and what is wanted there.
-func TestAnErrorNamesTheFieldAndWhatIsWanted(t *testing.T) {
+// A field has a value of the wrong type. The error must name the field and the expected JSON type,
+// and no Go type.
+func TestErrorNamesFieldAndExpectedType(t *testing.T) {
 	for body, want := range map[string]string{
 		`{"messages":"hi"}`:                        "messages is a list of objects, not a string",
 		`{"messages":[1]}`:                         "messages is a list of objects, not this list",
