--- a/daemon/caller/body_test.go
+++ b/daemon/caller/body_test.go
@@ -12,10 +12,9 @@
 	"snipeshift.example/lib/document"
 )
 
-// An engine reads what the caller wrote, and nothing that only looks like it:
-// fields that this program does not know, and text that JSON could write
-// differently, arrive as they were.
-func TestABodyIsPassedOnAsItWasWritten(t *testing.T) {
+// Fields that this program does not know, and strings that JSON can encode in several ways, must
+// reach the engine as the caller wrote them.
+func TestBodyValuesAreForwardedUnchanged(t *testing.T) {
 	x := smallIndex(t)
 	body := `{"model":"drafter", "seed": 1e3, "messages":[{"role":"system","content":"a < b\u00e9"},` +
 		`{"role":"user","content":[{"type":"text","text":"boil"}]},{"role":"assistant","content":null},{"role":"user"}], "a\"b":{"x": [1, 2]}}`
@@ -36,7 +35,7 @@
 	return document.NewIndex(d)
 }
 
-// BenchmarkParse prints what reading a prompt costs a gate, by its length in tokens.
+// BenchmarkParse measures how long a gate takes to parse prompts of several lengths in tokens.
 func BenchmarkParse(b *testing.B) {
 	x := smallIndex(b)
 	for _, tokens := range []int{1000, 16_000, 1_000_000} {
--- a/daemon/caller/budget.go
+++ b/daemon/caller/budget.go
@@ -8,16 +8,17 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Budgets is the retry budget of each pool, kept by each gate for its own requests.
+// Budgets holds a retry budget for each pool. Each gate counts its own requests only.
 type Budgets struct {
 	clock *clock.Clock
 
 	mu sync.Mutex
-	// pools holds a budget from the first use on; pools are few.
+	// pools holds a budget for each pool that was used. Budgets are never removed, since there are
+	// few pools.
 	pools map[peer.PoolID]*gate.Budget
 }
 
-// NewBudgets returns budgets with the library's defaults.
+// NewBudgets returns budgets with the default parameters of package gate.
 func NewBudgets(c *clock.Clock) *Budgets {
 	return &Budgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
 }
@@ -26,18 +27,18 @@
 func (b *Budgets) Succeeded(id peer.PoolID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(id).Succeed(b.clock.Now())
+	b.budget(id).Succeed(b.clock.Now())
 }
 
 // Allow implements Retries.
 func (b *Budgets) Allow(id peer.PoolID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(id).Retry(b.clock.Now())
+	return b.budget(id).Retry(b.clock.Now())
 }
 
-// of needs mu.
-func (b *Budgets) of(id peer.PoolID) *gate.Budget {
+// budget returns the budget of a pool. The caller holds mu.
+func (b *Budgets) budget(id peer.PoolID) *gate.Budget {
 	x, ok := b.pools[id]
 	if !ok {
 		x = gate.NewBudget(0, 0, 0)
--- a/daemon/caller/fuzz_test.go
+++ b/daemon/caller/fuzz_test.go
@@ -11,9 +11,9 @@
 	"snipeshift.example/lib/fault"
 )
 
-// A caller's own spelling of a field, or null in place of a limit, would make the
-// engine run more than memory was reserved for. The engine reads exact names.
-func TestAnEngineIsAskedForWhatWasReserved(t *testing.T) {
+// A body that spells a field in other letter case, or sends null for a limit, must not make the
+// engine generate more than memory is reserved for. The engine matches exact names.
+func TestEngineBodyRequestsReservedOutput(t *testing.T) {
 	long := `[{"role":"user","content":"0123456789012345678901234567890123456789"}]`
 	for _, x := range []struct {
 		body           string
@@ -27,7 +27,7 @@
 		{`{"model":"drafter","messages":[{"content":"0123456789012345678901234567890123456789","Content":"x"}]}`, 10, 64},
 	} {
 		q := newRequest(t)
-		require.Nil(t, q.parse([]byte(x.body), newBench(t, wholeAnswer).index), x.body)
+		require.Nil(t, q.parse([]byte(x.body), newHarness(t, completeResponse).index), x.body)
 		require.EqualValues(t, x.prompt, q.prompt, x.body)
 		require.EqualValues(t, x.output, q.output, x.body)
 		require.EqualValues(t, x.output, limitOf(t, q.body), x.body)
@@ -35,15 +35,15 @@
 }
 
 func newRequest(t testing.TB) *request {
-	b := newBench(t, wholeAnswer)
+	b := newHarness(t, completeResponse)
 	k, ok := b.index.Kind("draft")
 	require.True(t, ok)
-	w, ok := b.index.Key(key)
+	w, ok := b.index.Key(wardsKey)
 	require.True(t, ok)
 	return &request{workspace: *w, kind: *k, chat: true}
 }
 
-// limitOf is the limit of output tokens as an engine reads it, by exact names.
+// limitOf returns the limit of output tokens that an engine reads from a body, by exact names.
 func limitOf(t testing.TB, body []byte) int {
 	var m map[string]any
 	require.NoError(t, json.Unmarshal(body, &m))
@@ -56,16 +56,16 @@
 	return 0
 }
 
-// FuzzHeaders looks for header values that get past the checks.
+// FuzzHeaders searches for header values that pass the checks wrongly.
 func FuzzHeaders(f *testing.F) {
-	b := newBench(f, wholeAnswer)
-	f.Add("Bearer "+key, "draft", "100", "k")
+	b := newHarness(f, completeResponse)
+	f.Add("Bearer "+wardsKey, "draft", "100", "k")
 	f.Add("Bearer "+deskKey, "send", "", "")
-	f.Add("bearer "+key, "", "-1", "\xff")
-	f.Add("Bearer "+key, "send", "9223372036854775808", "k")
+	f.Add("bearer "+wardsKey, "", "-1", "\xff")
+	f.Add("Bearer "+wardsKey, "send", "9223372036854775808", "k")
 	f.Fuzz(func(t *testing.T, authorization, kind, deadline, idempotency string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/completions", http.NoBody)
-		for name, value := range map[string]string{"Authorization": authorization, headerKind: kind, headerAllowed: deadline, headerKey: idempotency} {
+		for name, value := range map[string]string{"Authorization": authorization, headerKind: kind, headerDeadline: deadline, headerIdempotencyKey: idempotency} {
 			if value != "" {
 				r.Header[http.CanonicalHeaderKey(name)] = []string{value}
 			}
@@ -76,24 +76,24 @@
 			require.Equal(t, fault.RanNo, e.Ran)
 			return
 		}
-		require.Contains(t, []string{"Bearer " + key, "Bearer " + deskKey}, authorization)
+		require.Contains(t, []string{"Bearer " + wardsKey, "Bearer " + deskKey}, authorization)
 		require.True(t, q.workspace.Allows(q.kind.Name))
 		require.Greater(t, q.deadline, q.arrived)
 		require.LessOrEqual(t, q.deadline-q.arrived, q.kind.Allowed)
-		require.True(t, q.kind.Repeat || q.key != "")
+		require.True(t, q.kind.Repeat || q.idempotencyKey != "")
 	})
 }
 
-// FuzzBody looks for bodies that are placed as something else than the engine runs.
+// FuzzBody searches for bodies that the gate and the engine read differently.
 func FuzzBody(f *testing.F) {
-	index := newBench(f, wholeAnswer).index
-	proto := newRequest(f)
-	f.Add([]byte(ask), true)
+	index := newHarness(f, completeResponse).index
+	template := newRequest(f)
+	f.Add([]byte(chatBody), true)
 	f.Add([]byte(`{"model":"drafter","prompt":"x","max_tokens":7}`), false)
 	f.Add([]byte(`{"model":"drafter","max_tokens":null,"messages":[{"content":[{"type":"text"}]}],"n":1}`), true)
 	f.Add([]byte(`{"model":"drafter","Max_Tokens":1,"messages":[null]}`), true)
 	f.Fuzz(func(t *testing.T, body []byte, chat bool) {
-		q := *proto
+		q := *template
 		q.chat = chat
 		if e := q.parse(body, index); e != nil {
 			require.Equal(t, fault.RanNo, e.Ran)
@@ -101,11 +101,11 @@
 		}
 		require.Positive(t, q.output)
 		require.EqualValues(t, q.output, limitOf(t, q.body))
-		again := *proto
-		again.chat = chat
-		require.Nil(t, again.parse(q.body, index), "the body that goes on is read as the one that came")
-		require.Equal(t, q.prompt, again.prompt)
-		require.Equal(t, q.output, again.output)
-		require.True(t, again.stream && again.usage)
+		reparsed := *template
+		reparsed.chat = chat
+		require.Nil(t, reparsed.parse(q.body, index), "parsing the body for the engine gives the same values as parsing the caller's")
+		require.Equal(t, q.prompt, reparsed.prompt)
+		require.Equal(t, q.output, reparsed.output)
+		require.True(t, reparsed.stream && reparsed.includeUsage)
 	})
 }
--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -1,7 +1,6 @@
-// Package caller is the door to callers: the OpenAI-compatible HTTP API and the
-// plain services behind it. The daemon that takes a request is its gate: it asks
-// the owner of a pool for a grant, streams between caller and upstream, and
-// answers for the outcome.
+// Package caller serves clients: the OpenAI-compatible HTTP API and the plain services behind it.
+// The VM that receives a request is the request's gate: it acquires a grant from the owner of a
+// pool, forwards data between the caller and the upstream, and reports the outcome.
 package caller
 
 import (
@@ -26,70 +25,72 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Book gives the configuration in force; false while there is none yet.
+// Book provides the current configuration. Index reports false while none is loaded.
 type Book interface {
 	Index() (*document.Index, bool)
 }
 
-// Members knows who owns what.
+// Members looks up the owners of pools and what they last reported.
 type Members interface {
-	// Owners returns the members that may own a pool, the owner first.
+	// Owners returns the members that may own a pool, the current owner first.
 	Owners(id peer.PoolID) []peer.Member
-	// Summary is the newest word on a pool; false when none was heard.
+	// Summary returns the latest known summary of a pool's load, false if none was received.
 	Summary(id peer.PoolID) (decide.Summary, bool)
-	// Heard takes the word on a pool that came with its owner's answer.
+	// Heard records the summary that an owner sent with its reply.
 	Heard(id peer.PoolID, s decide.Summary)
 }
 
-// Peers calls methods of other daemons.
+// Peers calls RPC methods of other VMs.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Claims keeps requests that must not be repeated from running twice.
+// Claims prevents a non-repeatable request from running twice.
 type Claims interface {
-	// Claim claims a key; only ClaimWon allows the dispatch.
+	// Claim tries to claim an idempotency key. Only the state ClaimWon permits sending the request.
 	Claim(ctx context.Context, w decide.WorkspaceID, key, nonce string) (claim.Ticket, peer.ClaimReply)
-	// Settle records the answer to a claim that was won.
+	// Settle records the response to the request that won the claim.
 	Settle(ctx context.Context, t claim.Ticket, status int, answer []byte) error
-	// Release gives a key back, when nothing was sent.
+	// Release frees a claimed key whose request was not sent.
 	Release(ctx context.Context, t claim.Ticket) error
 }
 
-// Meter counts what workspaces use.
+// Meter counts the usage of workspaces.
 type Meter interface {
 	Count(w decide.WorkspaceID, u peer.Usage)
 }
 
-// Retries is the retry budget of pools.
+// Retries limits the retries on each pool to a budget.
 type Retries interface {
-	// Succeeded notes a request that ended well; it earns a part of a retry.
+	// Succeeded records a successful request, which adds a fraction of a retry to the budget.
 	Succeeded(id peer.PoolID)
-	// Allow takes a retry from the budget; false when there is none.
+	// Allow takes one retry from the budget and reports whether one was available.
 	Allow(id peer.PoolID) bool
 }
 
-// Suspects remembers the fingerprints of requests that were on an upstream when it died.
+// Suspects tracks the fingerprints of requests that were running on an upstream when it crashed.
 type Suspects interface {
-	// Check tells how a request may run.
+	// Check returns whether a request is unsuspected, suspected or quarantined.
 	Check(fingerprint uint64) gate.Verdict
-	// Begin counts a run; false means that it must not start now.
+	// Begin registers a run of a request. It returns false if the request must not start now.
 	Begin(fingerprint uint64) bool
-	// End undoes a Begin; whole tells that the request ran to its end.
-	End(fingerprint uint64, whole bool)
-	// Died records the death of an upstream, and returns once the other VMs had their time to hear of it.
+	// End undoes Begin. The parameter completed is true if the request got a complete response.
+	End(fingerprint uint64, completed bool)
+	// Died records that an upstream crashed, and returns after the other VMs had time to learn of
+	// it.
 	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
 }
 
-// Limits holds workspaces to their rates.
+// Limits enforces the token rates of workspaces.
 type Limits interface {
-	// Take asks for tokens; zero means granted, otherwise it is when to come back.
+	// Take requests tokens. It returns zero if they are granted, otherwise the time in milliseconds
+	// after which to retry.
 	Take(w decide.WorkspaceID, t decide.Tokens) clock.Milli
-	// Refund gives back tokens of a request that did not run.
+	// Refund returns tokens that a request did not use.
 	Refund(w decide.WorkspaceID, t decide.Tokens)
 }
 
-// Needs are the parts that a gate is built from.
+// Needs holds the dependencies of a Gate.
 type Needs struct {
 	Clock   *clock.Clock
 	Log     *log.Logger
@@ -100,92 +101,95 @@
 	Claims  Claims
 	Meter   Meter
 	Events  *timeline.Ring
-	// Retries bounds how much work failures of upstreams may add.
+	// Retries bounds the additional load that retries after upstream failures may cause.
 	Retries Retries
-	// Suspects remembers requests that killed upstreams.
+	// Suspects tracks requests that may have crashed upstreams.
 	Suspects Suspects
 	Limits   Limits
 }
 
-// Gate takes requests of callers.
+// Gate serves the requests of callers on one VM.
 type Gate struct {
 	Needs
-	vm          peer.VM
-	domain      peer.Domain
-	incarnation peer.Incarnation
-	count       atomic.Uint64
-	// asks numbers the questions to owners.
-	asks    atomic.Uint64
-	metrics *metrics
-	// heard holds which upstreams want nothing from this VM for a while.
-	heard *statements.Heard
+	vm            peer.VM
+	domain        peer.Domain
+	incarnation   peer.Incarnation
+	requestSerial atomic.Uint64
+	// acquireSerial numbers the acquire messages, so that a withdrawal names the one it cancels.
+	acquireSerial atomic.Uint64
+	metrics       *metrics
+	// statements holds the back-offs that upstreams asked of this VM.
+	statements *statements.Heard
 
 	mu sync.Mutex
-	// held is every request in work with its grant, if it has one.
-	held map[decide.RequestID]*hold
-	// settling counts what requests left to do beside their answers: ends of claims to
-	// record, grants to return, engines to tell.
-	settling sync.WaitGroup
-	// stopping is set once; from then on answers close their connections.
+	// active holds every request in progress, with its grant if it has one.
+	active map[decide.RequestID]*activeRequest
+	// pending counts background work that outlives its request: recording the end of a claim,
+	// returning a grant, canceling at an engine.
+	pending sync.WaitGroup
+	// stopping is set once, on shutdown. From then on each response closes its connection.
 	stopping atomic.Bool
 }
 
-// hold is a request in work.
-type hold struct {
-	// deadline is an instant of this clock; the grant carries spans.
+// activeRequest is a request in progress.
+type activeRequest struct {
+	// deadline is an instant on this VM's clock. Messages carry the time left instead.
 	deadline clock.Milli
-	// output counts the tokens that came so far.
+	// output counts the tokens received so far.
 	output atomic.Int64
-	// first is the span from the grant to the first token, at least 1; zero before it came.
-	first atomic.Int64
+	// firstToken is the time from the grant to the first token in milliseconds, at least 1; zero
+	// before the first token.
+	firstToken atomic.Int64
 
-	// granted is false while the request waits; pool and grant are set with it, under Gate.mu.
+	// granted is false while the request waits. The fields pool and grant are set together with it,
+	// under Gate.mu.
 	granted bool
 	pool    peer.PoolID
 	grant   decide.Grant
-	// at is when the grant came.
-	at clock.Milli
-	// known is the address of the owner that knows the grant.
-	known string
+	// grantedAt is the time at which the grant was received.
+	grantedAt clock.Milli
+	// knownBy is the address of the owner that knows the grant, empty if none does.
+	knownBy string
 }
 
-// New returns a gate of one life of a VM.
+// New returns the gate of one incarnation of a VM.
 func New(n Needs, vm peer.VM, domain peer.Domain, i peer.Incarnation) *Gate {
 	return &Gate{
-		Needs: n, vm: vm, domain: domain, incarnation: i, held: map[decide.RequestID]*hold{}, metrics: newMetrics(),
-		heard: statements.New(n.Clock, n.Log),
+		Needs: n, vm: vm, domain: domain, incarnation: i, active: map[decide.RequestID]*activeRequest{}, metrics: newMetrics(),
+		statements: statements.New(n.Clock, n.Log),
 	}
 }
 
-// ID is the gate's id in grants.
+// ID returns the ID that names this gate in grants.
 func (g *Gate) ID() decide.GateID { return peer.Gate(g.vm, g.incarnation) }
 
-// Stop makes every further answer close its connection, so that callers move to other VMs.
+// Stop makes every further response close its connection, so that callers reconnect to other VMs.
 func (g *Gate) Stop() { g.stopping.Store(true) }
 
-// Busy counts requests in work.
+// Busy returns the number of requests in progress.
 func (g *Gate) Busy() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.held)
+	return len(g.active)
 }
 
-// Handler returns the HTTP handler of the caller's address.
+// Handler returns the HTTP handler for requests of callers.
 func (g *Gate) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/models", g.models)
 	m.HandleFunc("POST /v1/chat/completions", g.generate)
 	m.HandleFunc("POST /v1/completions", g.generate)
 	m.HandleFunc("/services/{name}/{rest...}", g.service)
-	m.HandleFunc("/", g.unknown)
+	m.HandleFunc("/", g.unknownPath)
 	return g.checkHeader(m)
 }
 
-// HeaderLimit is the longest header of a request in bytes. The server's own bound must
-// be above it: what the server refuses gets no error kind.
+// HeaderLimit is the maximum size of a request's header in bytes. The limit of the HTTP server must
+// be higher, since its own refusal carries no error kind.
 const HeaderLimit = 32 << 10
 
-// checkHeader refuses a request whose header is over the limit, before anything reads it.
+// checkHeader refuses a request whose header exceeds HeaderLimit, before any other handler reads
+// it.
 func (g *Gate) checkHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size := len(r.Method) + len(r.RequestURI)
@@ -196,98 +200,99 @@
 		}
 		if size > HeaderLimit {
 			w.Header().Set("Connection", "close")
-			g.refuse(w, g.newID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", HeaderLimit))
+			g.writeError(w, g.newRequestID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", HeaderLimit))
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Holds tells an owner which requests are still in work here. It is the method
-// Gate.Holds of the peer door.
+// Holds reports to an owner which requests are still in progress here. Peers call it as the RPC
+// method Gate.Holds.
 func (g *Gate) Holds(args peer.HoldsArgs, reply *peer.HoldsReply) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	reply.Held = make([]bool, len(args.Requests))
 	for i, id := range args.Requests {
-		_, reply.Held[i] = g.held[id]
+		_, reply.Held[i] = g.active[id]
 	}
 	return nil
 }
 
-// renewEvery is the time between two renewals: five fit into a lease.
-const renewEvery = time.Second
+// renewInterval is the time between two renewals of a grant. Five renewals fit into a lease.
+const renewInterval = time.Second
 
-// Renew presents live grants to the owners until ctx ends.
+// Renew renews the grants of requests in progress with the owners of their pools until ctx ends.
 func (g *Gate) Renew(ctx context.Context) {
-	guard.Every(ctx, renewEvery, func() {
-		g.renew(ctx)
-		g.forgetRests()
+	guard.Every(ctx, renewInterval, func() {
+		g.renewAll(ctx)
+		g.forgetExpiredBackoffs()
 	})
 }
 
-// renew sends one message a pool, each on its own so that a silent owner holds up no other.
-func (g *Gate) renew(ctx context.Context) {
-	for pool, hs := range g.granted() {
+// renewAll sends one message per pool, each in its own goroutine, so that an owner that does not
+// respond delays no other pool.
+func (g *Gate) renewAll(ctx context.Context) {
+	for pool, requests := range g.grantedByPool() {
 		owners := g.Members.Owners(pool)
 		if len(owners) == 0 {
 			continue
 		}
-		go g.present(ctx, pool, owners[0].Address, hs)
+		go g.renewPool(ctx, pool, owners[0].Address, requests)
 	}
 }
 
-// present renews grants of one pool at an owner. A grant goes whole only to an
-// owner that did not grant it and has not adopted it yet: whole grants each
-// second cost 40 KB/s at the planned size, where control may take 7.
-func (g *Gate) present(ctx context.Context, pool peer.PoolID, owner string, hs []*hold) {
-	ctx, cancel := context.WithTimeout(ctx, renewEvery)
+// renewPool renews the grants of one pool with its owner. A full grant is sent only to an owner
+// that neither issued nor adopted it yet: sending full grants every second takes 40 KB/s at the
+// planned size, where the budget for control traffic is 7 KB/s.
+func (g *Gate) renewPool(ctx context.Context, pool peer.PoolID, owner string, requests []*activeRequest) {
+	ctx, cancel := context.WithTimeout(ctx, renewInterval)
 	defer cancel()
 	var reply peer.RenewReply
-	err := g.Peers.Call(ctx, owner, "Pool.Renew", g.renewal(pool, owner, hs), &reply)
+	err := g.Peers.Call(ctx, owner, "Pool.Renew", g.renewArgs(pool, owner, requests), &reply)
 	if err != nil {
-		g.Log.Debug().Str("pool", string(pool)).Err(err).Msg("renewal not answered")
+		g.Log.Debug().Str("pool", string(pool)).Err(err).Msg("owner did not answer grant renewal; will renew again")
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, h := range hs {
-		h.known = owner
+	for _, a := range requests {
+		a.knownBy = owner
 	}
 	for _, id := range reply.Unknown {
-		if h := g.held[id]; h != nil {
-			h.known = ""
+		if a := g.active[id]; a != nil {
+			a.knownBy = ""
 		}
 	}
 }
 
-func (g *Gate) renewal(pool peer.PoolID, owner string, hs []*hold) peer.RenewArgs {
+func (g *Gate) renewArgs(pool peer.PoolID, owner string, requests []*activeRequest) peer.RenewArgs {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
 	args := peer.RenewArgs{Pool: pool, Gate: g.ID()}
-	for _, h := range hs {
-		first, n := clock.Milli(h.first.Load()), decide.Tokens(h.output.Load())
-		if h.known == owner {
-			args.Known = append(args.Known, peer.Renewal{Grant: h.grant.ID, Request: h.grant.Request, First: first, Output: n})
+	for _, a := range requests {
+		first, output := clock.Milli(a.firstToken.Load()), decide.Tokens(a.output.Load())
+		if a.knownBy == owner {
+			args.Known = append(args.Known, peer.Renewal{Grant: a.grant.ID, Request: a.grant.Request, First: first, Output: output})
 			continue
 		}
-		x := h.grant
-		x.Deadline = h.deadline - now
-		args.Grants = append(args.Grants, peer.Progress{Grant: x, First: first, Output: n})
+		grant := a.grant
+		grant.Deadline = a.deadline - now
+		args.Grants = append(args.Grants, peer.Progress{Grant: grant, First: first, Output: output})
 	}
 	return args
 }
 
-// granted lists the requests that hold a grant, by pool.
-func (g *Gate) granted() map[peer.PoolID][]*hold {
+// grantedByPool returns the requests that hold a grant, grouped by pool.
+func (g *Gate) grantedByPool() map[peer.PoolID][]*activeRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := map[peer.PoolID][]*hold{}
-	for _, h := range g.held {
-		if h.granted {
-			out[h.pool] = append(out[h.pool], h)
+	byPool := map[peer.PoolID][]*activeRequest{}
+	for _, a := range g.active {
+		if a.granted {
+			byPool[a.pool] = append(byPool[a.pool], a)
 		}
 	}
-	return out
+	return byPool
 }
--- a/daemon/caller/gate_test.go
+++ b/daemon/caller/gate_test.go
@@ -19,9 +19,9 @@
 	"snipeshift.example/lib/peer"
 )
 
-func TestStreamAndWholeAnswerByClientLibrary(t *testing.T) {
-	b := newBench(t, wholeAnswer)
-	c := openai.NewClient(option.WithBaseURL(b.server.URL+"/v1/"), option.WithAPIKey(key))
+func TestClientLibraryStreamingAndNonStreaming(t *testing.T) {
+	b := newHarness(t, completeResponse)
+	c := openai.NewClient(option.WithBaseURL(b.server.URL+"/v1/"), option.WithAPIKey(wardsKey))
 	p := openai.ChatCompletionNewParams{Model: "drafter", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("boil water")}}
 
 	got, err := c.Chat.Completions.New(context.Background(), p)
@@ -40,13 +40,13 @@
 	ms, err := c.Models.List(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, "drafter", ms.Data[0].ID)
-	b.idle()
+	b.awaitIdle()
 }
 
-// A caller sends something that cannot be served. It gets a clear 4xx that
-// names the kind, nothing reaches an engine, and nothing stays behind.
-func TestBadInputRunsNothing(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+// A caller sends a request that cannot be served. The response is a 4xx that names the error kind,
+// no grant is acquired, and no state is left behind.
+func TestInvalidRequestIsNotDispatched(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	chat := "/v1/chat/completions"
 	for _, c := range []struct {
 		name, path, body string
@@ -63,19 +63,19 @@
 		{"two choices", chat, `{"model":"drafter","n":2,"messages":[{"content":"x"}]}`, nil, 400, "malformed"},
 		{"no tokens", chat, `{"model":"drafter","max_tokens":0,"messages":[{"content":"x"}]}`, nil, 400, "malformed"},
 		{"too long", chat, `{"model":"drafter","max_tokens":1000000,"messages":[{"content":"x"}]}`, nil, 413, "oversize"},
-		{"more tokens than there are numbers", chat, `{"model":"drafter","max_tokens":9223372036854775807,"messages":[{"content":"x"}]}`, nil, 413, "oversize"},
+		{"token limit would overflow", chat, `{"model":"drafter","max_tokens":9223372036854775807,"messages":[{"content":"x"}]}`, nil, 413, "oversize"},
 		{"body over the limit", chat, strings.Repeat("x", 2<<20), nil, 413, "large"},
 		{"unknown model", chat, `{"model":"nobody","messages":[{"content":"x"}]}`, nil, 404, "unknown"},
-		{"unknown kind", chat, ask, []string{headerKind, "nothing"}, 404, "unknown"},
-		{"unknown path", "/v2/x", ask, nil, 404, "unknown"},
+		{"unknown kind", chat, chatBody, []string{headerKind, "nothing"}, 404, "unknown"},
+		{"unknown path", "/v2/x", chatBody, nil, 404, "unknown"},
 		{"unknown service", "/services/none/x", "", nil, 404, "unknown"},
-		{"negative deadline", chat, ask, []string{headerAllowed, "-5"}, 400, "malformed"},
-		{"deadline no number", chat, ask, []string{headerAllowed, "soon"}, 400, "malformed"},
-		{"wrong key", chat, ask, []string{"Authorization", "Bearer no"}, 401, "unauthorized"},
-		{"no key", chat, ask, []string{"Authorization", ""}, 401, "unauthorized"},
-		{"not to be repeated, without key", chat, ask, []string{headerKind, "send"}, 400, "keyless"},
-		{"header over the limit", chat, ask, []string{"X-Long", strings.Repeat("h", 40<<10)}, 431, "header"},
-		{"idempotency key too long", chat, ask, []string{headerKey, strings.Repeat("k", 300)}, 400, "malformed"},
+		{"negative deadline", chat, chatBody, []string{headerDeadline, "-5"}, 400, "malformed"},
+		{"deadline not a number", chat, chatBody, []string{headerDeadline, "soon"}, 400, "malformed"},
+		{"wrong API key", chat, chatBody, []string{"Authorization", "Bearer no"}, 401, "unauthorized"},
+		{"no API key", chat, chatBody, []string{"Authorization", ""}, 401, "unauthorized"},
+		{"non-repeatable without idempotency key", chat, chatBody, []string{headerKind, "send"}, 400, "keyless"},
+		{"header over the limit", chat, chatBody, []string{"X-Long", strings.Repeat("h", 40<<10)}, 431, "header"},
+		{"idempotency key too long", chat, chatBody, []string{headerIdempotencyKey, strings.Repeat("k", 300)}, 400, "malformed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := b.post(c.path, c.body, c.headers...)
@@ -86,14 +86,14 @@
 		})
 	}
 	require.Empty(t, b.fakes.acquired)
-	b.idle()
+	b.awaitIdle()
 }
 
-// A desk may send none but its own kind, which is not the first of the document. Its
-// client library lists the models to find out whether the key works; refused
-// there, the desk would take a good key for a wrong one.
-func TestModelsAreListedToEveryWorkspace(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+// A desk's workspace may send only a kind that is not the first of the document. Its client library
+// lists the models to check the API key. If the list were refused, the library would report a valid
+// key as invalid.
+func TestModelsAreListedForEveryWorkspace(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	req, err := http.NewRequest(http.MethodGet, b.server.URL+"/v1/models", http.NoBody)
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+deskKey)
@@ -106,109 +106,117 @@
 	require.Contains(t, string(text), `"id":"drafter"`)
 }
 
-// The connection to an engine is cut in the middle of an answer. The caller
-// must not take the half for a whole: no end mark comes, and the error says so.
-func TestTruncatedStreamIsNeverWhole(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+// The connection to an engine is cut in the middle of a response. The caller must not take the
+// partial response for a complete one: no end mark follows, and an error is sent.
+func TestTruncatedStreamIsReportedIncomplete(t *testing.T) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			say(w, r, 0, "boil ")
+			writeChunk(w, r, 0, "boil ")
 		}
 	})
-	a := b.post("/v1/chat/completions", ask)
+	a := b.post("/v1/chat/completions", chatBody)
 	require.Equal(t, 200, a.status)
 	require.NotContains(t, a.body, "[DONE]")
 	require.Contains(t, a.body, `"type":"incomplete"`)
 	require.Contains(t, a.body, `"ran":"yes"`)
 
-	a = b.post("/v1/chat/completions", strings.Replace(ask, `"stream":true`, `"stream":false`, 1))
+	a = b.post("/v1/chat/completions", strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1))
 	require.Equal(t, 502, a.status)
 	require.Equal(t, "incomplete", a.kind())
-	b.idle()
+	b.awaitIdle()
 }
 
-// An engine mixes up two connections, loses an event or sends one twice. The
-// caller gets no word of another's answer, and each word of its own once.
-func TestForeignRepeatedAndMissingChunks(t *testing.T) {
+// An engine mixes up two connections, loses an event, or sends one twice. The caller must not get
+// chunks of another response, and must get each of its own chunks once.
+func TestMisroutedDuplicatedAndMissingChunks(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
-		"foreign": func(w http.ResponseWriter, _ *http.Request) { sayAs(w, "other.1.2.3", 0, "SECRET", "") },
-		"missing": func(w http.ResponseWriter, r *http.Request) { say(w, r, 0, "boil "); say(w, r, 2, "SECRET") },
-		"changed": func(w http.ResponseWriter, r *http.Request) { say(w, r, 0, "boil "); say(w, r, 0, "SECRET") },
-		"unended": func(w http.ResponseWriter, r *http.Request) { say(w, r, 0, "boil "); fmt.Fprint(w, "data: [DONE]\n\n") },
+		"misrouted": func(w http.ResponseWriter, _ *http.Request) { writeChunkAs(w, "other.1.2.3", 0, "SECRET", "") },
+		"missing": func(w http.ResponseWriter, r *http.Request) {
+			writeChunk(w, r, 0, "boil ")
+			writeChunk(w, r, 2, "SECRET")
+		},
+		"duplicate with other data": func(w http.ResponseWriter, r *http.Request) {
+			writeChunk(w, r, 0, "boil ")
+			writeChunk(w, r, 0, "SECRET")
+		},
+		"no finish reason": func(w http.ResponseWriter, r *http.Request) {
+			writeChunk(w, r, 0, "boil ")
+			fmt.Fprint(w, "data: [DONE]\n\n")
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, h)
-			a := b.post("/v1/chat/completions", ask)
+			b := newHarness(t, h)
+			a := b.post("/v1/chat/completions", chatBody)
 			require.NotContains(t, a.body, "SECRET")
 			require.NotContains(t, a.body, "[DONE]")
 			require.Contains(t, a.body, `"error"`)
 		})
 	}
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
-		say(w, r, 0, "boil ")
-		say(w, r, 0, "boil ")
-		sayAs(w, r.Header.Get(engine.HeaderRequest), 1, "water", "stop")
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
+		writeChunk(w, r, 0, "boil ")
+		writeChunk(w, r, 0, "boil ")
+		writeChunkAs(w, r.Header.Get(engine.HeaderRequest), 1, "water", "stop")
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	})
-	a := b.post("/v1/chat/completions", ask)
+	a := b.post("/v1/chat/completions", chatBody)
 	require.Equal(t, 1, strings.Count(a.body, "boil"))
 	require.Contains(t, a.body, "[DONE]")
 }
 
-// An engine breaks off before its first token. A request that may be repeated
-// goes to another engine, and its caller notices nothing but the time.
-func TestRetryElsewhereBeforeTheFirstToken(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) { hijack(w) }, wholeAnswer)
-	a := b.post("/v1/chat/completions", ask)
+// An engine closes the connection before the first token. A repeatable request is sent to another
+// engine, and the caller gets a complete response.
+func TestRetryOnOtherEngineBeforeFirstToken(t *testing.T) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) { cutConnection(w) }, completeResponse)
+	a := b.post("/v1/chat/completions", chatBody)
 	require.Contains(t, a.body, "[DONE]")
 	require.Equal(t, []decide.UpstreamID{"engine-1"}, b.fakes.acquired[1].Request.Avoid)
 }
 
-// An engine breaks off in the middle of an answer that its caller wants in one
-// piece, and another engine gives it whole. The part of the first one must not
-// stand before it: a ward officer would read the beginning of his notice twice.
-func TestRetryOfAWholeAnswerDropsTheFirstPart(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+// An engine closes the connection in the middle of a non-streaming response, and another engine
+// returns a complete one. The part from the first engine must be discarded, or the caller would
+// read the beginning twice.
+func TestRetryDiscardsPartialResponse(t *testing.T) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			say(w, r, 0, "boil ")
-			say(w, r, 1, "all ")
+			writeChunk(w, r, 0, "boil ")
+			writeChunk(w, r, 1, "all ")
 		}
-	}, wholeAnswer)
-	a := b.post("/v1/chat/completions", strings.Replace(ask, `"stream":true`, `"stream":false`, 1))
+	}, completeResponse)
+	a := b.post("/v1/chat/completions", strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1))
 	require.Equal(t, 200, a.status)
 	require.Contains(t, a.body, `"boil all water"`)
-	b.idle()
+	b.awaitIdle()
 }
 
-// A request that must not be repeated was sent, and then the connection broke.
-// Nobody knows whether it ran: it is not sent again, and the caller is not told
-// that it did not run.
-func TestSentOnceIsNeverRepeated(t *testing.T) {
+// The connection breaks after a non-repeatable request was sent, so it is unknown whether the
+// request ran. It must not be sent again, and the caller must not be told that it did not run.
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	var runs atomic.Int32
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			runs.Add(1)
-			hijack(w)
+			cutConnection(w)
 		}
-	}, wholeAnswer)
-	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
+	}, completeResponse)
+	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Equal(t, "indeterminate", a.kind())
 	require.Equal(t, "maybe", a.ran())
-	require.Equal(t, "false", a.header.Get(headerAgain))
-	require.Empty(t, a.header.Get(headerRetry))
+	require.Equal(t, "false", a.header.Get(headerShouldRetry))
+	require.Empty(t, a.header.Get(headerRetryAfter))
 	require.EqualValues(t, 1, runs.Load())
 }
 
-// The claim of a request that must not be repeated cannot be proved to stand.
-// Then nothing is sent, "not run" is true, and the key is freed again.
-func TestNoProvedClaimNoDispatch(t *testing.T) {
+// The claim of a non-repeatable request cannot be confirmed. The request must not be sent, is
+// reported as not run, and its key is released.
+func TestUnconfirmedClaimPreventsDispatch(t *testing.T) {
 	var runs atomic.Int32
-	b := newBench(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
+	b := newHarness(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 	b.fakes.claim = peer.ClaimReply{State: peer.ClaimUnknown}
-	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
+	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Equal(t, 503, a.status)
 	require.Equal(t, "no", a.ran())
-	require.Equal(t, "unknown", a.header.Get(headerKnown), "an earlier request under the key may have run")
-	require.NotEmpty(t, a.header.Get(headerRetry))
+	require.Equal(t, "unknown", a.header.Get(headerKeyState), "an earlier request under the key may have run")
+	require.NotEmpty(t, a.header.Get(headerRetryAfter))
 	require.Zero(t, runs.Load())
 	require.Eventually(t, func() bool {
 		b.fakes.mu.Lock()
@@ -217,77 +225,79 @@
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-// VMs lose each other, and copies of one notice reach both sides. One side runs it; on the other no owner answers, so nobody looks its key up. Told
-// only that it did not run, its caller would send it anew under another key, and residents get it twice.
-func TestARefusalForWantOfOwnersSaysThatTheKeyIsUnknown(t *testing.T) {
-	b := newBench(t, wholeAnswer)
-	b.fakes.lost = true
-	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
-	require.Equal(t, 504, a.status, "its time is over before owners are given up")
+// The VMs are partitioned, and copies of one notice reach both sides. One side runs the notice; on
+// the other no owner responds, so the key cannot be looked up. If the refusal only reported that
+// the request did not run, its caller would send the notice under a new key, and residents would
+// get it twice.
+func TestRefusalWithoutOwnerReportsKeyUnknown(t *testing.T) {
+	b := newHarness(t, completeResponse)
+	b.fakes.ownersUnreachable = true
+	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
+	require.Equal(t, 504, a.status, "the deadline passes before the search for an owner ends")
 	require.Equal(t, "no", a.ran())
-	require.Equal(t, "unknown", a.header.Get(headerKnown))
+	require.Equal(t, "unknown", a.header.Get(headerKeyState))
 }
 
-func TestRepeatOfAnAnsweredKeyGetsTheKeptAnswer(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+func TestRepeatedKeyGetsStoredResponse(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	b.fakes.claim = peer.ClaimReply{State: peer.ClaimDone, Status: 200, Answer: []byte(`{"kept":true}`)}
-	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
+	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Equal(t, 200, a.status)
 	require.Equal(t, `{"kept":true}`, a.body)
 	b.fakes.claim = peer.ClaimReply{State: peer.ClaimTaken}
-	a = b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
+	a = b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Equal(t, 409, a.status)
 	require.Equal(t, "maybe", a.ran())
 }
 
-// A notice was answered as a stream, which is not kept, and its caller sends the
-// key again. A success with an empty body would read like a notice without a word.
-func TestRepeatOfAStreamedKeyIsNotAnEmptySuccess(t *testing.T) {
-	b := newBench(t, wholeAnswer)
-	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
+// A notice was answered as a stream, which is not stored, and its caller repeats the key. A success
+// with an empty body would read like a notice without text.
+func TestRepeatedKeyOfStreamIsNotEmptySuccess(t *testing.T) {
+	b := newHarness(t, completeResponse)
+	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Contains(t, a.body, "[DONE]")
 	b.gate.Settle()
 	require.Len(t, b.fakes.settled, 1)
-	require.Zero(t, b.fakes.settled[0].Status, "nothing was kept, so nothing may be replayed")
+	require.Zero(t, b.fakes.settled[0].Status, "no response was stored, so none may be replayed")
 
-	b.post("/v1/chat/completions", strings.Replace(ask, `"stream":true`, `"stream":false`, 1), headerKind, "send", headerKey, "k2")
+	b.post("/v1/chat/completions", strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1), headerKind, "send", headerIdempotencyKey, "k2")
 	b.gate.Settle()
 	require.Equal(t, 200, b.fakes.settled[1].Status)
 	require.NotEmpty(t, b.fakes.settled[1].Answer)
 }
 
-// An engine freezes: its connection stays open and nothing comes. The request
-// ends within its allowed time, and is tried elsewhere while there is time.
-func TestSilentEngineIsGivenUp(t *testing.T) {
+// An engine freezes: its connection stays open and sends nothing. The request must be retried on
+// another engine and end within its permitted time.
+func TestUnresponsiveEngineTimesOut(t *testing.T) {
 	release := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			select {
 			case <-release:
 			case <-r.Context().Done():
 			}
 		}
-	}, wholeAnswer)
+	}, completeResponse)
 	defer close(release)
 	start := time.Now()
-	a := b.post("/v1/chat/completions", ask, headerAllowed, "4000")
+	a := b.post("/v1/chat/completions", chatBody, headerDeadline, "4000")
 	require.Contains(t, a.body, "[DONE]")
 	require.Less(t, time.Since(start), 4*time.Second)
 }
 
-// A request killed two upstreams. It is refused and reaches no third one.
-func TestThirdUpstreamIsNeverRisked(t *testing.T) {
-	die := func(w http.ResponseWriter, _ *http.Request) { hijack(w) }
-	b := newBench(t, die, die, die)
+// A request has crashed two upstreams. It must be refused before it reaches a third.
+func TestPoisonRequestIsRefused(t *testing.T) {
+	die := func(w http.ResponseWriter, _ *http.Request) { cutConnection(w) }
+	b := newHarness(t, die, die, die)
 	q := &request{workspace: b.index.Document().Workspaces[0], kind: b.index.Document().Kinds[0], chat: true}
-	require.Nil(t, q.parse([]byte(ask), b.index))
-	b.fakes.deaths[q.fingerprint] = 2
-	a := b.post("/v1/chat/completions", ask)
+	require.Nil(t, q.parse([]byte(chatBody), b.index))
+	b.fakes.crashes[q.fingerprint] = 2
+	a := b.post("/v1/chat/completions", chatBody)
 	require.Equal(t, 422, a.status)
 	require.Empty(t, b.fakes.acquired)
 }
 
-func hijack(w http.ResponseWriter) {
+func cutConnection(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = c.Close()
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -18,215 +18,222 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Times of a generation.
+// Time limits of generation requests.
 const (
-	// defaultIdle is the longest silence between two tokens where the document names none.
-	defaultIdle = 10 * clock.Second
-	// cancelTimeout bounds the cancel of a request at its engine.
+	// defaultIdleTimeout is the longest time between two tokens if the document sets none.
+	defaultIdleTimeout = 10 * clock.Second
+	// cancelTimeout bounds one attempt to cancel a request at its engine.
 	cancelTimeout = 2 * time.Second
-	// cancelTries is how often a cancel is sent; after that the owner's reaper finds the memory.
-	cancelTries = 2
-	// reserveTimeout bounds the taking of memory on the other engines of a group.
+	// cancelAttempts is how many times a cancel is sent. If all fail, the pool's owner finds and
+	// frees the memory later.
+	cancelAttempts = 2
+	// reserveTimeout bounds reserving memory on the other engines of a group.
 	reserveTimeout = 2 * time.Second
 )
 
-// generate serves chat completions and completions.
+// generate handles chat completions and text completions.
 func (g *Gate) generate(w http.ResponseWriter, r *http.Request) {
 	c, ok := g.Book.Index()
 	if !ok {
-		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
+		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
 	}
 	q, e := g.identify(r, c, "")
 	if e != nil {
-		g.refuse(w, q.id, e)
+		g.writeError(w, q.id, e)
 		return
 	}
 	q.chat = r.URL.Path == "/v1/chat/completions"
-	b, e := g.read(w, r, c, q)
+	b, e := g.readBody(w, r, c, q)
 	if e == nil {
 		e = q.parse(b, c)
 	}
 	if e != nil {
-		g.refuse(w, q.id, e)
+		g.writeError(w, q.id, e)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), (q.deadline - g.Clock.Now()).Duration())
 	defer cancel()
-	g.note(q, timeline.Arrived, "", q.kind.Name)
+	g.recordEvent(q, timeline.Arrived, "", q.kind.Name)
 	s := g.newSink(w, q)
-	x := &generation{gate: g, q: q, sink: s, path: r.URL.Path, idle: c.Document().Limits.Idle, catalog: c}
+	x := &generation{gate: g, q: q, sink: s, path: r.URL.Path, idleTimeout: c.Document().Limits.Idle, index: c}
 	e = g.serve(ctx, c, q, x)
-	g.conclude(q, e)
+	g.recordOutcome(q, e)
 	if e != nil {
-		g.end(w, q, s, e)
+		g.finishFailed(w, q, s, e)
 	}
-	g.metrics.served(q, g.Clock.Now())
+	g.metrics.observeRequest(q, g.Clock.Now())
 }
 
-// end gives the final answer of a request that failed, at once.
-func (g *Gate) end(w http.ResponseWriter, q *request, s sink, e *fault.Error) {
-	if q.replay != nil && q.replay.Status != 0 {
-		g.replay(w, q)
+// finishFailed ends the response of a request that failed. A repeat of an answered key gets the
+// stored response instead.
+func (g *Gate) finishFailed(w http.ResponseWriter, q *request, s sink, e *fault.Error) {
+	if q.stored != nil && q.stored.Status != 0 {
+		g.writeStored(w, q)
 		return
 	}
 	if s.started() {
 		s.fail(e)
-		g.metrics.refused(e.Kind, e.Ran)
+		g.metrics.countError(e.Kind, e.Ran)
 		return
 	}
-	g.refuse(w, q.id, e)
+	g.writeError(w, q.id, e)
 }
 
-// replay answers a repeat of a key with the answer that was kept.
-func (g *Gate) replay(w http.ResponseWriter, q *request) {
+// writeStored responds to a repeat of an idempotency key with the stored response.
+func (g *Gate) writeStored(w http.ResponseWriter, q *request) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerRequest, string(q.id))
 	h.Set("Idempotent-Replayed", "true")
-	g.finishHeaders(h)
-	g.limitWrite(http.NewResponseController(w), q)
-	w.WriteHeader(q.replay.Status)
-	_, _ = w.Write(q.replay.Answer)
+	g.setConnectionHeader(h)
+	g.setWriteDeadline(http.NewResponseController(w), q)
+	w.WriteHeader(q.stored.Status)
+	_, _ = w.Write(q.stored.Answer)
 }
 
-func noDocument() *fault.Error {
+func noConfiguration() *fault.Error {
 	return fault.New(fault.Unavailable, "this VM has no configuration yet").WithRetry(2 * clock.Second)
 }
 
 // generation dispatches one request to engines.
 type generation struct {
-	gate    *Gate
-	q       *request
-	sink    sink
-	path    string
-	idle    clock.Milli
-	catalog *document.Index
-	// counted is what of an attempt's output is counted already.
-	counted decide.Tokens
+	gate        *Gate
+	q           *request
+	sink        sink
+	path        string
+	idleTimeout clock.Milli
+	index       *document.Index
+	// metered is the attempt's output that the meter has already counted.
+	metered decide.Tokens
 }
 
 func (x *generation) started() bool { return x.sink.started() }
 
 // dispatch runs the request on the engines of a grant.
-func (x *generation) dispatch(ctx context.Context, gr granted, u document.Upstream) result {
-	x.counted = 0
-	r := x.run(ctx, gr, u)
-	r.counted = x.counted
+func (x *generation) dispatch(ctx context.Context, pg poolGrant, u document.Upstream) result {
+	x.metered = 0
+	r := x.run(ctx, pg, u)
+	r.metered = x.metered
 	return r
 }
 
-func (x *generation) run(ctx context.Context, gr granted, u document.Upstream) result {
-	if e := x.reserve(ctx, gr); e != nil {
-		x.cancel(gr)
+func (x *generation) run(ctx context.Context, pg poolGrant, u document.Upstream) result {
+	if e := x.reserveGroup(ctx, pg); e != nil {
+		x.cancelAll(pg)
 		return result{fault: e, unsent: true, outcome: decide.Unused}
 	}
-	x.sink.begin()
-	idle := x.idle
+	x.sink.reset()
+	idle := x.idleTimeout
 	if idle <= 0 {
-		idle = defaultIdle
+		idle = defaultIdleTimeout
 	}
 	call := engine.Call{
 		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeat, Request: x.q.id,
-		Priority: gr.grant.Priority, Reserve: gr.grant.Reserved, Grant: gr.grant.ID, Group: gr.grant.Upstreams, Key: x.q.key,
+		Priority: pg.grant.Priority, Reserve: pg.grant.Reserved, Grant: pg.grant.ID, Group: pg.grant.Upstreams, Key: x.q.idempotencyKey,
 	}
-	// A long prompt may be silent for as long as its prefill takes, so a kept connection
-	// that has gone silent would show only at its deadline; a dial costs it nothing.
-	call.Once = call.Once || x.q.prompt > shortPrompt
-	s, err := x.gate.Engines.Start(ctx, call, x.firstWait(u), idle.Duration())
+	// During the prefill of a long prompt no tokens arrive, so a broken kept-alive connection would
+	// only be detected at the deadline. The cost of a new connection is negligible beside such a
+	// prefill.
+	call.Once = call.Once || x.q.prompt > shortPromptTokens
+	s, err := x.gate.Engines.Start(ctx, call, x.firstTokenTimeout(u), idle.Duration())
 	if err != nil {
-		return x.failed(ctx, gr, u, err, peer.Usage{})
+		return x.failure(ctx, pg, u, err, peer.Usage{})
 	}
 	var usage peer.Usage
-	err = s.Each(func(c engine.Chunk) error { return x.pass(c, &usage) })
+	err = s.Each(func(c engine.Chunk) error { return x.forwardChunk(c, &usage) })
 	if err == nil {
-		err = x.sink.done()
-		if err == nil || errors.Is(err, errCaller) {
-			// The answer is whole, also where its caller is gone: it will ask again with
-			// the same key, and must find the answer and not a key that is taken for good.
-			x.gate.answered(x.q, http.StatusOK, x.sink.answer())
+		err = x.sink.finish()
+		if err == nil || errors.Is(err, errCallerWrite) {
+			// The response is complete, even if the caller has disconnected. The caller will retry
+			// with the same key and must then get this response, not a refusal because the key is
+			// in use.
+			x.gate.settleClaim(x.q, http.StatusOK, x.sink.responseBody())
 		}
 	}
 	if err != nil {
-		return x.failed(ctx, gr, u, err, usage)
+		return x.failure(ctx, pg, u, err, usage)
 	}
 	usage.Requests = 1
-	x.dismiss(gr)
+	x.releaseGroup(pg)
 	return result{outcome: decide.Done, usage: usage}
 }
 
-// firstWait is how long the first event may take: the whole allowed time for a
-// long prompt, since its prefill is not silence. A short one is given up while
-// half of its time is left for another engine, or its alert would end unanswered
-// on a kept connection that went silent; but not before the engine had three
-// times what its prefill takes, so that a busy engine is not taken for a silent one.
-func (x *generation) firstWait(u document.Upstream) time.Duration {
+// firstTokenTimeout returns how long the first event may take. A long prompt may use all the time
+// until its deadline, since its prefill emits nothing. A short prompt gets half of that time, so
+// that another engine can still be tried if the kept-alive connection is broken, but at least
+// prefillTimeoutFactor times its rated prefill time plus one second, so that a busy engine does not
+// count as unresponsive.
+func (x *generation) firstTokenTimeout(u document.Upstream) time.Duration {
 	left := x.q.deadline - x.gate.Clock.Now()
-	if x.q.prompt > shortPrompt || u.Prefill <= 0 {
+	if x.q.prompt > shortPromptTokens || u.Prefill <= 0 {
 		return left.Duration()
 	}
 	prefill := clock.Milli(float64(x.q.prompt) / float64(u.Prefill) * float64(clock.Second))
-	return min(left, max(left/2, patience*prefill+clock.Second)).Duration()
+	return min(left, max(left/2, prefillTimeoutFactor*prefill+clock.Second)).Duration()
 }
 
-// patience is how many times its rated prefill a short prompt may take to its first token.
-const patience = 3
+// prefillTimeoutFactor is the multiple of the rated prefill time that a short prompt may take until
+// its first token.
+const prefillTimeoutFactor = 3
 
-// shortPrompt is the longest prompt whose prefill takes a small part of any allowed time, in tokens.
-const shortPrompt = 16 << 10
+// shortPromptTokens is the longest prompt, in tokens, whose prefill takes only a small part of any
+// permitted time.
+const shortPromptTokens = 16 << 10
 
-// pass hands one chunk on and counts it.
-func (x *generation) pass(c engine.Chunk, usage *peer.Usage) error {
+// forwardChunk counts the tokens of a chunk and forwards the chunk to the caller.
+func (x *generation) forwardChunk(c engine.Chunk, usage *peer.Usage) error {
 	if c.Tokens > 0 {
 		usage.Output += c.Tokens
-		x.counted += c.Tokens
-		// Counted as they come: of a gate that dies, only what its neighbours
-		// did not hear of yet is lost.
+		x.metered += c.Tokens
+		// Tokens are counted on arrival, so that a crash of this VM loses only the counts not yet
+		// sent to other VMs.
 		x.gate.Meter.Count(decide.WorkspaceID(x.q.workspace.Name), peer.Usage{Output: c.Tokens})
-		x.gate.token(x.q)
+		x.gate.countToken(x.q)
 	}
 	if c.Usage != nil {
 		usage.Prompt, usage.Output, usage.Cached = c.Usage.Prompt, c.Usage.Output, c.Usage.Details.Cached
-		if c.Choices == 0 && x.q.stream && !x.q.usage {
+		if c.Choices == 0 && x.q.stream && !x.q.includeUsage {
 			return nil
 		}
 	}
-	return x.sink.chunk(c)
+	return x.sink.writeChunk(c)
 }
 
-// token notes one more token of a request.
-func (g *Gate) token(q *request) {
+// countToken records the arrival of one token of a request.
+func (g *Gate) countToken(q *request) {
 	g.mu.Lock()
-	h := g.held[q.id]
+	a := g.active[q.id]
 	g.mu.Unlock()
-	if h == nil {
+	if a == nil {
 		return
 	}
-	h.output.Add(1)
+	a.output.Add(1)
 	now := g.Clock.Now()
-	if h.first.CompareAndSwap(0, max(1, int64(now-h.at))) {
-		g.metrics.first(q, now)
-		g.note(q, timeline.Streaming, "", "")
+	if a.firstToken.CompareAndSwap(0, max(1, int64(now-a.grantedAt))) {
+		g.metrics.observeFirstToken(q, now)
+		g.recordEvent(q, timeline.Streaming, "", "")
 	}
 }
 
-// reserve takes memory on the other engines of a group, all or none.
-func (x *generation) reserve(ctx context.Context, gr granted) *fault.Error {
-	if len(gr.grant.Upstreams) < 2 {
+// reserveGroup reserves memory on the other engines of a group. It fails if any of the reservations
+// fails.
+func (x *generation) reserveGroup(ctx context.Context, pg poolGrant) *fault.Error {
+	if len(pg.grant.Upstreams) < 2 {
 		return nil
 	}
-	// A member that stands still would hold the whole group until the request's deadline.
+	// Without this limit, a paused engine would block the whole group until the request's deadline.
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	eg, ctx := errgroup.WithContext(ctx)
-	for _, id := range gr.grant.Upstreams[1:] {
-		u, ok := x.catalog.Upstream(string(id))
+	for _, id := range pg.grant.Upstreams[1:] {
+		u, ok := x.index.Upstream(string(id))
 		if !ok {
 			return fault.New(fault.Unavailable, "upstream %s left the configuration", id)
 		}
 		eg.Go(func() error {
-			err := x.gate.Engines.Reserve(ctx, u.Address, x.q.id, gr.grant.Reserved)
-			x.gate.hear(x.q.target, id, err)
+			err := x.gate.Engines.Reserve(ctx, u.Address, x.q.id, pg.grant.Reserved)
+			x.gate.noteBackoff(x.q.target, id, err)
 			return err
 		})
 	}
@@ -236,17 +243,17 @@
 	return nil
 }
 
-// failed classifies the end of an attempt, and frees what the engine may hold.
-func (x *generation) failed(ctx context.Context, gr granted, u document.Upstream, err error, usage peer.Usage) result {
+// failure classifies a failed attempt and frees what the engines may still hold.
+func (x *generation) failure(ctx context.Context, pg poolGrant, u document.Upstream, err error, usage peer.Usage) result {
 	if engine.ErrNotSent.Has(err) {
-		x.cancel(gr)
+		x.cancelAll(pg)
 		return result{unsent: true, outcome: decide.Died, usage: usage, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
 	var status *engine.StatusError
 	if errors.As(err, &status) {
-		return x.status(gr, u, status)
+		return x.statusFailure(pg, u, status)
 	}
-	x.cancel(gr)
+	x.cancelAll(pg)
 	if usage.Output > 0 && usage.Prompt == 0 {
 		usage.Prompt = x.q.prompt
 	}
@@ -254,18 +261,18 @@
 	switch {
 	case ctx.Err() != nil:
 		r.outcome = decide.Canceled
-		r.fault = ended(ctx)
-	case errors.Is(err, errCaller):
+		r.fault = contextFault(ctx)
+	case errors.Is(err, errCallerWrite):
 		r.outcome = decide.Canceled
 		r.fault = fault.New(fault.Canceled, "the caller went away")
-	case x.gate.died(u.Address):
+	case x.gate.crashed(u.Address):
 		r.outcome = decide.Died
 		r.fault = fault.New(fault.Upstream, "upstream %s died", u.Name)
 	case engine.ErrSilent.Has(err):
 		x.gate.Engines.CloseIdle()
 		r.fault = fault.New(fault.Upstream, "upstream %s went silent", u.Name)
 	default:
-		r.fault = fault.New(fault.Incomplete, "the answer of upstream %s stopped: %s", u.Name, reason(err))
+		r.fault = fault.New(fault.Incomplete, "the answer of upstream %s stopped: %s", u.Name, interruptionText(err))
 	}
 	if usage.Output > 0 {
 		r.fault = r.fault.WithRan(fault.RanYes)
@@ -278,8 +285,9 @@
 	return r
 }
 
-// reason tells a caller why a stream stopped, without the upstream's address.
-func reason(err error) string {
+// interruptionText describes to the caller why a stream stopped, without naming the upstream's
+// address.
+func interruptionText(err error) string {
 	switch {
 	case engine.ErrForeign.Has(err):
 		return "it was mixed up with another"
@@ -289,16 +297,17 @@
 	return "the connection broke"
 }
 
-// status classifies an answer of the engine that is no stream.
-func (x *generation) status(gr granted, u document.Upstream, s *engine.StatusError) result {
+// statusFailure classifies an error status of the leading engine.
+func (x *generation) statusFailure(pg poolGrant, u document.Upstream, s *engine.StatusError) result {
 	if retryafter.TurnsAway(s.Status) {
-		// The leader did not take the request, and may want no order either. The others of its group hold memory.
-		x.dismiss(gr)
-		rests := x.gate.hear(x.q.target, gr.grant.Upstreams[0], s)
-		return result{unsent: true, rests: rests, outcome: decide.Failed, fault: fault.New(fault.Unavailable, "upstream %s takes no work", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
-	}
-	// The others of a group hold memory, whatever the leader says.
-	x.cancel(gr)
+		// The leader did not take the request, and a cancel would violate the back-off that it may
+		// have asked for. Only the other engines of the group hold memory.
+		x.releaseGroup(pg)
+		backoff := x.gate.noteBackoff(x.q.target, pg.grant.Upstreams[0], s)
+		return result{unsent: true, backoff: backoff, outcome: decide.Failed, fault: fault.New(fault.Unavailable, "upstream %s takes no work", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
+	}
+	// The other engines of a group hold memory, whatever status the leader returned.
+	x.cancelAll(pg)
 	switch s.Status {
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		return result{outcome: decide.Failed, fault: fault.New(fault.Malformed, "the engine refused the request: %s", s.Text)}
@@ -306,33 +315,33 @@
 	return result{outcome: decide.Failed, fault: fault.New(fault.Upstream, "upstream %s answered %d", u.Name, s.Status)}
 }
 
-// dismiss frees the memory that the other engines of a group lent; the leader
-// has freed its own with the end of the answer.
-func (x *generation) dismiss(gr granted) {
-	for _, id := range gr.grant.Upstreams[1:] {
-		if u, ok := x.catalog.Upstream(string(id)); ok {
-			x.gate.background("cancel", func() { x.gate.cancel(u.Address, x.q.id) })
+// releaseGroup frees the memory reserved on the other engines of a group. The leader frees its own
+// at the end of the response.
+func (x *generation) releaseGroup(pg poolGrant) {
+	for _, id := range pg.grant.Upstreams[1:] {
+		if u, ok := x.index.Upstream(string(id)); ok {
+			x.gate.background("cancel", func() { x.gate.cancelAtEngine(u.Address, x.q.id) })
 		}
 	}
 }
 
-// cancel frees what the engines of a grant may hold, in the background.
-func (x *generation) cancel(gr granted) {
-	for _, id := range gr.grant.Upstreams {
-		if u, ok := x.catalog.Upstream(string(id)); ok {
-			x.gate.background("cancel", func() { x.gate.cancel(u.Address, x.q.id) })
+// cancelAll cancels the request at all engines of a grant, in the background.
+func (x *generation) cancelAll(pg poolGrant) {
+	for _, id := range pg.grant.Upstreams {
+		if u, ok := x.index.Upstream(string(id)); ok {
+			x.gate.background("cancel", func() { x.gate.cancelAtEngine(u.Address, x.q.id) })
 		}
 	}
 }
 
-func (g *Gate) cancel(address string, id decide.RequestID) {
-	for range cancelTries {
+func (g *Gate) cancelAtEngine(address string, id decide.RequestID) {
+	for range cancelAttempts {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 		err := g.Engines.Cancel(ctx, address, id)
 		stop()
 		if err == nil {
 			return
 		}
-		g.Log.Debug().Str("request", string(id)).Err(err).Msg("cancel not answered")
+		g.Log.Debug().Str("request", string(id)).Err(err).Msg("engine did not answer cancel")
 	}
 }
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -28,14 +28,15 @@
 	"snipeshift.example/lib/peer"
 )
 
-// key is of a workspace that may send all kinds, deskKey of one that may not send the first.
+// wardsKey belongs to a workspace that may send all kinds, deskKey to one that may not send the
+// first kind of the document.
 const (
-	key     = "secret-of-wards"
-	deskKey = "secret-of-desk"
+	wardsKey = "secret-of-wards"
+	deskKey  = "secret-of-desk"
 )
 
-// bench is a gate with fakes at its interfaces.
-type bench struct {
+// harness is a gate with fakes for its dependencies.
+type harness struct {
 	t      testing.TB
 	gate   *Gate
 	server *httptest.Server
@@ -43,7 +44,8 @@
 	fakes  *fakes
 }
 
-// fakes stand for owner, claims, meter and budget.
+// fakes implements the dependencies of a gate: owners, claims, meter, limits, retry budget and
+// suspects.
 type fakes struct {
 	mu       sync.Mutex
 	acquired []peer.AcquireArgs
@@ -51,26 +53,26 @@
 	settled  []peer.SettleArgs
 	usage    peer.Usage
 	refunded decide.Tokens
-	// group makes each grant one of all upstreams.
+	// group makes each grant span all upstreams.
 	group bool
-	// summaries are what the owners of pools said.
+	// summaries are the load summaries that the owners of pools reported.
 	summaries map[peer.PoolID]decide.Summary
-	// owner is the one that takes over with the second grant.
-	owner  string
-	deaths map[uint64]int
-	claim  peer.ClaimReply
-	refuse *peer.Fault
-	// lost owners do not answer.
-	lost bool
-	// avoids makes owners grant the first upstream that is not to be avoided.
-	avoids bool
-	// limited is what every question for tokens is answered.
-	limited clock.Milli
-	// pools are the refusals of single pools.
-	pools    map[peer.PoolID]*peer.Fault
-	upstream []string
-	next     int
-	serial   atomic.Uint64
+	// successor is the address of the owner that takes over with the second grant.
+	successor string
+	crashes   map[uint64]int
+	claim     peer.ClaimReply
+	refuse    *peer.Fault
+	// ownersUnreachable makes all acquire messages fail.
+	ownersUnreachable bool
+	// honorAvoid makes owners grant the first upstream that the request does not avoid.
+	honorAvoid bool
+	// rateRetry is the result of each request for rate tokens.
+	rateRetry clock.Milli
+	// refusals are the refusals of individual pools.
+	refusals  map[peer.PoolID]*peer.Fault
+	upstreams []string
+	granted   int
+	serial    atomic.Uint64
 }
 
 func (f *fakes) Call(_ context.Context, _, method string, args, reply any) error {
@@ -79,30 +81,30 @@
 	switch a := args.(type) {
 	case peer.AcquireArgs:
 		f.acquired = append(f.acquired, a)
-		if f.lost {
+		if f.ownersUnreachable {
 			return errors.New("no answer")
 		}
 		r := reply.(*peer.AcquireReply)
 		if r.Fault = f.refuse; f.refuse != nil {
 			return nil
 		}
-		if r.Fault = f.pools[a.Pool]; r.Fault != nil {
+		if r.Fault = f.refusals[a.Pool]; r.Fault != nil {
 			return nil
 		}
-		u := f.upstream[min(f.next, len(f.upstream)-1)]
-		f.next++
-		if f.avoids {
-			i := slices.IndexFunc(f.upstream, func(u string) bool { return !slices.Contains(a.Request.Avoid, decide.UpstreamID(u)) })
+		u := f.upstreams[min(f.granted, len(f.upstreams)-1)]
+		f.granted++
+		if f.honorAvoid {
+			i := slices.IndexFunc(f.upstreams, func(u string) bool { return !slices.Contains(a.Request.Avoid, decide.UpstreamID(u)) })
 			if i < 0 {
 				r.Fault = &peer.Fault{Kind: fault.Unavailable, Ran: fault.RanNo, Retry: 1000}
 				return nil
 			}
-			u = f.upstream[i]
+			u = f.upstreams[i]
 		}
 		r.Grant = decide.Grant{ID: decide.GrantID(f.serial.Add(1)), Request: a.Request.ID, Upstreams: []decide.UpstreamID{decide.UpstreamID(u)}, Until: 5000, Deadline: a.Left}
 		if f.group {
 			r.Grant.Upstreams = nil
-			for _, u := range f.upstream {
+			for _, u := range f.upstreams {
 				r.Grant.Upstreams = append(r.Grant.Upstreams, decide.UpstreamID(u))
 			}
 		}
@@ -119,8 +121,8 @@
 func (f *fakes) Owners(peer.PoolID) []peer.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.owner != "" && f.next > 1 {
-		return []peer.Member{{VM: "vm-2", Address: f.owner}}
+	if f.successor != "" && f.granted > 1 {
+		return []peer.Member{{VM: "vm-2", Address: f.successor}}
 	}
 	return []peer.Member{{VM: "vm-1", Address: "owner"}}
 }
@@ -139,14 +141,14 @@
 func (f *fakes) Heard(peer.PoolID, decide.Summary) {}
 
 func (f *fakes) Settle(_ context.Context, t claim.Ticket, status int, answer []byte) error {
-	return f.end(peer.SettleArgs{Key: t.Key, Status: status, Answer: answer})
+	return f.recordSettle(peer.SettleArgs{Key: t.Key, Status: status, Answer: answer})
 }
 
 func (f *fakes) Release(_ context.Context, t claim.Ticket) error {
-	return f.end(peer.SettleArgs{Key: t.Key, Released: true})
+	return f.recordSettle(peer.SettleArgs{Key: t.Key, Released: true})
 }
 
-func (f *fakes) end(a peer.SettleArgs) error {
+func (f *fakes) recordSettle(a peer.SettleArgs) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.settled = append(f.settled, a)
@@ -163,12 +165,12 @@
 func (f *fakes) Check(p uint64) gate.Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return gate.Verdict(min(f.deaths[p], 2))
+	return gate.Verdict(min(f.crashes[p], 2))
 }
 
 func (f *fakes) Begin(p uint64) bool                                { return f.Check(p) != gate.Quarantined }
 func (f *fakes) End(uint64, bool)                                   {}
-func (f *fakes) Take(decide.WorkspaceID, decide.Tokens) clock.Milli { return f.limited }
+func (f *fakes) Take(decide.WorkspaceID, decide.Tokens) clock.Milli { return f.rateRetry }
 
 func (f *fakes) Refund(_ decide.WorkspaceID, t decide.Tokens) {
 	f.mu.Lock()
@@ -179,34 +181,34 @@
 func (f *fakes) Died(p uint64, _ decide.UpstreamID, _ decide.Born) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.deaths[p]++
+	f.crashes[p]++
 }
 
-type fixedBook struct{ index *document.Index }
+type fixedConfig struct{ index *document.Index }
 
-func (b fixedBook) Index() (*document.Index, bool) { return b.index, b.index != nil }
+func (b fixedConfig) Index() (*document.Index, bool) { return b.index, b.index != nil }
 
-// newBench starts a gate before engines that answer by the given handlers.
-func newBench(t testing.TB, engines ...http.HandlerFunc) *bench {
+// newHarness starts a gate and one engine for each of the given handlers.
+func newHarness(t testing.TB, engines ...http.HandlerFunc) *harness {
 	t.Helper()
 	var ups []string
-	f := &fakes{deaths: map[uint64]int{}, claim: peer.ClaimReply{State: peer.ClaimWon}}
+	f := &fakes{crashes: map[uint64]int{}, claim: peer.ClaimReply{State: peer.ClaimWon}}
 	for i, h := range engines {
 		s := httptest.NewServer(h)
 		t.Cleanup(s.Close)
 		name := fmt.Sprintf("engine-%d", i+1)
-		f.upstream = append(f.upstream, name)
+		f.upstreams = append(f.upstreams, name)
 		ups = append(ups, fmt.Sprintf(`{"name":%q,"model":"drafter","domain":"hall","address":%q,"memory":2000000,"slots":8,"prefill":8000,"decode":50}`, name, strings.TrimPrefix(s.URL, "http://")))
 	}
 	text := fmt.Sprintf(`{"models":[{"name":"drafter","context":1000000}],"services":[{"name":"sms","kind":"send"}],
 		"kinds":[{"name":"draft","urgency":1,"allowed":20000,"output":64,"repeat":true},{"name":"send","urgency":0,"allowed":3000,"output":1,"repeat":false}],
 		"workspaces":[{"name":"wards","weight":1,"keys":[%q]},{"name":"desk","weight":1,"keys":[%q],"kinds":["send"]}],
-		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.Hash(key), document.Hash(deskKey), strings.Join(ups, ","))
+		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.Hash(wardsKey), document.Hash(deskKey), strings.Join(ups, ","))
 	d, ps := document.Parse([]byte(text), "test")
 	require.NoError(t, ps.Err())
-	b := &bench{t: t, fakes: f, index: document.NewIndex(d)}
+	b := &harness{t: t, fakes: f, index: document.NewIndex(d)}
 	b.gate = New(Needs{
-		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedBook{b.index}, Members: f, Peers: f,
+		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedConfig{b.index}, Members: f, Peers: f,
 		Engines: engine.NewClient(time.Second), Claims: f, Meter: f, Retries: f, Suspects: f, Limits: f,
 	}, "vm-1", "hall", 7)
 	b.server = httptest.NewServer(b.gate.Handler())
@@ -214,21 +216,21 @@
 	return b
 }
 
-// answer is what a caller got.
-type answer struct {
+// callerResponse is a response as the caller received it.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (a answer) kind() string { return a.header.Get(headerError) }
-func (a answer) ran() string  { return a.header.Get(headerRan) }
+func (a callerResponse) kind() string { return a.header.Get(headerError) }
+func (a callerResponse) ran() string  { return a.header.Get(headerRan) }
 
-func (b *bench) post(path, body string, headers ...string) answer {
+func (b *harness) post(path, body string, headers ...string) callerResponse {
 	b.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.server.URL+path, strings.NewReader(body))
 	require.NoError(b.t, err)
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+wardsKey)
 	for i := 0; i < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
@@ -237,23 +239,23 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(b.t, err)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	return callerResponse{status: resp.StatusCode, header: resp.Header, body: string(text)}
 }
 
-// idle waits until the gate holds nothing.
-func (b *bench) idle() {
+// awaitIdle waits until no request is in progress at the gate.
+func (b *harness) awaitIdle() {
 	b.t.Helper()
 	require.Eventually(b.t, func() bool { return b.gate.Busy() == 0 }, 5*time.Second, 5*time.Millisecond)
 }
 
-const ask = `{"model":"drafter","messages":[{"role":"user","content":"boil water"}],"stream":true}`
+const chatBody = `{"model":"drafter","messages":[{"role":"user","content":"boil water"}],"stream":true}`
 
-// say writes event n of the request's own stream.
-func say(w http.ResponseWriter, r *http.Request, n int, text string) {
-	sayAs(w, r.Header.Get(engine.HeaderRequest), n, text, "")
+// writeChunk writes event n of the stream of request r.
+func writeChunk(w http.ResponseWriter, r *http.Request, n int, text string) {
+	writeChunkAs(w, r.Header.Get(engine.HeaderRequest), n, text, "")
 }
 
-func sayAs(w http.ResponseWriter, id string, n int, text, finish string) {
+func writeChunkAs(w http.ResponseWriter, id string, n int, text, finish string) {
 	c := map[string]any{"id": id, "object": "chat.completion.chunk", "model": "drafter", "created": 1}
 	x := map[string]any{"index": 0, "delta": map[string]any{"content": text}, "finish_reason": nil}
 	if finish != "" {
@@ -266,14 +268,14 @@
 	w.(http.Flusher).Flush()
 }
 
-// whole answers with three words and an end mark.
-func wholeAnswer(w http.ResponseWriter, r *http.Request) {
+// completeResponse responds with three chunks and an end mark.
+func completeResponse(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	say(w, r, 0, "boil ")
-	say(w, r, 1, "all ")
-	sayAs(w, r.Header.Get(engine.HeaderRequest), 2, "water", "stop")
+	writeChunk(w, r, 0, "boil ")
+	writeChunk(w, r, 1, "all ")
+	writeChunkAs(w, r.Header.Get(engine.HeaderRequest), 2, "water", "stop")
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
--- a/daemon/caller/metrics.go
+++ b/daemon/caller/metrics.go
@@ -10,32 +10,32 @@
 	"snipeshift.example/lib/fault"
 )
 
-// metrics counts what callers got. Names carry the kind of request and of error.
+// metrics holds the metrics of requests and errors.
 type metrics struct{ set *vm.Set }
 
 func newMetrics() *metrics { return &metrics{set: vm.NewSet()} }
 
-// Metrics is the set for the operator's page.
+// Metrics returns the gate's metrics for export.
 func (g *Gate) Metrics() *vm.Set { return g.metrics.set }
 
-func (m *metrics) refused(k fault.Kind, r fault.Ran) {
+func (m *metrics) countError(k fault.Kind, r fault.Ran) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`snipeshift_faults_total{kind=%q,ran=%q}`, k, r)).Inc()
 }
 
-func (m *metrics) first(q *request, now clock.Milli) {
-	m.set.GetOrCreatePrometheusHistogram(fmt.Sprintf(`snipeshift_first_token_seconds{kind=%q,length=%q}`, q.kind.Name, band(q.prompt))).Update((now - q.arrived).Duration().Seconds())
+func (m *metrics) observeFirstToken(q *request, now clock.Milli) {
+	m.set.GetOrCreatePrometheusHistogram(fmt.Sprintf(`snipeshift_first_token_seconds{kind=%q,length=%q}`, q.kind.Name, lengthBand(q.prompt))).Update((now - q.arrived).Duration().Seconds())
 }
 
-func (m *metrics) served(q *request, now clock.Milli) {
+func (m *metrics) observeRequest(q *request, now clock.Milli) {
 	m.set.GetOrCreatePrometheusHistogram(fmt.Sprintf(`snipeshift_request_seconds{kind=%q,target=%q}`, q.kind.Name, q.target)).Update((now - q.arrived).Duration().Seconds())
 }
 
-func (m *metrics) retried(target string) {
+func (m *metrics) countRetry(target string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`snipeshift_retries_total{target=%q}`, target)).Inc()
 }
 
-// band names the range of prompt lengths that a request is measured in.
-func band(n decide.Tokens) string {
+// lengthBand returns the label of the range that a prompt length falls into.
+func lengthBand(n decide.Tokens) string {
 	switch {
 	case n < 4<<10:
 		return "under 4k"
--- a/daemon/caller/models.go
+++ b/daemon/caller/models.go
@@ -7,7 +7,7 @@
 	"snipeshift.example/lib/fault"
 )
 
-// modelList is the API's list of models.
+// modelList is the response body of GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
@@ -20,16 +20,16 @@
 	Owner   string `json:"owned_by"`
 }
 
-// models lists the models of the configuration in force.
+// models lists the models that the workspace may use.
 func (g *Gate) models(w http.ResponseWriter, r *http.Request) {
 	c, ok := g.Book.Index()
 	if !ok {
-		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
+		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
 	}
 	q, e := g.authenticate(r, c)
 	if e != nil {
-		g.refuse(w, q.id, e)
+		g.writeError(w, q.id, e)
 		return
 	}
 	l := modelList{Object: "list", Data: []model{}}
@@ -41,10 +41,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(headerRequest, string(q.id))
-	g.finishHeaders(w.Header())
+	g.setConnectionHeader(w.Header())
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-func (g *Gate) unknown(w http.ResponseWriter, r *http.Request) {
-	g.refuse(w, g.newID(g.Clock.Now()), fault.New(fault.Unknown, "no path %s %s", r.Method, r.URL.Path))
+func (g *Gate) unknownPath(w http.ResponseWriter, r *http.Request) {
+	g.writeError(w, g.newRequestID(g.Clock.Now()), fault.New(fault.Unknown, "no path %s %s", r.Method, r.URL.Path))
 }
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -21,51 +21,52 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Limits of what a caller may send, where the document names none.
+// Limits of requests, for settings that the document leaves out.
 const (
-	defaultBody = 8 << 20
-	// bodyTime bounds the reading of a body: a caller that trickles bytes would
-	// hold memory and a connection for as long as it likes.
-	bodyTime = 20 * time.Second
-	maxKey   = 256
-	// bytesPerToken is the estimate of the protocol.
+	defaultMaxBody = 8 << 20
+	// bodyTimeout bounds the time to read a body. Otherwise a caller that sends its body slowly
+	// would hold memory and a connection indefinitely.
+	bodyTimeout       = 20 * time.Second
+	maxIdempotencyKey = 256
+	// bytesPerToken is the length of a token that the protocol assumes to estimate prompts.
 	bytesPerToken = 4
 )
 
-// request is what a gate knows of one request.
+// request is the state of one request at its gate.
 type request struct {
 	id        decide.RequestID
 	workspace document.Workspace
 	kind      document.Kind
-	// deadline is an instant of this clock.
-	deadline clock.Milli
-	arrived  clock.Milli
-	key      string
-	// ticket is set once a claim was tried for a request that must not be repeated.
+	// deadline is an instant on this VM's clock.
+	deadline       clock.Milli
+	arrived        clock.Milli
+	idempotencyKey string
+	// ticket is set once a claim was tried for a non-repeatable request.
 	ticket *claim.Ticket
-	// replay is the kept answer of an earlier request with the same key.
-	replay *peer.ClaimReply
-	// upstream is the one that it was sent to last; empty before the first.
+	// stored is the response of an earlier request with the same key.
+	stored *peer.ClaimReply
+	// upstream is the upstream to which the request was sent last; empty before the first attempt.
 	upstream decide.UpstreamID
-	// target is the model or service.
+	// target is the name of the model or service.
 	target string
-	// body goes to the upstream as it is.
+	// body is sent to the upstream unchanged.
 	body   []byte
 	prompt decide.Tokens
 	output decide.Tokens
-	// prefixes are hashes of growing leading parts of the prompt.
-	prefixes    []decide.PrefixHash
-	fingerprint uint64
-	stream      bool
-	usage       bool
-	chat        bool
+	// prefixes are hashes of increasingly long prefixes of the prompt.
+	prefixes     []decide.PrefixHash
+	fingerprint  uint64
+	stream       bool
+	includeUsage bool
+	chat         bool
 }
 
-// authenticate finds the workspace of a request by its key.
+// authenticate finds the workspace of a request by its API key.
 func (g *Gate) authenticate(r *http.Request, c *document.Index) (*request, *fault.Error) {
 	q := &request{arrived: g.Clock.Now()}
-	// Until the kind is known, the id carries the present as its end.
-	q.id = g.newID(q.arrived)
+	// The deadline depends on the request kind, which is not known yet, so the ID contains the
+	// arrival time instead.
+	q.id = g.newRequestID(q.arrived)
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return q, fault.New(fault.Unauthorized, "send the workspace's key as Authorization: Bearer KEY")
@@ -78,7 +79,8 @@
 	return q, nil
 }
 
-// identify finds workspace, kind, allowed time and key of a request. It reads headers only.
+// identify determines the workspace, kind, deadline and idempotency key of a request from its
+// header.
 func (g *Gate) identify(r *http.Request, c *document.Index, kind string) (*request, *fault.Error) {
 	q, e := g.authenticate(r, c)
 	if e != nil {
@@ -100,46 +102,47 @@
 		return q, e
 	}
 	q.deadline = q.arrived + allowed
-	q.id = g.newID(q.deadline)
-	q.key = r.Header.Get(headerKey)
-	if len(q.key) > maxKey || !utf8.ValidString(q.key) {
-		return q, fault.New(fault.Malformed, "%s is at most %d bytes of UTF-8", headerKey, maxKey)
+	q.id = g.newRequestID(q.deadline)
+	q.idempotencyKey = r.Header.Get(headerIdempotencyKey)
+	if len(q.idempotencyKey) > maxIdempotencyKey || !utf8.ValidString(q.idempotencyKey) {
+		return q, fault.New(fault.Malformed, "%s is at most %d bytes of UTF-8", headerIdempotencyKey, maxIdempotencyKey)
 	}
-	if !k.Repeat && q.key == "" {
-		return q, fault.New(fault.Keyless, "kind %s must not be repeated: send %s", k.Name, headerKey)
+	if !k.Repeat && q.idempotencyKey == "" {
+		return q, fault.New(fault.Keyless, "kind %s must not be repeated: send %s", k.Name, headerIdempotencyKey)
 	}
 	return q, nil
 }
 
-func (g *Gate) newID(deadline clock.Milli) decide.RequestID {
-	o := peer.Origin{VM: g.vm, Incarnation: g.incarnation, Deadline: deadline, Count: g.count.Add(1)}
+// deadline is an instant on this VM's clock.
+func (g *Gate) newRequestID(deadline clock.Milli) decide.RequestID {
+	o := peer.Origin{VM: g.vm, Incarnation: g.incarnation, Deadline: deadline, Count: g.requestSerial.Add(1)}
 	return o.ID()
 }
 
-// allowedTime is the kind's, or a shorter one that the caller names.
+// allowedTime returns the time limit of the kind, or a shorter one if the caller sent it.
 func allowedTime(r *http.Request, k document.Kind) (clock.Milli, *fault.Error) {
-	s := r.Header.Get(headerAllowed)
+	s := r.Header.Get(headerDeadline)
 	if s == "" {
 		return k.Allowed, nil
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n < 1 {
-		return 0, fault.New(fault.Malformed, "%s is a time in milliseconds, 1 or more", headerAllowed)
+		return 0, fault.New(fault.Malformed, "%s is a time in milliseconds, 1 or more", headerDeadline)
 	}
 	return min(clock.Milli(n), k.Allowed), nil
 }
 
-// read reads a body within its limits of size and time.
-func (g *Gate) read(w http.ResponseWriter, r *http.Request, c *document.Index, q *request) ([]byte, *fault.Error) {
+// readBody reads a body within the limits for its size and time.
+func (g *Gate) readBody(w http.ResponseWriter, r *http.Request, c *document.Index, q *request) ([]byte, *fault.Error) {
 	limit := c.Document().Limits.Body
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
-	// The request's own allowed time bounds the reading too.
-	left := min(bodyTime, (q.deadline - g.Clock.Now()).Duration())
+	// The time left until the deadline applies as well.
+	left := min(bodyTimeout, (q.deadline - g.Clock.Now()).Duration())
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(left))
-	b := bytes.NewBuffer(make([]byte, 0, bodyRoom(r.ContentLength, limit)))
+	b := bytes.NewBuffer(make([]byte, 0, bodyBufferSize(r.ContentLength, limit)))
 	_, err := b.ReadFrom(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
@@ -155,17 +158,17 @@
 	return nil, fault.New(fault.Malformed, "the body cannot be read: %v", err)
 }
 
-// bodyRoom is how much room is made for a body before it is read. The length is
-// only what the caller says: room for megabytes that never come, from many
-// callers at once, would take the memory of requests that do.
-func bodyRoom(length, limit int64) int64 {
-	return min(max(length, 0), limit, firstRoom) + bytes.MinRead
+// bodyBufferSize returns the initial size of a body's buffer. Content-Length is not trusted for
+// large sizes: many callers that announce megabytes and send nothing would use up the memory that
+// other requests need.
+func bodyBufferSize(length, limit int64) int64 {
+	return min(max(length, 0), limit, maxInitialBodyBuffer) + bytes.MinRead
 }
 
-// firstRoom holds a prompt of about 16 k tokens, longer than most.
-const firstRoom = 64 << 10
+// maxInitialBodyBuffer holds a prompt of about 16,000 tokens, longer than most.
+const maxInitialBodyBuffer = 64 << 10
 
-// parse reads a generation request and makes the body that goes to the engine.
+// parse reads the body of a generation request and builds the body for the engine.
 func (q *request) parse(b []byte, c *document.Index) *fault.Error {
 	x, e := openai.Read(b, q.chat)
 	if e != nil {
@@ -178,7 +181,7 @@
 	if !q.workspace.Reaches(m.Name) {
 		return fault.New(fault.Forbidden, "workspace %s may not use model %s", q.workspace.Name, m.Name)
 	}
-	q.target, q.stream, q.usage = m.Name, x.Stream, x.Usage
+	q.target, q.stream, q.includeUsage = m.Name, x.Stream, x.Usage
 	q.prompt = decide.Tokens((len(x.Text) + bytesPerToken - 1) / bytesPerToken)
 	q.output = q.kind.Output
 	if x.Limit > 0 {
@@ -187,14 +190,14 @@
 	if m.Context > 0 && q.prompt+q.output > m.Context {
 		return fault.New(fault.Oversize, "prompt and output need %d tokens, model %s takes %d", q.prompt+q.output, m.Name, m.Context)
 	}
-	q.prefixes = prefixes(x.Text)
+	q.prefixes = prefixHashes(x.Text)
 	q.fingerprint = xxhash.Sum64(b)
 	q.body = x.ForEngine(q.output)
 	return nil
 }
 
-// prefixes hashes the first 1, 2, 4, ... blocks of the prompt.
-func prefixes(text []byte) []decide.PrefixHash {
+// prefixHashes hashes the first 1, 2, 4, ... blocks of the prompt.
+func prefixHashes(text []byte) []decide.PrefixHash {
 	const block = int(decide.PrefixBlock) * bytesPerToken
 	var out []decide.PrefixHash
 	d := xxhash.New()
--- a/daemon/caller/rest.go
+++ b/daemon/caller/rest.go
@@ -15,74 +15,79 @@
 	"snipeshift.example/lib/route"
 )
 
-// hear notes that an upstream turned a request or an order of this VM away and wants nothing from it for a while, and reports whether it did.
-// It binds this VM alone: others may have sent less.
-func (g *Gate) hear(target string, u decide.UpstreamID, err error) bool {
+// noteBackoff records the back-off if err is the status of an upstream that rejected a request or a
+// reservation and sent Retry-After. It reports whether one was recorded. The back-off applies to
+// this VM only, since other VMs may have sent the upstream fewer requests.
+func (g *Gate) noteBackoff(target string, u decide.UpstreamID, err error) bool {
 	var status *engine.StatusError
 	if !errors.As(err, &status) || status.Rest <= 0 {
 		return false
 	}
-	g.wantsRest(target, u, status.Rest)
+	g.recordBackoff(target, u, status.Rest)
 	return true
 }
 
-func (g *Gate) wantsRest(target string, u decide.UpstreamID, span clock.Milli) {
+// recordBackoff excludes an upstream from further requests of this VM for the given time.
+func (g *Gate) recordBackoff(target string, u decide.UpstreamID, span clock.Milli) {
 	now := g.Clock.Now()
 	st := statement.Statement{Kind: statement.Rest, Named: true, Gate: g.ID(), At: now, Until: now + span}
-	g.heard.Learn(route.ServiceID(target), u, st, statements.FromAnswer)
+	g.statements.Learn(route.ServiceID(target), u, st, statements.FromAnswer)
 }
 
-// resting lists the upstreams of a model or service that want nothing from this VM now, and when the first of them does again.
-func (g *Gate) resting(target string) (us []decide.UpstreamID, until clock.Milli) {
-	g.heard.Each(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+// backingOff lists the upstreams of a model or service that have asked this VM for a back-off, and
+// returns the time at which the first of these back-offs ends.
+func (g *Gate) backingOff(target string) (upstreams []decide.UpstreamID, until clock.Milli) {
+	g.statements.Each(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 		if string(s) != target || st.Kind != statement.Rest {
 			return
 		}
-		if len(us) == 0 || st.Until < until {
+		if len(upstreams) == 0 || st.Until < until {
 			until = st.Until
 		}
-		us = append(us, u)
+		upstreams = append(upstreams, u)
 	})
-	return us, until
+	return upstreams, until
 }
 
-// otherVMs bounds when a caller is told to come back from rests of this VM: its repeat probably reaches another one, of which the upstream has
-// not asked any, or has for a shorter time.
-const otherVMs = 4 * clock.Second
+// maxBackoffRetryAfter is the longest Retry-After that a caller gets for a back-off. The caller's
+// next attempt probably reaches another VM, which the upstream has not asked for a back-off or only
+// for a shorter one.
+const maxBackoffRetryAfter = 4 * clock.Second
 
-// place acquires a grant without upstreams at rest. Where nothing else is there it waits for the first rest that ends in the request's
-// time, and refuses at once if none does.
-func (g *Gate) place(ctx context.Context, c *document.Index, q *request, avoid []decide.UpstreamID) (granted, *fault.Error) {
+// place acquires a grant on upstreams that have not asked this VM for a back-off. If no other
+// upstream is available, place waits for the first back-off that ends before the request's
+// deadline, and refuses the request at once if none does.
+func (g *Gate) place(ctx context.Context, c *document.Index, q *request, avoid []decide.UpstreamID) (poolGrant, *fault.Error) {
 	for {
-		resting, until := g.resting(q.target)
-		gr, e := g.acquire(ctx, c, q, slices.Concat(avoid, resting))
-		if e == nil && !g.withheld(q.target, gr) {
-			return gr, nil
+		excluded, until := g.backingOff(q.target)
+		pg, e := g.acquire(ctx, c, q, slices.Concat(avoid, excluded))
+		if e == nil && !g.excludedByBackoff(q.target, pg) {
+			return pg, nil
 		}
 		if e == nil {
-			g.giveBack(gr, q, result{outcome: decide.Unused})
+			g.returnGrant(pg, q, result{outcome: decide.Unused})
 			continue
 		}
-		if len(resting) == 0 || e.Kind != fault.Unavailable || ctx.Err() != nil {
-			return granted{}, e
+		if len(excluded) == 0 || e.Kind != fault.Unavailable || ctx.Err() != nil {
+			return poolGrant{}, e
 		}
 		left := max(until-g.Clock.Now(), 0)
 		if until >= q.deadline {
-			return granted{}, e.WithRetry(min(left, otherVMs))
+			return poolGrant{}, e.WithRetry(min(left, maxBackoffRetryAfter))
 		}
-		wait(ctx, left.Duration())
+		sleep(ctx, left.Duration())
 	}
 }
 
-// withheld reports whether an upstream of a grant has asked this VM for rest since the grant was asked for.
-func (g *Gate) withheld(target string, gr granted) bool {
-	return slices.ContainsFunc(gr.grant.Upstreams, func(u decide.UpstreamID) bool {
-		_, bound := g.heard.Binding(route.ServiceID(target), u, 0)
+// excludedByBackoff reports whether an upstream of a grant asked this VM for a back-off while the
+// grant was being acquired.
+func (g *Gate) excludedByBackoff(target string, pg poolGrant) bool {
+	return slices.ContainsFunc(pg.grant.Upstreams, func(u decide.UpstreamID) bool {
+		_, bound := g.statements.Binding(route.ServiceID(target), u, 0)
 		return bound
 	})
 }
 
-// forgetRests drops the rests that are over.
-func (g *Gate) forgetRests() {
-	g.heard.Forget(func(route.ServiceID, decide.UpstreamID) bool { return false })
+func (g *Gate) forgetExpiredBackoffs() {
+	g.statements.Forget(func(route.ServiceID, decide.UpstreamID) bool { return false })
 }
--- a/daemon/caller/rest_test.go
+++ b/daemon/caller/rest_test.go
@@ -14,105 +14,110 @@
 	"snipeshift.example/lib/fault"
 )
 
-// shedding is an engine that turns requests away and asks for rest, for a while.
-type shedding struct {
-	mu    sync.Mutex
-	until time.Time
-	rest  string
-	// asked are the instants at which it was sent a request.
-	asked []time.Time
+// sheddingEngine is an engine that rejects requests with a Retry-After until a given time.
+type sheddingEngine struct {
+	mu         sync.Mutex
+	until      time.Time
+	retryAfter string
+	// requests are the times at which requests arrived.
+	requests []time.Time
 }
 
-func (e *shedding) serve(w http.ResponseWriter, r *http.Request) {
+func (e *sheddingEngine) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		return
 	}
 	e.mu.Lock()
-	e.asked = append(e.asked, time.Now())
-	sheds := time.Now().Before(e.until)
+	e.requests = append(e.requests, time.Now())
+	shedding := time.Now().Before(e.until)
 	e.mu.Unlock()
-	if sheds {
-		w.Header().Set("Retry-After", e.rest)
+	if shedding {
+		w.Header().Set("Retry-After", e.retryAfter)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	wholeAnswer(w, r)
+	completeResponse(w, r)
 }
 
-func (e *shedding) times() []time.Time {
+func (e *sheddingEngine) requestTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]time.Time{}, e.asked...)
+	return append([]time.Time{}, e.requests...)
 }
 
-// An engine asks this VM for rest, and gets each further request of it until the rest is over.
-func TestAnEngineThatAsksForRestGetsNothingMore(t *testing.T) {
-	e := &shedding{until: time.Now().Add(time.Minute), rest: "60"}
-	b := newBench(t, e.serve, wholeAnswer)
-	b.fakes.avoids = true
+// An engine asks this VM for a back-off. It must get no further requests from this VM until the
+// back-off ends.
+func TestEngineAskingForBackoffGetsNoMoreRequests(t *testing.T) {
+	e := &sheddingEngine{until: time.Now().Add(time.Minute), retryAfter: "60"}
+	b := newHarness(t, e.serve, completeResponse)
+	b.fakes.honorAvoid = true
 	for range 5 {
-		require.Equal(t, http.StatusOK, b.post("/v1/chat/completions", ask).status)
+		require.Equal(t, http.StatusOK, b.post("/v1/chat/completions", chatBody).status)
 	}
-	require.Len(t, e.times(), 1)
+	require.Len(t, e.requestTimes(), 1)
 }
 
-// The only engine wants a short rest: a caller that can wait for it is refused, or the engine is asked before.
-func TestARequestWaitsForARestThatEndsInItsTime(t *testing.T) {
-	const rest = 500 * time.Millisecond
-	e := &shedding{until: time.Now().Add(rest / 2), rest: "0.5"}
-	b := newBench(t, e.serve)
-	b.fakes.avoids = true
-	require.Equal(t, http.StatusOK, b.post("/v1/chat/completions", ask).status)
-	asked := e.times()
-	require.Len(t, asked, 2)
-	require.GreaterOrEqual(t, asked[1].Sub(asked[0]), rest)
+// The only engine asks for a short back-off. A request with a later deadline must wait and not be
+// refused, and must not be sent before the back-off ends.
+func TestRequestWaitsForBackoffEndingBeforeDeadline(t *testing.T) {
+	const backoff = 500 * time.Millisecond
+	e := &sheddingEngine{until: time.Now().Add(backoff / 2), retryAfter: "0.5"}
+	b := newHarness(t, e.serve)
+	b.fakes.honorAvoid = true
+	require.Equal(t, http.StatusOK, b.post("/v1/chat/completions", chatBody).status)
+	requests := e.requestTimes()
+	require.Len(t, requests, 2)
+	require.GreaterOrEqual(t, requests[1].Sub(requests[0]), backoff)
 }
 
-// The only engine rests for longer than callers may wait: they are held until their time is over, or come back at once and again and again.
-func TestARequestThatNoRestEndsForIsRefusedAtOnce(t *testing.T) {
-	e := &shedding{until: time.Now().Add(time.Minute), rest: "60"}
-	b := newBench(t, e.serve)
-	b.fakes.avoids = true
+// The only engine asks for a back-off that outlasts the request's deadline. The request must be
+// refused at once, with a retry time that keeps the caller from retrying immediately.
+func TestRequestIsRefusedAtOnceIfBackoffOutlastsDeadline(t *testing.T) {
+	e := &sheddingEngine{until: time.Now().Add(time.Minute), retryAfter: "60"}
+	b := newHarness(t, e.serve)
+	b.fakes.honorAvoid = true
 	for range 2 {
-		began := time.Now()
-		a := b.post("/v1/chat/completions", ask)
-		require.Less(t, time.Since(began), 5*time.Second)
+		start := time.Now()
+		a := b.post("/v1/chat/completions", chatBody)
+		require.Less(t, time.Since(start), 5*time.Second)
 		require.Equal(t, http.StatusServiceUnavailable, a.status)
 		require.Equal(t, string(fault.RanNo), a.ran())
 		retry, err := strconv.Atoi(a.header.Get("Retry-After"))
 		require.NoError(t, err)
-		require.Equal(t, int(otherVMs/clock.Second), retry, "another VM may be asked before")
+		require.Equal(t, int(maxBackoffRetryAfter/clock.Second), retry, "another VM may serve the request earlier")
 	}
-	require.Len(t, e.times(), 1)
+	require.Len(t, e.requestTimes(), 1)
 }
 
-// A plain service asks this VM for rest in an answer that its caller gets as it is, and gets the calls of all others meanwhile.
-func TestAPlainServiceThatAsksForRestGetsNothingMore(t *testing.T) {
+// A plain service asks this VM for a back-off in a response that is forwarded to its caller. It
+// must get no calls of other callers until the back-off ends.
+func TestPlainServiceAskingForBackoffGetsNoMoreCalls(t *testing.T) {
 	var calls atomic.Int64
-	b := newBench(t)
-	b.serve(func(w http.ResponseWriter, _ *http.Request) {
+	b := newHarness(t)
+	b.addService(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		w.Header().Set("Retry-After", "60")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	b.fakes.avoids = true
+	b.fakes.honorAvoid = true
 	for i := range 3 {
-		require.Equal(t, http.StatusServiceUnavailable, b.post("/services/sms/lookup", "", headerKey, strconv.Itoa(i)).status)
+		require.Equal(t, http.StatusServiceUnavailable, b.post("/services/sms/lookup", "", headerIdempotencyKey, strconv.Itoa(i)).status)
 	}
 	require.EqualValues(t, 1, calls.Load())
 }
 
-// A plain service holds one caller to its rate by a 429. Taken for a rest of this VM, it would shut all other callers out.
-func TestA429OfAPlainServiceBindsItsCallerAlone(t *testing.T) {
+// A plain service limits the rate of one caller with a 429. If that counted as a back-off for this
+// VM, all other callers would be refused too.
+func TestPlainService429DoesNotBackOffOtherCallers(t *testing.T) {
 	var calls atomic.Int64
-	b := newBench(t)
-	b.serve(func(w http.ResponseWriter, _ *http.Request) {
+	b := newHarness(t)
+	b.addService(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
 			w.Header().Set("Retry-After", "60")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
-	b.fakes.avoids = true
-	require.Equal(t, http.StatusTooManyRequests, b.post("/services/sms/lookup", "", headerKey, "1").status)
-	require.Equal(t, http.StatusOK, b.post("/services/sms/lookup", "", headerKey, "2").status)
+	b.fakes.honorAvoid = true
+	require.Equal(t, http.StatusTooManyRequests, b.post("/services/sms/lookup", "", headerIdempotencyKey, "1").status)
+	require.Equal(t, http.StatusOK, b.post("/services/sms/lookup", "", headerIdempotencyKey, "2").status)
 }
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -20,170 +20,174 @@
 
 // Limits of attempts.
 const (
-	// maxRuns is how often a request may be sent to an upstream at all: once,
-	// and once more elsewhere. A request that fails twice mostly fails for a
-	// reason of its own, and more tries would spread its harm.
-	maxRuns = 2
-	// maxUnsent is how many upstreams may turn out unreachable before a request is refused.
+	// maxSends is how many times a request may be sent to an upstream: once, and one more time to
+	// another upstream. A request that fails twice usually fails for a reason of its own, and
+	// further attempts would spread the damage.
+	maxSends = 2
+	// maxUnsent is how many upstreams may prove unreachable before the request is refused.
 	maxUnsent = 4
-	// lookFor is how long a gate looks for an owner that answers: longer than
-	// members take to notice that one is gone.
-	lookFor = 5 * time.Second
-	// lookAgain is the wait between two looks.
-	lookAgain = 100 * time.Millisecond
-	// farther is what a pool in another failure domain must win in estimated
-	// wait, in milliseconds, to be asked first: the way there and back.
-	farther = 5
-	// tellTimeout bounds a message that tells of an end.
-	tellTimeout = 2 * time.Second
+	// ownerSearchTimeout is how long a gate looks for an owner that responds. It is longer than the
+	// VMs take to detect the loss of a member.
+	ownerSearchTimeout = 5 * time.Second
+	// pollInterval is the wait between two tries to reach an owner or to start a suspect request.
+	pollInterval = 100 * time.Millisecond
+	// crossDomainPenalty is added, in milliseconds, to the estimated wait of a pool in another
+	// failure domain. It stands for the network round trip.
+	crossDomainPenalty = 5
+	// notifyTimeout bounds a message that reports the end of a request.
+	notifyTimeout = 2 * time.Second
 )
 
-// dispatcher sends a granted request to its upstream and passes the answer on.
+// dispatcher sends a granted request to its upstream and forwards the response.
 type dispatcher interface {
-	dispatch(ctx context.Context, gr granted, u document.Upstream) result
-	// started tells whether any byte of an answer reached the caller.
+	dispatch(ctx context.Context, pg poolGrant, u document.Upstream) result
+	// started reports whether any byte of the response was sent to the caller.
 	started() bool
 }
 
-// granted is a grant with the pool it came from.
-type granted struct {
+// poolGrant is a grant with the pool and the address of the owner that issued it.
+type poolGrant struct {
 	pool  peer.PoolID
 	owner string
 	grant decide.Grant
 }
 
-// result is the end of one attempt.
+// result is the outcome of one attempt.
 type result struct {
-	// fault is nil for a whole answer.
+	// fault is nil for a complete response.
 	fault *fault.Error
-	// unsent is proof that no byte of the request reached the upstream.
+	// unsent is true if no byte of the request can have reached the upstream, or if the upstream
+	// declared that it did not take the request.
 	unsent bool
-	// rests is set if an upstream wants nothing from this VM for a while: it is avoided for so long, and not for good.
-	rests   bool
+	// backoff is true if the upstream asked this VM for a back-off. The upstream is then avoided
+	// until the back-off ends and not for the rest of the request.
+	backoff bool
 	outcome decide.Outcome
 	usage   peer.Usage
-	// first is the span from the grant to the first token, zero if none came.
-	first clock.Milli
-	// counted is the part of the usage's output that the meter has already.
-	counted decide.Tokens
+	// firstToken is the time from the grant to the first token, zero if there was none.
+	firstToken clock.Milli
+	// metered is the part of usage.Output that the meter has already counted.
+	metered decide.Tokens
 }
 
-// serve brings a request to its end: a whole answer passed on by d, or a fault.
+// serve executes a request. It returns nil after d has forwarded a complete response, otherwise a
+// fault.
 func (g *Gate) serve(ctx context.Context, c *document.Index, q *request, d dispatcher) *fault.Error {
-	if e := g.limit(q); e != nil {
+	if e := g.takeTokens(q); e != nil {
 		return e
 	}
-	runs, unsent, claimed, whole := 0, 0, false, false
+	sends, unsent, claimed, completed := 0, 0, false, false
 	var spent decide.Tokens
 	defer func() { g.refund(q, spent) }()
-	h := g.hold(q)
-	defer g.release(q)
-	if e := g.begin(ctx, q); e != nil {
+	a := g.track(q)
+	defer g.untrack(q)
+	if e := g.waitForSuspect(ctx, q); e != nil {
 		return e
 	}
-	defer func() { g.Suspects.End(q.fingerprint, whole) }()
+	defer func() { g.Suspects.End(q.fingerprint, completed) }()
 	var avoid []decide.UpstreamID
-	var last *fault.Error // of the last attempt that was sent
+	var last *fault.Error // of the last attempt whose request was sent
 	for {
-		if e := g.suspect(q); e != nil {
-			return ranSoFar(e, runs)
+		if e := g.checkQuarantine(q); e != nil {
+			return correctRan(e, sends)
 		}
-		gr, e := g.place(ctx, c, q, avoid)
+		pg, e := g.place(ctx, c, q, avoid)
 		if e != nil {
-			g.unclaim(q, claimed && runs == 0)
+			g.releaseClaim(q, claimed && sends == 0)
 			if last != nil && ctx.Err() == nil {
-				e = last // what ended the attempt says more than that nobody else took it
+				e = last // more useful to the caller than the failure to find another upstream
 			}
-			return ranSoFar(e, runs)
+			return correctRan(e, sends)
 		}
 		if !q.kind.Repeat && !claimed {
 			if e := g.claim(ctx, q); e != nil {
-				g.giveBack(gr, q, result{outcome: decide.Unused})
+				g.returnGrant(pg, q, result{outcome: decide.Unused})
 				return e
 			}
 			claimed = true
 		}
-		r := g.attempt(ctx, c, q, h, gr, d)
-		r.first = clock.Milli(h.first.Load())
-		g.giveBack(gr, q, r)
+		r := g.attempt(ctx, c, q, a, pg, d)
+		r.firstToken = clock.Milli(a.firstToken.Load())
+		g.returnGrant(pg, q, r)
 		if r.fault == nil {
-			g.Retries.Succeeded(gr.pool)
-			whole, spent = true, max(spent, used(q, r.usage))
+			g.Retries.Succeeded(pg.pool)
+			completed, spent = true, max(spent, tokensUsed(q, r.usage))
 			return nil
 		}
-		if !r.rests {
-			avoid = append(avoid, gr.grant.Upstreams...)
+		if !r.backoff {
+			avoid = append(avoid, pg.grant.Upstreams...)
 		}
 		if r.unsent {
 			unsent++
 		} else {
-			runs++
+			sends++
 			last, spent = r.fault, q.prompt+q.output
 		}
-		if !g.again(ctx, q, d, gr.pool, r, runs, unsent) {
-			g.unclaim(q, claimed && runs == 0)
-			return ranSoFar(r.fault, runs)
+		if !g.mayRetry(ctx, q, d, pg.pool, r, sends, unsent) {
+			g.releaseClaim(q, claimed && sends == 0)
+			return correctRan(r.fault, sends)
 		}
-		g.metrics.retried(q.target)
-		g.note(q, timeline.Retried, gr.grant.Upstreams[0], "elsewhere")
+		g.metrics.countRetry(q.target)
+		g.recordEvent(q, timeline.Retried, pg.grant.Upstreams[0], "elsewhere")
 	}
 }
 
-// again decides whether a failed attempt may be followed by another.
+// mayRetry decides whether another attempt may follow a failed one.
 //
-// Only when it cannot do harm: what was proved unsent may always go elsewhere;
-// what may have run goes elsewhere once, only if it may be repeated and no byte
-// of an answer reached the caller, and only within the pool's retry budget, so
-// that a pool in trouble does not get its load a second time.
-func (g *Gate) again(ctx context.Context, q *request, d dispatcher, pool peer.PoolID, r result, runs, unsent int) bool {
+// A request that certainly did not run may always go to another upstream. A request that may have
+// run is sent once more, and only if its kind is repeatable, no byte of the response has reached the
+// caller, and the pool's retry budget allows the attempt, so that failures do not double the load of
+// an overloaded pool.
+func (g *Gate) mayRetry(ctx context.Context, q *request, d dispatcher, pool peer.PoolID, r result, sends, unsent int) bool {
 	if ctx.Err() != nil || d.started() {
 		return false
 	}
 	if r.unsent {
 		return unsent < maxUnsent
 	}
-	if !q.kind.Repeat || runs >= maxRuns || r.outcome == decide.Canceled {
+	if !q.kind.Repeat || sends >= maxSends || r.outcome == decide.Canceled {
 		return false
 	}
 	return g.Retries.Allow(pool)
 }
 
-// ranSoFar keeps a fault from claiming "not run" once a byte was sent.
-func ranSoFar(e *fault.Error, runs int) *fault.Error {
-	if runs > 0 && e.Ran == fault.RanNo {
+// correctRan changes "not run" in a fault to "may have run" if the request was sent at least once.
+func correctRan(e *fault.Error, sends int) *fault.Error {
+	if sends > 0 && e.Ran == fault.RanNo {
 		return e.WithRan(fault.RanMaybe)
 	}
 	return e
 }
 
-// suspect refuses a request that killed two upstreams.
-func (g *Gate) suspect(q *request) *fault.Error {
+// checkQuarantine refuses a request that crashed two upstreams.
+func (g *Gate) checkQuarantine(q *request) *fault.Error {
 	if g.Suspects.Check(q.fingerprint) != gate.Quarantined {
 		return nil
 	}
 	return fault.New(fault.Quarantined, "two upstreams died running this request; it is not run again")
 }
 
-// begin waits until a request may run: a suspect waits while another copy of it
-// runs on this VM, since two copies could cost a second and a third upstream
-// before the second death is known.
-func (g *Gate) begin(ctx context.Context, q *request) *fault.Error {
+// waitForSuspect waits until the request may run. A suspect request waits while another copy of it
+// runs on this VM, since two copies could crash a second and a third upstream before the second
+// crash is known.
+func (g *Gate) waitForSuspect(ctx context.Context, q *request) *fault.Error {
 	for !g.Suspects.Begin(q.fingerprint) {
-		if e := g.suspect(q); e != nil {
+		if e := g.checkQuarantine(q); e != nil {
 			return e
 		}
 		if ctx.Err() != nil {
-			return ended(ctx).WithRan(fault.RanNo)
+			return contextFault(ctx).WithRan(fault.RanNo)
 		}
-		wait(ctx, lookAgain)
+		sleep(ctx, pollInterval)
 	}
 	return nil
 }
 
-// limit holds the workspace to its rate of tokens, by the estimate of the request.
-// A call of a plain service takes no tokens. Held back for the debt that a dossier
-// of the same workspace left, an alert lookup would be refused for half a minute.
-func (g *Gate) limit(q *request) *fault.Error {
+// takeTokens charges the request's estimated tokens to the rate of its workspace, and refuses the
+// request if the workspace exceeds its rate. Calls of plain services take no tokens: otherwise an
+// urgent lookup could be refused for half a minute because the same workspace sent a very long
+// prompt before.
+func (g *Gate) takeTokens(q *request) *fault.Error {
 	if q.prompt+q.output == 0 {
 		return nil
 	}
@@ -194,105 +198,106 @@
 	return fault.New(fault.Limited, "workspace %s is over its rate of %g tokens a second", q.workspace.Name, float64(q.workspace.Rate)).WithRetry(retry)
 }
 
-// used is what a whole answer took of the rate.
-func used(q *request, u peer.Usage) decide.Tokens {
+// tokensUsed returns the tokens that a completed request used of its workspace's rate.
+func tokensUsed(q *request, u peer.Usage) decide.Tokens {
 	if u.Prompt == 0 {
-		u.Prompt = q.prompt // the engine did not say
+		u.Prompt = q.prompt // the engine did not report usage
 	}
 	return u.Prompt + u.Output
 }
 
-// refund gives back what a request did not spend of its estimate: all of it where it was
-// never sent, the unwritten part of its limit after a whole answer. A request that was
-// sent and failed keeps the estimate, since its engine may have done the work.
+// refund returns the unused part of the estimate: all of it if the request was never sent, and the
+// unused output limit after a complete response. A request that was sent and failed gets no refund,
+// since the engine may have done the work.
 func (g *Gate) refund(q *request, spent decide.Tokens) {
-	if back := q.prompt + q.output - spent; back > 0 {
-		g.Limits.Refund(decide.WorkspaceID(q.workspace.Name), back)
+	if unused := q.prompt + q.output - spent; unused > 0 {
+		g.Limits.Refund(decide.WorkspaceID(q.workspace.Name), unused)
 	}
 }
 
 // attempt sends the request under one grant.
-func (g *Gate) attempt(ctx context.Context, c *document.Index, q *request, h *hold, gr granted, d dispatcher) result {
-	u, ok := c.Upstream(string(gr.grant.Upstreams[0]))
+func (g *Gate) attempt(ctx context.Context, c *document.Index, q *request, a *activeRequest, pg poolGrant, d dispatcher) result {
+	u, ok := c.Upstream(string(pg.grant.Upstreams[0]))
 	if !ok {
-		return result{unsent: true, outcome: decide.Unused, fault: fault.New(fault.Unavailable, "upstream %s left the configuration", gr.grant.Upstreams[0])}
+		return result{unsent: true, outcome: decide.Unused, fault: fault.New(fault.Unavailable, "upstream %s left the configuration", pg.grant.Upstreams[0])}
 	}
-	// This process may have stood still between the decision and now; a request
-	// whose time is over must not be sent, and a claim that was won must not be used late.
+	// The process may have been paused since the grant was received. A request must not be sent
+	// after its deadline, nor under a claim that was won long ago.
 	if g.Clock.Now() >= q.deadline {
 		return result{unsent: true, outcome: decide.Unused, fault: fault.New(fault.Expired, "its allowed time ended before it was sent").WithRan(fault.RanNo)}
 	}
 	g.mu.Lock()
-	h.granted, h.pool, h.grant, h.at, h.known = true, gr.pool, gr.grant, g.Clock.Now(), gr.owner
-	h.first.Store(0)
+	a.granted, a.pool, a.grant, a.grantedAt, a.knownBy = true, pg.pool, pg.grant, g.Clock.Now(), pg.owner
+	a.firstToken.Store(0)
 	g.mu.Unlock()
-	q.upstream = gr.grant.Upstreams[0]
-	g.note(q, timeline.Sent, gr.grant.Upstreams[0], "")
-	r := d.dispatch(ctx, gr, *u)
+	q.upstream = pg.grant.Upstreams[0]
+	g.recordEvent(q, timeline.Sent, pg.grant.Upstreams[0], "")
+	r := d.dispatch(ctx, pg, *u)
 	g.mu.Lock()
-	h.granted = false
+	a.granted = false
 	g.mu.Unlock()
 	if r.outcome == decide.Died && !r.unsent {
-		g.Suspects.Died(q.fingerprint, gr.grant.Upstreams[0], 0)
+		g.Suspects.Died(q.fingerprint, pg.grant.Upstreams[0], 0)
 	}
-	rest := r.usage
-	rest.Output = max(0, rest.Output-r.counted)
-	if rest != (peer.Usage{}) {
-		g.Meter.Count(decide.WorkspaceID(q.workspace.Name), rest)
+	unmetered := r.usage
+	unmetered.Output = max(0, unmetered.Output-r.metered)
+	if unmetered != (peer.Usage{}) {
+		g.Meter.Count(decide.WorkspaceID(q.workspace.Name), unmetered)
 	}
 	if r.fault != nil {
-		g.note(q, timeline.Failed, gr.grant.Upstreams[0], describe(r.fault))
+		g.recordEvent(q, timeline.Failed, pg.grant.Upstreams[0], timelineText(r.fault))
 		return r
 	}
-	g.note(q, timeline.Finished, gr.grant.Upstreams[0], "")
+	g.recordEvent(q, timeline.Finished, pg.grant.Upstreams[0], "")
 	return r
 }
 
-// acquire gets a grant from the best pool that takes the request.
-func (g *Gate) acquire(ctx context.Context, c *document.Index, q *request, avoid []decide.UpstreamID) (granted, *fault.Error) {
+// acquire obtains a grant from the best-ranked pool that accepts the request.
+func (g *Gate) acquire(ctx context.Context, c *document.Index, q *request, avoid []decide.UpstreamID) (poolGrant, *fault.Error) {
 	var refused *fault.Error
-	until := time.Now().Add(lookFor)
+	giveUpAt := time.Now().Add(ownerSearchTimeout)
 	for {
-		for _, id := range g.rank(c, q) {
-			gr, e, answered := g.ask(ctx, id, q, avoid)
+		for _, id := range g.rankPools(c, q) {
+			pg, e, answered := g.acquireFrom(ctx, id, q, avoid)
 			if answered && e == nil {
-				return gr, nil
+				return pg, nil
 			}
 			if ctx.Err() != nil {
-				return granted{}, g.nobody(ctx, q)
+				return poolGrant{}, g.noOwner(ctx, q)
 			}
-			if answered && (refused == nil || hopeful(e, refused)) {
+			if answered && (refused == nil || preferRefusal(e, refused)) {
 				refused = e
 			}
 		}
 		if refused != nil {
-			return granted{}, refused
+			return poolGrant{}, refused
 		}
-		if ctx.Err() != nil || time.Now().After(until) {
-			return granted{}, g.nobody(ctx, q)
+		if ctx.Err() != nil || time.Now().After(giveUpAt) {
+			return poolGrant{}, g.noOwner(ctx, q)
 		}
-		wait(ctx, lookAgain)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// hopeful tells whether a refusal gives its caller more than another: one that may end
-// differently later goes before one that will not, then the one that may end first.
-// A prompt that only the engines of one pool can take is not too long because those
-// of the others are small.
-func hopeful(e, than *fault.Error) bool {
-	a, b := fault.Lookup(e.Kind).Again, fault.Lookup(than.Kind).Again
-	if a != b {
-		return a
+// preferRefusal reports whether a refusal is more useful to the caller than another one. A refusal
+// that permits a retry is preferred, then the one with the earlier retry time. For example, a
+// prompt may be too long for the engines of one pool and fit the busy engines of another: the
+// caller should get the refusal of the busy pool.
+func preferRefusal(e, than *fault.Error) bool {
+	retryable, thanRetryable := fault.Lookup(e.Kind).Again, fault.Lookup(than.Kind).Again
+	if retryable != thanRetryable {
+		return retryable
 	}
 	return e.Retry < than.Retry
 }
 
-// nobody is the refusal when no owner answered in time. Nobody has looked its key up then.
-// It says so, since other copies of the request may have been asked for elsewhere and have run.
-func (g *Gate) nobody(ctx context.Context, q *request) *fault.Error {
+// noOwner returns the refusal of a request for which no owner responded. The state of a
+// non-repeatable request's key is then reported as unknown, since the key was not looked up and an
+// earlier request under it may have run on another VM.
+func (g *Gate) noOwner(ctx context.Context, q *request) *fault.Error {
 	e := fault.New(fault.Unavailable, "no VM answers for this model or service").WithRetry(2000)
 	if ctx.Err() != nil {
-		e = ended(ctx).WithRan(fault.RanNo)
+		e = contextFault(ctx).WithRan(fault.RanNo)
 	}
 	if !q.kind.Repeat && q.ticket == nil {
 		e = e.WithKey(fault.KeyUnknown)
@@ -300,41 +305,42 @@
 	return e
 }
 
-// ask asks the owners of a pool in turn; answered is false when none could be reached.
-func (g *Gate) ask(ctx context.Context, id peer.PoolID, q *request, avoid []decide.UpstreamID) (gr granted, e *fault.Error, answered bool) {
+// acquireFrom requests a grant from the owners of a pool in turn. The result answered is false if
+// none of them responded.
+func (g *Gate) acquireFrom(ctx context.Context, id peer.PoolID, q *request, avoid []decide.UpstreamID) (pg poolGrant, e *fault.Error, answered bool) {
 	for i, m := range g.Members.Owners(id) {
 		if i == maxOwners {
 			break
 		}
-		args := peer.AcquireArgs{Stamp: g.Events.Send(), Pool: id, Serial: g.asks.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.describe(q, avoid)}
+		args := peer.AcquireArgs{Stamp: g.Events.Send(), Pool: id, Serial: g.acquireSerial.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.placementRequest(q, avoid)}
 		var reply peer.AcquireReply
 		err := g.Peers.Call(ctx, m.Address, "Pool.Acquire", args, &reply)
 		if err != nil {
-			// The owner may have granted it all the same.
-			g.tell(m.Address, "Pool.Withdraw", peer.WithdrawArgs{Pool: id, Request: q.id, Serial: args.Serial})
+			// The owner may have granted the request although its reply was lost.
+			g.notify(m.Address, "Pool.Withdraw", peer.WithdrawArgs{Pool: id, Request: q.id, Serial: args.Serial})
 			if ctx.Err() != nil {
-				return gr, ended(ctx).WithRan(fault.RanNo), true
+				return pg, contextFault(ctx).WithRan(fault.RanNo), true
 			}
 			continue
 		}
 		g.Events.Receive(reply.Stamp)
 		g.Members.Heard(id, reply.Summary)
 		if reply.Fault == nil {
-			return granted{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
+			return poolGrant{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
 		}
 		if reply.Fault.Kind == fault.Draining {
 			continue
 		}
-		return gr, reply.Fault.Error(), true
+		return pg, reply.Fault.Error(), true
 	}
-	return gr, nil, false
+	return pg, nil, false
 }
 
-// maxOwners is how many members in a row are asked to own a pool before the
-// gate waits for news of members.
+// maxOwners is how many candidate owners of a pool are asked in turn before the gate waits for an
+// update of the membership.
 const maxOwners = 3
 
-func (g *Gate) describe(q *request, avoid []decide.UpstreamID) decide.Request {
+func (g *Gate) placementRequest(q *request, avoid []decide.UpstreamID) decide.Request {
 	return decide.Request{
 		ID: q.id, Workspace: decide.WorkspaceID(q.workspace.Name), Gate: g.ID(), Urgency: q.kind.Urgency,
 		Prompt: q.prompt, Output: q.output, Prefixes: q.prefixes, Repeatable: q.kind.Repeat,
@@ -342,98 +348,101 @@
 	}
 }
 
-// rank orders pools by the wait that their owners expect, near ones first.
-func (g *Gate) rank(c *document.Index, q *request) []peer.PoolID {
+// rankPools orders the target's pools by the wait that their owners expect. Pools in other failure
+// domains get a penalty.
+func (g *Gate) rankPools(c *document.Index, q *request) []peer.PoolID {
 	type scored struct {
 		id   peer.PoolID
 		cost int64
 	}
 	domains := c.Domains(q.target)
-	ss := make([]scored, 0, len(domains))
+	pools := make([]scored, 0, len(domains))
 	for _, d := range domains {
 		id := document.PoolOf(q.target, d)
 		s := scored{id: id}
 		if d != g.domain {
-			s.cost += farther
+			s.cost += crossDomainPenalty
 		}
 		if x, ok := g.Members.Summary(id); ok {
-			s.cost += int64(expected(x, q))
+			s.cost += int64(expectedWait(x, q))
 		}
-		ss = append(ss, s)
+		pools = append(pools, s)
 	}
-	sort.SliceStable(ss, func(i, j int) bool { return ss[i].cost < ss[j].cost })
-	ids := make([]peer.PoolID, len(ss))
-	for i, s := range ss {
+	sort.SliceStable(pools, func(i, j int) bool { return pools[i].cost < pools[j].cost })
+	ids := make([]peer.PoolID, len(pools))
+	for i, s := range pools {
 		ids[i] = s.id
 	}
 	return ids
 }
 
-// expected is the wait that a pool's owner expects for a request of this kind and
-// length. Long ones wait for memory: ranked by the wait of short ones, they would all
-// queue in the nearest pool, which looks idle, while others have memory free.
-func expected(x decide.Summary, q *request) clock.Milli {
-	waits := x.Wait
+// expectedWait returns the wait that a pool's owner expects for a request of this urgency and
+// prompt length. Long prompts have an estimate of their own, since they wait for memory: ranked by
+// the wait of short prompts, they would all queue in the nearest pool although other pools have
+// free memory.
+func expectedWait(summary decide.Summary, q *request) clock.Milli {
+	waits := summary.Wait
 	if q.prompt >= decide.DefaultLong {
-		waits = x.Long
+		waits = summary.Long
 	}
 	return waits[min(int(q.kind.Urgency), len(waits)-1)]
 }
 
-// giveBack returns a grant in the background; the caller's answer does not wait for it.
-func (g *Gate) giveBack(gr granted, q *request, r result) {
-	args := peer.ReturnArgs{Stamp: g.Events.Send(), Pool: gr.pool, Gate: g.ID(), Grant: gr.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.first}
-	g.tell(gr.owner, "Pool.Return", args)
-	// The pool may have another owner by now, to which the grant was presented.
-	if owners := g.Members.Owners(gr.pool); len(owners) > 0 && owners[0].Address != gr.owner {
-		g.tell(owners[0].Address, "Pool.Return", args)
+// returnGrant returns a grant in the background, so that the response to the caller is not delayed.
+func (g *Gate) returnGrant(pg poolGrant, q *request, r result) {
+	args := peer.ReturnArgs{Stamp: g.Events.Send(), Pool: pg.pool, Gate: g.ID(), Grant: pg.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.firstToken}
+	g.notify(pg.owner, "Pool.Return", args)
+	// The grant may meanwhile have been presented to a new owner of the pool.
+	if owners := g.Members.Owners(pg.pool); len(owners) > 0 && owners[0].Address != pg.owner {
+		g.notify(owners[0].Address, "Pool.Return", args)
 	}
 }
 
-// tell sends a message whose answer nobody needs. If it is lost, the lease of
-// the grant ends and the owner finds out from the engine and from this gate.
-func (g *Gate) tell(address, method string, args any) {
+// notify sends a message in the background and ignores the reply. If the message is lost, the owner
+// still learns of the end: the lease of the grant expires, and the owner asks the engine and this
+// gate.
+func (g *Gate) notify(address, method string, args any) {
 	g.background("tell", func() {
-		ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		if err := g.Peers.Call(ctx, address, method, args, &peer.Empty{}); err != nil {
-			g.Log.Debug().Str("method", method).Err(err).Msg("not sent")
+			g.Log.Debug().Str("method", method).Err(err).Msg("message to owner not answered; grant will end with its lease")
 		}
 	})
 }
 
-// background runs what a request leaves to do beside its answer; Settle waits for it.
+// background runs work that outlives its request. Settle waits for this work.
 func (g *Gate) background(name string, f func()) {
-	g.settling.Add(1)
+	g.pending.Add(1)
 	guard.Go(g.Log, name, func() {
-		defer g.settling.Done()
+		defer g.pending.Done()
 		f()
 	})
 }
 
-func (g *Gate) hold(q *request) *hold {
-	h := &hold{deadline: q.deadline}
+func (g *Gate) track(q *request) *activeRequest {
+	a := &activeRequest{deadline: q.deadline}
 	g.mu.Lock()
-	g.held[q.id] = h
+	g.active[q.id] = a
 	g.mu.Unlock()
-	return h
+	return a
 }
 
-func (g *Gate) release(q *request) {
+func (g *Gate) untrack(q *request) {
 	g.mu.Lock()
-	delete(g.held, q.id)
+	delete(g.active, q.id)
 	g.mu.Unlock()
 }
 
-// ended names the reason for which a request's context ended.
-func ended(ctx context.Context) *fault.Error {
+// contextFault returns the fault for a context that ended: expired or canceled.
+func contextFault(ctx context.Context) *fault.Error {
 	if ctx.Err() == context.DeadlineExceeded {
 		return fault.New(fault.Expired, "its allowed time ended")
 	}
 	return fault.New(fault.Canceled, "the caller went away")
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -442,26 +451,28 @@
 	}
 }
 
-// Times of the look at an upstream whose connection broke.
+// Times of the check whether an upstream crashed, made after its connection broke.
 const (
-	// lookDied bounds the look: one that stands still gives no sign either way.
-	lookDied = time.Second
-	// lookAlive is how long a new connection must stay open to prove life.
-	lookAlive = 100 * time.Millisecond
-	// lookDiedAgain is the wait after a connection that was cut off at once.
-	lookDiedAgain = 20 * time.Millisecond
+	// crashCheckTimeout bounds the check. An upstream on a paused machine neither accepts nor
+	// refuses connections, so the check would not end by itself.
+	crashCheckTimeout = time.Second
+	// crashCheckOpenTime is how long a new connection must stay open to prove that the upstream is
+	// running.
+	crashCheckOpenTime = 100 * time.Millisecond
+	// crashCheckInterval is the wait after a new connection that was closed at once.
+	crashCheckInterval = 20 * time.Millisecond
 )
 
-// died finds out whether an upstream whose connection broke is gone, by new
-// connections on which it sends nothing: a plain service would run whatever
-// request came, and count it.
+// crashed checks whether an upstream whose connection broke has crashed. It opens new connections
+// and sends nothing on them, since a plain service would run and count any request.
 //
-// A process that crashes loses its open connections a moment before its listener,
-// so the first look may still connect and be cut off. Taken for a sign of life, it
-// would leave the death uncounted, and a request that crashes engines would get one
-// more of them. So only a connection that stays proves life, only a refused one death.
-func (g *Gate) died(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), lookDied)
+// A crashing process loses its open connections shortly before its listening socket, so a new
+// connection may still be accepted and then closed. If that counted as running, the crash would not
+// be recorded, and a poison request would crash one more engine than permitted. So only a
+// connection that stays open proves that the upstream runs, and only a refused connection proves
+// that it crashed.
+func (g *Gate) crashed(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
 	var d net.Dialer
 	for ctx.Err() == nil {
@@ -474,14 +485,14 @@
 		if stays {
 			return false
 		}
-		wait(ctx, lookDiedAgain)
+		sleep(ctx, crashCheckInterval)
 	}
 	return false
 }
 
-// staysOpen tells whether the other end leaves a new connection open for a while.
+// staysOpen reports whether the other end keeps a new connection open for crashCheckOpenTime.
 func staysOpen(c net.Conn) bool {
-	if err := c.SetReadDeadline(time.Now().Add(lookAlive)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(crashCheckOpenTime)); err != nil {
 		return false
 	}
 	n, err := c.Read(make([]byte, 1))
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -17,89 +17,89 @@
 	"snipeshift.example/lib/peer"
 )
 
-// The store is out, or the only engine cannot be reached, and a workspace asks again
-// and again. None of its requests runs; were they counted against its rate all the
-// same, it would be refused for being over it once everything works again.
-func TestWhatDidNotRunIsRefunded(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+// The store is unavailable or the only engine is unreachable, and a workspace retries repeatedly.
+// If requests that did not run used up its rate, the workspace would be refused after the recovery.
+func TestRateTokensAreRefundedIfNotRun(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	b.fakes.claim = peer.ClaimReply{State: peer.ClaimUnknown}
-	b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
-	b.idle()
+	b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
+	b.awaitIdle()
 	require.EqualValues(t, 3+1, b.fakes.refunded, "the whole estimate")
 
-	b = newBench(t, wholeAnswer)
-	b.post("/v1/chat/completions", ask)
-	b.idle()
-	require.EqualValues(t, 64-2, b.fakes.refunded, "an answered request pays for what it used, not for its limit")
+	b = newHarness(t, completeResponse)
+	b.post("/v1/chat/completions", chatBody)
+	b.awaitIdle()
+	require.EqualValues(t, 64-2, b.fakes.refunded, "a completed request is charged for its usage and not for its output limit")
 
-	b = newBench(t, func(w http.ResponseWriter, r *http.Request) { say(w, r, 0, "boil ") })
-	b.post("/v1/chat/completions", ask)
-	b.idle()
-	require.Zero(t, b.fakes.refunded, "a request that was sent may have cost its estimate")
+	b = newHarness(t, func(w http.ResponseWriter, r *http.Request) { writeChunk(w, r, 0, "boil ") })
+	b.post("/v1/chat/completions", chatBody)
+	b.awaitIdle()
+	require.Zero(t, b.fakes.refunded, "a request that was sent may have used its whole estimate")
 
-	b = newBench(t, wholeAnswer)
+	b = newHarness(t, completeResponse)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
-	b.fakes.upstream = []string{b.away(l.Addr().String())}
-	require.Equal(t, http.StatusServiceUnavailable, b.post("/v1/chat/completions", ask).status)
-	b.idle()
+	b.fakes.upstreams = []string{b.addUnreachable(l.Addr().String())}
+	require.Equal(t, http.StatusServiceUnavailable, b.post("/v1/chat/completions", chatBody).status)
+	b.awaitIdle()
 	require.EqualValues(t, 3+64, b.fakes.refunded)
 }
 
-// away names an upstream at which nothing listens.
-func (b *bench) away(address string) string {
+// addUnreachable adds an upstream with an address on which nothing listens, and returns its name.
+func (b *harness) addUnreachable(address string) string {
 	d := *b.index.Document()
 	u := d.Upstreams[0]
 	u.Name, u.Address = "away", address
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedBook{b.index}
+	b.gate.Book = fixedConfig{b.index}
 	return u.Name
 }
 
-// A long prompt fits the engines of one failure domain, which are busy, and not the
-// smaller ones of another. Told that it is too long, its caller would never come back.
-func TestRefusalThatMayEndDifferentlyGoesFirst(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+// A long prompt fits the engines of one failure domain, which are busy, but not the smaller engines
+// of another. If the caller got the refusal "too long", it would never retry.
+func TestRetryableRefusalIsPreferred(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	d := *b.index.Document()
 	u := d.Upstreams[0]
 	u.Name, u.Domain = "small", "cellar"
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedBook{b.index}
-	b.fakes.pools = map[peer.PoolID]*peer.Fault{
+	b.gate.Book = fixedConfig{b.index}
+	b.fakes.refusals = map[peer.PoolID]*peer.Fault{
 		"drafter@hall":   peer.Wire(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
 		"drafter@cellar": peer.Wire(fault.New(fault.Oversize, "too long")),
 	}
-	a := b.post("/v1/chat/completions", ask)
+	a := b.post("/v1/chat/completions", chatBody)
 	require.Equal(t, "overloaded", a.kind())
-	require.Equal(t, "3", a.header.Get(headerRetry))
+	require.Equal(t, "3", a.header.Get(headerRetryAfter))
 }
 
-// A daemon is stopped right after its last answer. What it still has to tell goes out
-// before its connections are closed, or the owner would keep an engine's memory for a
-// request that is over. The pool changed hands meanwhile, and both owners are told.
-func TestReturnsAreOutBeforeTheEnd(t *testing.T) {
-	b := newBench(t, wholeAnswer)
-	b.post("/v1/chat/completions", ask)
-	b.idle()
+// A daemon is stopped right after its last response. It must send the returns of grants before it
+// closes its connections, or the owner would reserve engine memory for a request that has ended.
+// The owner of the pool changes meanwhile, so the second return goes to both owners.
+func TestSettleWaitsForGrantReturns(t *testing.T) {
+	b := newHarness(t, completeResponse)
+	b.post("/v1/chat/completions", chatBody)
+	b.awaitIdle()
 	b.gate.Settle()
 	b.fakes.mu.Lock()
 	require.Len(t, b.fakes.returned, 1)
-	b.fakes.owner = "successor"
+	b.fakes.successor = "successor"
 	b.fakes.mu.Unlock()
-	b.post("/v1/chat/completions", ask)
-	b.idle()
+	b.post("/v1/chat/completions", chatBody)
+	b.awaitIdle()
 	b.gate.Settle()
 	b.fakes.mu.Lock()
 	defer b.fakes.mu.Unlock()
 	require.Len(t, b.fakes.returned, 3)
 }
 
-// A prompt spans two engines. The one that lends memory stands still, or the leading one
-// takes no work. The request ends soon, not run, and the lent memory is given back.
-func TestGroupThatCannotStartIsLetGo(t *testing.T) {
+// A prompt spans two engines. Either the helper that should reserve memory is paused, or the leader
+// rejects the request. The request must end early, reported as not run, and the reserved memory
+// must be freed.
+func TestGroupThatCannotStartIsReleased(t *testing.T) {
 	var freed atomic.Int32
 	free := func(r *http.Request) bool {
 		if r.Method == http.MethodDelete {
@@ -114,19 +114,19 @@
 	}
 	release := make(chan struct{})
 	defer close(release)
-	still := func(_ http.ResponseWriter, r *http.Request) {
+	paused := func(_ http.ResponseWriter, r *http.Request) {
 		if !free(r) {
 			_, _ = io.ReadAll(r.Body)
 			<-release
 		}
 	}
-	lend := func(_ http.ResponseWriter, r *http.Request) { free(r) }
-	for _, hs := range [][]http.HandlerFunc{{wholeAnswer, still}, {busy, lend}} {
-		b := newBench(t, hs...)
+	reserve := func(_ http.ResponseWriter, r *http.Request) { free(r) }
+	for _, hs := range [][]http.HandlerFunc{{completeResponse, paused}, {busy, reserve}} {
+		b := newHarness(t, hs...)
 		b.fakes.group = true
 		freed.Store(0)
 		start := time.Now()
-		a := b.post("/v1/chat/completions", ask)
+		a := b.post("/v1/chat/completions", chatBody)
 		require.Equal(t, "no", a.ran())
 		require.Less(t, time.Since(start), 15*time.Second, "20 s are allowed")
 		b.gate.Settle()
@@ -134,10 +134,10 @@
 	}
 }
 
-// The engines of the near failure domain are full of dossiers, short work still gets in.
-// A long prompt that queues there all the same waits for minutes beside idle engines.
-func TestLongPromptGoesWhereMemoryIsFree(t *testing.T) {
-	b := newBench(t, wholeAnswer)
+// The engines of the near failure domain are full of long prompts but still accept short ones. A
+// long prompt that is queued there waits for minutes although engines elsewhere are idle.
+func TestLongPromptIsRankedByMemoryWait(t *testing.T) {
+	b := newHarness(t, completeResponse)
 	d := *b.index.Document()
 	u := d.Upstreams[0]
 	u.Name, u.Domain = "far", "cellar"
@@ -148,7 +148,7 @@
 		"drafter@cellar": {Wait: [4]clock.Milli{0, 1, 1, 1}},
 	}
 	q := &request{kind: d.Kinds[0], target: "drafter", prompt: decide.DefaultLong}
-	require.Equal(t, peer.PoolID("drafter@cellar"), b.gate.rank(index, q)[0])
+	require.Equal(t, peer.PoolID("drafter@cellar"), b.gate.rankPools(index, q)[0])
 	q.prompt--
-	require.Equal(t, peer.PoolID("drafter@hall"), b.gate.rank(index, q)[0])
+	require.Equal(t, peer.PoolID("drafter@hall"), b.gate.rankPools(index, q)[0])
 }
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -21,14 +21,15 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// service serves requests to plain services, any method, the body passed through.
+// service handles requests to plain services. All methods are accepted, and bodies are forwarded
+// unchanged.
 func (g *Gate) service(w http.ResponseWriter, r *http.Request) {
 	c, ok := g.Book.Index()
 	if !ok {
-		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
+		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
 	}
 	sv, known := c.Service(r.PathValue("name"))
@@ -41,38 +42,39 @@
 		e = fault.New(fault.Unknown, "no service %q", r.PathValue("name"))
 	}
 	if e != nil {
-		g.refuse(w, q.id, e)
+		g.writeError(w, q.id, e)
 		return
 	}
 	q.target = sv.Name
-	if q.body, e = g.read(w, r, c, q); e != nil {
-		g.refuse(w, q.id, e)
+	if q.body, e = g.readBody(w, r, c, q); e != nil {
+		g.writeError(w, q.id, e)
 		return
 	}
 	q.fingerprint = fingerprint(r, q.body)
 	ctx, cancel := context.WithTimeout(r.Context(), (q.deadline - g.Clock.Now()).Duration())
 	defer cancel()
-	g.note(q, timeline.Arrived, "", q.kind.Name)
-	x := &passage{gate: g, q: q, w: w, r: r}
+	g.recordEvent(q, timeline.Arrived, "", q.kind.Name)
+	x := &serviceCall{gate: g, q: q, w: w, r: r}
 	e = g.serve(ctx, c, q, x)
-	g.conclude(q, e)
+	g.recordOutcome(q, e)
 	if e != nil {
-		g.endPassage(x, e)
+		g.finishFailedCall(x, e)
 	}
-	g.metrics.served(q, g.Clock.Now())
+	g.metrics.observeRequest(q, g.Clock.Now())
 }
 
-func (g *Gate) endPassage(x *passage, e *fault.Error) {
-	if x.q.replay != nil && x.q.replay.Status != 0 {
-		g.replay(x.w, x.q)
+func (g *Gate) finishFailedCall(x *serviceCall, e *fault.Error) {
+	if x.q.stored != nil && x.q.stored.Status != 0 {
+		g.writeStored(x.w, x.q)
 		return
 	}
-	if x.wrote {
-		// Headers are out; only a cut connection tells the caller that the answer is not whole.
-		g.metrics.refused(e.Kind, e.Ran)
+	if x.headersSent {
+		// The header was sent already. Closing the connection is the only way to show the caller
+		// that the response is incomplete.
+		g.metrics.countError(e.Kind, e.Ran)
 		panic(http.ErrAbortHandler)
 	}
-	g.refuse(x.w, x.q.id, e)
+	g.writeError(x.w, x.q.id, e)
 }
 
 func fingerprint(r *http.Request, body []byte) uint64 {
@@ -82,47 +84,48 @@
 	return d.Sum64()
 }
 
-// passage dispatches one request to a plain service.
-type passage struct {
-	gate  *Gate
-	q     *request
-	w     http.ResponseWriter
-	r     *http.Request
-	wrote bool
+// serviceCall dispatches one request to a plain service.
+type serviceCall struct {
+	gate        *Gate
+	q           *request
+	w           http.ResponseWriter
+	r           *http.Request
+	headersSent bool
 }
 
-func (x *passage) started() bool { return x.wrote }
+func (x *serviceCall) started() bool { return x.headersSent }
 
-// dispatch sends the request and passes the answer on.
-func (x *passage) dispatch(ctx context.Context, gr granted, u document.Upstream) result {
-	req, err := http.NewRequestWithContext(ctx, x.r.Method, "http://"+u.Address+rest(x.r), bytes.NewReader(x.q.body))
+// dispatch sends the request and forwards the response.
+func (x *serviceCall) dispatch(ctx context.Context, pg poolGrant, u document.Upstream) result {
+	req, err := http.NewRequestWithContext(ctx, x.r.Method, "http://"+u.Address+upstreamURI(x.r), bytes.NewReader(x.q.body))
 	if err != nil {
 		return result{unsent: true, outcome: decide.Unused, fault: fault.New(fault.Malformed, "the path cannot be passed on: %v", err)}
 	}
 	req.GetBody = nil
-	x.headers(req)
-	// Always a connection of its own: a plain service streams no tokens whose
-	// absence would show that a kept connection has gone silent.
+	x.setHeaders(req)
+	// Each call uses a new connection: a plain service streams no tokens, so nothing would reveal
+	// that a kept-alive connection is broken.
 	resp, err := x.gate.Engines.Do(req, true)
 	if err != nil {
-		return x.failed(ctx, u, err)
+		return x.failure(ctx, u, err)
 	}
 	defer resp.Body.Close()
-	// A 429 of a service is its word to the caller, who may have a rate of its own there.
-	if rest, _ := retryafter.Parse(resp.Header); resp.StatusCode == http.StatusServiceUnavailable && rest > 0 {
-		x.gate.wantsRest(x.q.target, gr.grant.Upstreams[0], rest)
+	// A 429 status of a service goes to the caller only, who may have a rate limit of its own
+	// there.
+	if backoff, _ := retryafter.Parse(resp.Header); resp.StatusCode == http.StatusServiceUnavailable && backoff > 0 {
+		x.gate.recordBackoff(x.q.target, pg.grant.Upstreams[0], backoff)
 	}
-	return x.pass(ctx, u, resp)
+	return x.forwardResponse(ctx, u, resp)
 }
 
-// rest is the service's own part of a request's path and query, as the caller wrote it.
-// Decoded once and sent on, a question mark or a percent sign in a name would make
-// another path of it, and the service would act on something else.
-func rest(r *http.Request) string {
+// upstreamURI returns the path and query that go to the service, still escaped as the caller sent
+// them. Decoding them would turn an escaped question mark or percent sign in a name into a
+// different path.
+func upstreamURI(r *http.Request) string {
 	path := "/"
 	// The path is /services/NAME/REST.
-	if parts := strings.SplitN(r.URL.EscapedPath(), "/", servicePath); len(parts) == servicePath {
-		path += parts[servicePath-1]
+	if parts := strings.SplitN(r.URL.EscapedPath(), "/", servicePathParts); len(parts) == servicePathParts {
+		path += parts[servicePathParts-1]
 	}
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
@@ -130,22 +133,23 @@
 	return path
 }
 
-// servicePath counts the parts of a path to a service, the empty one before the first slash included.
-const servicePath = 4
+// servicePathParts is the number of parts of /services/NAME/REST, including the empty part before
+// the first slash.
+const servicePathParts = 4
 
-func (x *passage) headers(req *http.Request) {
+func (x *serviceCall) setHeaders(req *http.Request) {
 	req.Header = x.r.Header.Clone()
 	for _, v := range req.Header.Values("Connection") {
 		for h := range strings.SplitSeq(v, ",") {
 			req.Header.Del(strings.TrimSpace(h))
 		}
 	}
-	for _, h := range hopHeaders {
+	for _, h := range hopByHopHeaders {
 		req.Header.Del(h)
 	}
-	// The body is here already; nobody waits for the upstream's word to send it.
+	// The body was received completely, so the upstream need not be asked before it is sent.
 	req.Header.Del("Expect")
-	// The workspace's key is between the caller and this system.
+	// The key of the workspace is not disclosed to upstreams.
 	req.Header.Del("Authorization")
 	for h := range req.Header {
 		if strings.HasPrefix(h, "Snipeshift-") {
@@ -155,58 +159,59 @@
 	req.Header.Set(engine.HeaderRequest, string(x.q.id))
 }
 
-// pass copies the answer, keeping the start of it for a repeat of the key.
-func (x *passage) pass(ctx context.Context, u document.Upstream, resp *http.Response) result {
-	usage := charge(resp.StatusCode)
+// forwardResponse copies the response to the caller, and keeps the beginning to store it for
+// repeats of the key.
+func (x *serviceCall) forwardResponse(ctx context.Context, u document.Upstream, resp *http.Response) result {
+	usage := usageOf(resp.StatusCode)
 	h := x.w.Header()
 	for k, vs := range resp.Header {
 		h[k] = vs
 	}
-	for _, k := range hopHeaders {
+	for _, k := range hopByHopHeaders {
 		h.Del(k)
 	}
 	h.Set(headerRequest, string(x.q.id))
-	x.gate.finishHeaders(h)
+	x.gate.setConnectionHeader(h)
 	rc := http.NewResponseController(x.w)
-	x.gate.limitWrite(rc, x.q)
+	x.gate.setWriteDeadline(rc, x.q)
 	x.w.WriteHeader(resp.StatusCode)
-	x.wrote = true
-	var keep keeper
-	_, err := io.Copy(&passWriter{passage: x, rc: rc, keep: &keep}, resp.Body)
+	x.headersSent = true
+	var stored responseCopy
+	_, err := io.Copy(&callerWriter{call: x, rc: rc, stored: &stored}, resp.Body)
 	if err == nil {
-		x.gate.answered(x.q, resp.StatusCode, keep.bytes())
+		x.gate.settleClaim(x.q, resp.StatusCode, stored.bytes())
 		return result{outcome: decide.Done, usage: usage}
 	}
 	r := result{outcome: decide.Failed, usage: usage, fault: fault.New(fault.Incomplete, "the answer of upstream %s stopped", u.Name)}
-	if ctx.Err() != nil || errors.Is(err, errCaller) {
+	if ctx.Err() != nil || errors.Is(err, errCallerWrite) {
 		r.outcome = decide.Canceled
 	}
 	return r
 }
 
-// charge is what a workspace is charged for a call that was answered.
-// By these two statuses a service says that it did not take a call on: nothing ran that could be charged.
-func charge(status int) peer.Usage {
+// usageOf returns the usage charged for a call that got a response. The statuses 503 and 429
+// declare that the service did not take the call, so nothing is charged for them.
+func usageOf(status int) peer.Usage {
 	if retryafter.TurnsAway(status) {
 		return peer.Usage{}
 	}
 	return peer.Usage{Requests: 1}
 }
 
-// failed classifies an attempt without an answer.
-func (x *passage) failed(ctx context.Context, u document.Upstream, err error) result {
+// failure classifies an attempt without a response.
+func (x *serviceCall) failure(ctx context.Context, u document.Upstream, err error) result {
 	if engine.ErrNotSent.Has(err) && ctx.Err() == nil {
 		return result{unsent: true, outcome: decide.Died, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
-	// Nothing proves that it ran, so nothing is charged: over a link that carries
-	// nothing, a team would pay for calls that no upstream ever saw.
+	// Nothing is charged, since nothing proves that the call ran. If packets are lost on the way to
+	// the service, a workspace would otherwise pay for calls that no upstream received.
 	r := result{outcome: decide.Failed, unsent: engine.ErrNotSent.Has(err)}
 	switch {
 	case ctx.Err() != nil:
 		r.outcome = decide.Canceled
-		r.fault = ended(ctx)
+		r.fault = contextFault(ctx)
 	default:
-		if x.gate.died(u.Address) {
+		if x.gate.crashed(u.Address) {
 			r.outcome = decide.Died
 		}
 		r.fault = fault.New(fault.Upstream, "upstream %s gave no answer", u.Name)
@@ -220,32 +225,34 @@
 	return r
 }
 
-// keeper keeps the start of an answer, up to one byte more than may be kept.
-type keeper struct{ b []byte }
+// responseCopy collects the beginning of a response, up to one byte more than may be stored. The
+// extra byte shows that the response is too long.
+type responseCopy struct{ b []byte }
 
-func (k *keeper) add(p []byte) {
+func (k *responseCopy) add(p []byte) {
 	if room := claim.Kept + 1 - len(k.b); room > 0 {
 		k.b = append(k.b, p[:min(room, len(p))]...)
 	}
 }
 
-// bytes is never nil: an empty answer is one that was kept.
-func (k *keeper) bytes() []byte { return append([]byte{}, k.b...) }
+// bytes never returns nil, since nil stands for a response that is not stored, unlike an empty one.
+func (k *responseCopy) bytes() []byte { return append([]byte{}, k.b...) }
 
-// passWriter tells failures of the caller from failures of the upstream.
-type passWriter struct {
-	passage *passage
-	rc      *http.ResponseController
-	keep    *keeper
+// callerWriter writes a response to the caller. Its errors include errCallerWrite, which tells them
+// apart from errors of reading from the upstream.
+type callerWriter struct {
+	call   *serviceCall
+	rc     *http.ResponseController
+	stored *responseCopy
 }
 
 // Write implements io.Writer.
-func (p *passWriter) Write(b []byte) (int, error) {
-	p.keep.add(b)
-	p.passage.gate.limitWrite(p.rc, p.passage.q)
-	n, err := p.passage.w.Write(b)
+func (p *callerWriter) Write(b []byte) (int, error) {
+	p.stored.add(b)
+	p.call.gate.setWriteDeadline(p.rc, p.call.q)
+	n, err := p.call.w.Write(b)
 	if err != nil {
-		return n, errors.Join(errCaller, err)
+		return n, errors.Join(errCallerWrite, err)
 	}
 	return n, p.rc.Flush()
 }
--- a/daemon/caller/sink.go
+++ b/daemon/caller/sink.go
@@ -9,89 +9,88 @@
 	"snipeshift.example/lib/fault"
 )
 
-// errCaller is a write to the caller that failed: the caller went away, or
-// stopped reading.
-var errCaller = errors.New("the caller does not read")
+// errCallerWrite marks a failed write to the caller, who disconnected or stopped reading.
+var errCallerWrite = errors.New("write to caller failed")
 
-// writeTimeout is how long a caller may leave a chunk unread. A caller that
-// stopped reading would otherwise hold an engine's slot and memory.
+// writeTimeout bounds each write to a caller. A caller that stopped reading would otherwise occupy
+// a slot and memory of an engine.
 const writeTimeout = 15 * time.Second
 
-// lastWords is how long the rest of an answer may take to write once the allowed time is over.
-const lastWords = 2 * time.Second
+// finalWriteTimeout is the time for writing the remaining response after the request's deadline.
+const finalWriteTimeout = 2 * time.Second
 
-// limitWrite bounds the next write to a caller. Without it a caller that asked for
-// a large answer and does not read it would hold its grant past every deadline, and
-// a planned stop would wait for it for good.
-func (g *Gate) limitWrite(rc *http.ResponseController, q *request) {
-	left := max(q.deadline-g.Clock.Now(), 0).Duration() + lastWords
+// setWriteDeadline bounds the next write to a caller. Without it, a caller that requests a large
+// response and does not read it would hold its grant past the deadline, and a graceful shutdown
+// would wait for it forever.
+func (g *Gate) setWriteDeadline(rc *http.ResponseController, q *request) {
+	left := max(q.deadline-g.Clock.Now(), 0).Duration() + finalWriteTimeout
 	_ = rc.SetWriteDeadline(time.Now().Add(min(writeTimeout, left)))
 }
 
-// sink passes the chunks of an answer on to the caller.
+// sink forwards the chunks of a response to the caller.
 type sink interface {
-	// begin forgets what an earlier attempt left, before the chunks of another one.
-	begin()
-	chunk(c engine.Chunk) error
-	// done ends a whole answer.
-	done() error
-	// fail ends an answer that had started.
+	// reset discards what an earlier attempt left, before the chunks of the next attempt.
+	reset()
+	writeChunk(c engine.Chunk) error
+	// finish ends a complete response.
+	finish() error
+	// fail ends a response that had started with an error.
 	fail(e *fault.Error)
 	started() bool
-	// answer is what may be kept for a repeat; nil for streams.
-	answer() []byte
+	// responseBody returns the body to store for repeats of the key, nil for streams.
+	responseBody() []byte
 }
 
 func (g *Gate) newSink(w http.ResponseWriter, q *request) sink {
 	if q.stream {
 		return &streamSink{gate: g, w: w, rc: http.NewResponseController(w), q: q}
 	}
-	return &wholeSink{gate: g, w: w, q: q}
+	return &bufferedSink{gate: g, w: w, q: q}
 }
 
-// streamSink writes server-sent events. It never holds more than one chunk.
+// streamSink writes server-sent events. It buffers at most one chunk.
 type streamSink struct {
-	gate *Gate
-	w    http.ResponseWriter
-	rc   *http.ResponseController
-	q    *request
-	open bool
-	buf  []byte
+	gate        *Gate
+	w           http.ResponseWriter
+	rc          *http.ResponseController
+	q           *request
+	headersSent bool
+	buf         []byte
 }
 
-// begin has nothing to forget: once a byte was written there is no other attempt.
-func (s *streamSink) begin()         {}
-func (s *streamSink) started() bool  { return s.open }
-func (s *streamSink) answer() []byte { return nil }
+// reset has nothing to discard: after the first byte was written, there is no further attempt.
+func (s *streamSink) reset()               {}
+func (s *streamSink) started() bool        { return s.headersSent }
+func (s *streamSink) responseBody() []byte { return nil }
 
-func (s *streamSink) chunk(c engine.Chunk) error { return s.event(c.Data) }
+func (s *streamSink) writeChunk(c engine.Chunk) error { return s.writeEvent(c.Data) }
 
-func (s *streamSink) done() error { return s.event("[DONE]") }
+func (s *streamSink) finish() error { return s.writeEvent("[DONE]") }
 
 func (s *streamSink) fail(e *fault.Error) {
-	// No end mark follows: a caller that waits for it sees that the answer is not whole.
-	_ = s.event(string(body(e, s.q.id)))
+	// No end mark follows, so a caller that waits for it sees that the response is incomplete.
+	_ = s.writeEvent(string(errorJSON(e, s.q.id)))
 }
 
-func (s *streamSink) event(data string) error {
-	if !s.open {
+func (s *streamSink) writeEvent(data string) error {
+	if !s.headersSent {
 		h := s.w.Header()
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-store")
 		h.Set(headerRequest, string(s.q.id))
-		s.gate.finishHeaders(h)
+		s.gate.setConnectionHeader(h)
 		s.w.WriteHeader(http.StatusOK)
-		s.open = true
+		s.headersSent = true
 	}
-	s.gate.limitWrite(s.rc, s.q)
+	s.gate.setWriteDeadline(s.rc, s.q)
 	s.buf = append(s.buf[:0], "data: "...)
 	s.buf = append(s.buf, data...)
 	s.buf = append(s.buf, "\n\n"...)
 	if _, err := s.w.Write(s.buf); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
 	if err := s.rc.Flush(); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
 	return nil
 }
--- a/daemon/caller/whole.go
+++ b/daemon/caller/whole.go
@@ -9,47 +9,47 @@
 	"snipeshift.example/lib/fault"
 )
 
-// wholeSink collects a stream into one answer for a caller that asked for no stream.
-type wholeSink struct {
+// bufferedSink collects a stream into one response for a caller that did not ask for a stream.
+type bufferedSink struct {
 	gate *Gate
 	w    http.ResponseWriter
 	q    *request
-	// got is what came of the answer so far; it is made anew for each attempt.
-	got   openai.Answer
-	sent  []byte
-	wrote bool
+	// received is the part of the response that has arrived in this attempt.
+	received    openai.Answer
+	body        []byte
+	headersSent bool
 }
 
-// begin drops the part of an answer that an upstream left when it failed. The
-// next one starts from the first token; with the part kept, the caller would read
-// the beginning twice in an answer that says it is whole.
-func (s *wholeSink) begin() { s.got = openai.Answer{} }
+// reset discards the partial response of a failed upstream. The next upstream starts again at the
+// first token, and the caller would otherwise get the beginning twice in a response that appears
+// complete.
+func (s *bufferedSink) reset() { s.received = openai.Answer{} }
 
-func (s *wholeSink) started() bool  { return s.wrote }
-func (s *wholeSink) answer() []byte { return s.sent }
+func (s *bufferedSink) started() bool        { return s.headersSent }
+func (s *bufferedSink) responseBody() []byte { return s.body }
 
-func (s *wholeSink) chunk(c engine.Chunk) error {
-	return engine.ErrBroken.Wrap(s.got.Add(c.Data))
+func (s *bufferedSink) writeChunk(c engine.Chunk) error {
+	return engine.ErrBroken.Wrap(s.received.Add(c.Data))
 }
 
-func (s *wholeSink) done() error {
-	out, err := s.got.Whole(s.q.chat)
+func (s *bufferedSink) finish() error {
+	out, err := s.received.Whole(s.q.chat)
 	if err != nil {
 		return engine.ErrBroken.Wrap(err)
 	}
-	s.sent = out
+	s.body = out
 	h := s.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerRequest, string(s.q.id))
-	s.gate.finishHeaders(h)
-	s.gate.limitWrite(http.NewResponseController(s.w), s.q)
+	s.gate.setConnectionHeader(h)
+	s.gate.setWriteDeadline(http.NewResponseController(s.w), s.q)
 	s.w.WriteHeader(http.StatusOK)
-	s.wrote = true
+	s.headersSent = true
 	if _, err := s.w.Write(out); err != nil {
-		return errors.Join(errCaller, err)
+		return errors.Join(errCallerWrite, err)
 	}
 	return nil
 }
 
-// fail has nothing to add: the answer is written in one piece, and only when it is whole.
-func (s *wholeSink) fail(*fault.Error) {}
+// fail does nothing: the response is written at once, and only if it is complete.
+func (s *bufferedSink) fail(*fault.Error) {}
--- a/daemon/caller/whole_test.go
+++ b/daemon/caller/whole_test.go
@@ -16,8 +16,9 @@
 	"snipeshift.example/lib/engine"
 )
 
-// script answers with the given bodies of chunks, %q standing for the request's id.
-func script(chunks ...string) http.HandlerFunc {
+// scriptedChunks responds with chunks that contain the given JSON members and the ID of the
+// request.
+func scriptedChunks(chunks ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for i, c := range chunks {
 			fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"created\":1,\"model\":\"drafter\",%s}\n\n", i, r.Header.Get(engine.HeaderRequest), c)
@@ -26,11 +27,11 @@
 	}
 }
 
-// A caller asks for an answer in one piece, with log probabilities or with tools. Of
-// a collected answer nothing may be missing that a stream would have brought: a
-// refusal would read like an empty notice.
-func TestWholeAnswerKeepsEveryField(t *testing.T) {
-	b := newBench(t, script(
+// A caller asks for a non-streaming response with log probabilities or tools. The collected
+// response must have every field of the stream: without its refusal, for example, a response would
+// look empty.
+func TestNonStreamingResponseKeepsEveryField(t *testing.T) {
+	b := newHarness(t, scriptedChunks(
 		`"system_fingerprint":"fp","choices":[{"index":0,"delta":{"role":"assistant","content":"boil "},"logprobs":{"content":[{"token":"boil","logprob":-1}]}}]`,
 		`"choices":[{"index":0,"delta":{"content":"water"},"logprobs":{"content":[{"token":"water","logprob":-2}]},"finish_reason":"stop"}]`,
 		`"service_tier":"flex","choices":[],"usage":{"prompt_tokens":3,"completion_tokens":2}`,
@@ -41,12 +42,12 @@
 	require.Len(t, got.Choices[0].Logprobs.Content, 2)
 	require.Equal(t, "boil water", got.Choices[0].Message.Content)
 
-	b = newBench(t, script(`"choices":[{"index":0,"delta":{"refusal":"I can"}}]`, `"choices":[{"index":0,"delta":{"refusal":"not"},"finish_reason":"stop"}]`))
+	b = newHarness(t, scriptedChunks(`"choices":[{"index":0,"delta":{"refusal":"I can"}}]`, `"choices":[{"index":0,"delta":{"refusal":"not"},"finish_reason":"stop"}]`))
 	got = b.complete()
 	require.Equal(t, "I cannot", got.Choices[0].Message.Refusal)
 	require.Empty(t, got.Choices[0].Message.Content)
 
-	b = newBench(t, script(
+	b = newHarness(t, scriptedChunks(
 		`"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","type":"function","function":{"name":"lift","arguments":"{\"x\":"}},{"index":1,"id":"b","type":"function","function":{"name":"warn","arguments":"{}"}}]}}]`,
 		`"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":"1}"}}]},"finish_reason":"tool_calls"}]`,
 	))
@@ -57,29 +58,28 @@
 	require.Contains(t, got.RawJSON(), `"content":null`)
 }
 
-func (b *bench) complete() *openai.ChatCompletion {
+func (b *harness) complete() *openai.ChatCompletion {
 	b.t.Helper()
-	c := openai.NewClient(option.WithBaseURL(b.server.URL+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
+	c := openai.NewClient(option.WithBaseURL(b.server.URL+"/v1/"), option.WithAPIKey(wardsKey), option.WithMaxRetries(0))
 	got, err := c.Chat.Completions.New(context.Background(), openai.ChatCompletionNewParams{Model: "drafter", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("boil water")}})
 	require.NoError(b.t, err)
 	return got
 }
 
-// deaf is a connection whose caller went away.
-type deaf struct{ *httptest.ResponseRecorder }
+// brokenWriter is a response writer whose caller has disconnected.
+type brokenWriter struct{ *httptest.ResponseRecorder }
 
-func (deaf) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// A caller's connection breaks just when its notice is done, and it asks again
-// with the same key. It must get the notice, not the word for a day that the key
-// is in use.
-func TestAnswerIsKeptThoughItsCallerIsGone(t *testing.T) {
-	b := newBench(t, wholeAnswer)
-	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(strings.Replace(ask, `"stream":true`, `"stream":false`, 1)))
-	r.Header.Set("Authorization", "Bearer "+key)
+// The connection of a caller breaks just when its response is complete, and the caller repeats the
+// key. It must get the response, not a day of refusals because the key is in use.
+func TestResponseIsStoredAfterCallerDisconnects(t *testing.T) {
+	b := newHarness(t, completeResponse)
+	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1)))
+	r.Header.Set("Authorization", "Bearer "+wardsKey)
 	r.Header.Set(headerKind, "send")
-	r.Header.Set(headerKey, "k1")
-	b.gate.Handler().ServeHTTP(deaf{httptest.NewRecorder()}, r)
+	r.Header.Set(headerIdempotencyKey, "k1")
+	b.gate.Handler().ServeHTTP(brokenWriter{httptest.NewRecorder()}, r)
 	b.gate.Settle()
 	require.Len(t, b.fakes.settled, 1)
 	require.Equal(t, http.StatusOK, b.fakes.settled[0].Status)
