--- a/daemon/caller/backoff_test.go
+++ b/daemon/caller/backoff_test.go
@@ -90,7 +90,7 @@
 }
 
 // A plain service asks this VM for a back-off in a response that is forwarded to its caller. It
-// must get no calls of other callers until the back-off ends.
+// must get no further calls from this VM until the back-off ends.
 func TestPlainServiceAskingForBackoffGetsNoMoreCalls(t *testing.T) {
 	var calls atomic.Int64
 	b := newHarness(t)
--- a/daemon/caller/buffered_test.go
+++ b/daemon/caller/buffered_test.go
@@ -36,14 +36,14 @@
 		`"choices":[{"index":0,"delta":{"content":"water"},"logprobs":{"content":[{"token":"water","logprob":-2}]},"finish_reason":"stop"}]`,
 		`"service_tier":"flex","choices":[],"usage":{"prompt_tokens":3,"completion_tokens":2}`,
 	))
-	got := b.complete()
+	got := b.completeChat()
 	require.Contains(t, got.RawJSON(), `"system_fingerprint":"fp"`)
 	require.EqualValues(t, "flex", got.ServiceTier)
 	require.Len(t, got.Choices[0].Logprobs.Content, 2)
 	require.Equal(t, "boil water", got.Choices[0].Message.Content)
 
 	b = newHarness(t, scriptedChunks(`"choices":[{"index":0,"delta":{"refusal":"I can"}}]`, `"choices":[{"index":0,"delta":{"refusal":"not"},"finish_reason":"stop"}]`))
-	got = b.complete()
+	got = b.completeChat()
 	require.Equal(t, "I cannot", got.Choices[0].Message.Refusal)
 	require.Empty(t, got.Choices[0].Message.Content)
 
@@ -51,14 +51,14 @@
 		`"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"a","type":"function","function":{"name":"lift","arguments":"{\"x\":"}},{"index":1,"id":"b","type":"function","function":{"name":"warn","arguments":"{}"}}]}}]`,
 		`"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":"1}"}}]},"finish_reason":"tool_calls"}]`,
 	))
-	got = b.complete()
+	got = b.completeChat()
 	require.Len(t, got.Choices[0].Message.ToolCalls, 2)
 	require.Equal(t, `{"x":1}`, got.Choices[0].Message.ToolCalls[0].Function.Arguments)
 	require.Equal(t, "warn", got.Choices[0].Message.ToolCalls[1].Function.Name)
 	require.Contains(t, got.RawJSON(), `"content":null`)
 }
 
-func (b *harness) complete() *openai.ChatCompletion {
+func (b *harness) completeChat() *openai.ChatCompletion {
 	b.t.Helper()
 	c := openai.NewClient(option.WithBaseURL(b.server.URL+"/v1/"), option.WithAPIKey(wardsKey), option.WithMaxRetries(0))
 	got, err := c.Chat.Completions.New(context.Background(), openai.ChatCompletionNewParams{Model: "drafter", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("boil water")}})
--- a/daemon/caller/fuzz_test.go
+++ b/daemon/caller/fuzz_test.go
@@ -30,7 +30,7 @@
 		require.Nil(t, q.parse([]byte(x.body), newHarness(t, completeResponse).index), x.body)
 		require.EqualValues(t, x.prompt, q.prompt, x.body)
 		require.EqualValues(t, x.output, q.output, x.body)
-		require.EqualValues(t, x.output, limitOf(t, q.body), x.body)
+		require.EqualValues(t, x.output, maxTokensOf(t, q.body), x.body)
 	}
 }
 
@@ -43,8 +43,8 @@
 	return &request{workspace: *w, kind: *k, chat: true}
 }
 
-// limitOf returns the limit of output tokens that an engine reads from a body, by exact names.
-func limitOf(t testing.TB, body []byte) int {
+// maxTokensOf returns the limit of output tokens that an engine reads from a body, by exact names.
+func maxTokensOf(t testing.TB, body []byte) int {
 	var m map[string]any
 	require.NoError(t, json.Unmarshal(body, &m))
 	for _, name := range []string{"max_completion_tokens", "max_tokens"} {
@@ -100,7 +100,7 @@
 			return
 		}
 		require.Positive(t, q.output)
-		require.EqualValues(t, q.output, limitOf(t, q.body))
+		require.EqualValues(t, q.output, maxTokensOf(t, q.body))
 		reparsed := *template
 		reparsed.chat = chat
 		require.Nil(t, reparsed.parse(q.body, index), "parsing the body for the engine gives the same values as parsing the caller's")
--- a/daemon/caller/gate_test.go
+++ b/daemon/caller/gate_test.go
@@ -89,9 +89,9 @@
 	b.awaitIdle()
 }
 
-// A desk's workspace may send only a kind that is not the first of the document. Its client library
-// lists the models to check the API key. If the list were refused, the library would report a valid
-// key as invalid.
+// A desk's workspace may send only a kind that is not the first of the configuration. Its client
+// library lists the models to check the API key. If the list were refused, the library would report
+// a valid key as invalid.
 func TestModelsAreListedForEveryWorkspace(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	req, err := http.NewRequest(http.MethodGet, b.server.URL+"/v1/models", http.NoBody)
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -20,7 +20,8 @@
 
 // Time limits of generation requests.
 const (
-	// defaultIdleTimeout is the longest time between two tokens if the document sets none.
+	// defaultIdleTimeout is the longest time between two tokens if the configuration
+	// document sets none.
 	defaultIdleTimeout = 10 * clock.Second
 	// cancelTimeout bounds one attempt to cancel a request at its engine.
 	cancelTimeout = 2 * time.Second
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -29,7 +29,7 @@
 )
 
 // wardsKey belongs to a workspace that may send all kinds, deskKey to one that may not send the
-// first kind of the document.
+// first kind of the configuration.
 const (
 	wardsKey = "secret-of-wards"
 	deskKey  = "secret-of-desk"
@@ -61,7 +61,8 @@
 	successor string
 	crashes   map[uint64]int
 	claim     peer.ClaimReply
-	refuse    *peer.Fault
+	// refusal is the reply to all acquire messages, if set.
+	refusal *peer.Fault
 	// ownersUnreachable makes all acquire messages fail.
 	ownersUnreachable bool
 	// honorAvoid makes owners grant the first upstream that the request does not avoid.
@@ -85,7 +86,7 @@
 			return errors.New("no answer")
 		}
 		r := reply.(*peer.AcquireReply)
-		if r.Fault = f.refuse; f.refuse != nil {
+		if r.Fault = f.refusal; f.refusal != nil {
 			return nil
 		}
 		if r.Fault = f.refusals[a.Pool]; r.Fault != nil {
@@ -184,9 +185,9 @@
 	f.crashes[p]++
 }
 
-type fixedConfig struct{ index *document.Index }
+type fixedRegistry struct{ index *document.Index }
 
-func (b fixedConfig) Index() (*document.Index, bool) { return b.index, b.index != nil }
+func (b fixedRegistry) Index() (*document.Index, bool) { return b.index, b.index != nil }
 
 // newHarness starts a gate and one engine for each of the given handlers.
 func newHarness(t testing.TB, engines ...http.HandlerFunc) *harness {
@@ -208,7 +209,7 @@
 	require.NoError(t, ps.Err())
 	b := &harness{t: t, fakes: f, index: document.NewIndex(d)}
 	b.gate = New(Needs{
-		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedConfig{b.index}, Members: f, Peers: f,
+		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedRegistry{b.index}, Members: f, Peers: f,
 		Engines: engine.NewClient(time.Second), Claims: f, Meter: f, Retries: f, Suspects: f, Limits: f,
 	}, "vm-1", "hall", 7)
 	b.server = httptest.NewServer(b.gate.Handler())
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -21,7 +21,7 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Limits of requests, for settings that the document leaves out.
+// Limits of requests, where the configuration document sets none.
 const (
 	defaultMaxBody = 8 << 20
 	// bodyTimeout bounds the time to read a body. Otherwise a caller that sends its body slowly
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -283,12 +283,12 @@
 // that permits a retry is preferred, then the one with the earlier retry time. For example, a
 // prompt may be too long for the engines of one pool and fit the busy engines of another: the
 // caller should get the refusal of the busy pool.
-func preferRefusal(e, than *fault.Error) bool {
-	retryable, thanRetryable := fault.Lookup(e.Kind).Again, fault.Lookup(than.Kind).Again
-	if retryable != thanRetryable {
+func preferRefusal(e, other *fault.Error) bool {
+	retryable, otherRetryable := fault.Lookup(e.Kind).Again, fault.Lookup(other.Kind).Again
+	if retryable != otherRetryable {
 		return retryable
 	}
-	return e.Retry < than.Retry
+	return e.Retry < other.Retry
 }
 
 // noOwner returns the refusal of a request for which no owner responded. The state of a
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -40,20 +40,20 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, l.Close())
-	b.fakes.upstreams = []string{b.addUnreachable(l.Addr().String())}
+	b.fakes.upstreams = []string{b.addUnreachableUpstream(l.Addr().String())}
 	require.Equal(t, http.StatusServiceUnavailable, b.post("/v1/chat/completions", chatBody).status)
 	b.awaitIdle()
 	require.EqualValues(t, 3+64, b.fakes.refunded)
 }
 
-// addUnreachable adds an upstream with an address on which nothing listens, and returns its name.
-func (b *harness) addUnreachable(address string) string {
+// addUnreachableUpstream adds an upstream whose address nothing listens on, and returns its name.
+func (b *harness) addUnreachableUpstream(address string) string {
 	d := *b.index.Document()
 	u := d.Upstreams[0]
 	u.Name, u.Address = "away", address
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedConfig{b.index}
+	b.gate.Book = fixedRegistry{b.index}
 	return u.Name
 }
 
@@ -66,7 +66,7 @@
 	u.Name, u.Domain = "small", "cellar"
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedConfig{b.index}
+	b.gate.Book = fixedRegistry{b.index}
 	b.fakes.refusals = map[peer.PoolID]*peer.Fault{
 		"drafter@hall":   peer.Wire(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
 		"drafter@cellar": peer.Wire(fault.New(fault.Oversize, "too long")),
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -102,7 +102,7 @@
 		return result{unsent: true, outcome: decide.Unused, fault: fault.New(fault.Malformed, "the path cannot be passed on: %v", err)}
 	}
 	req.GetBody = nil
-	x.setHeaders(req)
+	x.setUpstreamHeader(req)
 	// Each call uses a new connection: a plain service streams no tokens, so nothing would reveal
 	// that a kept-alive connection is broken.
 	resp, err := x.gate.Engines.Do(req, true)
@@ -137,7 +137,7 @@
 // the first slash.
 const servicePathParts = 4
 
-func (x *serviceCall) setHeaders(req *http.Request) {
+func (x *serviceCall) setUpstreamHeader(req *http.Request) {
 	req.Header = x.r.Header.Clone()
 	for _, v := range req.Header.Values("Connection") {
 		for h := range strings.SplitSeq(v, ",") {
