--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -79,7 +79,7 @@
 // A daemon is stopped right after its last response. It must send the returns of grants before it
 // closes its connections, or the owner would reserve engine memory for a request that has ended.
 // The owner of the pool changes meanwhile, so the second return goes to both owners.
-func TestSettleWaitsForGrantReturns(t *testing.T) {
+func TestShutdownWaitsForGrantReturns(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	b.post("/v1/chat/completions", chatBody)
 	b.awaitIdle()
