--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -113,7 +113,7 @@
 	return q, nil
 }
 
-// deadline is an instant on this VM's clock.
+// newRequestID returns a new ID, which contains the request's deadline.
 func (g *Gate) newRequestID(deadline clock.Milli) decide.RequestID {
 	o := peer.Origin{VM: g.vm, Incarnation: g.incarnation, Deadline: deadline, Count: g.requestSerial.Add(1)}
 	return o.ID()
--- a/daemon/openai/answer.go
+++ b/daemon/openai/answer.go
@@ -6,7 +6,7 @@
 )
 
 // errNoChunks is returned for a stream that ended before its first chunk.
-var errNoChunks = errors.New("an answer without a chunk")
+var errNoChunks = errors.New("stream ended without a chunk")
 
 // Answer collects the chunks of a streamed response. Its zero value is empty.
 type Answer struct {
