--- a/bench/passes.go
+++ b/bench/passes.go
@@ -24,7 +24,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			rules := span.DefaultRules
 			if c.Bool("alone") {
-				rules.Group = 1
+				rules.MaxGroup = 1
 			}
 			printPasses(c.Int("seeds"), c.String("load"), rules)
 			return nil
--- a/bench/passes/play.go
+++ b/bench/passes/play.go
@@ -193,7 +193,7 @@
 		p.engines[id] = &engine{spec: &spec}
 		p.rows = append(p.rows, p.engines[id])
 	}
-	p.pool.Serve(&route.Service{ID: "s", Engine: &spec}, us)
+	p.pool.SetUpstreams(&route.Service{ID: "s", Engine: &spec}, us)
 	for i := range l.Kinds {
 		p.results[l.Kinds[i].Name] = &KindResult{}
 	}
@@ -320,11 +320,11 @@
 
 // begin hands the parts of a prompt to engines.
 func (p *play) begin(j *job, g span.Grant) {
-	places := append([]span.Place{g.Leader}, g.Helpers...)
+	places := append([]span.Placement{g.Leader}, g.Helpers...)
 	j.members, j.parts = len(places), len(places)
 	j.leader = p.engines[g.Leader.Upstream]
 	tokens := float64(j.prompt) / float64(len(places))
-	cost := p.load.Engine.Reading(j.prompt) / float64(j.prompt)
+	cost := p.load.Engine.PrefillTime(j.prompt) / float64(j.prompt)
 	for _, pl := range places {
 		e := p.engines[pl.Upstream]
 		pt := &part{job: j, tokens: tokens, cost: cost}
--- a/bench/passes/play_test.go
+++ b/bench/passes/play_test.go
@@ -49,7 +49,7 @@
 // 2.8 s. Read by one engine each, most are late after any wait.
 func TestSpreadingIsWhatServesLongPrompts(t *testing.T) {
 	alone := span.DefaultRules
-	alone.Group = 1
+	alone.MaxGroup = 1
 	l := Loads()["steady18"]
 	with, inTime := mean(l, span.DefaultRules)
 	without, inTimeAlone := mean(l, alone)
--- a/bench/whatif.go
+++ b/bench/whatif.go
@@ -104,7 +104,7 @@
 	}
 	rules := span.DefaultRules
 	if c.Bool("alone") {
-		rules.Group = 1
+		rules.MaxGroup = 1
 	}
 	for i := range days {
 		d := &days[i]
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -40,7 +40,7 @@
 func (d *Day) works(a *passes.Arrival, writes bool) []work {
 	e := &d.Load.Engine
 	aim := float64(a.Kind.Aim)
-	read := work{first: int(a.At / slot), last: int((a.At + aim) / slot), cost: e.Reading(a.Prompt), worth: a.Kind.Of(a.Prompt)}
+	read := work{first: int(a.At / slot), last: int((a.At + aim) / slot), cost: e.PrefillTime(a.Prompt), worth: a.Kind.Of(a.Prompt)}
 	switch n := float64(a.Events - 1); {
 	case read.cost > aim*float64(min(mostEngines, d.Load.Engines)):
 		return nil
@@ -178,13 +178,13 @@
 	by := math.Exp2(rng.Float64()*2 - 1)
 	switch rng.IntN(4) {
 	case 0:
-		r.Part *= by
+		r.PartRead *= by
 	case 1:
-		r.Packed = max(1, int(float64(r.Packed)*by))
+		r.PackedStreams = max(1, int(float64(r.PackedStreams)*by))
 	case 2:
-		r.Light *= by
+		r.MaxShortRead *= by
 	default:
-		r.Interleaved = min(0.9, r.Interleaved*by)
+		r.InterleavedFraction = min(0.9, r.InterleavedFraction*by)
 	}
 	return r
 }
--- a/daemon/caller/backoff.go
+++ b/daemon/caller/backoff.go
@@ -30,15 +30,15 @@
 // recordBackoff excludes an upstream from further requests of this VM for the given time.
 func (g *Gate) recordBackoff(target string, u decide.UpstreamID, span clock.Milli) {
 	now := g.Clock.Now()
-	st := statement.Statement{Kind: statement.Rest, Named: true, Gate: g.ID(), At: now, Until: now + span}
-	g.statements.Learn(route.ServiceID(target), u, st, statements.FromAnswer)
+	st := statement.Statement{Kind: statement.BackOff, Named: true, Gate: g.ID(), At: now, Until: now + span}
+	g.statements.Learn(route.ServiceID(target), u, st, statements.FromResponse)
 }
 
 // backingOff lists the upstreams of a model or service that have asked this VM for a back-off, and
 // returns the time at which the first of these back-offs ends.
 func (g *Gate) backingOff(target string) (upstreams []decide.UpstreamID, until clock.Milli) {
 	g.statements.Each(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
-		if string(s) != target || st.Kind != statement.Rest {
+		if string(s) != target || st.Kind != statement.BackOff {
 			return
 		}
 		if len(upstreams) == 0 || st.Until < until {
--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -76,9 +76,9 @@
 	Begin(fingerprint uint64) bool
 	// End undoes Begin. The parameter completed is true if the request got a complete response.
 	End(fingerprint uint64, completed bool)
-	// Died records that an upstream crashed, and returns after the other VMs had time to learn of
+	// RecordCrash records that an upstream crashed, and returns after the other VMs had time to learn of
 	// it.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Limits enforces the token rates of workspaces.
@@ -119,7 +119,7 @@
 	acquireSerial atomic.Uint64
 	metrics       *metrics
 	// statements holds the back-offs that upstreams asked of this VM.
-	statements *statements.Heard
+	statements *statements.Cache
 
 	mu sync.Mutex
 	// active holds every request in progress, with its grant if it has one.
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -248,7 +248,7 @@
 func (x *generation) failure(ctx context.Context, pg poolGrant, u document.Upstream, err error, usage peer.Usage) result {
 	if engine.ErrNotSent.Has(err) {
 		x.cancelAll(pg)
-		return result{unsent: true, outcome: decide.Died, usage: usage, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
+		return result{unsent: true, outcome: decide.Lost, usage: usage, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
 	var status *engine.StatusError
 	if errors.As(err, &status) {
@@ -267,7 +267,7 @@
 		r.outcome = decide.Canceled
 		r.fault = fault.New(fault.Canceled, "the caller went away")
 	case x.gate.crashed(u.Address):
-		r.outcome = decide.Died
+		r.outcome = decide.Lost
 		r.fault = fault.New(fault.Upstream, "upstream %s died", u.Name)
 	case engine.ErrSilent.Has(err):
 		x.gate.Engines.CloseIdle()
@@ -300,7 +300,7 @@
 
 // statusFailure classifies an error status of the leading engine.
 func (x *generation) statusFailure(pg poolGrant, u document.Upstream, s *engine.StatusError) result {
-	if retryafter.TurnsAway(s.Status) {
+	if retryafter.IsRejection(s.Status) {
 		// The leader did not take the request, and a cancel would violate the back-off that it may
 		// have asked for. Only the other engines of the group hold memory.
 		x.releaseGroup(pg)
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -179,7 +179,7 @@
 	f.refunded += t
 }
 
-func (f *fakes) Died(p uint64, _ decide.UpstreamID, _ decide.Born) {
+func (f *fakes) RecordCrash(p uint64, _ decide.UpstreamID, _ decide.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashes[p]++
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -236,8 +236,8 @@
 	g.mu.Lock()
 	a.granted = false
 	g.mu.Unlock()
-	if r.outcome == decide.Died && !r.unsent {
-		g.Suspects.Died(q.fingerprint, pg.grant.Upstreams[0], 0)
+	if r.outcome == decide.Lost && !r.unsent {
+		g.Suspects.RecordCrash(q.fingerprint, pg.grant.Upstreams[0], 0)
 	}
 	unmetered := r.usage
 	unmetered.Output = max(0, unmetered.Output-r.metered)
@@ -382,7 +382,7 @@
 // free memory.
 func expectedWait(summary decide.Summary, q *request) clock.Milli {
 	waits := summary.Wait
-	if q.prompt >= decide.DefaultLong {
+	if q.prompt >= decide.DefaultLongPrompt {
 		waits = summary.Long
 	}
 	return waits[min(int(q.kind.Urgency), len(waits)-1)]
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -147,7 +147,7 @@
 		"drafter@hall":   {Wait: [4]clock.Milli{0, 1, 1, 1}, Long: [4]clock.Milli{60000, 60000, 60000, 60000}},
 		"drafter@cellar": {Wait: [4]clock.Milli{0, 1, 1, 1}},
 	}
-	q := &request{kind: d.Kinds[0], target: "drafter", prompt: decide.DefaultLong}
+	q := &request{kind: d.Kinds[0], target: "drafter", prompt: decide.DefaultLongPrompt}
 	require.Equal(t, peer.PoolID("drafter@cellar"), b.gate.rankPools(index, q)[0])
 	q.prompt--
 	require.Equal(t, peer.PoolID("drafter@hall"), b.gate.rankPools(index, q)[0])
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -192,7 +192,7 @@
 // usageOf returns the usage charged for a call that got a response. The statuses 503 and 429
 // declare that the service did not take the call, so nothing is charged for them.
 func usageOf(status int) peer.Usage {
-	if retryafter.TurnsAway(status) {
+	if retryafter.IsRejection(status) {
 		return peer.Usage{}
 	}
 	return peer.Usage{Requests: 1}
@@ -201,7 +201,7 @@
 // failure classifies an attempt without a response.
 func (x *serviceCall) failure(ctx context.Context, u document.Upstream, err error) result {
 	if engine.ErrNotSent.Has(err) && ctx.Err() == nil {
-		return result{unsent: true, outcome: decide.Died, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
+		return result{unsent: true, outcome: decide.Lost, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
 	// Nothing is charged, since nothing proves that the call ran. If packets are lost on the way to
 	// the service, a workspace would otherwise pay for calls that no upstream received.
@@ -212,7 +212,7 @@
 		r.fault = contextFault(ctx)
 	default:
 		if x.gate.crashed(u.Address) {
-			r.outcome = decide.Died
+			r.outcome = decide.Lost
 		}
 		r.fault = fault.New(fault.Upstream, "upstream %s gave no answer", u.Name)
 	}
@@ -230,7 +230,7 @@
 type responseCopy struct{ b []byte }
 
 func (k *responseCopy) add(p []byte) {
-	if room := claim.Kept + 1 - len(k.b); room > 0 {
+	if room := claim.MaxStoredAnswer + 1 - len(k.b); room > 0 {
 		k.b = append(k.b, p[:min(room, len(p))]...)
 	}
 }
--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -17,14 +17,14 @@
 	"snipeshift.example/lib/route"
 )
 
-// Content is equal for equal sets of upstreams, whatever their order.
-type Content uint64
+// Hash is equal for equal sets of upstreams, whatever their order.
+type Hash uint64
 
 // empty is the content of an empty list; zero stands for no list.
-const empty Content = 1
+const empty Hash = 1
 
-// Of is the content of a list.
-func Of(us []route.Upstream) Content {
+// HashOf is the content of a list.
+func HashOf(us []route.Upstream) Hash {
 	c := empty
 	for i := range us {
 		c += of(&us[i])
@@ -33,7 +33,7 @@
 }
 
 // of is the hash of one upstream with all its fields.
-func of(u *route.Upstream) Content {
+func of(u *route.Upstream) Hash {
 	var d xxhash.Digest
 	d.Reset()
 	for _, field := range [...]string{
@@ -42,7 +42,7 @@
 		_, _ = d.WriteString(field)
 		_, _ = d.Write([]byte{0})
 	}
-	return Content(d.Sum64())
+	return Hash(d.Sum64())
 }
 
 // contentsKept bounds the earlier lists of which it is known what changed since. News comes four times a second at most, so whoever asked within
@@ -55,16 +55,16 @@
 	version uint64
 	changed map[decide.UpstreamID]uint64
 	// settled holds the version at which the list last had a content, order the contents from the oldest one on.
-	settled map[Content]uint64
-	order   []Content
+	settled map[Hash]uint64
+	order   []Hash
 	// now is the content of the list, and open is set while it changes.
-	now  Content
+	now  Hash
 	open bool
 }
 
 // NewLog returns the log of an empty list.
 func NewLog() *Log {
-	return &Log{changed: map[decide.UpstreamID]uint64{}, settled: map[Content]uint64{}, now: empty}
+	return &Log{changed: map[decide.UpstreamID]uint64{}, settled: map[Hash]uint64{}, now: empty}
 }
 
 // Put notes that an upstream came, or took the place of an older entry of its own; nil for none.
@@ -76,8 +76,8 @@
 	l.note(u.ID)
 }
 
-// Take notes that an upstream went.
-func (l *Log) Take(u route.Upstream) {
+// Remove notes that an upstream went.
+func (l *Log) Remove(u route.Upstream) {
 	l.now -= of(&u)
 	l.note(u.ID)
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	l.open = false
-	l.order = append(slices.DeleteFunc(l.order, func(c Content) bool { return c == l.now }), l.now)
+	l.order = append(slices.DeleteFunc(l.order, func(c Hash) bool { return c == l.now }), l.now)
 	l.settled[l.now] = l.version
 	if len(l.order) > contentsKept {
 		delete(l.settled, l.order[0])
@@ -109,11 +109,11 @@
 	maps.DeleteFunc(l.changed, func(_ decide.UpstreamID, at uint64) bool { return at <= least })
 }
 
-// Content is that of the list; false while it changes.
-func (l *Log) Content() (Content, bool) { return l.now, !l.open }
+// Hash is that of the list; false while it changes.
+func (l *Log) Hash() (Hash, bool) { return l.now, !l.open }
 
 // Since lists what changed since the list had a content; false if that is not known.
-func (l *Log) Since(c Content) ([]decide.UpstreamID, bool) {
+func (l *Log) Since(c Hash) ([]decide.UpstreamID, bool) {
 	version, ok := l.settled[c]
 	if !ok || l.open {
 		return nil, false
--- a/daemon/changes/changes_test.go
+++ b/daemon/changes/changes_test.go
@@ -36,7 +36,7 @@
 func (l *list) take(ids ...decide.UpstreamID) {
 	for _, id := range ids {
 		if old, ok := l.all[id]; ok {
-			l.Take(old)
+			l.Remove(old)
 		}
 		delete(l.all, id)
 	}
@@ -44,7 +44,7 @@
 }
 
 // since is what a peer with a content is sent.
-func (l *list) since(c Content) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
+func (l *list) since(c Hash) (changed []route.Upstream, without []decide.UpstreamID, ok bool) {
 	ids, ok := l.Since(c)
 	for _, id := range ids {
 		if u, there := l.all[id]; there {
@@ -63,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := newList()
 		var base []route.Upstream
-		var content Content
+		var content Hash
 		copied := false
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
@@ -73,7 +73,7 @@
 				l.take(id)
 			case 1:
 				base, copied = values(l), true
-				content, _ = l.Content()
+				content, _ = l.Hash()
 			default:
 				l.put(route.Upstream{ID: id, Address: rapid.StringMatching("[xy]").Draw(t, "address"), Leaving: rapid.Bool().Draw(t, "leaving")})
 			}
@@ -84,14 +84,14 @@
 		}
 		got := Apply(base, changed, without)
 		require.ElementsMatch(t, values(l), got)
-		now, _ := l.Content()
-		require.Equal(t, now, Of(got))
+		now, _ := l.Hash()
+		require.Equal(t, now, HashOf(got))
 	})
 }
 
 func TestAnotherListHasAnotherContent(t *testing.T) {
 	u := route.Upstream{ID: "a", Service: "s", Address: "1", Domain: "d", Slots: 2}
-	seen := map[Content]bool{Of(nil): true, Of([]route.Upstream{u}): true}
+	seen := map[Hash]bool{HashOf(nil): true, HashOf([]route.Upstream{u}): true}
 	for _, change := range []func(*route.Upstream){
 		func(u *route.Upstream) { u.ID = "b" },
 		func(u *route.Upstream) { u.Service = "r" },
@@ -103,18 +103,18 @@
 	} {
 		v := u
 		change(&v)
-		c := Of([]route.Upstream{v})
+		c := HashOf([]route.Upstream{v})
 		require.False(t, seen[c], "%+v", v)
 		seen[c] = true
 	}
-	require.Equal(t, Of([]route.Upstream{u, {ID: "z"}}), Of([]route.Upstream{{ID: "z"}, u}))
+	require.Equal(t, HashOf([]route.Upstream{u, {ID: "z"}}), HashOf([]route.Upstream{{ID: "z"}, u}))
 }
 
 // A VM that was cut off asks again with a list of long ago. What changed since is not remembered for ever, and it must be sent everything.
 func TestAListOfLongAgoIsNotKnown(t *testing.T) {
 	l := newList()
 	l.put(route.Upstream{ID: "first"})
-	old, _ := l.Content()
+	old, _ := l.Hash()
 	for i := range 10 * contentsKept {
 		l.put(route.Upstream{ID: decide.UpstreamID(fmt.Sprint(i))})
 		if i > 0 {
@@ -131,10 +131,10 @@
 func TestAListThatIsBeingChangedIsNotPassedOn(t *testing.T) {
 	l := newList()
 	l.put(route.Upstream{ID: "a"})
-	c, settled := l.Content()
+	c, settled := l.Hash()
 	require.True(t, settled)
-	l.Take(l.all["a"])
-	_, settled = l.Content()
+	l.Remove(l.all["a"])
+	_, settled = l.Hash()
 	require.False(t, settled)
 	_, known := l.Since(c)
 	require.False(t, known)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -70,10 +70,10 @@
 	peers       *peer.Server
 	quarantine  *quarantine.Quarantine
 	limits      *limit.Limits
-	door        *door.Door
+	door        *door.Endpoint
 	engines     *engine.Client
 	leases      *lease.Leases
-	orders      *orders.Holder
+	orders      *orders.Sender
 	// state is all that is shared through the store and heartbeats.
 	state *state
 	// work is cancelled when the last caller is served.
@@ -117,7 +117,7 @@
 	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.paused)
 	d.leases = lease.New(d.store, k, lease.DefaultRules, d.pause, self)
 	d.orders = orders.New(d.work, d.log, d.ring, d.book, d.engines, d.leases)
-	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.book, pool.NewWitness(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
+	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.book, pool.NewGateClient(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
 	d.quarantine = quarantine.New(k, d.members, d.dialer)
 	d.limits = limit.New(k, d.directory, d.dialer, peer.Gate(s.Name, d.incarnation))
 	d.state = newState(d)
@@ -159,7 +159,7 @@
 	d.log.Warn().Int64("gap", int64(gap)).Msg("this process stood still; all duties are given up")
 	d.ring.Add(timeline.Event{Kind: timeline.Paused})
 	d.leases.Drop()
-	d.owner.Paused()
+	d.owner.DiscardPools()
 	d.members.Resume()
 }
 
@@ -202,7 +202,7 @@
 // spawn runs a part; when it fails the daemon stops.
 func (d *daemon) spawn(g *errgroup.Group, name string, f func() error) {
 	g.Go(func() error {
-		defer guard.Report(d.log, name)
+		defer guard.ReportPanic(d.log, name)
 		err := f()
 		if err != nil {
 			d.log.Error().Str("part", name).Err(err).Msg("part failed")
@@ -264,8 +264,8 @@
 		owned := d.owned()
 		d.record(seen.see(d.members.Live(), d.settings.Name))
 		d.record(seen.own(owned))
-		d.owner.Keep(owned)
-		d.orders.Want(owned)
+		d.owner.SetOwned(owned)
+		d.orders.RequestLeases(owned)
 	})
 }
 
@@ -314,7 +314,7 @@
 	if t.CallerCert == "" {
 		return ls, nil
 	}
-	conf, err := door.Callers(t.CallerCert, t.CallerKey, func(err error) {
+	conf, err := door.ClientListenerConfig(t.CallerCert, t.CallerKey, func(err error) {
 		d.log.Error().Err(err).Msg("changed certificate for callers cannot be used")
 	})
 	if err != nil {
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -17,8 +17,8 @@
 
 // Where the document lives in the store.
 const (
-	Kind platform.Kind = "config"
-	Name platform.Name = "document"
+	DocumentKind platform.Kind = "config"
+	DocumentName platform.Name = "document"
 )
 
 // Store is the part of the platform's store that a follower needs.
@@ -46,23 +46,23 @@
 	Kick()
 }
 
-// Take parses a document and puts it in force. An error means that it does
+// Apply parses a document and puts it in force. An error means that it does
 // not parse or does not hold together; it then stays out of force.
-type Take func(r peer.Revision, text []byte) error
+type Apply func(r peer.Revision, text []byte) error
 
 // Rules set the pace of a follower.
 type Rules struct {
 	// Watchers is how many members of each failure domain watch and poll the store.
 	Watchers int
-	// Wait is how long one watch waits, Poll the time between two polls of a
+	// WatchWait is how long one watch waits, Poll the time between two polls of a
 	// watcher, Slow the same for all other members of a full fleet; in a smaller
 	// one they poll more often, so that all of them together poll as much.
-	Wait, Poll, Slow clock.Milli
-	// Contact is how long ago the store or a peer may have been reached for
+	WatchWait, WatcherPoll, MemberPoll clock.Milli
+	// MaxContactAge is how long ago the store or a peer may have been reached for
 	// this VM to count as ready.
-	Contact clock.Milli
-	// Fetch is the timeout of asking a peer for a document.
-	Fetch clock.Milli
+	MaxContactAge clock.Milli
+	// FetchTimeout is the timeout of asking a peer for a document.
+	FetchTimeout clock.Milli
 }
 
 // DefaultRules put a document in force everywhere within 8 s, also when every
@@ -71,9 +71,9 @@
 // second, and 434 other members poll 7 times a second between them, of a store
 // that takes 2,000 reads a second. All 450 polling would take 225.
 var DefaultRules = Rules{
-	Watchers: 2,
-	Wait:     10 * clock.Second, Poll: 2 * clock.Second, Slow: clock.Minute,
-	Contact: 5 * clock.Second, Fetch: clock.Second,
+	Watchers:  2,
+	WatchWait: 10 * clock.Second, WatcherPoll: 2 * clock.Second, MemberPoll: clock.Minute,
+	MaxContactAge: 5 * clock.Second, FetchTimeout: clock.Second,
 }
 
 // fullFleet is the number of members that Slow is made for.
@@ -85,7 +85,7 @@
 	caller Caller
 	clock  Clock
 	rules  Rules
-	take   Take
+	take   Apply
 	// hints wakes the fetching from peers.
 	hints chan struct{}
 
@@ -107,7 +107,7 @@
 }
 
 // New returns a follower without a document.
-func New(s Store, c Caller, k Clock, r Rules, take Take) *Follower {
+func New(s Store, c Caller, k Clock, r Rules, take Apply) *Follower {
 	return &Follower{store: s, caller: c, clock: k, rules: r, take: take, hints: make(chan struct{}, 1)}
 }
 
@@ -118,9 +118,9 @@
 	return f.revision, f.text
 }
 
-// Refused is the newest revision that does not parse, with its problem, while
+// Rejected is the newest revision that does not parse, with its problem, while
 // it is above the one in force.
-func (f *Follower) Refused() (peer.Revision, error) {
+func (f *Follower) Rejected() (peer.Revision, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.refused <= f.revision {
@@ -182,7 +182,7 @@
 	if peers != nil {
 		contact = max(contact, peers.Reached())
 	}
-	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.Contact
+	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.MaxContactAge
 }
 
 func (f *Follower) reachedStore() {
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -18,7 +18,7 @@
 )
 
 // quick are the rules of tests: the same decisions at a faster pace.
-var quick = Rules{Watchers: 2, Wait: 50, Poll: 10, Slow: clock.Minute, Contact: 200, Fetch: 100}
+var quick = Rules{Watchers: 2, WatchWait: 50, WatcherPoll: 10, MemberPoll: clock.Minute, MaxContactAge: 200, FetchTimeout: 100}
 
 // wire calls followers of one process by address.
 type wire struct {
@@ -85,7 +85,7 @@
 }
 
 func (x *fixture) put(t *testing.T, text string) peer.Revision {
-	v, err := x.store.Put(t.Context(), Kind, Name, []byte(text), platform.Always)
+	v, err := x.store.Put(t.Context(), DocumentKind, DocumentName, []byte(text), platform.Always)
 	require.NoError(t, err)
 	return peer.Revision(v)
 }
@@ -156,14 +156,14 @@
 	good := x.put(t, "one")
 	inForce(t, f, good)
 	bad := x.put(t, "broken")
-	require.Eventually(t, func() bool { r, _ := f.Refused(); return r == bad }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { r, _ := f.Rejected(); return r == bad }, 5*time.Second, time.Millisecond)
 	r, text := f.Newest()
 	require.Equal(t, good, r)
 	require.Equal(t, "one", string(text))
-	_, err := f.Refused()
+	_, err := f.Rejected()
 	require.ErrorIs(t, err, errBroken)
 	inForce(t, f, x.put(t, "two"))
-	r, _ = f.Refused()
+	r, _ = f.Rejected()
 	require.Zero(t, r)
 }
 
@@ -195,7 +195,7 @@
 	}
 	watchers := map[peer.Domain]int{}
 	for _, m := range live {
-		if Watches(m, live, DefaultRules.Watchers) {
+		if IsWatcher(m, live, DefaultRules.Watchers) {
 			watchers[m.Domain]++
 		}
 	}
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -25,8 +25,8 @@
 	return g.Wait()
 }
 
-// Watches tells whether a member is among the watchers of its failure domain.
-func Watches(self peer.Member, live []peer.Member, watchers int) bool {
+// IsWatcher tells whether a member is among the watchers of its failure domain.
+func IsWatcher(self peer.Member, live []peer.Member, watchers int) bool {
 	var own []peer.Member
 	for _, m := range live {
 		if m.Domain == self.Domain {
@@ -48,28 +48,28 @@
 // while it has no document or no peer, since then nobody else tells it.
 func (f *Follower) watching() bool {
 	revision, _ := f.Newest()
-	alone := f.clock.Now()-f.peers.Reached() > f.rules.Contact
-	return revision == 0 || alone || Watches(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
+	alone := f.clock.Now()-f.peers.Reached() > f.rules.MaxContactAge
+	return revision == 0 || alone || IsWatcher(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
 }
 
 // watch learns of a change within milliseconds while watches work.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.watching() {
-			pause(ctx, f.rules.Poll)
+			pause(ctx, f.rules.WatcherPoll)
 			continue
 		}
 		revision := f.highest()
-		o, news, err := f.store.Watch(ctx, Kind, Name, platform.Version(revision), f.rules.Wait)
+		o, news, err := f.store.Watch(ctx, DocumentKind, DocumentName, platform.Version(revision), f.rules.WatchWait)
 		switch {
 		case err != nil:
-			pause(ctx, f.rules.Poll)
+			pause(ctx, f.rules.WatcherPoll)
 		case news:
 			f.reachedStore()
 			f.Offer(peer.Revision(o.Version), o.Value)
 			if f.highest() == revision {
 				// An answer without news, against the protocol: do not spin.
-				pause(ctx, f.rules.Poll)
+				pause(ctx, f.rules.WatcherPoll)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 			last = f.clock.Now()
 			f.read(ctx)
 		}
-		pause(ctx, f.rules.Poll)
+		pause(ctx, f.rules.WatcherPoll)
 	}
 }
 
@@ -102,11 +102,11 @@
 // second at any size, so in a small fleet each can poll as often as a watcher,
 // and a change is in force in time although both watchers are blind.
 func (f *Follower) slow() clock.Milli {
-	return max(f.rules.Poll, f.rules.Slow*clock.Milli(len(f.peers.Live()))/fullFleet)
+	return max(f.rules.WatcherPoll, f.rules.MemberPoll*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
 
 func (f *Follower) read(ctx context.Context) {
-	o, err := f.store.Get(ctx, Kind, Name)
+	o, err := f.store.Get(ctx, DocumentKind, DocumentName)
 	if errors.Is(err, platform.ErrNotFound) {
 		f.reachedStore()
 	}
@@ -135,7 +135,7 @@
 	// The next heartbeat names a peer again if this one fails.
 	f.ahead = 0
 	f.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, f.rules.Fetch.Duration())
+	ctx, cancel := context.WithTimeout(ctx, f.rules.FetchTimeout.Duration())
 	defer cancel()
 	var reply peer.DocumentReply
 	err := f.caller.Call(ctx, address, member.Name+".Document", &peer.DocumentArgs{Above: above}, &reply)
--- a/daemon/guard/guard.go
+++ b/daemon/guard/guard.go
@@ -16,13 +16,13 @@
 // and a goroutine that died silently would leave a daemon that looks alive.
 func Go(l *log.Logger, name string, f func()) {
 	go func() {
-		defer Report(l, name)
+		defer ReportPanic(l, name)
 		f()
 	}()
 }
 
-// Report is deferred by goroutines that are started otherwise.
-func Report(l *log.Logger, name string) {
+// ReportPanic is deferred by goroutines that are started otherwise.
+func ReportPanic(l *log.Logger, name string) {
 	r := recover()
 	if r == nil {
 		return
--- a/daemon/insight/metrics.go
+++ b/daemon/insight/metrics.go
@@ -20,10 +20,10 @@
 	gauge := func(name string, value float64) { vm.WriteGaugeFloat64(w, name, value) }
 	if v.Table != nil {
 		gauge("snipeshift_document_revision", float64(v.Table.Revision()))
-		gauge("snipeshift_document_age_seconds", (now - v.TableAt).Duration().Seconds())
+		gauge("snipeshift_document_age_seconds", (now - v.TableVerified).Duration().Seconds())
 	}
-	if v.UpstreamsAt > 0 {
-		gauge("snipeshift_upstreams_age_seconds", (now - v.UpstreamsAt).Duration().Seconds())
+	if v.UpstreamsVerified > 0 {
+		gauge("snipeshift_upstreams_age_seconds", (now - v.UpstreamsVerified).Duration().Seconds())
 	}
 	gauge("snipeshift_members", float64(len(p.Members.Live())))
 	gauge("snipeshift_grants_live", float64(p.Placer.Live()))
@@ -40,7 +40,7 @@
 		switch st.Kind {
 		case statement.Limit:
 			gauge("snipeshift_upstream_limit"+labels, float64(st.Rate))
-		case statement.Rest:
+		case statement.BackOff:
 			gauge("snipeshift_upstream_rest_seconds"+labels, (st.Until - now).Duration().Seconds())
 		case statement.Leaving:
 			gauge("snipeshift_upstream_leaving"+labels, 1)
@@ -53,8 +53,8 @@
 	}
 	vm.WriteCounterUint64(w, "snipeshift_store_failures_total", failed)
 	gauge("snipeshift_store_era", float64(p.Registry.Era()))
-	vm.WriteCounterUint64(w, "snipeshift_store_eras_total", p.Registry.Eras())
-	vm.WriteCounterUint64(w, "snipeshift_entries_unusable_total", p.Registry.Barred())
+	vm.WriteCounterUint64(w, "snipeshift_store_eras_total", p.Registry.EraChanges())
+	vm.WriteCounterUint64(w, "snipeshift_entries_unusable_total", p.Registry.UnusableCount())
 	vm.WriteCounterUint64(w, "snipeshift_log_dropped_total", p.Lines.Dropped())
 	vm.WriteProcessMetrics(w)
 }
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -78,7 +78,7 @@
 type Owner struct {
 	OwnerNeeds
 	budget Budget
-	heard  *statements.Heard
+	heard  *statements.Cache
 
 	mu    sync.Mutex
 	pools map[route.ServiceID]*ownedPool
@@ -113,7 +113,7 @@
 // NewOwner returns an owner without pools.
 func NewOwner(n OwnerNeeds, b Budget) *Owner {
 	o := &Owner{OwnerNeeds: n, budget: b, heard: statements.New(n.Clock, n.Log), pools: map[route.ServiceID]*ownedPool{}, passing: make(chan struct{}, passedOnAtOnce)}
-	n.Holders.Follow(o.followed)
+	n.Holders.OnChange(o.followed)
 	return o
 }
 
@@ -136,13 +136,13 @@
 	}
 	o.mu.Unlock()
 	h.mu.Lock()
-	h.pool.Isolate(o.Alone() && o.Clock.Now()-h.born < AloneWait, o.Name)
+	h.pool.SetIsolated(o.Alone() && o.Clock.Now()-h.born < AloneWait, o.Name)
 	if v := o.Knowledge.View(); v.Generation != h.generation && v.Table != nil {
 		first := h.generation == 0
 		h.generation = v.Generation
-		h.pool.Serve(v.Table.Service(s), v.Upstreams[s])
+		h.pool.SetUpstreams(v.Table.Service(s), v.Upstreams[s])
 		if first {
-			h.pool.Doubt()
+			h.pool.MarkUnverified()
 		}
 	}
 	return h
@@ -158,7 +158,7 @@
 		a.Patience += now
 	}
 	h := o.host(args.Service)
-	h.pool.Divide(now, o.part(args))
+	h.pool.SetLimitShare(now, o.part(args))
 	o.learn(args.Service, h, now, args.Statements)
 	h.asked = now
 	o.pollReports(args.Service, h)
@@ -278,7 +278,7 @@
 	defer o.pollReports(args.Service, h)
 	o.learn(args.Service, h, now, args.Statements)
 	switch args.Event {
-	case First:
+	case FirstByte:
 		h.pool.First(now, args.Request)
 	case Ended:
 		h.pool.End(now, args.Request, args.Outcome, args.Culprit)
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -47,7 +47,7 @@
 	if began-h.asked > askedLately {
 		return
 	}
-	ids := h.pool.Doubtful(began, o.Gate, reportsEach)
+	ids := h.pool.TakeDuePolls(began, o.Gate, reportsEach)
 	if len(ids) == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
-	if !h.pool.Pressing(now) {
+	if !h.pool.UrgentPollsDue(now) {
 		return reportEvery
 	}
 	return min(max((now-began).Duration(), reportSoon), reportEvery)
@@ -86,7 +86,7 @@
 	if u == nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.pool.Unreported(id)
+		h.pool.AssumeVerified(id)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
@@ -95,13 +95,13 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
-	for _, st := range load.Said.Statements(now, o.Gate, max(load.Born, u.Born)) {
-		o.heard.Learn(s, id, st, statements.FromAnswer)
-		o.learn(s, h, now, []statement.Aged{st.Aged(now, id)})
+	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
+		o.heard.Learn(s, id, st, statements.FromResponse)
+		o.learn(s, h, now, []statement.Message{st.Message(now, id)})
 	}
 	if err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("an upstream in doubt does not report")
-		h.pool.Unreported(id)
+		h.pool.AssumeVerified(id)
 		return
 	}
 	h.pool.Report(now, id, load)
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -83,7 +83,7 @@
 	dialer   *peer.Dialer
 	members  *member.Members
 	registry *registry.Registry
-	readers  *readers.Readers
+	readers  *readers.Selector
 	holders  *placer.Holders
 	owner    *placer.Owner
 	placer   *placer.Client
@@ -117,9 +117,9 @@
 	d.members = member.New(self, relayRules, d.dialer, seeds(s.Peers), d.clock)
 	d.registry = registry.New(d.store, d.dialer, d.clock, d.log)
 	d.readers = readers.New(s.Name, slices.Contains(s.Peers, s.Advertise))
-	d.registry.ReadBy(d.roster)
+	d.registry.SetReaders(d.roster)
 	if s.First {
-		d.registry.Await(registry.FirstWait)
+		d.registry.SetBootstrapWait(registry.FirstBootstrapWait)
 	}
 	q := quarantine.New(d.clock, d.members, d.dialer)
 	d.holders = placer.NewHolders(d.members, d.clock, d.log)
@@ -136,10 +136,10 @@
 	d.placer = placer.NewClient(d.clock, d.log, d.members, d.dialer, d.owner, id)
 	fresh := upstreamTransport()
 	fresh.DisableKeepAlives = true
-	d.gate = relay.New(relay.Needs{
-		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Knowledge: d.registry,
-		Suspects: q, Memory: engines, Kept: kept, Fresh: fresh,
-	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, Bodies: int64(bodiesShare * float64(s.Memory) * (1 << 20))}, id)
+	d.gate = relay.New(relay.Dependencies{
+		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Registry: d.registry,
+		Suspects: q, Memory: engines, Pooled: kept, Unpooled: fresh,
+	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, BodyBytes: int64(bodiesShare * float64(s.Memory) * (1 << 20))}, id)
 	var g errs
 	g.add(d.peers.Register(member.Name, member.NewReceiver(d.members, noDocuments{})))
 	g.add(d.peers.Register(quarantine.Name, quarantine.NewReceiver(q)))
@@ -173,7 +173,7 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialLives(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
+		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
 		DisableCompression: true, MaxIdleConnsPerHost: keptEach, IdleConnTimeout: upstreamIdle,
 		WriteBufferSize: 16 << 10,
 	}
@@ -194,7 +194,7 @@
 	var g errgroup.Group
 	part := func(name string, f func() error) {
 		g.Go(func() error {
-			defer guard.Report(d.log, name)
+			defer guard.ReportPanic(d.log, name)
 			err := f()
 			if err != nil {
 				d.log.Error().Str(logline.Key, logline.Failed).Str("part", name).Err(err).Msg("part failed")
@@ -272,7 +272,7 @@
 	}
 	now := d.clock.Now()
 	v := d.registry.View()
-	return v.Table != nil && v.UpstreamsAt > 0 && now-v.TableAt < d.settings.Bounds.Revoke
+	return v.Table != nil && v.UpstreamsVerified > 0 && now-v.TableVerified < d.settings.Bounds.Revoke
 }
 
 func (d *relayed) server(h http.Handler) *http.Server {
--- a/daemon/readers/fleet_test.go
+++ b/daemon/readers/fleet_test.go
@@ -54,7 +54,7 @@
 		s := platform.NewStore(p.Address())
 		r := registry.New(s, f, clock.Boot{}, &log.Logger{Level: log.FatalLevel})
 		rs := New(m.VM, false)
-		r.ReadBy(func() registry.Roster { return rs.Roster(f.members) })
+		r.SetReaders(func() registry.Roster { return rs.Roster(f.members) })
 		f.registries[m.Address] = r
 		f.stores = append(f.stores, s)
 	}
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -32,8 +32,8 @@
 	watchersMost = 12
 )
 
-// Readers is what one VM works out. It is safe for concurrent use.
-type Readers struct {
+// Selector is what one VM works out. It is safe for concurrent use.
+type Selector struct {
 	self peer.VM
 	// seed is set if the settings of others name this VM.
 	seed bool
@@ -46,10 +46,10 @@
 }
 
 // New returns the readers as a VM sees them; seed is set if the settings of others name it.
-func New(self peer.VM, seed bool) *Readers { return &Readers{self: self, seed: seed} }
+func New(self peer.VM, seed bool) *Selector { return &Selector{self: self, seed: seed} }
 
 // Roster is the part of this VM among the live members.
-func (r *Readers) Roster(live []peer.Member) registry.Roster {
+func (r *Selector) Roster(live []peer.Member) registry.Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	same := len(live) == len(r.live) && (len(live) == 0 || &live[0] == &r.live[0])
@@ -70,7 +70,7 @@
 		rank = len(ranked)
 	}
 	large := len(live) > watchersMost
-	return registry.Roster{Others: sources(ranked, rank, large), Self: rank == 0, Rank: rank, Large: large && rank >= watchers}
+	return registry.Roster{Sources: sources(ranked, rank, large), Primary: rank == 0, Rank: rank, LargeFleet: large && rank >= watchers}
 }
 
 // readingOrder puts the strong members first, and the first two into different failure domains, so that the loss of one leaves
--- a/daemon/readers/readers_test.go
+++ b/daemon/readers/readers_test.go
@@ -46,10 +46,10 @@
 		for _, m := range live {
 			r := rosterOf(m.VM, live)
 			require.Equal(t, rank[m.VM], r.Rank)
-			if r.Self {
+			if r.Primary {
 				provers++
 			}
-			for _, o := range r.Others {
+			for _, o := range r.Sources {
 				require.NotEqual(t, m.VM, o.VM)
 				askers[o.VM]++
 				if r.Rank >= watchers+relayers && n > watchersMost {
@@ -57,7 +57,7 @@
 					require.GreaterOrEqual(t, rank[o.VM], watchers)
 				}
 			}
-			require.Equal(t, n > 1, len(r.Others) > 0)
+			require.Equal(t, n > 1, len(r.Sources) > 0)
 		}
 		require.Equal(t, 1, provers)
 		for v, count := range askers {
@@ -74,6 +74,6 @@
 		live[i].Stopping = live[i].VM == stopping
 	}
 	r := rosterOf(stopping, live)
-	require.False(t, r.Self)
-	require.NotEmpty(t, r.Others)
+	require.False(t, r.Primary)
+	require.NotEmpty(t, r.Sources)
 }
--- a/daemon/registry/calls.go
+++ b/daemon/registry/calls.go
@@ -28,14 +28,14 @@
 // Call is one kind of calls of the store.
 type Call struct {
 	// Feed is "routes" or "upstreams".
-	Feed   string
-	Role   Role
-	Listed bool
+	Feed string
+	Role Role
+	List bool
 }
 
 // Name is "list" or "watch".
 func (c Call) Name() string {
-	if c.Listed {
+	if c.List {
 		return "list"
 	}
 	return "watch"
@@ -87,11 +87,11 @@
 	}
 	rs := r.readers()
 	switch {
-	case rs.Self:
+	case rs.Primary:
 		return Prover
 	case r.View().Table == nil:
 		return Starter
-	case !rs.Large:
+	case !rs.LargeFleet:
 		return Watcher
 	case r.stepsIn(rs):
 		return StandIn
--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -31,8 +31,8 @@
 // Era is the latest one of the store that is known.
 func (r *Registry) Era() route.Era { r.mu.Lock(); defer r.mu.Unlock(); return r.era }
 
-// Eras counts the changes of the store's era that this VM noticed.
-func (r *Registry) Eras() uint64 { return r.eras.Load() }
+// EraChanges counts the changes of the store's era that this VM noticed.
+func (r *Registry) EraChanges() uint64 { return r.eras.Load() }
 
 const (
 	// firstEra is that of a store that never came back from a copy.
--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -45,7 +45,7 @@
 	next, err = b.watchDocument(b.ctx, at, watchWait)
 	require.NoError(t, err)
 	require.Zero(t, next, "a list follows")
-	require.EqualValues(t, 1, b.Eras(), "one event")
+	require.EqualValues(t, 1, b.EraChanges(), "one event")
 }
 
 // An answer was on its way when the store came back from a copy. What it says is of a history that is over.
@@ -81,7 +81,7 @@
 	b.changeUpstreams(list(upstreams("c", "young")), mark(10), b.clock.Now())
 	leaving := upstreams("c")
 	leaving[0].Leaving = true
-	b.changeUpstreams(route.News{Upstreams: leaving, Gone: []decide.UpstreamID{"b"}}, mark(11), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Upstreams: leaving, Removed: []decide.UpstreamID{"b"}}, mark(11), b.clock.Now())
 	b.returned(document(1), upstreams("a", "b", "c"))
 	b.list()
 	used, left := b.ids()
@@ -112,18 +112,18 @@
 	b.list()
 	b.returned(document(3), upstreams("a", "b"))
 	b.list()
-	at := b.View().TableAt
+	at := b.View().TableVerified
 	for range 3 {
 		b.clock.forward(watchWait)
 		b.watch()
 	}
 	require.EqualValues(t, 5, b.View().Table.Revision(), "no document goes back")
-	require.Equal(t, at, b.View().TableAt)
+	require.Equal(t, at, b.View().TableVerified)
 	b.store.document = document(5)
 	b.list()
 	b.clock.forward(watchWait)
 	b.watch()
-	require.Greater(t, b.View().TableAt, at)
+	require.Greater(t, b.View().TableVerified, at)
 }
 
 // Readers of before and after the return answer beside each other. The later era counts, though its positions are lower.
@@ -185,7 +185,7 @@
 	peers.store.document = document(5)
 	peers.list()
 	young := New(peers.store, direct{peers.Registry}, peers.clock, peers.log)
-	young.ReadBy(func() Roster { return Roster{} })
+	young.SetReaders(func() Roster { return Roster{} })
 	peers.returned(document(3), upstreams("a", "b"))
 	peers.store.at.Era = 2
 	listed := make(chan struct{})
@@ -208,7 +208,7 @@
 	b.store.at.Era = 2
 	for _, answered := range []bool{false, true} {
 		alone := New(b.store, nil, clock.Boot{}, b.log)
-		alone.ReadBy(func() Roster { return Roster{} })
+		alone.SetReaders(func() Roster { return Roster{} })
 		wait := aloneWait
 		if answered {
 			wait = peerWait
@@ -255,7 +255,7 @@
 func TestAListThatDoubtsTakesNothingOutElsewhere(t *testing.T) {
 	b, doubts, late := newBench(t), newBench(t), newBench(t)
 	doubts.Registry.clock, late.Registry.clock = b.clock, b.clock
-	gone := route.News{Gone: []decide.UpstreamID{"b"}}
+	gone := route.UpstreamUpdate{Removed: []decide.UpstreamID{"b"}}
 	doubts.changeUpstreams(gone, mark(10), b.clock.Now())
 	late.changeUpstreams(gone, mark(10), b.clock.Now())
 	doubts.returned(document(1), upstreams("a", "b"))
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -64,7 +64,7 @@
 			at = route.Position{}
 		}
 		listed := at == route.Position{}
-		r.calls.add(Call{Feed: f.name, Role: r.role(), Listed: listed})
+		r.calls.add(Call{Feed: f.name, Role: r.role(), List: listed})
 		if listed {
 			at, err = f.list(ctx)
 		} else {
@@ -183,7 +183,7 @@
 }
 
 // leads tells whether this VM stands before all others.
-func (r *Registry) leads() bool { return r.readers == nil || r.readers().Self }
+func (r *Registry) leads() bool { return r.readers == nil || r.readers().Primary }
 
 func (r *Registry) listDocument(ctx context.Context) (route.Position, error) {
 	sent := r.clock.Now()
@@ -263,7 +263,7 @@
 		return route.Position{}, r.enter(at.Era)
 	}
 	right := sent
-	if len(news.Upstreams) == 0 && len(news.Gone) == 0 && len(news.Unusable) == 0 {
+	if len(news.Upstreams) == 0 && len(news.Removed) == 0 && len(news.Unusable) == 0 {
 		right = r.asOf(sent, wait)
 	}
 	r.changeUpstreams(news, at, right)
@@ -290,8 +290,8 @@
 	}
 }
 
-// Lost tells whether the last call of the store failed.
-func (r *Registry) Lost() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.lost }
+// StoreDown tells whether the last call of the store failed.
+func (r *Registry) StoreDown() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.lost }
 
 // sweep ends upstreams whose hold is over although no news comes.
 func (r *Registry) sweep(ctx context.Context) {
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -122,7 +122,7 @@
 	}
 	args.Digest = r.digest
 	own := r.view.Load()
-	if c, ok := r.changes.Content(); ok && !r.askAll.Swap(false) {
+	if c, ok := r.changes.Hash(); ok && !r.askAll.Swap(false) {
 		args.Content = uint64(c)
 	}
 	r.mu.Unlock()
@@ -156,7 +156,7 @@
 		return false
 	}
 	if len(us) > 0 {
-		r.learnPeers(route.News{Upstreams: us, Unusable: reply.Unusable, Doubted: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
+		r.learnPeers(route.UpstreamUpdate{Upstreams: us, Unusable: reply.Unusable, Unverified: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
 	}
 	return true
 }
@@ -171,7 +171,7 @@
 		return nil, false
 	}
 	us := changes.Apply(slices.Concat(slices.Collect(maps.Values(own.Upstreams))...), reply.Upstreams, reply.Without)
-	return us, uint64(changes.Of(us)) == reply.Content
+	return us, uint64(changes.HashOf(us)) == reply.Content
 }
 
 // takeDocument takes the document of a reply, and tells whether it could be read.
@@ -230,8 +230,8 @@
 // addUpstreams adds the list of upstreams to a reply: what changed if the asker has an earlier one that is known here, or all of them. The lock
 // is held.
 func (r *Registry) addUpstreams(args *peer.RegistryWord, reply *peer.RegistryReply) {
-	if ids, ok := r.changes.Since(changes.Content(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
-		c, _ := r.changes.Content()
+	if ids, ok := r.changes.Since(changes.Hash(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
+		c, _ := r.changes.Hash()
 		reply.Base, reply.Content = args.Content, uint64(c)
 		for _, id := range ids {
 			if u, there := r.upstreams[id]; there {
--- a/daemon/registry/peers_test.go
+++ b/daemon/registry/peers_test.go
@@ -109,9 +109,9 @@
 			default:
 				b.changeUpstreams(broken("spoilt", "a", "b"), b.position, b.clock.Now())
 			}
-			c, settled := b.changes.Content()
+			c, settled := b.changes.Hash()
 			require.True(t, settled)
-			require.Equal(t, changes.Of(b.all()), c)
+			require.Equal(t, changes.HashOf(b.all()), c)
 		}
 	})
 }
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -10,7 +10,7 @@
 	"snipeshift.example/lib/peer"
 )
 
-// ReadBy lets a few members read the store for all. It is called before Run.
+// SetReaders lets a few members read the store for all. It is called before Run.
 //
 // Each VM that proves by short watches that its knowledge is new makes two calls a
 // second, so the store's load and price grow with the fleet. With readers a VM asks one of
@@ -18,7 +18,7 @@
 // open beside, for long, which bring news at once; in a large one each piece of news would
 // cost a call of every VM, so it keeps none. A VM that finds no reader, or
 // whose readers' way is shut, reads for itself until that changes.
-func (r *Registry) ReadBy(rs Readers) { r.readers = rs }
+func (r *Registry) SetReaders(rs RosterFunc) { r.readers = rs }
 
 // reads tells whether this VM proves for all that what is known is new: it is the first of those whose
 // way to the store is open.
@@ -27,7 +27,7 @@
 		return true
 	}
 	rs := r.readers()
-	return rs.Self || r.ahead(rs) == 0
+	return rs.Primary || r.ahead(rs) == 0
 }
 
 // keepers is how many VMs keep watches while all are well: one may be cut off from the store and bring no news.
@@ -40,14 +40,14 @@
 // ahead counts those that stand before this VM and do not say that their way to the store is shut; many where
 // it asks others than these.
 func (r *Registry) ahead(rs Roster) int {
-	if rs.Rank > len(rs.Others) {
+	if rs.Rank > len(rs.Sources) {
 		return rs.Rank
 	}
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	open := 0
-	for _, m := range rs.Others[:rs.Rank] {
+	for _, m := range rs.Sources[:rs.Rank] {
 		if now >= r.shut[m.VM] {
 			open++
 		}
@@ -91,13 +91,13 @@
 		return false
 	}
 	rs := r.readers()
-	if rs.Self || !rs.Large || r.stepsIn(rs) {
+	if rs.Primary || !rs.LargeFleet || r.stepsIn(rs) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	later := clock.Milli(max(rs.Rank-len(rs.Others), 0)) * rankStep
+	later := clock.Milli(max(rs.Rank-len(rs.Sources), 0)) * rankStep
 	if r.tableAt == 0 {
 		return r.polled > 0 && now-r.bootstrapped <= bootstrapLimit+later
 	}
@@ -153,7 +153,7 @@
 		if !r.due(rs) {
 			continue
 		}
-		next = r.askReaders(ctx, rs.Others, next)
+		next = r.askReaders(ctx, rs.Sources, next)
 		if r.reads() || r.age() > proofLimit {
 			r.endLong()
 		}
@@ -181,7 +181,7 @@
 	if r.reads() {
 		return r.age() > readerAge || r.askAhead(rs)
 	}
-	if rs.Large {
+	if rs.LargeFleet {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return r.clock.Now()-r.polled >= pollEvery || r.tableAt == 0
@@ -191,7 +191,7 @@
 
 // askAhead tells whether a VM that stands in for others should ask whether their way is open again.
 func (r *Registry) askAhead(rs Roster) bool {
-	if rs.Self {
+	if rs.Primary {
 		return false
 	}
 	r.mu.Lock()
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -24,7 +24,7 @@
 	first.Registry.clock, second.Registry.clock = b.clock, b.clock
 	b.peers = byAddress{"first": first.Registry, "second": second.Registry}
 	others := []peer.Member{{VM: "first", Address: "first"}, {VM: "second", Address: "second"}}
-	b.ReadBy(func() Roster { return Roster{Others: others, Rank: 2, Large: true} })
+	b.SetReaders(func() Roster { return Roster{Sources: others, Rank: 2, LargeFleet: true} })
 	b.askReaders(b.ctx, others, 0)
 	require.True(t, b.rests(b.documents()))
 	require.True(t, b.rests(b.entries()))
@@ -62,7 +62,7 @@
 	b.peers = byAddress{"shut": shut.Registry, "open": open.Registry, "next": open.Registry}
 	others := []peer.Member{{VM: "shut", Address: "shut"}, {VM: "open", Address: "open"}, {VM: "next", Address: "next"}}
 	rank := 2
-	b.ReadBy(func() Roster { return Roster{Others: others[:rank], Rank: rank, Large: true} })
+	b.SetReaders(func() Roster { return Roster{Sources: others[:rank], Rank: rank, LargeFleet: true} })
 	turn := b.askReaders(b.ctx, others, 0)
 	b.askReaders(b.ctx, others, turn)
 	require.False(t, b.rests(b.documents()), "one before it is open")
@@ -78,7 +78,7 @@
 	b, known := newBench(t), newBench(t)
 	young := New(b.store, direct{known.Registry}, b.clock, b.log)
 	known.Registry.clock = b.clock
-	young.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
+	young.SetReaders(func() Roster { return Roster{Sources: []peer.Member{{VM: "known"}}, Rank: 2, LargeFleet: true} })
 	ctx, cancel := context.WithTimeout(b.ctx, 900*time.Millisecond)
 	defer cancel()
 	calls := 0
@@ -180,8 +180,8 @@
 	b, known := newBench(t), newBench(t)
 	young := New(b.store, direct{known.Registry}, b.clock, b.log)
 	known.Registry.clock = b.clock
-	young.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "known"}}, Rank: 2, Large: true} })
-	young.Await(FirstWait)
+	young.SetReaders(func() Roster { return Roster{Sources: []peer.Member{{VM: "known"}}, Rank: 2, LargeFleet: true} })
+	young.SetBootstrapWait(FirstBootstrapWait)
 	told := make(chan struct{})
 	beat := &peer.BeatArgs{From: peer.Member{VM: "known"}}
 	known.Fill("", beat)
@@ -209,12 +209,12 @@
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
 	require.Equal(t, Alone, b.role())
-	b.ReadBy(func() Roster { return Roster{Self: true, Seed: true} })
+	b.SetReaders(func() Roster { return Roster{Primary: true, Seed: true} })
 	ctx, cancel := context.WithTimeout(b.ctx, 50*time.Millisecond)
 	defer cancel()
 	b.follow(ctx, feed{name: "routes", list: func(context.Context) (route.Position, error) { return route.Position{Mark: 0}, errDown }})
-	require.Equal(t, map[Call]uint64{{Feed: "routes", Role: Prover, Listed: true}: 1}, b.Calls())
-	require.Equal(t, "list", Call{Listed: true}.Name())
+	require.Equal(t, map[Call]uint64{{Feed: "routes", Role: Prover, List: true}: 1}, b.Calls())
+	require.Equal(t, "list", Call{List: true}.Name())
 }
 
 // A VM steps in for others, and the log must say when and why: whoever looks for the cause of a stale document asks first who
@@ -225,7 +225,7 @@
 	b.large(reader.Registry)
 	var lines bytes.Buffer
 	b.log = &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &lines}}
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	role := b.noteRole(b.readers(), Starter)
 	require.Equal(t, Follower, role)
 	require.Equal(t, Follower, b.noteRole(b.readers(), role))
@@ -233,7 +233,7 @@
 	reader.store.down = true
 	reader.watch()
 	for turn := range 2 {
-		b.askReaders(b.ctx, b.readers().Others, turn)
+		b.askReaders(b.ctx, b.readers().Sources, turn)
 	}
 	require.Equal(t, StandIn, b.noteRole(b.readers(), role))
 	require.Contains(t, lines.String(), `"role":"standin","before":"follower","rank":2,"open":0`)
@@ -244,7 +244,7 @@
 	b, reader := newBench(t), newBench(t)
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	for passed := clock.Milli(0); passed < pollEvery; {
 		require.False(t, b.due(b.readers()))
 		wait := clock.Milli(b.checkInterval().Milliseconds())
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -27,8 +27,8 @@
 type Store interface {
 	Document(ctx context.Context) (*route.Document, route.Position, error)
 	WatchDocument(ctx context.Context, after route.Position, wait clock.Milli) (*route.Document, route.Position, error)
-	Upstreams(ctx context.Context) (route.News, route.Position, error)
-	WatchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.News, route.Position, error)
+	Upstreams(ctx context.Context) (route.UpstreamUpdate, route.Position, error)
+	WatchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.UpstreamUpdate, route.Position, error)
 }
 
 // Peers calls methods of other daemons.
@@ -79,9 +79,9 @@
 	// A peer of the settings that is up answers within 12 ms. Where all start together nobody knows anything, and requests that
 	// come meanwhile are due 300 ms later: a longer wait would make them late.
 	bootstrapTime = 30 * time.Millisecond
-	// FirstWait is the same wait at the first start of all VMs of a deployment: no caller is there yet, and it is time enough to
+	// FirstBootstrapWait is the same wait at the first start of all VMs of a deployment: no caller is there yet, and it is time enough to
 	// meet and to be told. 295 VMs that each list both kinds of objects make 590 calls.
-	FirstWait = clock.Second
+	FirstBootstrapWait = clock.Second
 	// bootstrapLimit is how long after this wait a VM without any document leaves it to the members that it asks to read
 	// the first one, if they answer.
 	bootstrapLimit = 600 * clock.Milli(1)
@@ -109,13 +109,13 @@
 type View struct {
 	// Table is nil until a document is known.
 	Table *route.Table
-	// TableAt is the instant at which Table was certainly the newest.
-	TableAt clock.Milli
+	// TableVerified is the instant at which Table was certainly the newest.
+	TableVerified clock.Milli
 	// Upstreams are those that are there, by service.
 	Upstreams map[route.ServiceID][]route.Upstream
-	// UpstreamsAt is the instant at which Upstreams were certainly right; zero
+	// UpstreamsVerified is the instant at which Upstreams were certainly right; zero
 	// until a list is known.
-	UpstreamsAt clock.Milli
+	UpstreamsVerified clock.Milli
 	// Generation rises when Upstreams or Table change.
 	Generation uint64
 }
@@ -188,7 +188,7 @@
 	known     chan struct{}
 	knownOnce sync.Once
 	// readers names those who read for all; nil where each VM reads for itself.
-	readers Readers
+	readers RosterFunc
 	// polled is when one of the members that this VM asks last answered.
 	polled clock.Milli
 	// failing is set while the last call for the document failed.
@@ -218,25 +218,25 @@
 // leaver is an upstream that left.
 type leaver struct {
 	at   clock.Milli
-	born decide.Born
+	born decide.Incarnation
 }
 
-// Readers names the members that read the store for all.
-type Readers func() Roster
+// RosterFunc names the members that read the store for all.
+type RosterFunc func() Roster
 
 // Roster is who reads the store.
 type Roster struct {
-	// Others are the members that this VM asks: those that keep watches and those that step in for them, in
+	// Sources are the members that this VM asks: those that keep watches and those that step in for them, in
 	// this order, or in a large fleet some that ask these.
-	Others []peer.Member
-	// Self is set if this VM proves for all, by short watches, that what is known is new.
-	Self bool
+	Sources []peer.Member
+	// Primary is set if this VM proves for all, by short watches, that what is known is new.
+	Primary bool
 	// Rank is the place of this VM in the order in which VMs step in for readers whose way to the store is shut.
 	Rank int
 	// Seed is set if the settings of others name this VM: they ask it at their start, so it lists the store at once.
 	Seed bool
-	// Large is set if the fleet is too large for a watch of this VM: news comes to it by those it asks.
-	Large bool
+	// LargeFleet is set if the fleet is too large for a watch of this VM: news comes to it by those it asks.
+	LargeFleet bool
 }
 
 // New returns a registry that knows nothing yet; Run follows the store.
@@ -249,13 +249,13 @@
 		changes: changes.NewLog(),
 	}
 	r.handover.clock = k
-	r.Await(clock.Of(bootstrapTime))
+	r.SetBootstrapWait(clock.Of(bootstrapTime))
 	r.view.Store(&View{})
 	return r
 }
 
-// Await sets how long this VM waits for a peer to hand over what it knows before it lists the store. It is called before Run.
-func (r *Registry) Await(d clock.Milli) {
+// SetBootstrapWait sets how long this VM waits for a peer to hand over what it knows before it lists the store. It is called before Run.
+func (r *Registry) SetBootstrapWait(d clock.Milli) {
 	r.bootstrapWait = d.Duration()
 	r.bootstrapped = r.clock.Now() + d
 }
@@ -269,7 +269,7 @@
 // publish makes a view of the state. The lock is held.
 func (r *Registry) publish() {
 	v := &View{
-		Table: r.table, TableAt: r.tableAt, UpstreamsAt: r.upstreamsAt, Generation: r.generation,
+		Table: r.table, TableVerified: r.tableAt, UpstreamsVerified: r.upstreamsAt, Generation: r.generation,
 		Upstreams: map[route.ServiceID][]route.Upstream{},
 	}
 	if old := r.view.Load(); old.Generation == r.generation {
@@ -280,7 +280,7 @@
 		}
 	}
 	r.view.Store(v)
-	if v.Table != nil && v.UpstreamsAt > 0 {
+	if v.Table != nil && v.UpstreamsVerified > 0 {
 		r.knownOnce.Do(func() { close(r.known) })
 	}
 }
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -43,10 +43,12 @@
 }
 
 // position is one in the present era.
-func (f *fake) position(m route.Mark) route.Position { return route.Position{Era: f.at.Era, Mark: m} }
+func (f *fake) position(m route.StoreRevision) route.Position {
+	return route.Position{Era: f.at.Era, Mark: m}
+}
 
 // mark is a position of a store that tells no era.
-func mark(m route.Mark) route.Position { return route.Position{Mark: m} }
+func mark(m route.StoreRevision) route.Position { return route.Position{Mark: m} }
 
 // next is the position after one.
 func next(p route.Position) route.Position { return route.Position{Era: p.Era, Mark: p.Mark + 1} }
@@ -72,26 +74,26 @@
 	return nil, f.position(2), nil
 }
 
-func (f *fake) Upstreams(context.Context) (route.News, route.Position, error) {
+func (f *fake) Upstreams(context.Context) (route.UpstreamUpdate, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return route.News{}, route.Position{}, errDown
+		return route.UpstreamUpdate{}, route.Position{}, errDown
 	}
 	f.at.Mark++
-	return route.News{Upstreams: f.upstreams}, f.at, nil
+	return route.UpstreamUpdate{Upstreams: f.upstreams}, f.at, nil
 }
 
-func (f *fake) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.News, route.Position, error) {
+func (f *fake) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.UpstreamUpdate, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return route.News{}, route.Position{}, errDown
+		return route.UpstreamUpdate{}, route.Position{}, errDown
 	}
 	gone := f.gone
 	f.gone = nil
 	f.at.Mark++
-	return route.News{Gone: gone}, f.at, nil
+	return route.UpstreamUpdate{Removed: gone}, f.at, nil
 }
 
 // direct calls a receiver without a network.
@@ -114,7 +116,7 @@
 }
 
 // list is what a list of the store's with these upstreams says.
-func list(us []route.Upstream) route.News { return route.News{Upstreams: us} }
+func list(us []route.Upstream) route.UpstreamUpdate { return route.UpstreamUpdate{Upstreams: us} }
 
 type bench struct {
 	*Registry
@@ -160,7 +162,7 @@
 	b.learnDocument(document(9), b.clock.Now(), "store")
 	b.learnDocument(document(7), b.clock.Now()+1, "peer")
 	require.EqualValues(t, 9, b.View().Table.Revision())
-	require.Equal(t, b.clock.Now(), b.View().TableAt, "the older one proves nothing")
+	require.Equal(t, b.clock.Now(), b.View().TableVerified, "the older one proves nothing")
 }
 
 // A document leads nowhere. The last good one goes on being served.
@@ -177,20 +179,20 @@
 // end of a watch without news, until a good one is there again.
 func TestADocumentThatCannotBeReadProvesNothing(t *testing.T) {
 	b := newBench(t)
-	known := b.View().TableAt
+	known := b.View().TableVerified
 	b.clock.forward(100)
 	b.store.unread = true
 	b.list()
-	require.False(t, b.Lost())
+	require.False(t, b.StoreDown())
 	require.EqualValues(t, 1, b.View().Table.Revision())
 	for range 3 {
 		b.clock.forward(watchWait)
 		b.watch()
 	}
-	require.Equal(t, known, b.View().TableAt)
+	require.Equal(t, known, b.View().TableVerified)
 	b.store.unread = false
 	b.list()
-	require.Greater(t, b.View().TableAt, known)
+	require.Greater(t, b.View().TableVerified, known)
 }
 
 // The end of a watch without news proves what is known up to the end of the wait, and
@@ -218,7 +220,7 @@
 	b := newBench(t)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.clock.forward(5 * clock.Second)
 	b.store.down, b.store.upstreams = false, nil
 	b.list()
@@ -255,8 +257,8 @@
 	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
 	well.Fill("", beat)
 	cut.Learn(beat, false)
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().TableAt, "the same document, known to be new")
-	require.Equal(t, cut.clock.Now()-beatTime, cut.View().UpstreamsAt)
+	require.Equal(t, cut.clock.Now()-beatTime, cut.View().TableVerified, "the same document, known to be new")
+	require.Equal(t, cut.clock.Now()-beatTime, cut.View().UpstreamsVerified)
 
 	cut.clock.forward(4 * clock.Second)
 	well.store.at.Mark += 10
@@ -280,10 +282,10 @@
 	b.large(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.there())
 }
 
@@ -296,16 +298,16 @@
 	b.large(reader.Registry)
 	b.store.down = true
 	b.watch()
-	require.True(t, b.Lost())
+	require.True(t, b.StoreDown())
 	b.store.down = false
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	ctx, cancel := context.WithTimeout(b.ctx, 300*time.Millisecond)
 	defer cancel()
 	none := func(context.Context) (route.Position, error) { return route.Position{Mark: 1}, nil }
 	b.follow(ctx, feed{name: "upstreams", list: none, watch: func(context.Context, route.Position, clock.Milli) (route.Position, error) {
 		return route.Position{Mark: 1}, nil
 	}})
-	require.False(t, b.Lost(), "while it rests, readers vouch for what it knows")
+	require.False(t, b.StoreDown(), "while it rests, readers vouch for what it knows")
 	b.clock.forward(restLimit + 1)
 	require.False(t, b.rests(b.documents()))
 	b.store.upstreams = upstreams("b")
@@ -334,14 +336,14 @@
 // alone is gone at once all the same, and so is one that has said that it leaves.
 func TestUpstreamsThatVanishTogetherAreKeptForAWhile(t *testing.T) {
 	b := newBench(t)
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
 	require.Equal(t, 2, b.there())
 	b.clock.forward(clock.Second)
 	b.changeUpstreams(list(upstreams("a")), mark(61), b.clock.Now())
 	b.clock.forward(massHold)
-	b.changeUpstreams(route.News{}, mark(62), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{}, mark(62), b.clock.Now())
 	require.Equal(t, 1, b.there(), "b did not come back")
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
 	require.Equal(t, 0, b.there(), "one alone is gone at once")
 
 	b.list()
@@ -355,7 +357,7 @@
 	leaving := upstreams("c", "d")
 	leaving[0].Leaving, leaving[1].Leaving = true, true
 	b.changeUpstreams(list(leaving), mark(64), b.clock.Now())
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
 	require.Equal(t, 0, b.there(), "they had said so")
 }
 
@@ -363,11 +365,11 @@
 // knowledge look fresh.
 func TestAnOldWordProvesNothing(t *testing.T) {
 	b := newBench(t)
-	at := b.View().TableAt
+	at := b.View().TableVerified
 	b.clock.forward(6 * clock.Second)
 	b.Learn(&peer.BeatArgs{Registry: peer.RegistryWord{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
-	require.Equal(t, at, b.View().TableAt)
-	require.Equal(t, at, b.View().UpstreamsAt)
+	require.Equal(t, at, b.View().TableVerified)
+	require.Equal(t, at, b.View().UpstreamsVerified)
 }
 
 // A failed call may have lost events with its answer, so the next one lists anew.
@@ -435,11 +437,11 @@
 // readers of a test: one other, or this VM itself.
 func (b *bench) readBy(other *Registry, self bool) {
 	b.peers = direct{other}
-	b.ReadBy(func() Roster {
+	b.SetReaders(func() Roster {
 		if self {
-			return Roster{Others: []peer.Member{{VM: "reader"}}, Self: true}
+			return Roster{Sources: []peer.Member{{VM: "reader"}}, Primary: true}
 		}
-		return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1}
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1}
 	})
 }
 
@@ -511,8 +513,8 @@
 // large lets one other read for a fleet in which VMs keep no watches.
 func (b *bench) large(reader *Registry) {
 	b.peers = direct{reader}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}, {VM: "reader-2"}}, Rank: 2, LargeFleet: true}
 	})
 }
 
@@ -524,14 +526,14 @@
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
 	require.False(t, b.rests(b.documents()), "no reader has answered yet")
-	turn := b.askReaders(b.ctx, b.readers().Others, 0)
+	turn := b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.True(t, b.rests(b.documents()))
 
 	reader.store.upstreams, reader.store.at = upstreams("b"), mark(50)
 	reader.list()
 	b.clock.forward(pollEvery)
 	require.True(t, b.due(b.readers()))
-	b.askReaders(b.ctx, b.readers().Others, turn)
+	b.askReaders(b.ctx, b.readers().Sources, turn)
 	require.Equal(t, 1, b.there())
 
 	b.clock.forward(pollExpiry + 1)
@@ -545,7 +547,7 @@
 	reader.Registry.clock = b.clock
 	b.large(reader.Registry)
 	b.clock.forward(restLimit + 1)
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.False(t, b.rests(b.documents()))
 	b.list()
 	require.True(t, b.rests(b.documents()))
@@ -557,13 +559,13 @@
 	b, shut, well := newBench(t), newBench(t), newBench(t)
 	shut.Registry.clock, well.Registry.clock = b.clock, b.clock
 	b.peers = byAddress{"shut": shut.Registry, "well": well.Registry}
-	b.ReadBy(func() Roster {
-		return Roster{Others: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, Large: true}
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, LargeFleet: true}
 	})
 	b.clock.forward(readerAge + 1)
 	well.store.upstreams, well.store.at = upstreams("b"), mark(50)
 	well.list()
-	b.askReaders(b.ctx, b.readers().Others, 0)
+	b.askReaders(b.ctx, b.readers().Sources, 0)
 	require.Equal(t, 1, b.there())
 }
 
@@ -586,14 +588,16 @@
 	began = time.Now()
 	self := time.AfterFunc(50*time.Millisecond, func() { b.promoted.Store(true) })
 	defer self.Stop()
-	b.ReadBy(func() Roster { return Roster{Others: []peer.Member{{VM: "reader"}}, Rank: 1, Self: b.promoted.Load()} })
+	b.SetReaders(func() Roster {
+		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1, Primary: b.promoted.Load()}
+	})
 	b.backOff(b.ctx, 5)
 	require.Less(t, time.Since(began), 4*retryWait)
 }
 
 // broken is what the store says of entries that somebody has spoilt.
-func broken(reason string, ids ...decide.UpstreamID) route.News {
-	var n route.News
+func broken(reason string, ids ...decide.UpstreamID) route.UpstreamUpdate {
+	var n route.UpstreamUpdate
 	for _, id := range ids {
 		n.Unusable = append(n.Unusable, route.Unusable{ID: id, Reason: reason})
 	}
@@ -609,7 +613,7 @@
 	require.Equal(t, 1, b.there())
 	b.changeUpstreams(broken("no state", "a"), mark(10), b.clock.Now())
 	b.changeUpstreams(broken("no address", "a", "x"), mark(11), b.clock.Now())
-	require.EqualValues(t, 3, b.Barred(), "once for each reason and entry")
+	require.EqualValues(t, 3, b.UnusableCount(), "once for each reason and entry")
 	b.changeUpstreams(list(upstreams("a")), mark(12), b.clock.Now())
 	require.Equal(t, 2, b.there())
 
@@ -617,7 +621,7 @@
 	b.watch()
 	b.clock.forward(5 * clock.Second)
 	b.store.down = false
-	b.learnUpstreams(route.News{Upstreams: upstreams("b"), Unusable: broken("no state", "a").Unusable}, mark(13), b.clock.Now())
+	b.learnUpstreams(route.UpstreamUpdate{Upstreams: upstreams("b"), Unusable: broken("no state", "a").Unusable}, mark(13), b.clock.Now())
 	require.Equal(t, 1, b.there())
 }
 
@@ -654,7 +658,7 @@
 }
 
 // lives makes upstreams of one life.
-func lives(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
+func lives(born decide.Incarnation, ids ...decide.UpstreamID) []route.Upstream {
 	us := upstreams(ids...)
 	for i := range us {
 		us[i].Born = born
@@ -666,7 +670,7 @@
 // a peer, comes late and changes nothing; that it had left does not keep its new life out.
 func TestAnEarlierLifeChangesNothing(t *testing.T) {
 	b := newBench(t)
-	born := func() decide.Born {
+	born := func() decide.Incarnation {
 		return b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Born
 	}
 	b.changeUpstreams(list(lives(5, "a")), mark(10), b.clock.Now())
@@ -680,7 +684,7 @@
 	require.False(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
 	require.Equal(t, generation+1, b.View().Generation, "b alone has changed")
 
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
 	b.learnPeers(list(lives(7, "a", "b")), mark(15), b.clock.Now())
 	require.Equal(t, 1, b.there(), "that life has left")
 	b.learnPeers(list(lives(9, "a", "b")), mark(16), b.clock.Now())
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -14,7 +14,7 @@
 )
 
 // learnUpstreams takes a whole list of the store's that was right at an instant and a position.
-func (r *Registry) learnUpstreams(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnUpstreams(news route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
@@ -64,7 +64,7 @@
 // while the store turns us away: peers that keep entries on suspicion tell no list. But if nobody
 // had new knowledge for long, the store was away for all, and a peer that has just started
 // does not know what lapsed meanwhile: then entries are kept as after our own first answer.
-func (r *Registry) learnPeers(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnPeers(news route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bar(news.Unusable)
@@ -78,7 +78,7 @@
 		}
 		kept = append(kept, u)
 	}
-	doubted := r.doubtToo(news.Doubted)
+	doubted := r.doubtToo(news.Unverified)
 	until := r.clock.Now()
 	if until-max(r.tableAt, r.upstreamsAt) > lapseLeast {
 		until += holdGone
@@ -107,7 +107,7 @@
 }
 
 // changeUpstreams takes changes that were right at an instant and a position.
-func (r *Registry) changeUpstreams(news route.News, position route.Position, at clock.Milli) {
+func (r *Registry) changeUpstreams(news route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
@@ -119,8 +119,8 @@
 		delete(r.doubted, u.ID)
 		r.put(u, true)
 	}
-	r.mass = r.massOf(news.Gone)
-	for _, id := range news.Gone {
+	r.mass = r.massOf(news.Removed)
+	for _, id := range news.Removed {
 		delete(r.unusable, id)
 		delete(r.doubted, id)
 		r.remove(id)
@@ -195,7 +195,7 @@
 		if old, known := r.upstreams[u.ID]; known {
 			delete(r.upstreams, u.ID)
 			delete(r.gone, u.ID)
-			r.changes.Take(old)
+			r.changes.Remove(old)
 			r.generation++
 		}
 		if r.unusable[u.ID] == u.Reason {
@@ -211,8 +211,8 @@
 	}
 }
 
-// Barred counts the entries that named no upstream, each once for each reason.
-func (r *Registry) Barred() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.barred }
+// UnusableCount counts the entries that named no upstream, each once for each reason.
+func (r *Registry) UnusableCount() uint64 { r.mu.Lock(); defer r.mu.Unlock(); return r.barred }
 
 // remove takes an upstream out, at once or, shortly after the store was away, a
 // while later. The lock is held.
@@ -245,7 +245,7 @@
 		delete(r.gone, id)
 		u := r.upstreams[id]
 		r.left[id] = leaver{now, u.Born}
-		r.changes.Take(u)
+		r.changes.Remove(u)
 		delete(r.upstreams, id)
 		r.generation++
 		r.log.Info().Str(logline.Key, logline.Upstream).Str("upstream", string(id)).Bool("gone", true).Msg("upstream is gone")
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -310,7 +310,7 @@
 	w.placer.during = func() {
 		if asked++; asked == 2 {
 			v := *w.known.View()
-			v.TableAt -= 4500
+			v.TableVerified -= 4500
 			w.known.set(&v)
 		}
 	}
@@ -342,7 +342,7 @@
 	w := newWorld(t, whole("fine"))
 	age := func(ms clock.Milli) {
 		now := clock.Boot{}.Now()
-		w.known.set(&registry.View{Table: w.table, TableAt: now - ms, UpstreamsAt: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
+		w.known.set(&registry.View{Table: w.table, TableVerified: now - ms, UpstreamsVerified: now, Upstreams: map[route.ServiceID][]route.Upstream{"s": w.placer.upstreams}})
 	}
 	status := func(path string) int {
 		resp, _, err := w.call(http.MethodPost, path, "")
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -23,7 +23,7 @@
 	reserved, released int
 	longest            clock.Milli
 	full               bool
-	said               exchange.Said
+	said               exchange.Declared
 	// during is called while memory is being reserved.
 	during func()
 }
@@ -36,14 +36,14 @@
 	defer m.mu.Unlock()
 	m.reserved++
 	m.longest = max(m.longest, hold)
-	return exchange.Reserved{Held: !m.full, Said: m.said}, nil
+	return exchange.Reserved{Accepted: !m.full, Declared: m.said}, nil
 }
 
-func (m *memory) Release(context.Context, string, string) (exchange.Said, error) {
+func (m *memory) Release(context.Context, string, string) (exchange.Declared, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.released++
-	return exchange.Said{}, nil
+	return exchange.Declared{}, nil
 }
 
 func (m *memory) counts() (reserved, released int) {
@@ -55,7 +55,7 @@
 // giant is a prompt that needs memory on one helper.
 func (w *world) giant(m *memory) {
 	w.needs.Memory = m
-	w.placer.helpers = []span.Place{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
+	w.placer.helpers = []span.Placement{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
 	w.start()
 }
 
@@ -104,7 +104,7 @@
 // An engine that only helps gets no requests, and names its limit in answers to orders alone. Not heard there, it would go on helping.
 func TestAHelperNamesItsLimitInItsAnswersToOrders(t *testing.T) {
 	w := newWorld(t, streamed(stream(1, 2)))
-	w.giant(&memory{said: exchange.Said{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
+	w.giant(&memory{said: exchange.Declared{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
 	_, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
 	s, ok := w.placer.said.Of("h", statement.Limit)
@@ -140,7 +140,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "alone it is tried four times")
 
-	w.placer.helpers = []span.Place{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
+	w.placer.helpers = []span.Placement{{Upstream: "u9", Address: w.placer.upstreams[9].Address}}
 	resp, body, err := w.call("POST", "/again/x", "prompt")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/daemon/relay/watchdog.go
+++ b/daemon/relay/watchdog.go
@@ -116,7 +116,7 @@
 
 // check probes the upstream.
 func (w *watchdog) check() {
-	defer guard.Report(w.gate.Log, "probe of a silent upstream")
+	defer guard.ReportPanic(w.gate.Log, "probe of a silent upstream")
 	if w.gate.gone(w.address) {
 		w.gate.Log.Warn().Str(logline.Key, logline.Silent).Str("address", w.address).Msg("a silent upstream takes no connection")
 		w.giveUp()
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -62,7 +62,7 @@
 
 // An engine dies and is shut out. An operator must not read that it is draining.
 func TestSilentEngineIsNotShownAsDraining(t *testing.T) {
-	u := decide.View{Upstream: decide.Upstream{Memory: 1, Leaving: true}}
+	u := decide.UpstreamView{Upstream: decide.Upstream{Memory: 1, Leaving: true}}
 	require.Equal(t, answers.Silent, condition(u, silentAfter+1))
 	require.Equal(t, answers.Draining, condition(u, 0))
 	u.Leaving = false
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -21,7 +21,7 @@
 	daemon   *daemon
 	follower *follow.Follower
 	claims   *claim.Claims
-	counters *usage.Book
+	counters *usage.Meter
 }
 
 func newState(d *daemon) *state {
--- a/lib/decide/span/books.go
+++ b/lib/decide/span/books.go
@@ -9,29 +9,29 @@
 // An owner that stops hands its books over whole: gates would tell its successor only within a second what runs. Instants travel as spans, for
 // clocks of two VMs differ.
 
-// Books is all that one owner of a service knows and another one cannot ask for.
-type Books struct {
-	Grants    []BookedGrant
-	Upstreams []Condition
+// Snapshot is all that one owner of a service knows and another one cannot ask for.
+type Snapshot struct {
+	Grants    []GrantSnapshot
+	Upstreams []UpstreamSnapshot
 	// Busy and Served are the averages that tell how much time engines have to spare.
 	Busy, Served float64
 	// Saved, Mean, LargeRefused and OthersRefused are what is kept for large prompts, and why.
 	Saved, Mean, LargeRefused, OthersRefused float64
 }
 
-// BookedGrant is one live grant.
-type BookedGrant struct {
-	Live Live
+// GrantSnapshot is one live grant.
+type GrantSnapshot struct {
+	Live LiveGrant
 	// Age is the time since it was made, Unheard since its gate named it last.
 	Age, Unheard clock.Milli
 	Workspace    decide.WorkspaceID
 	Suspect      bool
 }
 
-// Condition is what the outcomes and reports of one upstream say of it.
-type Condition struct {
+// UpstreamSnapshot is what the outcomes and reports of one upstream say of it.
+type UpstreamSnapshot struct {
 	Upstream decide.UpstreamID
-	Born     decide.Born
+	Born     decide.Incarnation
 	// Debt is the reading in milliseconds that should be left there.
 	Debt float64
 	// Strikes, Shut and Rest are its health; Shut is how long it is still left alone.
@@ -45,26 +45,26 @@
 	// Doubtful and Suspected ask for its report.
 	Doubtful, Suspected bool
 	// Statements are what it says of itself, and Allowed how many requests may be granted now by the limit that it names.
-	Statements []statement.Aged
+	Statements []statement.Message
 	Allowed    float64
 	// Shed is set if a request is to show whether it takes any again.
 	Shed bool
 }
 
-// Books returns what the next owner is to know.
-func (p *Pool) Books(now clock.Milli) Books {
+// Snapshot returns what the next owner is to know.
+func (p *Pool) Snapshot(now clock.Milli) Snapshot {
 	p.expire(now)
-	b := Books{
+	b := Snapshot{
 		Busy: p.headroom.busy, Served: p.headroom.served,
 		Saved: p.large.saved, Mean: p.large.mean, LargeRefused: p.large.large.refused, OthersRefused: p.large.others.refused,
 	}
 	for _, g := range p.grants {
-		b.Grants = append(b.Grants, BookedGrant{
-			Live: g.Live, Age: now - g.at, Unheard: now - g.heard, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
+		b.Grants = append(b.Grants, GrantSnapshot{
+			Live: g.LiveGrant, Age: now - g.at, Unheard: now - g.heard, Workspace: g.ask.Workspace, Suspect: g.ask.Suspect,
 		})
 	}
 	for _, r := range p.order {
-		c := Condition{
+		c := UpstreamSnapshot{
 			Upstream: r.ID, Born: r.Born, Debt: max(0, r.until-float64(now)),
 			Strikes: r.health.strikes, Shut: max(0, r.health.until-now), Rest: r.health.last,
 			Helps: max(0, r.health.helps-now), Declined: r.health.declined,
@@ -77,7 +77,7 @@
 }
 
 // Restore takes the books of the owner before. What is known here already stays.
-func (p *Pool) Restore(now clock.Milli, b Books) {
+func (p *Pool) Restore(now clock.Milli, b Snapshot) {
 	for _, l := range b.Grants {
 		g := p.grants[l.Live.Grant.Request]
 		if g == nil {
@@ -113,9 +113,9 @@
 	p.large.large.refused, p.large.others.refused = b.LargeRefused, b.OthersRefused
 }
 
-// Suspect asks for the reports of all upstreams, and uses them meanwhile: the owner before is lost, and with it perhaps gates whose
+// RequestReports asks for the reports of all upstreams, and uses them meanwhile: the owner before is lost, and with it perhaps gates whose
 // requests still run.
-func (p *Pool) Suspect() {
+func (p *Pool) RequestReports() {
 	for _, r := range p.order {
 		r.doubtful, r.suspected = false, r.engine != nil
 	}
--- a/lib/decide/span/books_test.go
+++ b/lib/decide/span/books_test.go
@@ -14,11 +14,11 @@
 // engines, and callers would wait behind twice the streams.
 func TestASuccessorPacksAsTheOwnerBeforeWould(t *testing.T) {
 	before, after := newBench(t, 4), newBench(t, 4)
-	for range DefaultRules.Packed {
+	for range DefaultRules.PackedStreams {
 		require.Equal(t, decide.UpstreamID("e00"), before.runs(before.note(now)).Leader.Upstream)
 	}
 	before.rows["e01"].health.shut(now)
-	after.Restore(now+5, before.Books(now))
+	after.Restore(now+5, before.Snapshot(now))
 	require.Equal(t, before.Counts().Granted, after.Counts().Granted)
 	after.asked = before.asked
 	require.Equal(t, decide.UpstreamID("e02"), after.granted(now+5, after.note(now+5)).Leader.Upstream, "e00 is packed, e01 rests")
@@ -28,8 +28,8 @@
 func TestBooksDoNotCountWhatWasPresentedAlready(t *testing.T) {
 	before, after := newBench(t, 2), newBench(t, 2)
 	g := before.runs(before.note(now))
-	after.Present(now, "g", []Live{{Grant: g, Writing: true}})
-	after.Restore(now, before.Books(now))
+	after.Present(now, "g", []LiveGrant{{Grant: g, Writing: true}})
+	after.Restore(now, before.Snapshot(now))
 	require.Equal(t, 1, after.Counts().Granted)
 	require.Equal(t, 1, after.rows["e00"].streams)
 }
@@ -57,7 +57,7 @@
 	require.False(t, helps(now+10, leaving))
 	require.False(t, helps(now+firstDeclined-10, leaving))
 	require.True(t, helps(now+firstDeclined, leaving))
-	require.NotContains(t, b.Doubtful(now, "owner", math.MaxInt), leaving, "its books are right")
+	require.NotContains(t, b.TakeDuePolls(now, "owner", math.MaxInt), leaving, "its books are right")
 	short := b.note(now + 10)
 	_, decided := b.ask(now+10, short)
 	require.True(t, decided, "short requests go on")
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -14,7 +14,7 @@
 // declared is what one upstream says of itself.
 type declared struct {
 	// limit bounds the requests that all VMs give it together.
-	limit ratelimit.Pace
+	limit ratelimit.Limiter
 	// leaving is its word that it ends soon, if it is named.
 	leaving statement.Statement
 	// rests holds the last rest that each VM was asked for.
@@ -56,7 +56,7 @@
 // learn takes a statement and reports whether it changes what the upstream says.
 func (d *declared) learn(now clock.Milli, s statement.Statement) bool {
 	switch s.Kind {
-	case statement.Rest:
+	case statement.BackOff:
 		if !d.learnRest(now, s) {
 			return false
 		}
@@ -77,8 +77,8 @@
 
 // renew forgets what an earlier life than one of the upstream said. What came from a life that did not tell when it began is of an earlier
 // one only if before is set.
-func (d *declared) renew(born decide.Born, before bool) {
-	earlier := func(b decide.Born) bool { return b < born && (b > 0 || before) }
+func (d *declared) renew(born decide.Incarnation, before bool) {
+	earlier := func(b decide.Incarnation) bool { return b < born && (b > 0 || before) }
 	if s, known := d.limit.Statement(); known && earlier(s.Born) {
 		d.limit.Reset()
 	}
@@ -92,20 +92,20 @@
 // idle reports whether nothing that the upstream said is of use once it is not listed.
 func (d *declared) idle(now clock.Milli) bool {
 	s, known := d.limit.Statement()
-	return (!known || now-s.At > statement.AbsentLives) && now-d.at > statement.AbsentLives
+	return (!known || now-s.At > statement.AbsentRetention) && now-d.at > statement.AbsentRetention
 }
 
 // statements lists what is known, for the next owner.
-func (d *declared) statements(now clock.Milli, u decide.UpstreamID) []statement.Aged {
-	var out []statement.Aged
+func (d *declared) statements(now clock.Milli, u decide.UpstreamID) []statement.Message {
+	var out []statement.Message
 	if s, known := d.limit.Statement(); known {
-		out = append(out, s.Aged(now, u))
+		out = append(out, s.Message(now, u))
 	}
 	if d.leaving.Named {
-		out = append(out, d.leaving.Aged(now, u))
+		out = append(out, d.leaving.Message(now, u))
 	}
 	for _, r := range d.rests {
-		out = append(out, r.Aged(now, u))
+		out = append(out, r.Message(now, u))
 	}
 	return out
 }
@@ -123,7 +123,7 @@
 	d := l.rows[u]
 	if d == nil {
 		d = &declared{}
-		d.limit.Divide(0, l.part)
+		d.limit.SetFraction(0, l.part)
 		l.rows[u] = d
 	}
 	return d
@@ -148,21 +148,21 @@
 	}
 	d := p.declared.of(u)
 	changed := d.learn(now, s)
-	if changed && s.Kind == statement.Rest && d.shed && r != nil {
+	if changed && s.Kind == statement.BackOff && d.shed && r != nil {
 		// One that has too much of one VM probably has too much, until a request of another one shows otherwise.
 		r.health.shut(now)
 	}
 	return changed
 }
 
-// Divide tells the pool which part of the limits it may grant: other VMs, which it cannot ask, may grant at the same upstreams.
-func (p *Pool) Divide(now clock.Milli, part float64) {
+// SetLimitShare tells the pool which part of the limits it may grant: other VMs, which it cannot ask, may grant at the same upstreams.
+func (p *Pool) SetLimitShare(now clock.Milli, part float64) {
 	if p.declared.part == part {
 		return
 	}
 	p.declared.part = part
 	for _, d := range p.declared.rows {
-		d.limit.Divide(now, part)
+		d.limit.SetFraction(now, part)
 	}
 }
 
@@ -213,7 +213,7 @@
 		if r.leaves() || !r.health.open(now) {
 			continue
 		}
-		if !r.declared.limit.Bounds(now) {
+		if !r.declared.limit.Limited(now) {
 			return supply{}
 		}
 		s.bounded = true
--- a/lib/decide/span/declared_test.go
+++ b/lib/decide/span/declared_test.go
@@ -86,7 +86,7 @@
 // which there is room, and not when its time is over.
 func TestWhatLimitsWillNotServeIsRefusedAtOnce(t *testing.T) {
 	b := &bench{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
-	b.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Service: "s", Slots: 6}, {ID: "b", Service: "s", Slots: 6}})
+	b.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Service: "s", Slots: 6}, {ID: "b", Service: "s", Slots: 6}})
 	b.limit(now, "a", 1)
 	b.limit(now, "b", 1)
 	at := now + 5*clock.Second
@@ -150,7 +150,7 @@
 	b, next := newBench(t, 2), newBench(t, 2)
 	b.limit(now, "e00", 8)
 	b.notes(now, now+clock.Second, 20)
-	next.Restore(now+clock.Second, b.Books(now+clock.Second))
+	next.Restore(now+clock.Second, b.Snapshot(now+clock.Second))
 	require.LessOrEqual(t, next.notes(now+clock.Second, now+clock.Second+100, 10)["e00"], 1)
 	require.InDelta(t, 16, next.notes(now+1100, now+3100, 20)["e00"], 2)
 }
@@ -159,10 +159,10 @@
 func TestAnEngineThatNamesALimitIsPolledRarely(t *testing.T) {
 	b := newBench(t, 2)
 	b.limit(now, "e00", 1)
-	b.Doubt()
+	b.MarkUnverified()
 	polls := map[decide.UpstreamID]int{}
 	for at := now + clock.Second; at < now+5*clock.Second; at += 100 {
-		for _, id := range b.Doubtful(at, "owner", math.MaxInt) {
+		for _, id := range b.TakeDuePolls(at, "owner", math.MaxInt) {
 			polls[id]++
 		}
 	}
@@ -171,7 +171,7 @@
 
 // rest has an upstream ask a VM for rest.
 func (b *bench) rest(at clock.Milli, u decide.UpstreamID, g decide.GateID, span clock.Milli) {
-	b.Learn(at, u, statement.Statement{Kind: statement.Rest, Named: true, Gate: g, At: at, Until: at + span})
+	b.Learn(at, u, statement.Statement{Kind: statement.BackOff, Named: true, Gate: g, At: at, Until: at + span})
 }
 
 // leave has an upstream say to a VM that it leaves.
@@ -302,13 +302,13 @@
 	b := newBench(t, 0)
 	us := []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: 5}, {ID: "e01", Service: "s", Slots: engine.Slots, Born: 5}}
 	s := &route.Service{ID: "s", Engine: &engine}
-	b.Serve(s, us)
+	b.SetUpstreams(s, us)
 	b.Learn(now, "e00", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "g", Born: 5, At: now})
-	b.Serve(s, us[1:])
-	b.Serve(s, us)
+	b.SetUpstreams(s, us[1:])
+	b.SetUpstreams(s, us)
 	require.Zero(t, b.notes(now+clock.Second, now+3*clock.Second, 50)["e00"])
 	us[0].Born = 6
-	b.Serve(s, us)
+	b.SetUpstreams(s, us)
 	require.NotZero(t, b.notes(now+4*clock.Second, now+5*clock.Second, 50)["e00"], "a later life is another upstream")
 }
 
@@ -316,14 +316,14 @@
 func TestALifeThatComesAfterAGapIsAnotherUpstream(t *testing.T) {
 	b := newBench(t, 0)
 	s := &route.Service{ID: "s", Engine: &engine}
-	list := func(born decide.Born) []route.Upstream {
+	list := func(born decide.Incarnation) []route.Upstream {
 		return []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: born}}
 	}
-	b.Serve(s, list(5))
+	b.SetUpstreams(s, list(5))
 	b.Learn(now, "e00", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "g", Born: 5, At: now})
 	b.rest(now, "e00", "g", clock.Minute)
-	b.Serve(s, nil)
-	b.Serve(s, list(6))
+	b.SetUpstreams(s, nil)
+	b.SetUpstreams(s, list(6))
 	d, _ := b.ask(now+clock.Second, b.note(now+clock.Second))
 	require.Equal(t, "rest", d.Reason, "a rest of an unknown life may be its own")
 	b.rows["e00"].declared.rests = nil
@@ -351,7 +351,7 @@
 	b, next := newBench(t, 3), newBench(t, 3)
 	b.leave("e00", "g")
 	b.rest(now, "e01", "g", 3*clock.Second)
-	next.Restore(now+100, b.Books(now+100))
+	next.Restore(now+100, b.Snapshot(now+100))
 	at := now + 200
 	led := map[decide.UpstreamID]int{}
 	for ; at < now+3*clock.Second; at += 50 {
@@ -369,10 +369,10 @@
 // An owner polls engines in doubt. One that wants a rest from its VM, or leaves, must not get polls either.
 func TestAnOwnerDoesNotPollWhoWantsRestFromIt(t *testing.T) {
 	b := newBench(t, 3)
-	b.Doubt()
+	b.MarkUnverified()
 	b.rest(now, "e00", "owner", clock.Second)
 	b.leave("e01", "g")
-	require.Equal(t, []decide.UpstreamID{"e02"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e02"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	_, decided := b.ask(now+firstShut, b.by(now+firstShut, "h"))
 	require.True(t, decided, "others use the engine all the same")
 }
@@ -380,9 +380,9 @@
 // What is left of a rest travels in messages, each of which takes its time. Taken for a new rest each time, the engine would be left alone longer and longer.
 func TestAMessageThatTakesItsTimeIsNoNewRest(t *testing.T) {
 	b := newBench(t, 1)
-	s := statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: now, Until: now + clock.Second}
+	s := statement.Statement{Kind: statement.BackOff, Named: true, Gate: "g", At: now, Until: now + clock.Second}
 	require.True(t, b.Learn(now, "e00", s))
-	require.False(t, b.Learn(now+5, "e00", s.Aged(now, "e00").Statement(now+5)))
+	require.False(t, b.Learn(now+5, "e00", s.Message(now, "e00").Statement(now+5)))
 	s.Until += clock.Second
 	require.True(t, b.Learn(now+10, "e00", s))
 }
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -39,7 +39,7 @@
 
 // granted is a grant in the pool's books.
 type granted struct {
-	Live
+	LiveGrant
 	ask Ask
 	at  clock.Milli
 	// presented is set for a grant of another owner's: it is older than at.
@@ -135,7 +135,7 @@
 // used is the KV memory in tokens that is taken here.
 func (r *row) used() decide.Tokens { return r.foreignUsed + r.taken }
 
-func reserved(ps []Place) decide.Tokens {
+func reserved(ps []Placement) decide.Tokens {
 	var sum decide.Tokens
 	for _, p := range ps {
 		sum += p.Reserve
@@ -155,7 +155,7 @@
 // spare is the free memory that may be set aside for a prompt that another engine leads. One that bounds its requests sets none aside: it may
 // count the orders as requests.
 func (r *row) spare(now clock.Milli) decide.Tokens {
-	if r.declared.limit.Bounds(now) {
+	if r.declared.limit.Limited(now) {
 		return 0
 	}
 	return r.free()
@@ -184,7 +184,7 @@
 func (r *row) take(now clock.Milli, g *granted, read float64) {
 	if r.streams > 0 && read > 0 {
 		// Streams that are written meanwhile take their part of each pass.
-		read += r.engine.Pass(r.streams, r.context)
+		read += r.engine.PassTime(r.streams, r.context)
 	}
 	read *= max(r.pace, 1)
 	r.until = max(r.until, float64(now)) + read
--- a/lib/decide/span/foreign.go
+++ b/lib/decide/span/foreign.go
@@ -22,12 +22,12 @@
 // pollEvery is the least time between two polls of one upstream: its reports are some 200 ms old, and each poll costs it a little.
 const pollEvery = 300 * clock.Milli(1)
 
-// Doubtful lists upstreams whose reports are wanted, up to so many, and takes them for asked now: all of a new owner's, those that turned a
+// TakeDuePolls lists upstreams whose reports are wanted, up to so many, and takes them for asked now: all of a new owner's, those that turned a
 // request away, those that held work which no grant explains, and those that are slow or
 // may be. Engines of the first two sorts get nothing until they have reported, or are known
 // not to, so they come first; behind them comes who was asked longest ago. The VM that asks is named: it must not ask one that wants a
 // rest from it.
-func (p *Pool) Doubtful(now clock.Milli, gate decide.GateID, most int) []decide.UpstreamID {
+func (p *Pool) TakeDuePolls(now clock.Milli, gate decide.GateID, most int) []decide.UpstreamID {
 	if !scans(p.listed, now, len(p.order)) {
 		return nil
 	}
@@ -38,7 +38,7 @@
 		case !r.doubtful && r.foreign == 0 && !r.suspected && !r.slow():
 		case r.leaves() || !r.pollable(now):
 		case now < r.declared.rest(gate):
-			p.Unreported(r.ID)
+			p.AssumeVerified(r.ID)
 		default:
 			rows = append(rows, r)
 		}
@@ -68,8 +68,8 @@
 	return 1
 }
 
-// Pressing reports whether reports are due of engines that get nothing, or less than they could take, until they come.
-func (p *Pool) Pressing(now clock.Milli) bool {
+// UrgentPollsDue reports whether reports are due of engines that get nothing, or less than they could take, until they come.
+func (p *Pool) UrgentPollsDue(now clock.Milli) bool {
 	return slices.ContainsFunc(p.asks(), func(r *row) bool {
 		return (r.doubtful || r.foreign > 0) && !r.leaves() && r.pollable(now)
 	})
@@ -86,14 +86,14 @@
 // pollable reports whether an upstream may be polled again.
 func (r *row) pollable(now clock.Milli) bool {
 	least := pollEvery
-	if r.declared.limit.Bounds(now) {
+	if r.declared.limit.Limited(now) {
 		least = limitedPolls
 	}
 	return r.polled == 0 || now-r.polled >= least
 }
 
-// Doubt marks all upstreams as holding work that the books may miss: the pool has a new owner.
-func (p *Pool) Doubt() {
+// MarkUnverified marks all upstreams as holding work that the books may miss: the pool has a new owner.
+func (p *Pool) MarkUnverified() {
 	for _, r := range p.order {
 		r.doubtful = true
 	}
@@ -165,8 +165,8 @@
 	r.ended = append(r.ended[keep:], now)
 }
 
-// Unreported ends the doubt about an upstream that does not report.
-func (p *Pool) Unreported(id decide.UpstreamID) {
+// AssumeVerified ends the doubt about an upstream that does not report.
+func (p *Pool) AssumeVerified(id decide.UpstreamID) {
 	if r := p.rows[id]; r != nil {
 		r.doubtful, r.suspected, r.foreign, r.foreignUsed = false, false, 0, 0
 	}
--- a/lib/decide/span/isolated.go
+++ b/lib/decide/span/isolated.go
@@ -27,8 +27,8 @@
 	seed string
 }
 
-// Isolate tells the pool whether its owner knows of no other one; seed names the owner.
-func (p *Pool) Isolate(on bool, seed string) {
+// SetIsolated tells the pool whether its owner knows of no other one; seed names the owner.
+func (p *Pool) SetIsolated(on bool, seed string) {
 	p.isolation = isolation{on: on, seed: seed}
 }
 
--- a/lib/decide/span/isolated_test.go
+++ b/lib/decide/span/isolated_test.go
@@ -16,7 +16,7 @@
 	all := map[decide.UpstreamID]int{}
 	for vm := range 6 {
 		b := newBench(t, 23)
-		b.Isolate(true, fmt.Sprint("vm-", vm))
+		b.SetIsolated(true, fmt.Sprint("vm-", vm))
 		for range 8 {
 			g := b.granted(now, b.note(now))
 			require.Less(t, float64(g.First), 300.0)
@@ -32,17 +32,17 @@
 // Such an owner asks its own engines alone for their load, and lets long prompts wait: all others would give them the same engines.
 func TestAnOwnerThatKnowsOfNobodyUsesItsOwnEngines(t *testing.T) {
 	b := newBench(t, 23)
-	b.Doubt()
-	b.Isolate(true, "vm-1")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), isolatedEngines)
-	b.Isolate(false, "vm-1")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 23-isolatedEngines)
-	require.Len(t, b.Doubtful(now+pollEvery, "owner", math.MaxInt), 23)
+	b.MarkUnverified()
+	b.SetIsolated(true, "vm-1")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), isolatedEngines)
+	b.SetIsolated(false, "vm-1")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 23-isolatedEngines)
+	require.Len(t, b.TakeDuePolls(now+pollEvery, "owner", math.MaxInt), 23)
 	b = newBench(t, 23)
-	b.Isolate(true, "vm-1")
+	b.SetIsolated(true, "vm-1")
 	long := b.history(now, 200_000)
 	_, decided := b.ask(now, long)
 	require.False(t, decided)
-	b.Isolate(false, "vm-1")
+	b.SetIsolated(false, "vm-1")
 	require.Len(t, b.Tick(now), 1)
 }
--- a/lib/decide/span/life_test.go
+++ b/lib/decide/span/life_test.go
@@ -11,8 +11,8 @@
 )
 
 // lives serves one engine in a life.
-func (b *bench) lives(born decide.Born) {
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
+func (b *bench) lives(born decide.Incarnation) {
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
 }
 
 // The only engine crashes under all the streams that it can hold, and starts again under its id within a second. Until its
@@ -38,7 +38,7 @@
 	b.End(now+10, first.Request, Unreachable, "")
 	require.True(t, r.health.open(now+10), "the death of its earlier life does not shut it out")
 	require.Equal(t, 1, r.streams)
-	b.Present(now+20, "g", []Live{{Grant: first, Writing: true}})
+	b.Present(now+20, "g", []LiveGrant{{Grant: first, Writing: true}})
 	require.Equal(t, 1, r.streams, "a grant of its earlier life weighs nothing")
 	b.lives(5)
 	require.EqualValues(t, 6, r.Born, "an older list changes nothing")
@@ -48,7 +48,7 @@
 func TestANewLifeIsKnownByItsReport(t *testing.T) {
 	b := newBench(t, 0)
 	b.lives(5)
-	b.Doubt()
+	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 9, Used: 400_000, Pace: 4, Born: 5})
 	r := b.rows["e00"]
 	require.True(t, r.slow())
--- a/lib/decide/span/place.go
+++ b/lib/decide/span/place.go
@@ -59,7 +59,7 @@
 // id chooses, or owners that do not know of each other would all choose the first.
 func (p *Pool) placePlain(now clock.Milli, a *Ask) (plan, bool) {
 	for _, r := range p.order {
-		if r.declared.limit.Stale(now) && r.usable(now, a) && len(r.grants)+r.foreign < max(r.Slots, 1) {
+		if r.declared.limit.ProbeDue(now) && r.usable(now, a) && len(r.grants)+r.foreign < max(r.Slots, 1) {
 			return plan{leader: r, reason: "renewal"}, true
 		}
 	}
@@ -84,7 +84,7 @@
 // reads it stays within the shortest pause borne there.
 func (p *Pool) placeLight(now clock.Milli, a *Ask, cost float64) (plan, bool) {
 	for _, r := range p.order {
-		if !r.declared.limit.Stale(now) {
+		if !r.declared.limit.ProbeDue(now) {
 			continue
 		}
 		if first, ok := p.fitsLight(now, a, r, cost, math.MaxInt); ok {
@@ -94,7 +94,7 @@
 	for _, try := range []struct {
 		most int
 		slow bool
-	}{{p.rules.Packed, false}, {math.MaxInt, false}, {math.MaxInt, true}} {
+	}{{p.rules.PackedStreams, false}, {math.MaxInt, false}, {math.MaxInt, true}} {
 		for _, r := range p.order {
 			if r.slow() != try.slow {
 				continue
@@ -136,7 +136,7 @@
 	if a.Gap > 0 && (pause == 0 || a.Gap < pause) {
 		pause = a.Gap
 	}
-	return pause == 0 || pass <= p.rules.Safety*float64(pause)
+	return pause == 0 || pass <= p.rules.PauseFraction*float64(pause)
 }
 
 // placeHeavy spreads a long read over engines that are free of short streams and
@@ -150,7 +150,7 @@
 		return plan{}, false
 	}
 	free := p.large.leaves(w, p.freeForReads(now, a))
-	for n := min(int(math.Ceil(cost/p.rules.Part)), p.rules.Group, len(free)); n >= need; n-- {
+	for n := min(int(math.Ceil(cost/p.rules.PartRead)), p.rules.MaxGroup, len(free)); n >= need; n-- {
 		if pl, ok := p.gather(now, a, cost/float64(n), free, n); ok {
 			return pl, true
 		}
@@ -200,7 +200,7 @@
 		}
 		slack := math.Inf(1)
 		if r.pause > 0 {
-			slack = p.rules.Interleaved*float64(r.pause) - r.pass(r.streams, r.context) - r.debt(now)
+			slack = p.rules.InterleavedFraction*float64(r.pause) - r.pass(r.streams, r.context) - r.debt(now)
 		}
 		if slack > 0 {
 			rooms = append(rooms, room{r, slack})
@@ -217,7 +217,7 @@
 }
 
 // group is the most engines that can read one prompt.
-func (p *Pool) group() int { return max(1, min(p.rules.Group, len(p.order))) }
+func (p *Pool) group() int { return max(1, min(p.rules.MaxGroup, len(p.order))) }
 
 // freeForReads lists engines that may read a long prompt, from the end of the fixed order.
 func (p *Pool) freeForReads(now clock.Milli, a *Ask) []*row {
@@ -250,7 +250,7 @@
 		if r.light() {
 			liked = -1 - r.streams
 		}
-		if r.declared.limit.Stale(now) {
+		if r.declared.limit.ProbeDue(now) {
 			liked = math.MaxInt
 		}
 		if (r.streams == 0 || leads) && r.streams < r.engine.Slots && liked > most && r.free() >= min(a.Prompt+a.Output, r.usual()) {
@@ -277,7 +277,7 @@
 func (p *Pool) grant(now clock.Milli, a *Ask, pl plan) Grant {
 	g := Grant{
 		Request: a.ID, Gate: a.Gate, Prompt: a.Prompt, Output: a.Output, Gap: a.Gap, Stream: a.Stream,
-		Leader: Place{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.part},
+		Leader: Placement{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.part},
 		First:  clock.Milli(pl.first),
 	}
 	over := decide.Tokens(0)
@@ -287,9 +287,9 @@
 	for _, h := range pl.helpers {
 		keep := min(max(over, 0), h.spare(now))
 		over -= keep
-		g.Helpers = append(g.Helpers, Place{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.part, Reserve: keep})
+		g.Helpers = append(g.Helpers, Placement{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.part, Reserve: keep})
 	}
-	for _, r := range p.adopt(now, Live{Grant: g}, *a).rows {
+	for _, r := range p.adopt(now, LiveGrant{Grant: g}, *a).rows {
 		r.begins(now, a.ID)
 	}
 	return g
--- a/lib/decide/span/pool.go
+++ b/lib/decide/span/pool.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Serve tells the pool of its service and the upstreams of it that are there.
-func (p *Pool) Serve(s *route.Service, us []route.Upstream) {
+// SetUpstreams tells the pool of its service and the upstreams of it that are there.
+func (p *Pool) SetUpstreams(s *route.Service, us []route.Upstream) {
 	p.engine = engineOf(s)
 	seen := make(map[decide.UpstreamID]bool, len(us))
 	for _, u := range us {
@@ -183,7 +183,7 @@
 }
 
 // holds reports whether memory is reserved at an upstream.
-func holds(hs []Place, id decide.UpstreamID) bool {
+func holds(hs []Placement, id decide.UpstreamID) bool {
 	for _, h := range hs {
 		if h.Upstream == id {
 			return h.Reserve > 0
@@ -221,7 +221,7 @@
 
 // Present takes the live grants of one gate: those that are unknown here were
 // made by another owner, and those that it does not name have ended.
-func (p *Pool) Present(now clock.Milli, gate decide.GateID, live []Live) {
+func (p *Pool) Present(now clock.Milli, gate decide.GateID, live []LiveGrant) {
 	named := make(map[decide.RequestID]bool, len(live))
 	for _, l := range live {
 		named[l.Grant.Request] = true
@@ -247,10 +247,10 @@
 }
 
 // adopt enters a grant in the books of all its upstreams.
-func (p *Pool) adopt(now clock.Milli, l Live, a Ask) *granted {
-	g := &granted{Live: l, ask: a, at: now, heard: now}
+func (p *Pool) adopt(now clock.Milli, l LiveGrant, a Ask) *granted {
+	g := &granted{LiveGrant: l, ask: a, at: now, heard: now}
 	p.grants[l.Grant.Request] = g
-	for _, pl := range append([]Place{l.Grant.Leader}, l.Grant.Helpers...) {
+	for _, pl := range append([]Placement{l.Grant.Leader}, l.Grant.Helpers...) {
 		r := p.rows[pl.Upstream]
 		if r == nil || r.earlier(pl.Born) {
 			continue
--- a/lib/decide/span/pool_test.go
+++ b/lib/decide/span/pool_test.go
@@ -42,7 +42,7 @@
 		id := decide.UpstreamID(fmt.Sprintf("e%02d", i))
 		us[i] = route.Upstream{ID: id, Service: "s", Address: string(id), Slots: engine.Slots}
 	}
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, us)
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, us)
 }
 
 // note is a short request.
@@ -96,10 +96,10 @@
 func TestShortWorkIsPacked(t *testing.T) {
 	b := newBench(t, 4)
 	used := map[decide.UpstreamID]int{}
-	for range 2 * DefaultRules.Packed {
+	for range 2 * DefaultRules.PackedStreams {
 		used[b.runs(b.note(now)).Leader.Upstream]++
 	}
-	require.Equal(t, map[decide.UpstreamID]int{"e00": DefaultRules.Packed, "e01": DefaultRules.Packed}, used)
+	require.Equal(t, map[decide.UpstreamID]int{"e00": DefaultRules.PackedStreams, "e01": DefaultRules.PackedStreams}, used)
 }
 
 // Twenty short requests arrive within a millisecond. An engine reads all prompts that
@@ -113,7 +113,7 @@
 		read[g.Leader.Upstream] += g.Leader.Read
 	}
 	for id, r := range read {
-		require.Less(t, r+engine.Pass(1, 5000), 200.0, id)
+		require.Less(t, r+engine.PassTime(1, 5000), 200.0, id)
 	}
 }
 
@@ -133,7 +133,7 @@
 	b := newBench(t, 3)
 	note := b.runs(b.note(now))
 	g := b.granted(now, b.history(now, 210_000))
-	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
+	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
 		require.NotEqual(t, note.Leader.Upstream, p.Upstream)
 	}
 	require.NotContains(t, []decide.UpstreamID{g.Leader.Upstream}, b.granted(now, b.note(now)).Leader.Upstream)
@@ -145,9 +145,9 @@
 	b := newBench(t, 2)
 	first := b.runs(b.history(now, 120_000))
 	g := b.granted(now, b.history(now, 210_000))
-	for _, p := range append([]Place{g.Leader}, g.Helpers...) {
+	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
 		if p.Upstream == first.Leader.Upstream {
-			require.Less(t, p.Read+engine.Pass(2, 330_000), 800.0)
+			require.Less(t, p.Read+engine.PassTime(2, 330_000), 800.0)
 		}
 	}
 }
@@ -273,15 +273,15 @@
 	b := newBench(t, 1)
 	g := b.granted(now, b.note(now))
 	b.End(now, g.Request, Done, "")
-	b.Present(now+10, "g", []Live{{Grant: g}})
+	b.Present(now+10, "g", []LiveGrant{{Grant: g}})
 	require.Equal(t, Counts{Upstreams: 1}, b.Counts())
 }
 
 func TestASuccessorLearnsWhatRuns(t *testing.T) {
 	old, successor := newBench(t, 2), newBench(t, 2)
-	var live []Live
-	for range DefaultRules.Packed {
-		live = append(live, Live{Grant: old.runs(old.note(now)), Writing: true})
+	var live []LiveGrant
+	for range DefaultRules.PackedStreams {
+		live = append(live, LiveGrant{Grant: old.runs(old.note(now)), Writing: true})
 	}
 	successor.asked = old.asked
 	successor.Present(now, "g", live)
@@ -301,7 +301,7 @@
 func TestWhatAGateDoesNotNameHasEnded(t *testing.T) {
 	b := newBench(t, 1)
 	kept, lost := b.runs(b.note(now)), b.runs(b.note(now))
-	b.Present(now+askLives+1, "g", []Live{{Grant: kept, Writing: true}})
+	b.Present(now+askLives+1, "g", []LiveGrant{{Grant: kept, Writing: true}})
 	require.Contains(t, b.grants, kept.Request)
 	require.NotContains(t, b.grants, lost.Request)
 	require.NotContains(t, b.rows["e00"].grants, lost.Request)
@@ -311,8 +311,8 @@
 // new owner that trusts its empty books packs all work on the fullest engine.
 func TestWorkThatNoGrantExplainsIsCounted(t *testing.T) {
 	b := newBench(t, 3)
-	b.Doubt()
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 3)
+	b.MarkUnverified()
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 3)
 	early := b.note(now)
 	_, decided := b.ask(now, early)
 	require.False(t, decided, "nothing is sent to engines that may be full")
@@ -321,8 +321,8 @@
 	b.Report(now, "e01", exchange.Load{})
 	b.Report(now, "e02", exchange.Load{})
 	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
-	require.Empty(t, b.Doubtful(now+pollEvery-1, "owner", math.MaxInt), "its report would be the same")
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollEvery, "owner", math.MaxInt))
+	require.Empty(t, b.TakeDuePolls(now+pollEvery-1, "owner", math.MaxInt), "its report would be the same")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now+pollEvery, "owner", math.MaxInt))
 	b.Report(now, "e00", exchange.Load{})
 	require.Equal(t, decide.UpstreamID("e00"), b.granted(now, b.note(now)).Leader.Upstream)
 }
@@ -332,11 +332,11 @@
 func TestEnginesThatGetNothingAreAskedFirst(t *testing.T) {
 	const engines, most = 300, 10
 	b := newBench(t, engines)
-	b.Doubt()
+	b.MarkUnverified()
 	at, rounds := now, 0
 	asked := map[decide.UpstreamID]int{}
 	round := func() {
-		for _, id := range b.Doubtful(at, "owner", most) {
+		for _, id := range b.TakeDuePolls(at, "owner", most) {
 			asked[id]++
 			b.Report(at, id, exchange.Load{Requests: 4, Used: 10_000})
 		}
@@ -344,7 +344,7 @@
 		rounds++
 	}
 	for len(asked) < engines && rounds < engines {
-		require.True(t, b.Pressing(at))
+		require.True(t, b.UrgentPollsDue(at))
 		round()
 	}
 	require.Equal(t, engines/most, rounds, "each round asks engines that were not asked yet")
@@ -363,10 +363,10 @@
 	for id := range b.rows {
 		b.limit(now, id, 1)
 	}
-	b.Doubt()
+	b.MarkUnverified()
 	asked := map[decide.UpstreamID]bool{}
 	for range 4 {
-		for _, id := range b.Doubtful(now+clock.Second, "owner", 1) {
+		for _, id := range b.TakeDuePolls(now+clock.Second, "owner", 1) {
 			asked[id] = true
 		}
 	}
@@ -379,7 +379,7 @@
 	b := newBench(t, 2)
 	g := b.granted(now, b.note(now))
 	b.End(now, g.Request, Full, "")
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
 }
 
@@ -484,19 +484,19 @@
 func TestALeavingEngineKeepsItsGrants(t *testing.T) {
 	b := newBench(t, 2)
 	g := b.runs(b.note(now))
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
 	require.Equal(t, decide.UpstreamID("e01"), b.granted(now, b.note(now)).Leader.Upstream)
 	require.Contains(t, b.grants, g.Request)
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
 	require.Contains(t, b.rows, decide.UpstreamID("e00"), "it has work")
 	b.End(now, g.Request, Done, "")
-	b.Serve(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
+	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e01", Slots: 16}})
 	require.NotContains(t, b.rows, decide.UpstreamID("e00"))
 }
 
 func TestPlainWorkGoesWhereTheFewestAre(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
+	p.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 2}, {ID: "b", Slots: 2}})
 	for i := range 5 {
 		_, _ = p.Ask(now, Ask{ID: decide.RequestID(fmt.Sprint(i)), Gate: "g", Aim: now + 100, Deadline: now + 1500})
 	}
@@ -541,7 +541,7 @@
 // slot is near, and a refusal would cost the caller more than the wait.
 func TestAFullPlainServiceIsWaitedFor(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-	p.Serve(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
+	p.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
 	for _, id := range []decide.RequestID{"1", "2"} {
 		_, _ = p.Ask(now, Ask{ID: id, Gate: "g", Aim: now + 100, Deadline: now + 1500})
 	}
@@ -573,7 +573,7 @@
 // keep it from everybody else for nine seconds, and its caller would get nothing.
 func TestALatePromptGetsAsManyEnginesAsItsDeadlineNeeds(t *testing.T) {
 	b := newBench(t, 8)
-	b.rules.Packed = 1
+	b.rules.PackedStreams = 1
 	for range 6 {
 		b.runs(b.note(now))
 	}
@@ -631,14 +631,14 @@
 // short streams, it is late, although the engines could read for more than half of their time.
 func TestALongPromptIsReadInSmallPartsBesideShortStreams(t *testing.T) {
 	b := newBench(t, 6)
-	for range 6 * DefaultRules.Packed {
+	for range 6 * DefaultRules.PackedStreams {
 		b.runs(b.note(now))
 	}
 	g := b.granted(now, b.history(now, 45_000))
 	require.GreaterOrEqual(t, len(g.Helpers), 3)
 	for _, pl := range append(g.Helpers, g.Leader) {
 		r := b.rows[pl.Upstream]
-		require.LessOrEqual(t, r.debt(now)+r.engine.Pass(r.streams, r.context), DefaultRules.Safety*200)
+		require.LessOrEqual(t, r.debt(now)+r.engine.PassTime(r.streams, r.context), DefaultRules.PauseFraction*200)
 	}
 }
 
@@ -646,8 +646,8 @@
 // them to have fewer. A file read in small parts now would take what that one waits for.
 func TestNoLongPromptIsReadBesideShortStreamsWhileShortWorkWaits(t *testing.T) {
 	b := newBench(t, 6)
-	b.rules.Interleaved = b.rules.Safety
-	for range 6 * DefaultRules.Packed {
+	b.rules.InterleavedFraction = b.rules.PauseFraction
+	for range 6 * DefaultRules.PackedStreams {
 		b.runs(b.note(now))
 	}
 	hurried := b.note(now)
@@ -681,7 +681,7 @@
 	used := map[decide.UpstreamID]int{}
 	for i := range 60 {
 		p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
-		p.Serve(nil, []route.Upstream{{ID: "a", Slots: 6}, {ID: "b", Slots: 6}, {ID: "c", Slots: 6}})
+		p.SetUpstreams(nil, []route.Upstream{{ID: "a", Slots: 6}, {ID: "b", Slots: 6}, {ID: "c", Slots: 6}})
 		_, _ = p.Ask(now, Ask{ID: decide.RequestID(fmt.Sprint("vm-", i)), Gate: "g", Aim: now + 100, Deadline: now + 1000})
 		used[p.Tick(now)[0].Grant.Leader.Upstream]++
 	}
@@ -696,17 +696,17 @@
 	b := newBench(t, 4)
 	g := b.granted(now, b.history(now, 200_000))
 	require.Len(t, g.Helpers, 3)
-	require.Empty(t, b.Doubtful(now, "owner", math.MaxInt))
+	require.Empty(t, b.TakeDuePolls(now, "owner", math.MaxInt))
 	at := now + 2*g.First
 	b.First(at, g.Request)
 	b.End(at, g.Request, Done, "")
-	require.Len(t, b.Doubtful(now, "owner", math.MaxInt), 4, "each of the four may be the slow one")
+	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 4, "each of the four may be the slow one")
 	for _, id := range []decide.UpstreamID{"e01", "e02", "e03"} {
 		b.Report(at, id, exchange.Load{Requests: 1, Pace: 1})
 		require.Zero(t, b.rows[id].foreign, "its count is older than the books")
 	}
 	b.Report(at, "e00", exchange.Load{Pace: 4})
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now+pollEvery, "owner", math.MaxInt), "a slow one is asked again, until it is well")
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now+pollEvery, "owner", math.MaxInt), "a slow one is asked again, until it is well")
 
 	g = b.granted(at, b.history(at, 200_000))
 	for _, pl := range append(g.Helpers, g.Leader) {
@@ -723,7 +723,7 @@
 // short requests would queue there for a second.
 func TestAReportIsHeldAgainstTheBooksOfItsTime(t *testing.T) {
 	b := newBench(t, 2)
-	b.Doubt()
+	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 10, Used: 50_000})
 	b.Report(now, "e01", exchange.Load{Requests: 10, Used: 50_000})
 	for range 4 {
@@ -747,11 +747,11 @@
 // asks for, which counts them. Taken for callers who are gone, they would count twice, and engines with room for as many would look full.
 func TestPresentedGrantsAreInTheReport(t *testing.T) {
 	before, b := newBench(t, 1), newBench(t, 1)
-	var live []Live
+	var live []LiveGrant
 	for range 6 {
-		live = append(live, Live{Grant: before.runs(before.note(now)), Writing: true})
+		live = append(live, LiveGrant{Grant: before.runs(before.note(now)), Writing: true})
 	}
-	b.Doubt()
+	b.MarkUnverified()
 	b.Present(now, "g", live)
 	b.Report(now+5, "e00", exchange.Load{Requests: 6, Used: 40_000})
 	require.Zero(t, b.rows["e00"].foreign)
@@ -766,7 +766,7 @@
 	require.Equal(t, decide.UpstreamID("e00"), late.Leader.Upstream)
 	at := now + late.First + lateSlack + 100
 	require.Equal(t, decide.UpstreamID("e01"), b.granted(at, b.note(at)).Leader.Upstream)
-	require.Equal(t, []decide.UpstreamID{"e00"}, b.Doubtful(now, "owner", math.MaxInt))
+	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now, "owner", math.MaxInt))
 	b.First(at+10, late.Request)
 	require.Equal(t, decide.UpstreamID("e00"), b.granted(at+10, b.note(at+10)).Leader.Upstream, "it has caught up")
 }
@@ -783,7 +783,7 @@
 // that came at once is late by then, but there is no pressure: it is served when they have answered.
 func TestANewOwnerRefusesNothingForPressure(t *testing.T) {
 	b := newBench(t, 2)
-	b.Doubt()
+	b.MarkUnverified()
 	a := b.note(now)
 	a.Patience = now + 2000
 	_, decided := b.ask(now, a)
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -33,11 +33,11 @@
 	if p.engine == nil || w.Prompt == 0 {
 		return
 	}
-	w.cost = p.engine.Reading(w.Prompt)
+	w.cost = p.engine.PrefillTime(w.Prompt)
 	w.least = w.cost
 	if w.heavy = w.cost > p.lightest(&w.Ask); w.heavy {
 		w.least = w.cost / float64(p.group())
-		w.last = min(w.last, w.Deadline-clock.Milli(p.engine.Writing(w.Likely, w.Prompt)))
+		w.last = min(w.last, w.Deadline-clock.Milli(p.engine.DecodeTime(w.Likely, w.Prompt)))
 	}
 }
 
@@ -51,11 +51,11 @@
 // Short requests that fit into the pauses of their kind would else be spread like long ones, over engines that long ones need.
 func (p *Pool) lightest(a *Ask) float64 {
 	if a.Gap <= 0 || a.Gap > lightPause {
-		return p.rules.Light
+		return p.rules.MaxShortRead
 	}
-	streams := min(p.rules.Packed, p.engine.Slots)
-	pass := p.engine.Pass(streams, decide.Tokens(streams)*shortContext)
-	return max(p.rules.Light, p.rules.Safety*float64(a.Gap)-pass)
+	streams := min(p.rules.PackedStreams, p.engine.Slots)
+	pass := p.engine.PassTime(streams, decide.Tokens(streams)*shortContext)
+	return max(p.rules.MaxShortRead, p.rules.PauseFraction*float64(a.Gap)-pass)
 }
 
 // round is one scan of the whole queue.
@@ -249,7 +249,7 @@
 	}
 	d.Grant = p.grant(now, a, pl)
 	if s, known := pl.leader.declared.limit.Statement(); known {
-		limit := s.Aged(now, pl.leader.ID)
+		limit := s.Message(now, pl.leader.ID)
 		d.Limit = &limit
 	}
 	if w.heavy {
--- a/lib/decide/span/slow.go
+++ b/lib/decide/span/slow.go
@@ -24,7 +24,7 @@
 // pass is the time in milliseconds of one pass that writes streams with this many tokens of
 // context together, at the engine's present pace.
 func (r *row) pass(streams int, context decide.Tokens) float64 {
-	return max(r.pace, 1) * r.engine.Pass(streams, context)
+	return max(r.pace, 1) * r.engine.PassTime(streams, context)
 }
 
 // suspect notes the upstreams of a grant whose first byte came late.
--- a/lib/decide/span/span.go
+++ b/lib/decide/span/span.go
@@ -57,9 +57,9 @@
 	Request decide.RequestID
 	Gate    decide.GateID
 	// Leader is sent the request, and writes the answer.
-	Leader Place
+	Leader Placement
 	// Helpers read their parts of the prompt, in this order.
-	Helpers []Place
+	Helpers []Placement
 	// First is the span within which the first byte is expected.
 	First clock.Milli
 	// Prompt, Output, Gap and Stream are those of the Ask, so that a grant can be
@@ -69,11 +69,11 @@
 	Stream         bool
 }
 
-// Place is an upstream with the work that a grant puts on it.
-type Place struct {
+// Placement is an upstream with the work that a grant puts on it.
+type Placement struct {
 	Upstream decide.UpstreamID
 	// Born is the upstream's life that was known when the place was chosen.
-	Born    decide.Born
+	Born    decide.Incarnation
 	Address string
 	// Reserve is the KV memory in tokens that must be reserved there before the
 	// request is sent; zero for none.
@@ -103,7 +103,7 @@
 	// Reason names the rule that decided, for the log.
 	Reason string
 	// Limit is what is known of the limit of the upstream that leads; nil for nothing.
-	Limit *statement.Aged
+	Limit *statement.Message
 }
 
 // Outcome tells how a send ended, as far as it says something of the upstream.
@@ -139,8 +139,8 @@
 	return outcomeNames[o]
 }
 
-// Live is a grant in use, presented by its gate.
-type Live struct {
+// LiveGrant is a grant in use, presented by its gate.
+type LiveGrant struct {
 	Grant Grant
 	// Writing is set once the first byte came.
 	Writing bool
@@ -148,23 +148,23 @@
 
 // Rules are the pool's limits.
 type Rules struct {
-	// Light is the longest read in milliseconds that is placed among short
+	// MaxShortRead is the longest read in milliseconds that is placed among short
 	// streams. It is what fits into the pass of an engine whose streams bear
 	// pauses of 200 ms: the pass itself takes 55.
-	Light float64
-	// Packed is how many short streams an engine takes while others have room.
-	Packed int
-	// Part is the reading in milliseconds that one engine takes of a long
+	MaxShortRead float64
+	// PackedStreams is how many short streams an engine takes while others have room.
+	PackedStreams int
+	// PartRead is the reading in milliseconds that one engine takes of a long
 	// prompt while enough engines are free.
-	Part float64
-	// Group is the most engines that read one prompt.
-	Group int
-	// Safety is the share of a pause that a pass may fill.
-	Safety float64
-	// Interleaved is that share for a pass which reads a part of a long prompt beside short
+	PartRead float64
+	// MaxGroup is the most engines that read one prompt.
+	MaxGroup int
+	// PauseFraction is the share of a pause that a pass may fill.
+	PauseFraction float64
+	// InterleavedFraction is that share for a pass which reads a part of a long prompt beside short
 	// streams: the rest is for short prompts that come meanwhile.
-	Interleaved float64
+	InterleavedFraction float64
 }
 
 // DefaultRules are explained at each field of Rules.
-var DefaultRules = Rules{Light: 120, Packed: 12, Part: 200, Group: 16, Safety: 0.9, Interleaved: 0.7}
+var DefaultRules = Rules{MaxShortRead: 120, PackedStreams: 12, PartRead: 200, MaxGroup: 16, PauseFraction: 0.9, InterleavedFraction: 0.7}
