--- /dev/null
+++ b/daemon/caller/crash_test.go
@@ -0,0 +1,43 @@
+package caller
+
+import (
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// An upstream's process crashes. Its open streams break shortly before its listening socket is
+// closed, so a check in between still connects and the connection is then reset. If that counted as
+// running, the crash would not be recorded, and one request could crash more engines than the two
+// that are permitted.
+func TestCrashCheckRetriesAfterConnectionReset(t *testing.T) {
+	b := newHarness(t)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	go func() {
+		c, err := l.Accept()
+		if err == nil {
+			_ = c.(*net.TCPConn).SetLinger(0)
+			c.Close()
+		}
+		l.Close()
+	}()
+	require.True(t, b.gate.crashed(l.Addr().String()))
+}
+
+// A plain service breaks a connection but keeps running. If the check sent a request, the service
+// would run it, and a service that counts or sends messages would do so once more than its callers
+// asked.
+func TestCrashCheckSendsNoRequest(t *testing.T) {
+	var calls atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
+	defer s.Close()
+	b := newHarness(t)
+	require.False(t, b.gate.crashed(strings.TrimPrefix(s.URL, "http://")))
+	require.Zero(t, calls.Load())
+}
