--- a/daemon/caller/budget.go
+++ b/daemon/caller/budget.go
@@ -8,8 +8,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Budgets holds a retry budget for each pool. Each gate counts its own requests only.
-type Budgets struct {
+// RetryBudgets holds a retry budget for each pool. Each gate counts its own requests only.
+type RetryBudgets struct {
 	clock *clock.Clock
 
 	mu sync.Mutex
@@ -18,27 +18,27 @@
 	pools map[peer.PoolID]*gate.Budget
 }
 
-// NewBudgets returns budgets with the default parameters of package gate.
-func NewBudgets(c *clock.Clock) *Budgets {
-	return &Budgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
+// NewRetryBudgets returns budgets with the default parameters of package gate.
+func NewRetryBudgets(c *clock.Clock) *RetryBudgets {
+	return &RetryBudgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
 }
 
-// Succeeded implements Retries.
-func (b *Budgets) Succeeded(id peer.PoolID) {
+// RecordSuccess implements Retries.
+func (b *RetryBudgets) RecordSuccess(id peer.PoolID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget(id).Succeed(b.clock.Now())
 }
 
 // Allow implements Retries.
-func (b *Budgets) Allow(id peer.PoolID) bool {
+func (b *RetryBudgets) Allow(id peer.PoolID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget(id).Retry(b.clock.Now())
 }
 
 // budget returns the budget of a pool. The caller holds mu.
-func (b *Budgets) budget(id peer.PoolID) *gate.Budget {
+func (b *RetryBudgets) budget(id peer.PoolID) *gate.Budget {
 	x, ok := b.pools[id]
 	if !ok {
 		x = gate.NewBudget(0, 0, 0)
--- a/daemon/caller/buffered.go
+++ b/daemon/caller/buffered.go
@@ -15,7 +15,7 @@
 	w    http.ResponseWriter
 	q    *request
 	// received is the part of the response that has arrived in this attempt.
-	received    openai.Answer
+	received    openai.Collector
 	body        []byte
 	headersSent bool
 }
@@ -23,7 +23,7 @@
 // reset discards the partial response of a failed upstream. The next upstream starts again at the
 // first token, and the caller would otherwise get the beginning twice in a response that appears
 // complete.
-func (s *bufferedSink) reset() { s.received = openai.Answer{} }
+func (s *bufferedSink) reset() { s.received = openai.Collector{} }
 
 func (s *bufferedSink) started() bool        { return s.headersSent }
 func (s *bufferedSink) responseBody() []byte { return s.body }
@@ -33,7 +33,7 @@
 }
 
 func (s *bufferedSink) finish() error {
-	out, err := s.received.Whole(s.q.chat)
+	out, err := s.received.Response(s.q.chat)
 	if err != nil {
 		return engine.ErrBroken.Wrap(err)
 	}
--- a/daemon/caller/claim.go
+++ b/daemon/caller/claim.go
@@ -46,7 +46,8 @@
 	case peer.ClaimTaken:
 		return fault.New(fault.Duplicate, "a request with this key is in work, or its end is not known")
 	case peer.ClaimUnknown:
-		// The write may have succeeded or may still do so. Free the key once the store answers again.
+		// The write may have succeeded or may still do so. Free the key once the store answers
+		// again.
 		g.releaseClaim(q, true)
 	}
 	return fault.New(fault.Unavailable, "the key could not be claimed, so this request was not sent; an earlier one with the same key may have run: repeat it under the same key").WithRan(fault.RanNo).WithKey(fault.KeyUnknown).WithRetry(storeRetryAfterMillis)
@@ -92,7 +93,7 @@
 	})
 }
 
-// Settle waits until the background work of all requests has finished or timed out: recording the
-// ends of claims, returning grants and canceling at engines. Call it when no request is in progress
-// any more.
-func (g *Gate) Settle() { g.pending.Wait() }
+// WaitBackground waits until the background work of all requests has finished or timed out:
+// recording the ends of claims, returning grants and canceling at engines. Call it when no request
+// is in progress any more.
+func (g *Gate) WaitBackground() { g.pending.Wait() }
--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -25,8 +25,8 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Book provides the current configuration. Index reports false while none is loaded.
-type Book interface {
+// Registry provides the current configuration. Index reports false while none is loaded.
+type Registry interface {
 	Index() (*document.Index, bool)
 }
 
@@ -36,8 +36,8 @@
 	Owners(id peer.PoolID) []peer.Member
 	// Summary returns the latest known summary of a pool's load, false if none was received.
 	Summary(id peer.PoolID) (decide.Summary, bool)
-	// Heard records the summary that an owner sent with its reply.
-	Heard(id peer.PoolID, s decide.Summary)
+	// RecordSummary records the summary that an owner sent with its reply.
+	RecordSummary(id peer.PoolID, s decide.Summary)
 }
 
 // Peers calls RPC methods of other VMs.
@@ -62,8 +62,8 @@
 
 // Retries limits the retries on each pool to a budget.
 type Retries interface {
-	// Succeeded records a successful request, which adds a fraction of a retry to the budget.
-	Succeeded(id peer.PoolID)
+	// RecordSuccess records a successful request, which adds a fraction of a retry to the budget.
+	RecordSuccess(id peer.PoolID)
 	// Allow takes one retry from the budget and reports whether one was available.
 	Allow(id peer.PoolID) bool
 }
@@ -76,8 +76,8 @@
 	Begin(fingerprint uint64) bool
 	// End undoes Begin. The parameter completed is true if the request got a complete response.
 	End(fingerprint uint64, completed bool)
-	// RecordCrash records that an upstream crashed, and returns after the other VMs had time to learn of
-	// it.
+	// RecordCrash records that an upstream crashed, and returns after the other VMs had time to
+	// learn of it.
 	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
@@ -90,17 +90,17 @@
 	Refund(w decide.WorkspaceID, t decide.Tokens)
 }
 
-// Needs holds the dependencies of a Gate.
-type Needs struct {
-	Clock   *clock.Clock
-	Log     *log.Logger
-	Book    Book
-	Members Members
-	Peers   Peers
-	Engines *engine.Client
-	Claims  Claims
-	Meter   Meter
-	Events  *timeline.Ring
+// Dependencies holds the dependencies of a Gate.
+type Dependencies struct {
+	Clock    *clock.Clock
+	Log      *log.Logger
+	Registry Registry
+	Members  Members
+	Peers    Peers
+	Engines  *engine.Client
+	Claims   Claims
+	Meter    Meter
+	Events   *timeline.Ring
 	// Retries bounds the additional load that retries after upstream failures may cause.
 	Retries Retries
 	// Suspects tracks requests that may have crashed upstreams.
@@ -110,7 +110,7 @@
 
 // Gate serves the requests of callers on one VM.
 type Gate struct {
-	Needs
+	Dependencies
 	vm            peer.VM
 	domain        peer.Domain
 	incarnation   peer.Incarnation
@@ -153,9 +153,9 @@
 }
 
 // New returns the gate of one incarnation of a VM.
-func New(n Needs, vm peer.VM, domain peer.Domain, i peer.Incarnation) *Gate {
+func New(n Dependencies, vm peer.VM, domain peer.Domain, i peer.Incarnation) *Gate {
 	return &Gate{
-		Needs: n, vm: vm, domain: domain, incarnation: i, active: map[decide.RequestID]*activeRequest{}, metrics: newMetrics(),
+		Dependencies: n, vm: vm, domain: domain, incarnation: i, active: map[decide.RequestID]*activeRequest{}, metrics: newMetrics(),
 		statements: statements.New(n.Clock, n.Log),
 	}
 }
@@ -166,8 +166,8 @@
 // Stop makes every further response close its connection, so that callers reconnect to other VMs.
 func (g *Gate) Stop() { g.stopping.Store(true) }
 
-// Busy returns the number of requests in progress.
-func (g *Gate) Busy() int {
+// InFlight returns the number of requests in progress.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.active)
@@ -184,11 +184,11 @@
 	return g.checkHeader(m)
 }
 
-// HeaderLimit is the maximum size of a request's header in bytes. The limit of the HTTP server must
-// be higher, since its own refusal carries no error kind.
-const HeaderLimit = 32 << 10
+// MaxHeaderBytes is the maximum size of a request's header in bytes. The limit of the HTTP server
+// must be higher, since its own refusal carries no error kind.
+const MaxHeaderBytes = 32 << 10
 
-// checkHeader refuses a request whose header exceeds HeaderLimit, before any other handler reads
+// checkHeader refuses a request whose header exceeds MaxHeaderBytes, before any other handler reads
 // it.
 func (g *Gate) checkHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -198,9 +198,9 @@
 				size += len(name) + len(v)
 			}
 		}
-		if size > HeaderLimit {
+		if size > MaxHeaderBytes {
 			w.Header().Set("Connection", "close")
-			g.writeError(w, g.newRequestID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", HeaderLimit))
+			g.writeError(w, g.newRequestID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", MaxHeaderBytes))
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/daemon/caller/gate_test.go
+++ b/daemon/caller/gate_test.go
@@ -256,12 +256,12 @@
 	b := newHarness(t, completeResponse)
 	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
 	require.Contains(t, a.body, "[DONE]")
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	require.Len(t, b.fakes.settled, 1)
 	require.Zero(t, b.fakes.settled[0].Status, "no response was stored, so none may be replayed")
 
 	b.post("/v1/chat/completions", strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1), headerKind, "send", headerIdempotencyKey, "k2")
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	require.Equal(t, 200, b.fakes.settled[1].Status)
 	require.NotEmpty(t, b.fakes.settled[1].Answer)
 }
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -34,7 +34,7 @@
 
 // generate handles chat completions and text completions.
 func (g *Gate) generate(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -136,10 +136,10 @@
 func (f *fakes) Claim(_ context.Context, w decide.WorkspaceID, key, nonce string) (claim.Ticket, peer.ClaimReply) {
 	return claim.Ticket{Workspace: w, Key: key, Nonce: nonce}, f.claim
 }
-func (f *fakes) Succeeded(peer.PoolID)  {}
-func (f *fakes) Allow(peer.PoolID) bool { return true }
+func (f *fakes) RecordSuccess(peer.PoolID) {}
+func (f *fakes) Allow(peer.PoolID) bool    { return true }
 
-func (f *fakes) Heard(peer.PoolID, decide.Summary) {}
+func (f *fakes) RecordSummary(peer.PoolID, decide.Summary) {}
 
 func (f *fakes) Settle(_ context.Context, t claim.Ticket, status int, answer []byte) error {
 	return f.recordSettle(peer.SettleArgs{Key: t.Key, Status: status, Answer: answer})
@@ -208,8 +208,8 @@
 	d, ps := document.Parse([]byte(text), "test")
 	require.NoError(t, ps.Err())
 	b := &harness{t: t, fakes: f, index: document.NewIndex(d)}
-	b.gate = New(Needs{
-		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedRegistry{b.index}, Members: f, Peers: f,
+	b.gate = New(Dependencies{
+		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Registry: fixedRegistry{b.index}, Members: f, Peers: f,
 		Engines: engine.NewClient(time.Second), Claims: f, Meter: f, Retries: f, Suspects: f, Limits: f,
 	}, "vm-1", "hall", 7)
 	b.server = httptest.NewServer(b.gate.Handler())
@@ -246,7 +246,7 @@
 // awaitIdle waits until no request is in progress at the gate.
 func (b *harness) awaitIdle() {
 	b.t.Helper()
-	require.Eventually(b.t, func() bool { return b.gate.Busy() == 0 }, 5*time.Second, 5*time.Millisecond)
+	require.Eventually(b.t, func() bool { return b.gate.InFlight() == 0 }, 5*time.Second, 5*time.Millisecond)
 }
 
 const chatBody = `{"model":"drafter","messages":[{"role":"user","content":"boil water"}],"stream":true}`
--- a/daemon/caller/models.go
+++ b/daemon/caller/models.go
@@ -22,7 +22,7 @@
 
 // models lists the models that the workspace may use.
 func (g *Gate) models(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -170,7 +170,7 @@
 
 // parse reads the body of a generation request and builds the body for the engine.
 func (q *request) parse(b []byte, c *document.Index) *fault.Error {
-	x, e := openai.Read(b, q.chat)
+	x, e := openai.ParseRequest(b, q.chat)
 	if e != nil {
 		return e
 	}
@@ -181,18 +181,18 @@
 	if !q.workspace.Reaches(m.Name) {
 		return fault.New(fault.Forbidden, "workspace %s may not use model %s", q.workspace.Name, m.Name)
 	}
-	q.target, q.stream, q.includeUsage = m.Name, x.Stream, x.Usage
-	q.prompt = decide.Tokens((len(x.Text) + bytesPerToken - 1) / bytesPerToken)
+	q.target, q.stream, q.includeUsage = m.Name, x.Stream, x.IncludeUsage
+	q.prompt = decide.Tokens((len(x.Prompt) + bytesPerToken - 1) / bytesPerToken)
 	q.output = q.kind.Output
-	if x.Limit > 0 {
-		q.output = x.Limit
+	if x.MaxTokens > 0 {
+		q.output = x.MaxTokens
 	}
 	if m.Context > 0 && q.prompt+q.output > m.Context {
 		return fault.New(fault.Oversize, "prompt and output need %d tokens, model %s takes %d", q.prompt+q.output, m.Name, m.Context)
 	}
-	q.prefixes = prefixHashes(x.Text)
+	q.prefixes = prefixHashes(x.Prompt)
 	q.fingerprint = xxhash.Sum64(b)
-	q.body = x.ForEngine(q.output)
+	q.body = x.EngineBody(q.output)
 	return nil
 }
 
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -110,7 +110,7 @@
 		r.firstToken = clock.Milli(a.firstToken.Load())
 		g.returnGrant(pg, q, r)
 		if r.fault == nil {
-			g.Retries.Succeeded(pg.pool)
+			g.Retries.RecordSuccess(pg.pool)
 			completed, spent = true, max(spent, tokensUsed(q, r.usage))
 			return nil
 		}
@@ -135,9 +135,9 @@
 // mayRetry decides whether another attempt may follow a failed one.
 //
 // A request that certainly did not run may always go to another upstream. A request that may have
-// run is sent once more, and only if its kind is repeatable, no byte of the response has reached the
-// caller, and the pool's retry budget allows the attempt, so that failures do not double the load of
-// an overloaded pool.
+// run is sent once more, and only if its kind is repeatable, no byte of the response has reached
+// the caller, and the pool's retry budget allows the attempt, so that failures do not double the
+// load of an overloaded pool.
 func (g *Gate) mayRetry(ctx context.Context, q *request, d dispatcher, pool peer.PoolID, r result, sends, unsent int) bool {
 	if ctx.Err() != nil || d.started() {
 		return false
@@ -324,7 +324,7 @@
 			continue
 		}
 		g.Events.Receive(reply.Stamp)
-		g.Members.Heard(id, reply.Summary)
+		g.Members.RecordSummary(id, reply.Summary)
 		if reply.Fault == nil {
 			return poolGrant{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
 		}
@@ -411,7 +411,7 @@
 	})
 }
 
-// background runs work that outlives its request. Settle waits for this work.
+// background runs work that outlives its request. WaitBackground waits for this work.
 func (g *Gate) background(name string, f func()) {
 	g.pending.Add(1)
 	guard.Go(g.Log, name, func() {
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -53,7 +53,7 @@
 	u.Name, u.Address = "away", address
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedRegistry{b.index}
+	b.gate.Registry = fixedRegistry{b.index}
 	return u.Name
 }
 
@@ -66,7 +66,7 @@
 	u.Name, u.Domain = "small", "cellar"
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedRegistry{b.index}
+	b.gate.Registry = fixedRegistry{b.index}
 	b.fakes.refusals = map[peer.PoolID]*peer.Fault{
 		"drafter@hall":   peer.Wire(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
 		"drafter@cellar": peer.Wire(fault.New(fault.Oversize, "too long")),
@@ -83,14 +83,14 @@
 	b := newHarness(t, completeResponse)
 	b.post("/v1/chat/completions", chatBody)
 	b.awaitIdle()
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	b.fakes.mu.Lock()
 	require.Len(t, b.fakes.returned, 1)
 	b.fakes.successor = "successor"
 	b.fakes.mu.Unlock()
 	b.post("/v1/chat/completions", chatBody)
 	b.awaitIdle()
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	b.fakes.mu.Lock()
 	defer b.fakes.mu.Unlock()
 	require.Len(t, b.fakes.returned, 3)
@@ -129,7 +129,7 @@
 		a := b.post("/v1/chat/completions", chatBody)
 		require.Equal(t, "no", a.ran())
 		require.Less(t, time.Since(start), 15*time.Second, "20 s are allowed")
-		b.gate.Settle()
+		b.gate.WaitBackground()
 		require.NotZero(t, freed.Load())
 	}
 }
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -27,7 +27,7 @@
 // service handles requests to plain services. All methods are accepted, and bodies are forwarded
 // unchanged.
 func (g *Gate) service(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.writeError(w, g.newRequestID(g.Clock.Now()), noConfiguration())
 		return
--- a/daemon/caller/slow_test.go
+++ b/daemon/caller/slow_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 12)) // the response has begun
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return b.gate.Busy() == 0 }, 12*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return b.gate.InFlight() == 0 }, 12*time.Second, 20*time.Millisecond)
 }
 
 // A network device between gate and engine drops its state of open connections, while new
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,7 +42,7 @@
 	headerTimeout = 5 * time.Second
 	// headerLimit is where the server stops reading a header; up to there the
 	// gate refuses one over its own limit with the error kind.
-	headerLimit = 4 * caller.HeaderLimit
+	headerLimit = 4 * caller.MaxHeaderBytes
 	// idleTimeout closes callers' idle connections, so that a stopping daemon has few.
 	idleTimeout = 2 * time.Minute
 	// dutyEvery is the time between two looks at which pools are owned here.
@@ -121,9 +121,9 @@
 	d.quarantine = quarantine.New(k, d.members, d.dialer)
 	d.limits = limit.New(k, d.directory, d.dialer, peer.Gate(s.Name, d.incarnation))
 	d.state = newState(d)
-	d.gate = caller.New(caller.Needs{
-		Clock: k, Log: d.log, Book: d.book, Members: d.directory, Peers: d.dialer, Engines: d.engines,
-		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewBudgets(k), Suspects: d.quarantine, Limits: d.limits,
+	d.gate = caller.New(caller.Dependencies{
+		Clock: k, Log: d.log, Registry: d.book, Members: d.directory, Peers: d.dialer, Engines: d.engines,
+		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewRetryBudgets(k), Suspects: d.quarantine, Limits: d.limits,
 	}, s.Name, s.Domain, d.incarnation)
 	d.members.Add(d.directory, d.state.follower, d.state.counters, d.quarantine)
 	d.directory.summaries = d.owner.Summaries
--- a/daemon/openai/answer.go
+++ b/daemon/openai/answer.go
@@ -8,8 +8,8 @@
 // errNoChunks is returned for a stream that ended before its first chunk.
 var errNoChunks = errors.New("stream ended without a chunk")
 
-// Answer collects the chunks of a streamed response. Its zero value is empty.
-type Answer struct {
+// Collector collects the chunks of a streamed response. Its zero value is empty.
+type Collector struct {
 	// head is the first chunk, nil before it arrived. Its Tier, Fingerprint and Usage are replaced
 	// by those of later chunks.
 	head *streamChunk
@@ -99,7 +99,7 @@
 }
 
 // Add adds the next chunk of the stream, given as JSON.
-func (a *Answer) Add(chunk string) error {
+func (a *Collector) Add(chunk string) error {
 	var b streamChunk
 	if err := json.Unmarshal([]byte(chunk), &b); err != nil {
 		return err
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// Whole returns the collected response as the JSON body of a chat completion, or of a text
+// Response returns the collected response as the JSON body of a chat completion, or of a text
 // completion if chat is false. It fails if there was no chunk.
-func (a *Answer) Whole(chat bool) ([]byte, error) {
+func (a *Collector) Response(chat bool) ([]byte, error) {
 	b := a.head
 	if b == nil {
 		return nil, errNoChunks
@@ -150,7 +150,7 @@
 func isSet(j json.RawMessage) bool { return len(j) > 0 && string(j) != "null" }
 
 // addDelta adds a chunk's part of the only choice.
-func (a *Answer) addDelta(x choiceDelta) {
+func (a *Collector) addDelta(x choiceDelta) {
 	a.text = append(a.text, x.Text...)
 	a.text = append(a.text, x.Delta.Content...)
 	a.refusal = append(a.refusal, x.Delta.Refusal...)
@@ -173,7 +173,7 @@
 }
 
 // addToolCall appends a part of a tool call to the call with the same index.
-func (a *Answer) addToolCall(t toolCallDelta) {
+func (a *Collector) addToolCall(t toolCallDelta) {
 	for i := range a.toolCalls {
 		if a.toolCalls[i].index == t.Index {
 			a.toolCalls[i].Function.Arguments += t.Function.Arguments
@@ -185,7 +185,7 @@
 }
 
 // choice returns the only choice of the collected response.
-func (a *Answer) choice(chat bool) responseChoice {
+func (a *Collector) choice(chat bool) responseChoice {
 	c := responseChoice{FinishReason: a.finishReason, StopReason: a.stopReason, Logprobs: a.logprobs}
 	text := string(a.text)
 	if !chat {
--- a/daemon/openai/body.go
+++ b/daemon/openai/body.go
@@ -20,24 +20,24 @@
 // sums, and no engine has the memory for them.
 const maxOutputTokens decide.Tokens = 1 << 30
 
-// Body is a parsed generation request.
-type Body struct {
+// Request is a parsed generation request.
+type Request struct {
 	Model  string
 	Stream bool
-	// Usage reports whether the caller asked for the chunk with the token usage.
-	Usage bool
-	// Limit is the caller's limit of output tokens, zero for none.
-	Limit decide.Tokens
-	// Text is the prompt, its parts in the order in which an engine reads them.
-	Text []byte
+	// IncludeUsage reports whether the caller asked for the chunk with the token usage.
+	IncludeUsage bool
+	// MaxTokens is the caller's limit of output tokens, zero for none.
+	MaxTokens decide.Tokens
+	// Prompt is the prompt, its parts in the order in which an engine reads them.
+	Prompt []byte
 
 	fields fields
 	size   int
 }
 
-// Read parses the body of a chat completion, or of a text completion if chat is false. Its faults
-// are of kind Malformed or Oversize.
-func Read(b []byte, chat bool) (*Body, *fault.Error) {
+// ParseRequest parses the body of a chat completion, or of a text completion if chat is false. Its
+// faults are of kind Malformed or Oversize.
+func ParseRequest(b []byte, chat bool) (*Request, *fault.Error) {
 	if len(b) == 0 {
 		return nil, fault.New(fault.Malformed, "the request has no body")
 	}
@@ -63,7 +63,7 @@
 	if e != nil {
 		return nil, e
 	}
-	return &Body{Model: x.Model, Stream: x.Stream, Usage: x.IncludeUsage, Limit: limit, Text: text, fields: f, size: len(b)}, nil
+	return &Request{Model: x.Model, Stream: x.Stream, IncludeUsage: x.IncludeUsage, MaxTokens: limit, Prompt: text, fields: f, size: len(b)}, nil
 }
 
 // outputLimit returns the caller's limit of output tokens, zero for none.
@@ -197,16 +197,16 @@
 	return out, nil
 }
 
-// ForEngine returns the body to send to the engine. It always asks for a stream with usage,
+// EngineBody returns the body to send to the engine. It always asks for a stream with usage,
 // whatever the caller asked for, since only a stream shows that an engine stopped responding. If
 // the caller set no limit of output tokens, limit is set, for which memory is reserved. This also
 // replaces a null, which some client libraries send for an unset limit: with it the engine would
 // generate without a limit in memory reserved for less.
-func (b *Body) ForEngine(limit decide.Tokens) []byte {
+func (b *Request) EngineBody(limit decide.Tokens) []byte {
 	f := b.fields
 	f["stream"] = json.RawMessage("true")
 	f["stream_options"] = json.RawMessage(`{"include_usage":true}`)
-	if b.Limit == 0 {
+	if b.MaxTokens == 0 {
 		f["max_tokens"] = json.RawMessage(strconv.FormatInt(int64(limit), 10))
 	}
 	return encodeObject(f, b.size)
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -58,7 +58,7 @@
 
 // Draining implements operator.Stopper.
 func (v views) Draining() (began bool, requests int) {
-	return v.daemon.stopping.Load(), v.daemon.gate.Busy()
+	return v.daemon.stopping.Load(), v.daemon.gate.InFlight()
 }
 
 // Members implements operator.Members.
