--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -20,19 +20,19 @@
 	"snipeshift.example/lib/retryafter"
 )
 
-// The ways a call to an engine fails.
+// Classes of errors of calls to an engine.
 var (
-	// ErrNotSent is proof that no byte of the request reached the engine.
+	// ErrNotSent means that certainly no byte of the request was sent to the engine.
 	ErrNotSent = errs.Class("engine not reached")
-	// ErrBroken is a connection that was cut, or whose bytes make no sense.
+	// ErrBroken means that the connection was cut or that the response is malformed.
 	ErrBroken = errs.Class("engine stream broken")
-	// ErrSilent is a stream on which nothing came for longer than allowed.
+	// ErrSilent means that no event arrived on the stream within the allowed time.
 	ErrSilent = errs.Class("engine stream silent")
-	// ErrForeign is a chunk that belongs to another request, or out of order.
+	// ErrForeign means that a chunk belongs to another request or is out of order.
 	ErrForeign = errs.Class("engine chunk of another request")
 )
 
-// Headers that an engine reads.
+// Header fields of requests to engines.
 const (
 	HeaderRequest  = "X-Request-Id"
 	HeaderPriority = "X-Priority"
@@ -41,47 +41,49 @@
 	HeaderGroup    = "X-Group"
 )
 
-// smallAnswer bounds what is read of answers that are not streams, in bytes.
-const smallAnswer = 8 << 20
+// maxAnswerBytes bounds how much is read of responses that are not streams, in bytes.
+const maxAnswerBytes = 8 << 20
 
 // Client calls engines and plain services by address. It is safe for concurrent use.
 type Client struct {
-	// shared keeps connections; only calls that may run twice use it.
-	shared *http.Client
-	// fresh opens a connection for each call. A kept connection may have gone
-	// silent, and net/http sends a request again when a kept connection turns
-	// out closed, so a request that must not be repeated never uses one.
-	fresh *http.Client
+	// pooled reuses connections; only calls that may run twice use it.
+	pooled *http.Client
+	// unpooled opens a connection for each call. A pooled connection may be broken without a sign,
+	// and net/http sends a request again when a pooled connection turns out to be closed, so a
+	// request that must not be repeated never uses one.
+	unpooled *http.Client
 }
 
-// NewClient returns a client that gives up a dial after the given time.
+// NewClient returns a client that uses dial as the time-out of a connect.
 func NewClient(dial time.Duration) *Client {
 	d := &net.Dialer{Timeout: dial, KeepAlive: 5 * time.Second}
-	kept := &http.Transport{
+	pooled := &http.Transport{
 		DialContext:         d.DialContext,
 		MaxIdleConnsPerHost: 64,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}
-	once := &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}
-	return &Client{shared: &http.Client{Transport: kept, CheckRedirect: noRedirect}, fresh: &http.Client{Transport: once, CheckRedirect: noRedirect}}
+	unpooled := &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}
+	return &Client{pooled: &http.Client{Transport: pooled, CheckRedirect: noRedirect}, unpooled: &http.Client{Transport: unpooled, CheckRedirect: noRedirect}}
 }
 
-// noRedirect hands a redirect to the caller: following one would send the request a second time.
+// noRedirect makes http.Client return a redirect instead of following it, which would send the request
+// a second time.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Do sends req and tells whether any byte of it went out. Once sends it on a
-// connection of its own, just opened.
+// Do sends req. An error is in class ErrNotSent if certainly no byte of the request was sent, and in
+// ErrBroken otherwise. If once is true, the request is sent on a new connection of its own.
 func (c *Client) Do(req *http.Request, once bool) (*http.Response, error) {
 	wrote := false
 	trace := &httptrace.ClientTrace{
-		// GotConn comes before the first byte is written; from here on nothing is proved.
+		// GotConn is called before the first byte is written; from then on, it cannot be ruled out
+		// that bytes were sent.
 		GotConn: func(httptrace.GotConnInfo) { wrote = true },
 	}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
-	h := c.shared
+	h := c.pooled
 	if once {
-		h = c.fresh
+		h = c.unpooled
 	}
 	resp, err := h.Do(req)
 	if err == nil {
@@ -93,10 +95,10 @@
 	return nil, ErrBroken.Wrap(err)
 }
 
-// CloseIdle throws kept connections away, after one was found silent.
-func (c *Client) CloseIdle() { c.shared.CloseIdleConnections() }
+// CloseIdle closes the idle pooled connections. It is called after one of them did not respond.
+func (c *Client) CloseIdle() { c.pooled.CloseIdleConnections() }
 
-// Call describes a generation to start.
+// Call is a generation to start.
 type Call struct {
 	Address string
 	// Path is /v1/chat/completions or /v1/completions.
@@ -105,18 +107,18 @@
 	// Once is true for a request that must not be repeated.
 	Once    bool
 	Request decide.RequestID
-	// Priority is the grant's, 0 first.
+	// Priority is the priority of the grant; 0 is served first.
 	Priority uint8
 	Reserve  decide.Tokens
 	Grant    decide.GrantID
-	// Group names the engines of a prompt that spans several, leader first.
+	// Group lists the engines if the prompt spans several, the leader first.
 	Group []decide.UpstreamID
-	// Key is the caller's idempotency key, if any.
+	// Key is the client's idempotency key, if any.
 	Key string
 }
 
-// Start posts a generation and returns its stream. Idle is the longest silence
-// between two events, the wait for the first one included in first.
+// Start sends a generation request and returns its stream. The first event must arrive within first
+// of the call, each further one within idle of the event before.
 func (c *Client) Start(ctx context.Context, call Call, first, idle time.Duration) (*Stream, error) {
 	sctx, cancel := context.WithCancelCause(ctx)
 	req, err := http.NewRequestWithContext(sctx, http.MethodPost, "http://"+call.Address+call.Path, bytes.NewReader(call.Body))
@@ -124,14 +126,14 @@
 		cancel(nil)
 		return nil, ErrNotSent.Wrap(err)
 	}
-	// Without GetBody net/http cannot send the body a second time on its own.
+	// Without GetBody, net/http cannot send the body a second time by itself.
 	req.GetBody = nil
 	setHeaders(req, call)
-	w := newWatchdog(first, func() { cancel(ErrSilent.New("no event in time")) })
+	w := newWatchdog(first, func() { cancel(ErrSilent.New("no event within the allowed time")) })
 	resp, err := c.Do(req, call.Once)
 	if err != nil {
 		w.stop()
-		err = silentOr(sctx, err)
+		err = idleCauseOr(sctx, err)
 		cancel(nil)
 		return nil, err
 	}
@@ -141,7 +143,7 @@
 		cancel(nil)
 		return nil, err
 	}
-	return &Stream{request: call.Request, body: resp.Body, ctx: sctx, cancel: cancel, dog: w, idle: idle}, nil
+	return &Stream{request: call.Request, body: resp.Body, ctx: sctx, cancel: cancel, watchdog: w, idle: idle}, nil
 }
 
 func setHeaders(req *http.Request, call Call) {
@@ -163,14 +165,15 @@
 	}
 }
 
-// silentOr names the watchdog as the cause where it ended the call.
-func silentOr(ctx context.Context, err error) error {
+// idleCauseOr returns the watchdog's error if the watchdog canceled the call, and err otherwise.
+func idleCauseOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && ErrSilent.Has(cause) {
 		return cause
 	}
 	return err
 }
 
+// statusError closes the response and returns it as a StatusError.
 func statusError(resp *http.Response) error {
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
 	resp.Body.Close()
@@ -181,50 +184,53 @@
 	return e
 }
 
-// StatusError is an engine's refusal.
+// StatusError is a response of an engine with an error status.
 type StatusError struct {
 	Status int
-	// Text is the start of the engine's answer.
+	// Text is the start of the response body.
 	Text string
-	// Rest is for how long an engine that turned the request away wants none; zero where it does not say.
+	// Rest is the back-off that an engine asks for when it rejects a request; zero if it names none.
 	Rest clock.Milli
 }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("engine answered %d: %s", e.Status, e.Text) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("engine responded with status %d: %s", e.Status, e.Text)
+}
 
-// Cancel ends a request and frees its memory. It is idempotent: an unknown request is no error.
+// Cancel ends a request and frees its memory. It is idempotent: an unknown request is not an error.
 func (c *Client) Cancel(ctx context.Context, address string, id decide.RequestID) error {
-	return c.small(ctx, http.MethodDelete, address, "/v1/requests/"+string(id), nil, nil)
+	return c.shortCall(ctx, http.MethodDelete, address, "/v1/requests/"+string(id), nil, nil)
 }
 
-// Reserve holds memory on a group member for a request. Cancel frees it.
+// Reserve reserves memory for a request on a group member. Cancel frees it.
 func (c *Client) Reserve(ctx context.Context, address string, id decide.RequestID, n decide.Tokens) error {
-	return c.small(ctx, http.MethodPost, address, "/v1/kv", reservation{Request: id, Tokens: n}, nil)
+	return c.shortCall(ctx, http.MethodPost, address, "/v1/kv", reservation{Request: id, Tokens: n}, nil)
 }
 
-// Drop deletes an export.
+// Drop deletes an export, which frees its memory.
 func (c *Client) Drop(ctx context.Context, address, handle string) error {
-	return c.small(ctx, http.MethodDelete, address, "/v1/kv/"+handle, nil, nil)
+	return c.shortCall(ctx, http.MethodDelete, address, "/v1/kv/"+handle, nil, nil)
 }
 
-// Load reads an engine's own report, which lags.
+// Load reads an engine's load report, which lags behind its state.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var l Load
-	err := c.small(ctx, http.MethodGet, address, "/load", nil, &l)
+	err := c.shortCall(ctx, http.MethodGet, address, "/load", nil, &l)
 	return l, err
 }
 
-// Events reads cache events after a sequence number. Events may be missing.
+// Events reads the cache events after a sequence number. Some events may be missing.
 func (c *Client) Events(ctx context.Context, address string, after uint64) ([]Event, error) {
 	var es []Event
-	err := c.small(ctx, http.MethodGet, address, "/events?after="+strconv.FormatUint(after, 10), nil, &es)
+	err := c.shortCall(ctx, http.MethodGet, address, "/events?after="+strconv.FormatUint(after, 10), nil, &es)
 	return es, err
 }
 
-// Order asks an engine to change; an engine that checks answers 409 to an old fence.
+// Order sends an order to an engine. An engine that checks fencing numbers responds to an outdated one
+// with status 409.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
-	return c.small(ctx, http.MethodPost, address, "/orders", o, nil)
+	return c.shortCall(ctx, http.MethodPost, address, "/orders", o, nil)
 }
 
 type reservation struct {
@@ -232,7 +238,7 @@
 	Tokens  decide.Tokens    `json:"tokens"`
 }
 
-// Load is an engine's report.
+// Load is an engine's load report.
 type Load struct {
 	At      int64     `json:"at"`
 	Seq     uint64    `json:"seq"`
@@ -246,36 +252,38 @@
 	Role    string        `json:"role"`
 }
 
-// Running is one request an engine holds memory for.
+// Running is one request for which an engine reserves memory.
 type Running struct {
 	ID       decide.RequestID `json:"id"`
 	Reserved decide.Tokens    `json:"reserved"`
 }
 
-// Export is KV cache that waits to be fetched; it holds memory until deleted.
+// Export is KV cache that is ready to be fetched by another engine; it occupies memory until deleted.
 type Export struct {
 	Handle  string           `json:"handle"`
 	Request decide.RequestID `json:"request"`
 	Tokens  decide.Tokens    `json:"tokens"`
 }
 
-// Event is one cache event.
+// Event is one cache event: a prefix was added to the cache or evicted from it.
 type Event struct {
 	Seq     uint64            `json:"seq"`
 	Prefix  decide.PrefixHash `json:"prefix"`
 	Evicted bool              `json:"evicted"`
 }
 
-// Order is an order with the fencing number of its holder.
+// Order instructs an engine to change, for example its role or model. Fence is the fencing number of
+// the lease under which the order is given.
 type Order struct {
 	Fence uint64 `json:"fence"`
-	// Order is role, model, adapter or version.
+	// Order is the property to change: role, model, adapter or version. Value is its new value.
 	Order string `json:"order"`
 	Value string `json:"value"`
 }
 
-// small runs a call with a short answer, repeatable by nature.
-func (c *Client) small(ctx context.Context, method, address, path string, in, out any) error {
+// shortCall makes a call with a short response. The call must be idempotent, since it may be sent
+// twice. A 404 response to a DELETE counts as success.
+func (c *Client) shortCall(ctx context.Context, method, address, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -300,8 +308,8 @@
 		return statusError(resp)
 	}
 	if out == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, smallAnswer))
+		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes))
 		return err
 	}
-	return ErrBroken.Wrap(json.NewDecoder(io.LimitReader(resp.Body, smallAnswer)).Decode(out))
+	return ErrBroken.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out))
 }
--- a/lib/engine/doc.go
+++ b/lib/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine speaks to model engines: streams, cancels, load reports,
-// cache events and orders. docs/DESIGN.md has the protocol.
+// Package engine is the client of model engines: generation streams, cancellation, load reports, cache
+// events and orders. docs/DESIGN.md describes the protocol.
 package engine
--- a/lib/engine/fuzz_test.go
+++ b/lib/engine/fuzz_test.go
@@ -13,8 +13,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// FuzzStream looks for bytes of an engine that are passed on although they are
-// not this request's, or are taken for a whole answer without its end.
+// FuzzStream looks for responses of an engine of which a chunk of another request is passed on, or that
+// are accepted as complete although the end is missing.
 func FuzzStream(f *testing.F) {
 	const id = "r"
 	event := func(n, data string) string { return "id: " + n + "\ndata: " + data + "\n\n" }
@@ -31,11 +31,11 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		s := &Stream{
 			request: id, body: io.NopCloser(bytes.NewReader(text)), ctx: ctx, cancel: cancel,
-			dog: newWatchdog(time.Hour, func() {}), idle: time.Hour,
+			watchdog: newWatchdog(time.Hour, func() {}), idle: time.Hour,
 		}
 		finished := false
 		err := s.Each(func(c Chunk) error {
-			var h head
+			var h chunkHead
 			require.NoError(t, json.Unmarshal([]byte(c.Data), &h))
 			require.Equal(t, decide.RequestID(id), h.ID)
 			for _, x := range h.Choices {
@@ -44,7 +44,7 @@
 			return nil
 		})
 		if err == nil {
-			require.True(t, finished, "a whole answer says why it ended")
+			require.True(t, finished, "a complete response must have a finish reason")
 			require.Contains(t, string(text), endMark)
 		}
 	})
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -13,42 +13,43 @@
 	"snipeshift.example/lib/decide"
 )
 
-// endMark is the last event of a whole answer.
+// endMark is the data of the last event of a complete response.
 const endMark = "[DONE]"
 
-// eventLimit is the largest event in bytes.
-const eventLimit = 1 << 20
+// maxEventBytes is the size limit of an event in bytes.
+const maxEventBytes = 1 << 20
 
-// Stream is one generation. It yields only chunks that are its own, in order, once.
+// Stream is the response of one generation. It yields only chunks that belong to the request, in order
+// and each once.
 type Stream struct {
-	request decide.RequestID
-	body    io.ReadCloser
-	ctx     context.Context //nolint:containedctx // the life of one stream
-	cancel  context.CancelCauseFunc
-	dog     *watchdog
-	idle    time.Duration
+	request  decide.RequestID
+	body     io.ReadCloser
+	ctx      context.Context //nolint:containedctx // the lifetime of one stream
+	cancel   context.CancelCauseFunc
+	watchdog *watchdog
+	idle     time.Duration
 
 	// next is the sequence number that the next event must carry.
 	next uint64
-	// last is the data of the newest event, to tell a repeat from an event without a number.
+	// last is the data of the newest event. A repetition of that event must have the same data.
 	last string
-	// finished is set once a chunk said why the generation ended.
+	// finished is set once a chunk has a finish reason.
 	finished bool
 }
 
 // Chunk is one event of a stream.
 type Chunk struct {
-	// Data is the JSON text as the engine sent it.
+	// Data is the JSON text that the engine sent.
 	Data string
-	// Tokens is 1 for a chunk with output of any sort, 0 for others.
+	// Tokens is 1 for a chunk with output of any kind, and 0 otherwise.
 	Tokens decide.Tokens
 	// Usage is set on the last chunk.
 	Usage *Usage
-	// Choices counts the choices of the chunk; a chunk that only reports usage has none.
+	// Choices is the number of choices in the chunk; a chunk that only reports usage has none.
 	Choices int
 }
 
-// Usage is what the engine counted.
+// Usage is the engine's token count of the request.
 type Usage struct {
 	Prompt  decide.Tokens `json:"prompt_tokens"`
 	Output  decide.Tokens `json:"completion_tokens"`
@@ -57,8 +58,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// head is the part of a chunk that is checked.
-type head struct {
+// chunkHead is the part of a chunk that is checked.
+type chunkHead struct {
 	ID      decide.RequestID `json:"id"`
 	Usage   *Usage           `json:"usage"`
 	Choices []struct {
@@ -73,20 +74,20 @@
 	} `json:"choices"`
 }
 
-// Each calls f with every chunk until the end mark, which returns nil.
+// Each calls f with every chunk until the end mark, and then returns nil.
 //
-// An answer can come crossed with another's, repeated or cut: a connection that
-// was mixed up upstream, a resumed stream, an engine that died. The caller would
-// get somebody else's text or half a notice that reads like a whole one. So each
-// chunk must carry this request's id and the next sequence number, and only an
-// end mark after a finish reason makes the answer whole.
+// A response can be mixed up with another one, repeated or truncated: the upstream confuses
+// connections, a stream is resumed, or an engine crashes. The client would then receive the text of
+// another request, or the start of a text that looks complete. So each chunk must have this
+// request's id and the next sequence number, and the response is complete only with an end mark after
+// a finish reason.
 func (s *Stream) Each(f func(Chunk) error) error {
 	defer s.Close()
-	for e, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: eventLimit}) {
+	for e, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
-			return silentOr(s.ctx, ErrBroken.Wrap(err))
+			return idleCauseOr(s.ctx, ErrBroken.Wrap(err))
 		}
-		s.dog.feed(s.idle)
+		s.watchdog.reset(s.idle)
 		if e.Data == endMark {
 			return s.end()
 		}
@@ -97,19 +98,20 @@
 		if skip {
 			continue
 		}
-		// What the reader of the answer takes is not the engine's silence.
-		s.dog.pause()
+		// The time that f takes, for example to write to a slow client, must not count as a pause of
+		// the engine.
+		s.watchdog.pause()
 		if err := f(c); err != nil {
 			return err
 		}
-		s.dog.feed(s.idle)
+		s.watchdog.reset(s.idle)
 	}
-	return silentOr(s.ctx, ErrBroken.New("stream ended without its end mark after %d events", s.next))
+	return idleCauseOr(s.ctx, ErrBroken.New("stream ended without its end mark after %d events", s.next))
 }
 
-// Close ends the stream; the engine sees the connection cut unless the answer was whole.
+// Close ends the stream. Unless the response was complete, this cuts the connection to the engine.
 func (s *Stream) Close() {
-	s.dog.stop()
+	s.watchdog.stop()
 	s.body.Close()
 	s.cancel(nil)
 }
@@ -121,13 +123,14 @@
 	return nil
 }
 
-// check refuses a chunk of another request or out of order; skip is set for one seen before.
+// check decodes an event. It returns an error for a chunk of another request or out of order; skip is
+// true for an event that was received before.
 func (s *Stream) check(e sse.Event) (c Chunk, skip bool, err error) {
 	n, err := strconv.ParseUint(e.LastEventID, 10, 64)
 	if err != nil {
 		return c, false, ErrBroken.New("event without a sequence number")
 	}
-	var h head
+	var h chunkHead
 	if err := json.Unmarshal([]byte(e.Data), &h); err != nil {
 		return c, false, ErrBroken.Wrap(err)
 	}
@@ -135,13 +138,13 @@
 		return c, false, ErrForeign.New("chunk of %q in the stream of %q", h.ID, s.request)
 	}
 	if n+1 == s.next && e.Data != s.last {
-		return c, false, ErrForeign.New("event %d came twice with different data", n)
+		return c, false, ErrForeign.New("event %d received twice with different data", n)
 	}
 	if n < s.next {
 		return c, true, nil
 	}
 	if n > s.next {
-		return c, false, ErrForeign.New("event %d where %d was due", n, s.next)
+		return c, false, ErrForeign.New("received event %d, expected event %d", n, s.next)
 	}
 	s.next++
 	s.last = e.Data
@@ -158,7 +161,7 @@
 	return c, false, nil
 }
 
-// watchdog calls a function once when it was not fed in time.
+// watchdog calls a function when the time set at its creation or by its last reset has passed.
 type watchdog struct {
 	mu    sync.Mutex
 	timer *time.Timer
@@ -168,7 +171,7 @@
 	return &watchdog{timer: time.AfterFunc(d, f)}
 }
 
-func (w *watchdog) feed(d time.Duration) {
+func (w *watchdog) reset(d time.Duration) {
 	w.mu.Lock()
 	w.timer.Reset(d)
 	w.mu.Unlock()
--- a/lib/engine/stream_cost_test.go
+++ b/lib/engine/stream_cost_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answer is a stream of n tokens as an engine sends it.
-func answer(n int) string {
+// streamText returns a stream of n tokens in the format of an engine.
+func streamText(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "id: %d\ndata: {\"id\":\"r-1\",\"object\":\"chat.completion.chunk\",\"created\":1796245057,\"model\":\"drafter\","+
@@ -22,14 +22,14 @@
 	return b.String()
 }
 
-// BenchmarkStream prints what reading and checking one token of an engine's stream costs.
+// BenchmarkStream measures the time to read and check one token of an engine's stream.
 func BenchmarkStream(b *testing.B) {
 	const tokens = 1000
-	text := answer(tokens)
+	text := streamText(tokens)
 	b.ReportAllocs()
 	for b.Loop() {
 		ctx, cancel := context.WithCancelCause(context.Background())
-		s := &Stream{request: "r-1", body: io.NopCloser(strings.NewReader(text)), ctx: ctx, cancel: cancel, dog: newWatchdog(time.Minute, func() {}), idle: time.Minute}
+		s := &Stream{request: "r-1", body: io.NopCloser(strings.NewReader(text)), ctx: ctx, cancel: cancel, watchdog: newWatchdog(time.Minute, func() {}), idle: time.Minute}
 		n := 0
 		require.NoError(b, s.Each(func(c Chunk) error { n += int(c.Tokens); return nil }))
 		require.Equal(b, tokens, n)
