--- a/lib/operator/answers.go
+++ b/lib/operator/answers.go
@@ -1,7 +1,7 @@
-// Package operator is the protocol between the operator command and the
-// daemons: JSON over HTTP on each daemon's operator address.
+// Package operator defines the protocol between the operator command and the daemons: JSON over HTTP
+// on each daemon's operator address.
 //
-// No answer ever holds a prompt, an answer to a caller, or an API key.
+// Its responses never contain a prompt, a response to a client, or an API key.
 package operator
 
 import (
@@ -26,7 +26,8 @@
 	PathDrain     = "/drain"
 )
 
-// Parameters of the time line's page; Since and Until are milliseconds since the Unix epoch.
+// Query parameters of the timeline page. ParamSince and ParamUntil are milliseconds since the Unix
+// epoch.
 const (
 	ParamRequest   = "request"
 	ParamWorkspace = "workspace"
@@ -35,54 +36,54 @@
 	ParamUntil     = "until"
 )
 
-// ParamText asks the document's page for the text too.
+// ParamText is the query parameter that requests the text of the document too.
 const ParamText = "text"
 
-// State is a word for how a member or an upstream is.
+// State is the state of a member or an upstream.
 type State string
 
-// The closed list of states.
+// All states.
 const (
 	Serving  State = "serving"
-	Draining State = "draining" // takes no new work and finishes what it has
-	Silent   State = "silent"   // did not answer lately
-	Gone     State = "gone"
+	Draining State = "draining" // accepts no new requests and finishes the running ones
+	Silent   State = "silent"   // has not responded recently
+	Gone     State = "gone"     // has left or did not respond for so long that it is considered lost
 )
 
-// Readiness tells whether a daemon takes requests.
+// Readiness reports whether a daemon accepts requests.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Reasons say why not, one line each.
+	// Reasons has one line for each reason why the daemon is not ready.
 	Reasons []string `json:"reasons,omitempty"`
 }
 
-// Member is one daemon as the answering one sees it.
+// Member is one daemon as the responding daemon sees it.
 type Member struct {
 	VM          peer.VM          `json:"vm"`
 	Incarnation peer.Incarnation `json:"incarnation"`
 	Domain      peer.Domain      `json:"domain"`
-	// Peer and Operator are the host:port of its doors.
+	// Peer and Operator are the addresses (host:port) at which peers and operators reach it.
 	Peer     string `json:"peer"`
 	Operator string `json:"operator"`
 	State    State  `json:"state"`
-	// Revision is of the document that it last said is in force there.
+	// Revision is that of its document in force, from its last heartbeat.
 	Revision peer.Revision `json:"revision"`
-	// Age is the time since it was last heard from.
+	// Age is the time since its last heartbeat, in milliseconds.
 	Age clock.Milli `json:"age"`
 }
 
-// Pool is one pool that the answering daemon owns.
+// Pool is one pool that the responding daemon owns.
 type Pool struct {
 	Pool  peer.PoolID  `json:"pool"`
 	Owner peer.VM      `json:"owner"`
 	Epoch decide.Epoch `json:"epoch"`
-	// Wait is the estimated wait of a short request that arrives now, by urgency 0 to 3.
+	// Wait is the estimated queueing time of a short request that arrives now, by urgency 0 to 3.
 	Wait    [4]clock.Milli `json:"wait"`
 	Queued  int            `json:"queued"`
 	Running int            `json:"running"`
-	// Free is the free KV memory on upstreams that take new work.
+	// Free is the free KV memory, in tokens, on upstreams that accept new requests.
 	Free decide.Tokens `json:"free"`
-	// Largest is the longest prompt that fits.
+	// Largest is the length, in tokens, of the longest prompt that fits.
 	Largest   decide.Tokens `json:"largest"`
 	Upstreams int           `json:"upstreams"`
 }
@@ -96,18 +97,20 @@
 	State   State             `json:"state"`
 	Running int               `json:"running"`
 	Slots   int               `json:"slots"`
-	// Reserved is what grants hold of Memory; Used is the engine's own word.
+	// Reserved is the part of Memory that grants reserve. Used is the usage in the engine's last
+	// report. All three are KV memory in tokens.
 	Reserved decide.Tokens `json:"reserved"`
 	Used     decide.Tokens `json:"used"`
 	Memory   decide.Tokens `json:"memory"`
-	// Age is the time since its last report; below zero when there was none.
+	// Age is the time since its last load report, in milliseconds; negative if there is none.
 	Age    clock.Milli `json:"age"`
 	Fenced bool        `json:"fenced"`
 }
 
 // Grant is one live grant.
 type Grant struct {
-	// Grant is a string in JSON, since it is too large for readers that hold numbers as floats.
+	// Grant is a string in JSON, since it exceeds the precision of readers that decode numbers as
+	// floats.
 	Grant     decide.GrantID      `json:"grant,string"`
 	Pool      peer.PoolID         `json:"pool"`
 	Owner     peer.VM             `json:"owner"`
@@ -119,13 +122,14 @@
 	Prompt    decide.Tokens       `json:"prompt"`
 	Output    decide.Tokens       `json:"output"`
 	Reserved  decide.Tokens       `json:"reserved"`
-	// Lease and Left are what remains until the lease lapses and of the allowed time.
+	// Lease is the time until the lease expires, Left the time until the deadline of the request,
+	// both in milliseconds.
 	Lease clock.Milli `json:"lease"`
 	Left  clock.Milli `json:"left"`
 }
 
-// Counter is the absolute usage of one workspace through one life of one VM.
-// The same counter may be known to several daemons; the largest is the newest.
+// Counter is the total usage of one workspace through one incarnation of one VM. Several daemons may
+// report the same counter; the largest value is the newest.
 type Counter struct {
 	VM          peer.VM            `json:"vm"`
 	Incarnation peer.Incarnation   `json:"incarnation"`
@@ -141,14 +145,14 @@
 	Output   decide.Tokens `json:"output"`
 }
 
-// Document tells which configuration document is in force.
+// Document describes the configuration document in force.
 type Document struct {
-	// Revision is zero while there is none.
+	// Revision is zero if there is no document.
 	Revision peer.Revision `json:"revision"`
 	// Sum is "sha256:" and the hex digest of the text.
 	Sum  string `json:"sum"`
 	Size int    `json:"size"`
-	// Text is there when it was asked for.
+	// Text is set only if the request has ParamText.
 	Text string `json:"text,omitempty"`
 }
 
@@ -157,15 +161,15 @@
 	Level string `json:"level"`
 }
 
-// Drain tells how far the planned stop of a VM is.
+// Drain is the progress of the graceful stop of a VM.
 type Drain struct {
 	Draining bool `json:"draining"`
-	// Requests counts what it still serves.
+	// Requests is the number of requests that are still running.
 	Requests int `json:"requests"`
 }
 
-// Failure is the body of every answer that is no success.
+// Failure is the body of every error response.
 type Failure struct {
-	// Error is one line that says what to do.
+	// Error is one line that describes the error and how to correct it.
 	Error string `json:"error"`
 }
--- a/lib/operator/relay.go
+++ b/lib/operator/relay.go
@@ -7,43 +7,50 @@
 	"snipeshift.example/lib/route"
 )
 
-// PathServices is the page of a relaying VM, on its metrics address, with what it knows of services.
+// PathServices is the path of the services page, which a VM in relay mode serves on its metrics
+// address.
 const PathServices = "/services"
 
-// Relay is what one relaying VM knows of services.
+// Relay is the response of the services page: the services and statements that one VM in relay mode
+// knows.
 type Relay struct {
 	VM peer.VM `json:"vm"`
-	// Era is that of the platform's store: it rises each time the store comes back from an older copy.
+	// Era is the era of the platform's store: it rises each time the store restarts from an older
+	// copy.
 	Era        route.Era   `json:"era"`
 	Services   []Service   `json:"services"`
 	Statements []Statement `json:"statements"`
 }
 
-// Service is who decides which upstreams the requests of a service are sent to.
+// Service describes which VM holds a service, that is, decides which upstreams its requests are sent
+// to.
 type Service struct {
 	Service route.ServiceID `json:"service"`
-	// Holder decides under an epoch; empty where none is known yet.
+	// Holder is the VM that decides in this epoch; empty if none is known yet.
 	Holder peer.VM `json:"holder"`
 	Epoch  uint64  `json:"epoch"`
-	// Since is how long the answering VM has followed it.
+	// Since is how long the responding VM has recognized the holder, in milliseconds.
 	Since clock.Milli `json:"since"`
-	// Successor takes over if the holder is lost; empty where there is no other VM.
+	// Successor is the VM that takes over if the holder fails; empty if there is no other VM.
 	Successor peer.VM `json:"successor"`
-	// Upstreams is how many the answering VM lists.
+	// Upstreams is the number of upstreams of the service that the responding VM knows.
 	Upstreams int `json:"upstreams"`
 }
 
-// Statement is what an upstream has said of itself, as far as the answering VM has heard.
+// Statement is what an upstream has declared about itself in a response, as far as the responding VM
+// knows.
 type Statement struct {
 	Service  route.ServiceID   `json:"service"`
 	Upstream decide.UpstreamID `json:"upstream"`
-	// Kind is limit, rest or leaving.
+	// Kind is limit (a rate limit), rest (a back-off) or leaving (a drain notice).
 	Kind string `json:"kind"`
-	// Gate is the VM, in one life of its, that the upstream answered; empty for a limit, which binds all.
+	// Gate is the VM, in one incarnation, that received the statement; empty for a limit, which applies
+	// to all VMs.
 	Gate decide.GateID `json:"gate"`
-	// Rate is the limit in requests a second, Left what remains of a rest; zero for the other kinds.
+	// Rate is the limit in requests per second, Left the remaining time of a back-off in milliseconds.
+	// Each is zero for the other kinds.
 	Rate float64     `json:"rate"`
 	Left clock.Milli `json:"left"`
-	// Age is the time since it certainly held.
+	// Age is the time since the statement was last known to apply, in milliseconds.
 	Age clock.Milli `json:"age"`
 }
--- a/lib/operator/usage.go
+++ b/lib/operator/usage.go
@@ -8,30 +8,31 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Total is the usage of one workspace over all VMs.
+// Total is the usage of one workspace on all VMs.
 type Total struct {
 	Workspace decide.WorkspaceID `json:"workspace"`
 	Usage
 }
 
-// life names one counter: counters of two lives of a VM both count.
-type life struct {
+// counterKey identifies one counter. Two incarnations of a VM have separate counters, which are added.
+type counterKey struct {
 	vm          peer.VM
 	incarnation peer.Incarnation
 	workspace   decide.WorkspaceID
 }
 
-// Sum adds up counters that several daemons told, each counter once. Counters
-// only rise, so the larger of two readings is the newer one.
-func Sum(readings []Counter) []Total {
-	newest := map[life]Usage{}
-	for _, c := range readings {
-		l := life{c.VM, c.Incarnation, c.Workspace}
-		newest[l] = newest[l].max(c.Usage)
+// Sum adds up, for each workspace, the counters that several daemons reported. It counts each counter
+// once: counters never decrease, so of several values of a counter the largest is the newest.
+// The totals are sorted by workspace.
+func Sum(counters []Counter) []Total {
+	newest := map[counterKey]Usage{}
+	for _, c := range counters {
+		key := counterKey{c.VM, c.Incarnation, c.Workspace}
+		newest[key] = newest[key].max(c.Usage)
 	}
 	sums := map[decide.WorkspaceID]Usage{}
-	for l, u := range newest {
-		sums[l.workspace] = sums[l.workspace].plus(u)
+	for key, u := range newest {
+		sums[key.workspace] = sums[key.workspace].plus(u)
 	}
 	totals := make([]Total, 0, len(sums))
 	for w, u := range sums {
--- a/lib/operator/usage_test.go
+++ b/lib/operator/usage_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two daemons tell the same counter, one of them an older reading, and a VM
-// was restarted. Adding all up would charge a team twice; keeping one counter
-// a VM would forget what it used before the restart.
-func TestSumCountsEachLifeOnce(t *testing.T) {
+// Two daemons report the same counter, one of them an older value, and a VM was restarted. Adding up
+// all values would charge a workspace twice; counting only one counter per VM would lose the usage
+// before the restart.
+func TestSumCountsEachIncarnationOnce(t *testing.T) {
 	got := Sum([]Counter{
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 5, Prompt: 50, Output: 9}},
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 7, Prompt: 70, Output: 11}},
