--- a/daemon/insight/insight.go
+++ b/daemon/insight/insight.go
@@ -1,6 +1,7 @@
-// Package insight answers monitoring and the operator's command on the metrics address of a relaying VM.
+// Package insight serves the metrics address of a VM in relay mode to monitoring and to the operator
+// command.
 //
-// Nothing that it answers holds a prompt, an answer to a caller, or a key.
+// Its responses never contain a prompt, a response to a client, or a key.
 package insight
 
 import (
@@ -23,16 +24,16 @@
 	"snipeshift.example/lib/route"
 )
 
-// Clock reads a clock that goes on while the VM is suspended.
+// Clock is a clock that continues to run while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Members lists the VMs that count as live.
+// Members lists the VMs that are considered live.
 type Members interface{ Live() []peer.Member }
 
-// Store counts calls of the platform's store.
+// Store counts calls to the platform's store.
 type Store interface{ Calls() (all, failed uint64) }
 
-// Sources are the parts of the daemon that are asked. All are needed.
+// Sources are the components of the daemon that the page reads. All are required.
 type Sources struct {
 	VM       peer.VM
 	Clock    Clock
@@ -46,29 +47,29 @@
 	Lines    *logline.Writer
 }
 
-// Page answers on the metrics address.
+// Page serves the metrics address.
 type Page struct{ Sources }
 
-// New returns the page of a VM's parts.
+// New returns a page that reads the given components.
 func New(s Sources) *Page { return &Page{s} }
 
-// Handler serves metrics, what the VM knows of services, and profiles of the processor and the memory: on a VM whose processor is used up
-// nothing else tells by what.
+// Handler returns the handler of metrics, the services page, and CPU and memory profiles. Profiles are
+// served because they are the only way to see what uses up the processor of a VM.
 func (p *Page) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("/debug/pprof/", pprof.Index)
 	m.HandleFunc("/debug/pprof/profile", pprof.Profile)
-	m.HandleFunc("GET "+answers.PathServices, p.services)
+	m.HandleFunc("GET "+answers.PathServices, p.servicesPage)
 	m.HandleFunc("/", p.metrics)
 	return m
 }
 
-func (p *Page) services(w http.ResponseWriter, _ *http.Request) {
+func (p *Page) servicesPage(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(p.Relay()) // an error means that the operator went away
+	_ = json.NewEncoder(w).Encode(p.Relay()) // an error means that the operator has disconnected
 }
 
-// Relay is what this VM knows of services now.
+// Relay returns the services and the statements of upstreams that this VM knows now.
 func (p *Page) Relay() answers.Relay {
 	now, v := p.Clock.Now(), p.Registry.View()
 	r := answers.Relay{VM: p.VM, Era: p.Registry.Era(), Services: []answers.Service{}, Statements: []answers.Statement{}}
--- a/daemon/operator/door.go
+++ b/daemon/operator/door.go
@@ -1,8 +1,8 @@
-// Package operator answers the operator command and monitoring: HTTP on an
-// address of its own, apart from callers, so that it still answers while
-// callers keep their door busy and can be closed off from them.
+// Package operator serves the operator command and monitoring over HTTP. It has an address of its own,
+// separate from the one for clients, so that it still responds while clients overload theirs, and so
+// that access to it can be blocked for clients.
 //
-// Nothing that it answers holds a prompt, an answer to a caller, or a key.
+// Its responses never contain a prompt, a response to a client, or a key.
 package operator
 
 import (
@@ -18,49 +18,50 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Health tells whether this daemon takes requests.
+// Health reports whether this daemon accepts requests.
 type Health interface {
-	// Unready lists why not, one line each; empty when it does.
+	// Unready lists the reasons why the daemon is not ready, one line each; it is empty if the daemon
+	// is ready.
 	Unready() []string
 }
 
-// Members lists the daemons that this one knows.
+// Members lists the daemons that this daemon knows, including itself.
 type Members interface {
 	Members() []answers.Member
 }
 
-// Pools tells of the pools that this daemon owns.
+// Pools lists the pools that this daemon owns, with their upstreams and live grants.
 type Pools interface {
 	Pools() []answers.Pool
 	Upstreams() []answers.Upstream
 	Grants() []answers.Grant
 }
 
-// Usage lists every counter that this daemon knows, its own and others'.
+// Usage lists every usage counter that this daemon knows, its own and those of other daemons.
 type Usage interface {
 	Usage() []answers.Counter
 }
 
-// Documents gives the document in force; revision zero when there is none.
+// Documents returns the document in force; its revision is zero if there is none.
 type Documents interface {
 	Newest() (peer.Revision, []byte)
 }
 
-// Timeline keeps the daemon's recent events.
+// Timeline stores the daemon's recent events.
 type Timeline interface {
 	Add(timeline.Event)
 	Events(timeline.Filter) []timeline.Event
 }
 
-// Stopper makes this daemon stop gracefully.
+// Stopper stops this daemon gracefully.
 type Stopper interface {
-	// Drain begins the planned stop; a second call changes nothing.
+	// Drain begins the graceful stop; a second call has no effect.
 	Drain()
-	// Draining tells whether it began, and how many requests are still served.
+	// Draining reports whether the stop has begun, and how many requests are still running.
 	Draining() (began bool, requests int)
 }
 
-// Store tells of calls to the platform's store.
+// Store counts calls to the platform's store.
 type Store interface {
 	Counts() platform.Counts
 }
@@ -70,7 +71,7 @@
 	WritePrometheus(w io.Writer)
 }
 
-// Sources are the parts of the daemon that the door asks. All are needed.
+// Sources are the components of the daemon that the handlers read. All are required.
 type Sources struct {
 	Health    Health
 	Members   Members
@@ -89,21 +90,21 @@
 	log     *log.Logger
 }
 
-// New returns a door over the daemon's parts. The logger is the one whose level operators change.
+// New returns a server that reads the given components. Operators can change the level of logger l.
 func New(s Sources, l *log.Logger) *Door { return &Door{sources: s, log: l} }
 
-// Handler serves all pages.
+// Handler returns the handler of all pages.
 func (d *Door) Handler() http.Handler {
 	s := &d.sources
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+answers.PathLive, d.live)
 	m.HandleFunc("GET "+answers.PathReady, d.ready)
 	m.HandleFunc("GET "+answers.PathMetrics, d.metrics)
-	m.HandleFunc("GET "+answers.PathMembers, page(func() []answers.Member { return s.Members.Members() }))
-	m.HandleFunc("GET "+answers.PathPools, page(func() []answers.Pool { return s.Pools.Pools() }))
-	m.HandleFunc("GET "+answers.PathUpstreams, page(func() []answers.Upstream { return s.Pools.Upstreams() }))
-	m.HandleFunc("GET "+answers.PathGrants, page(func() []answers.Grant { return s.Pools.Grants() }))
-	m.HandleFunc("GET "+answers.PathUsage, page(func() []answers.Counter { return s.Usage.Usage() }))
+	m.HandleFunc("GET "+answers.PathMembers, listPage(func() []answers.Member { return s.Members.Members() }))
+	m.HandleFunc("GET "+answers.PathPools, listPage(func() []answers.Pool { return s.Pools.Pools() }))
+	m.HandleFunc("GET "+answers.PathUpstreams, listPage(func() []answers.Upstream { return s.Pools.Upstreams() }))
+	m.HandleFunc("GET "+answers.PathGrants, listPage(func() []answers.Grant { return s.Pools.Grants() }))
+	m.HandleFunc("GET "+answers.PathUsage, listPage(func() []answers.Counter { return s.Usage.Usage() }))
 	m.HandleFunc("GET "+answers.PathDocument, d.document)
 	m.HandleFunc("GET "+answers.PathTimeline, d.timeline)
 	m.HandleFunc("GET "+answers.PathLevel, d.level)
@@ -111,42 +112,43 @@
 	m.HandleFunc("GET "+answers.PathDrain, d.drain)
 	m.HandleFunc("PUT "+answers.PathDrain, d.startDrain)
 	m.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		fail(w, http.StatusNotFound, "no page for "+r.Method+" "+r.URL.Path+": see the page of operator addresses")
+		writeError(w, http.StatusNotFound, "no page for "+r.Method+" "+r.URL.Path+": see the page of operator addresses")
 	})
 	return m
 }
 
-// page answers with a list; an empty one is [] and not null.
-func page[E any](list func() []E) http.HandlerFunc {
+// listPage returns a handler that responds with a list; an empty list is encoded as [], not null.
+func listPage[E any](list func() []E) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		es := list()
 		if es == nil {
 			es = []E{}
 		}
-		write(w, http.StatusOK, es)
+		writeJSON(w, http.StatusOK, es)
 	}
 }
 
-func write(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error here means that the operator went away.
+	// An error here means that the operator has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func fail(w http.ResponseWriter, status int, text string) {
-	write(w, status, answers.Failure{Error: text})
+func writeError(w http.ResponseWriter, status int, text string) {
+	writeJSON(w, status, answers.Failure{Error: text})
 }
 
-// maxBody bounds what an operator sends.
+// maxBody bounds the body of an operator's request, in bytes.
 const maxBody = 4 << 10
 
-// read reads a body, answers with what is wrong with it and tells whether it is right.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON decodes the request body and reports whether it is valid. For an invalid body it writes an
+// error response.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	j := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	j.DisallowUnknownFields()
 	if err := j.Decode(into); err != nil {
-		fail(w, http.StatusBadRequest, "body: "+err.Error())
+		writeError(w, http.StatusBadRequest, "body: "+err.Error())
 		return false
 	}
 	return true
--- a/daemon/operator/door_test.go
+++ b/daemon/operator/door_test.go
@@ -22,38 +22,40 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// daemon is a daemon as the door sees it.
-type daemon struct {
+// fakeDaemon implements the interfaces of Sources.
+type fakeDaemon struct {
 	reasons  []string
 	draining bool
 }
 
-func (f *daemon) Unready() []string { return f.reasons }
-func (f *daemon) Members() []answers.Member {
+func (f *fakeDaemon) Unready() []string { return f.reasons }
+func (f *fakeDaemon) Members() []answers.Member {
 	return []answers.Member{{VM: "vm-1", State: answers.Serving}, {VM: "vm-2", State: answers.Silent}}
 }
 
-func (f *daemon) Pools() []answers.Pool {
+func (f *fakeDaemon) Pools() []answers.Pool {
 	return []answers.Pool{{Pool: "m@d", Owner: "vm-1", Queued: 3, Wait: [4]clock.Milli{1500}}}
 }
 
-func (f *daemon) Upstreams() []answers.Upstream {
+func (f *fakeDaemon) Upstreams() []answers.Upstream {
 	return []answers.Upstream{{Name: "u", Pool: "m@d", State: answers.Draining, Used: 7}}
 }
-func (f *daemon) Grants() []answers.Grant          { return nil }
-func (f *daemon) Usage() []answers.Counter         { return []answers.Counter{{VM: "vm-1", Workspace: "w"}} }
-func (f *daemon) Newest() (peer.Revision, []byte)  { return 7, []byte("{}") }
-func (f *daemon) Drain()                           { f.draining = true }
-func (f *daemon) Draining() (began bool, left int) { return f.draining, 2 }
-func (f *daemon) Counts() platform.Counts          { return platform.Counts{Reads: 5, Unknown: 1} }
+func (f *fakeDaemon) Grants() []answers.Grant { return nil }
+func (f *fakeDaemon) Usage() []answers.Counter {
+	return []answers.Counter{{VM: "vm-1", Workspace: "w"}}
+}
+func (f *fakeDaemon) Newest() (peer.Revision, []byte)  { return 7, []byte("{}") }
+func (f *fakeDaemon) Drain()                           { f.draining = true }
+func (f *fakeDaemon) Draining() (began bool, left int) { return f.draining, 2 }
+func (f *fakeDaemon) Counts() platform.Counts          { return platform.Counts{Reads: 5, Unknown: 1} }
 
-type wall struct{}
+type fixedClock struct{}
 
-func (wall) Now() clock.Milli { return 1000 }
+func (fixedClock) Now() clock.Milli { return 1000 }
 
 type fixture struct {
 	t      *testing.T
-	daemon *daemon
+	daemon *fakeDaemon
 	ring   *timeline.Ring
 	log    *log.Logger
 	door   http.Handler
@@ -61,7 +63,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{
-		t: t, daemon: &daemon{}, ring: timeline.New("snipeshiftd", "vm-1", 1, 16, wall{}),
+		t: t, daemon: &fakeDaemon{}, ring: timeline.New("snipeshiftd", "vm-1", 1, 16, fixedClock{}),
 		log: &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: io.Discard}},
 	}
 	set := metrics.NewSet()
@@ -79,7 +81,7 @@
 	return w
 }
 
-// get asks for a page and reads its answer.
+// get requests a page and decodes the response.
 func get[A any](f *fixture, path string) A {
 	w := f.call(http.MethodGet, path, "")
 	require.Equal(f.t, http.StatusOK, w.Code, path)
@@ -108,7 +110,7 @@
 	require.Contains(t, f.call(http.MethodGet, "/nothing", "").Body.String(), `"error"`)
 }
 
-func TestReadySaysWhyNot(t *testing.T) {
+func TestReadyReportsReasons(t *testing.T) {
 	f := newFixture(t)
 	require.True(t, get[answers.Readiness](f, "/ready").Ready)
 	f.daemon.reasons = []string{"no document yet"}
@@ -186,9 +188,9 @@
 	})
 }
 
-// The page of operating is where on-call engineers look an alarm up. A metric
-// that is renamed here and not there would leave them without.
-func TestThePageOfOperatingNamesEveryMetric(t *testing.T) {
+// On-call engineers look up alarms in the operations page. A metric that is renamed in the code but
+// not in the page could not be found there.
+func TestOperationsPageNamesEveryMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	text := newFixture(t).call(http.MethodGet, "/metrics", "").Body.String()
@@ -198,7 +200,7 @@
 		if !strings.HasPrefix(name, "snipeshift_") || name == "snipeshift_test_total" {
 			continue
 		}
-		// The page writes further metrics of one prefix by their ending alone.
+		// Of several metrics with a common prefix, the page lists all but the first by suffix only.
 		short := name[strings.LastIndex(strings.TrimSuffix(strings.TrimSuffix(name, "_tokens"), "_seconds"), "_"):]
 		require.True(t, bytes.Contains(page, []byte("`"+name+"`")) || bytes.Contains(page, []byte("`"+short+"`")), name)
 	}
--- a/daemon/operator/metrics.go
+++ b/daemon/operator/metrics.go
@@ -11,9 +11,9 @@
 	answers "snipeshift.example/lib/operator"
 )
 
-// metrics writes the daemon's own sets, and gauges read at the time of asking.
-// Labels hold names of the document and of VMs only, which bounds their number;
-// request ids and keys never become labels.
+// metrics writes the metrics that the daemon's components collect, and gauges that are read at the
+// time of the request. Labels have only names from the document and of VMs, which bounds their
+// number; request ids and keys never become labels.
 func (d *Door) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	b := bufio.NewWriter(w)
@@ -30,7 +30,7 @@
 	d.writeStore(b)
 	revision, _ := d.sources.Documents.Newest()
 	gauge(b, "snipeshift_document_revision", uint64(revision))
-	gauge(b, "snipeshift_ready", flag(len(d.sources.Health.Unready()) == 0))
+	gauge(b, "snipeshift_ready", boolGauge(len(d.sources.Health.Unready()) == 0))
 	metrics.WriteProcessMetrics(b)
 	_ = b.Flush()
 }
@@ -51,10 +51,10 @@
 	gauge(w, "snipeshift_upstream_running"+label, uint64(u.Running))
 	gauge(w, "snipeshift_upstream_reserved_tokens"+label, uint64(max(u.Reserved, 0)))
 	gauge(w, "snipeshift_upstream_used_tokens"+label, uint64(max(u.Used, 0)))
-	gauge(w, "snipeshift_upstream_serving"+label, flag(u.State == answers.Serving))
+	gauge(w, "snipeshift_upstream_serving"+label, boolGauge(u.State == answers.Serving))
 }
 
-// states are all states, so that one that nobody is in is written as zero.
+// states lists all states, so that a state without members is written as zero.
 var states = []answers.State{answers.Serving, answers.Draining, answers.Silent, answers.Gone}
 
 func (d *Door) writeMembers(w io.Writer) {
@@ -81,7 +81,7 @@
 
 func gauge(w io.Writer, name string, n uint64) { metrics.WriteGaugeUint64(w, name, n) }
 
-func flag(on bool) uint64 {
+func boolGauge(on bool) uint64 {
 	if on {
 		return 1
 	}
--- a/daemon/operator/pages.go
+++ b/daemon/operator/pages.go
@@ -21,19 +21,19 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// live answers as long as this process can answer at all.
+// live is the liveness check: it succeeds whenever the process can respond.
 func (d *Door) live(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "live\n")
 }
 
-// ready tells the balancer whether to send callers here.
+// ready is the readiness check, by which the balancer decides whether to send requests to this VM.
 func (d *Door) ready(w http.ResponseWriter, _ *http.Request) {
 	reasons := d.sources.Health.Unready()
 	status := http.StatusOK
 	if len(reasons) > 0 {
 		status = http.StatusServiceUnavailable
 	}
-	write(w, status, answers.Readiness{Ready: len(reasons) == 0, Reasons: reasons})
+	writeJSON(w, status, answers.Readiness{Ready: len(reasons) == 0, Reasons: reasons})
 }
 
 func (d *Door) document(w http.ResponseWriter, r *http.Request) {
@@ -43,15 +43,15 @@
 	if r.URL.Query().Has(answers.ParamText) {
 		a.Text = string(text)
 	}
-	write(w, http.StatusOK, a)
+	writeJSON(w, http.StatusOK, a)
 }
 
-// timeline answers with JSON lines: a whole ring can be megabytes, and a reader
-// that is cut off can use the lines it has.
+// timeline responds with JSON lines: the events of a full ring buffer can be megabytes, and a reader
+// whose connection is cut can still use the lines that it has received.
 func (d *Door) timeline(w http.ResponseWriter, r *http.Request) {
-	f, err := filter(r.URL.Query())
+	f, err := parseFilter(r.URL.Query())
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -65,21 +65,21 @@
 	_ = b.Flush()
 }
 
-func filter(q url.Values) (timeline.Filter, error) {
+func parseFilter(q url.Values) (timeline.Filter, error) {
 	f := timeline.Filter{
 		Request:   decide.RequestID(q.Get(answers.ParamRequest)),
 		Workspace: decide.WorkspaceID(q.Get(answers.ParamWorkspace)),
 		Upstream:  decide.UpstreamID(q.Get(answers.ParamUpstream)),
 	}
 	var err error
-	if f.Since, err = instant(q, answers.ParamSince); err != nil {
+	if f.Since, err = parseInstant(q, answers.ParamSince); err != nil {
 		return f, err
 	}
-	f.Until, err = instant(q, answers.ParamUntil)
+	f.Until, err = parseInstant(q, answers.ParamUntil)
 	return f, err
 }
 
-func instant(q url.Values, name string) (clock.Milli, error) {
+func parseInstant(q url.Values, name string) (clock.Milli, error) {
 	text := q.Get(name)
 	if text == "" {
 		return 0, nil
@@ -95,21 +95,21 @@
 var levels = []string{"trace", "debug", "info", "warn", "error"}
 
 func (d *Door) level(w http.ResponseWriter, _ *http.Request) {
-	write(w, http.StatusOK, answers.Level{Level: d.present().String()})
+	writeJSON(w, http.StatusOK, answers.Level{Level: d.currentLevel().String()})
 }
 
-// present reads the level as SetLevel writes it, while other goroutines log.
-func (d *Door) present() log.Level {
+// currentLevel reads the level atomically, since SetLevel may change it at the same time.
+func (d *Door) currentLevel() log.Level {
 	return log.Level(atomic.LoadUint32((*uint32)(&d.log.Level)))
 }
 
 func (d *Door) setLevel(w http.ResponseWriter, r *http.Request) {
 	var a answers.Level
-	if !read(w, r, &a) {
+	if !readJSON(w, r, &a) {
 		return
 	}
 	if !slices.Contains(levels, a.Level) {
-		fail(w, http.StatusBadRequest, fmt.Sprintf("level: use one of %q", levels))
+		writeError(w, http.StatusBadRequest, fmt.Sprintf("level: use one of %q", levels))
 		return
 	}
 	d.log.SetLevel(log.ParseLevel(a.Level))
@@ -119,22 +119,22 @@
 
 func (d *Door) drain(w http.ResponseWriter, _ *http.Request) {
 	began, requests := d.sources.Stopper.Draining()
-	write(w, http.StatusOK, answers.Drain{Draining: began, Requests: requests})
+	writeJSON(w, http.StatusOK, answers.Drain{Draining: began, Requests: requests})
 }
 
-// startDrain begins the planned stop. It answers at once, since the requests in
-// work may take as long as their allowed time.
+// startDrain begins the graceful stop. It responds at once, since the running requests may take until
+// their deadlines.
 func (d *Door) startDrain(w http.ResponseWriter, r *http.Request) {
 	var a answers.Drain
-	if !read(w, r, &a) {
+	if !readJSON(w, r, &a) {
 		return
 	}
 	if !a.Draining {
-		fail(w, http.StatusBadRequest, "a planned stop cannot be taken back: start the daemon anew when it has stopped")
+		writeError(w, http.StatusBadRequest, "a planned stop cannot be taken back: start the daemon anew when it has stopped")
 		return
 	}
 	d.sources.Timeline.Add(timeline.Event{Kind: timeline.Drained, Text: "by an operator"})
 	d.sources.Stopper.Drain()
 	began, requests := d.sources.Stopper.Draining()
-	write(w, http.StatusAccepted, answers.Drain{Draining: began, Requests: requests})
+	writeJSON(w, http.StatusAccepted, answers.Drain{Draining: began, Requests: requests})
 }
