--- a/daemon/settings/relay.go
+++ b/daemon/settings/relay.go
@@ -9,26 +9,29 @@
 	"snipeshift.example/lib/strict"
 )
 
-// Relay are the settings of one VM that relays opaque requests on a platform
-// which gives the document and the upstreams.
+// Relay are the settings of one VM in relay mode: it relays opaque requests on a platform that
+// provides the configuration document and the list of upstreams.
 type Relay struct {
 	Name   peer.VM     `json:"name"`
 	Domain peer.Domain `json:"domain"`
-	// Caller is where the balancer sends callers, Ready where it asks whether it may.
+	// Caller is the listen address for requests, which the balancer forwards to it. Ready is the
+	// listen address for the balancer's readiness check.
 	Caller string `json:"caller"`
 	Ready  string `json:"ready"`
-	// Peer is where other daemons connect, Advertise the address of it that they are told.
+	// Peer is the listen address for other daemons. Advertise is the address of it that other
+	// daemons connect to; Peer is used where it is empty.
 	Peer      string   `json:"peer"`
 	Advertise string   `json:"advertise"`
 	Metrics   string   `json:"metrics"`
 	Store     string   `json:"store"`
 	Peers     []string `json:"peers"`
-	// First is set at the first start of all VMs of the deployment.
+	// First is true at the first start of all VMs of the deployment.
 	First bool `json:"first"`
 	// Memory is in megabytes.
 	Memory int `json:"memory"`
-	// Cores is the VM's share of the processor in cores, Link its network link in megabits a second. VMs with more of
-	// both decide for others; zero where nobody says.
+	// Cores is the VM's share of the processor, in cores. Link is the bandwidth of its network link,
+	// in megabits per second. Both are zero if unknown. High-capacity VMs are preferred as those that
+	// decide placements for all.
 	Cores  float64 `json:"cores"`
 	Link   float64 `json:"link"`
 	Level  string  `json:"level"`
@@ -36,48 +39,49 @@
 	Budget Budget  `json:"budget"`
 }
 
-// Bounds are what the platform's operators promise their users.
+// Bounds are times that the platform's operators promise to their users.
 type Bounds struct {
-	// Config is the time within which a document is in force.
+	// Config is the time within which a new document is in force on all VMs.
 	Config clock.Milli `json:"config"`
-	// Revoke is the time within which a withdrawn key is refused.
+	// Revoke is the time within which a revoked key is refused on all VMs.
 	Revoke clock.Milli `json:"revoke"`
-	// Grace is the time between the word to stop and the end of the process.
+	// Grace is the time between the signal to stop and the end of the process.
 	Grace clock.Milli `json:"grace"`
 }
 
-// Budget bounds the sends beyond the first of each request, over all VMs.
+// Budget bounds the retries of requests, that is, all sends after the first one of each request,
+// over all VMs.
 type Budget struct {
-	// Share is the part of the requests that may be sent again, Floor how many
-	// more, within Window.
+	// In each Window, the number of retries may be Share times the number of requests, plus Floor.
 	Share  float64     `json:"share"`
 	Floor  float64     `json:"floor"`
 	Window clock.Milli `json:"window"`
 }
 
+// relayFields describes each field of Relay. The parser applies its bounds and defaults.
 var relayFields = strict.Table{
 	"name":          {Need: true, Text: "name of this VM"},
-	"domain":        {Need: true, Min: 1, Max: maxName, Text: "failure domain of this VM"},
-	"caller":        {Need: true, Text: "where callers connect, IP number and port"},
-	"ready":         {Need: true, Text: "where the balancer asks whether this VM takes callers, IP number and port"},
-	"peer":          {Need: true, Text: "where other daemons connect, IP number and port; the network between VMs is trusted"},
-	"advertise":     {Text: "what other daemons connect to, where it differs from peer"},
-	"metrics":       {Text: "where metrics and profiles (/debug/pprof/) are served, IP number and port; empty for nowhere"},
-	"store":         {Need: true, Text: "the platform's store, IP number and port"},
-	"peers":         {Text: "peers to try first"},
-	"first":         {Text: "true at the first start of all VMs of the deployment, when no caller is there yet"},
+	"domain":        {Need: true, Min: 1, Max: maxNameLength, Text: "failure domain of this VM"},
+	"caller":        {Need: true, Text: "listen address for clients, IP address and port"},
+	"ready":         {Need: true, Text: "listen address for the balancer's readiness check, IP address and port"},
+	"peer":          {Need: true, Text: "listen address for other daemons, IP address and port; the network between VMs is trusted"},
+	"advertise":     {Text: "address that other daemons connect to, if it differs from peer"},
+	"metrics":       {Text: "listen address for metrics and profiles (/debug/pprof/), IP address and port; not served if empty"},
+	"store":         {Need: true, Text: "address of the platform's store, IP address and port"},
+	"peers":         {Text: "addresses of peers to contact first"},
+	"first":         {Text: "true at the first start of all VMs of the deployment, when there are no clients yet"},
 	"memory":        {Unit: "megabytes", Min: 64, Max: 1 << 20, Default: 256, Text: "memory that the process may use"},
-	"cores":         {Min: 0, Max: 1024, Text: "the VM's share of the processor, in cores; those with the most decide for others, where nobody says all alike"},
-	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Text: "the VM's network link; goes with cores"},
-	"level":         {Only: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Text: "lowest level of log lines"},
-	"bounds":        {Text: "what the operators promise"},
-	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Text: "time within which a document is in force"},
-	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Text: "time within which a withdrawn key is refused"},
-	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Text: "time between the word to stop and the end of the process"},
-	"budget":        {Text: "bounds of what is sent again, over all VMs"},
-	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Text: "part of the requests that may be sent again"},
-	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Text: "how many more may be sent again"},
-	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Text: "time over which both count"},
+	"cores":         {Min: 0, Max: 1024, Text: "the VM's share of the processor, in cores; VMs with the most are preferred as owners, and all VMs rank alike if it is not set"},
+	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Text: "bandwidth of the VM's network link; used together with cores"},
+	"level":         {Only: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Text: "lowest level of log lines that are written"},
+	"bounds":        {Text: "times that the operators promise to their users"},
+	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Text: "time within which a new document is in force on all VMs"},
+	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Text: "time within which a revoked key is refused on all VMs"},
+	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Text: "time between the signal to stop and the end of the process"},
+	"budget":        {Text: "bounds of retries, over all VMs"},
+	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Text: "retries per request"},
+	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Text: "number of retries allowed in addition"},
+	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Text: "time over which requests and retries are counted"},
 }
 
 // ReadRelay reads a file and checks it.
@@ -89,7 +93,8 @@
 	return ParseRelay(b, path)
 }
 
-// ParseRelay reads text and checks it. The error is strict.Problems.
+// ParseRelay parses text and checks it; name is the file name for error messages. The error is of
+// type strict.Problems.
 func ParseRelay(text []byte, name string) (*Relay, error) {
 	s := &Relay{}
 	src := strict.Read(text, name, s, relayFields)
@@ -109,16 +114,16 @@
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"ready", s.Ready}, {"peer", s.Peer}, {"store", s.Store},
 	} {
-		address(src, a.field, a.address)
+		checkAddress(src, a.field, a.address)
 	}
 	if s.Metrics != "" {
-		address(src, "metrics", s.Metrics)
+		checkAddress(src, "metrics", s.Metrics)
 	}
-	advertised(src, "advertise", s.Advertise, "peer", s.Peer)
+	checkAdvertised(src, "advertise", s.Advertise, "peer", s.Peer)
 	if s.Advertise == "" {
 		s.Advertise = s.Peer
 	}
 	for i, a := range s.Peers {
-		address(src, fmt.Sprintf("peers[%d]", i), a)
+		checkAddress(src, fmt.Sprintf("peers[%d]", i), a)
 	}
 }
--- a/daemon/settings/relay_test.go
+++ b/daemon/settings/relay_test.go
@@ -8,17 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodRelay = `{"name":"vm-1","domain":"hall","caller":"127.0.0.1:1","ready":"127.0.0.1:2","peer":"127.0.0.1:3","store":"127.0.0.1:4"}`
+const validRelaySettings = `{"name":"vm-1","domain":"hall","caller":"127.0.0.1:1","ready":"127.0.0.1:2","peer":"127.0.0.1:3","store":"127.0.0.1:4"}`
 
 func TestRelayDefaults(t *testing.T) {
-	s, err := ParseRelay([]byte(goodRelay), "vm.hujson")
+	s, err := ParseRelay([]byte(validRelaySettings), "vm.hujson")
 	require.NoError(t, err)
 	require.Equal(t, Bounds{Config: 2000, Revoke: 5000, Grace: 8000}, s.Bounds)
 	require.Equal(t, Budget{Share: 0.2, Floor: 100, Window: 10_000}, s.Budget)
 	require.Equal(t, 256, s.Memory)
 }
 
-func TestRelayProblemsComeAtOnce(t *testing.T) {
+func TestAllRelayProblemsAreReportedTogether(t *testing.T) {
 	_, err := ParseRelay([]byte(`{"name":"VM 1","peers":["nowhere"],"peer":"0.0.0.0:3","metrics":"x","bounds":{"revoke":0},"budget":{"share":2}}`), "vm.hujson")
 	require.Error(t, err)
 	for _, f := range []string{"name", "domain", "caller", "ready", "store", "peers[0]", "advertise: is needed, since peer", "metrics", "bounds.revoke", "budget.share"} {
@@ -26,9 +26,9 @@
 	}
 }
 
-// The template of the deploy file names a field that the reader does not know. No VM
-// starts, and one sees it only when the platform fills it in.
-func TestTheTemplateFillsInGoodSettings(t *testing.T) {
+// If the settings template of the deployment names a field that the parser does not know, no VM
+// starts, and the error appears only when the platform fills in the template.
+func TestDeploymentTemplateYieldsValidSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/node.hujson")
 	require.NoError(t, err)
 	values := map[string]string{
@@ -55,6 +55,6 @@
 }
 
 func FuzzParseRelay(f *testing.F) {
-	f.Add([]byte(goodRelay))
+	f.Add([]byte(validRelaySettings))
 	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = ParseRelay(b, "fuzz") })
 }
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of a daemon: what differs from VM
-// to VM. What all obey is in the document.
+// Package settings reads the settings file of a daemon, which has what differs from VM to VM. The
+// configuration that is common to all VMs is in the document.
 package settings
 
 import (
@@ -19,12 +19,12 @@
 // Class is the error class of this package.
 var Class = errs.Class("settings")
 
-// Default is the commented file with every field's default.
+// Default is a commented settings file in which every field has its default.
 //
 //go:embed default.hujson
 var Default []byte
 
-// Settings are one daemon's. default.hujson explains each field.
+// Settings are the settings of one daemon. default.hujson explains each field.
 type Settings struct {
 	Name      peer.VM     `json:"name"`
 	Domain    peer.Domain `json:"domain"`
@@ -40,7 +40,7 @@
 	TLS       TLS         `json:"tls"`
 }
 
-// TLS names certificate files.
+// TLS names the files with certificates and keys, in PEM.
 type TLS struct {
 	CA         string `json:"ca"`
 	Cert       string `json:"cert"`
@@ -49,7 +49,7 @@
 	CallerKey  string `json:"callerkey"`
 }
 
-// Mutual reports whether peers and operators must show certificates.
+// Mutual reports whether peers and operators must present certificates.
 func (t TLS) Mutual() bool { return t.CA != "" }
 
 // Read reads a file and checks it.
@@ -61,11 +61,11 @@
 	return Parse(b, path)
 }
 
-// Parse reads text and checks it. The error is strict.Problems: all that is
-// wrong, each with file, line and field.
+// Parse parses text and checks it; name is the file name for error messages. The error is of type
+// strict.Problems and lists all problems, each with file, line and field.
 func Parse(text []byte, name string) (*Settings, error) {
 	s := &Settings{}
-	src := strict.Read(text, name, s, fields)
+	src := strict.Read(text, name, s, settingsFields)
 	if !src.Faulty("") {
 		s.check(src)
 	}
@@ -83,8 +83,9 @@
 
 // Bounds of the settings.
 const (
-	maxName = 128
-	// maxGrace bounds the grace: a longer one would hold up a rolling restart of all VMs.
+	maxNameLength = 128
+	// maxGrace bounds the grace period and other times: a longer grace period would delay a rolling
+	// restart of all VMs.
 	maxGrace = 5 * clock.Minute
 )
 
@@ -97,52 +98,54 @@
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"operator", s.Operator}, {"peer", s.Peer}, {"platform", s.Platform},
 	} {
-		address(src, a.field, a.address)
+		checkAddress(src, a.field, a.address)
 	}
-	advertised(src, "advertise", s.Advertise, "peer", s.Peer)
-	advertised(src, "contact", s.Contact, "operator", s.Operator)
+	checkAdvertised(src, "advertise", s.Advertise, "peer", s.Peer)
+	checkAdvertised(src, "contact", s.Contact, "operator", s.Operator)
 	for i, a := range s.Peers {
-		address(src, fmt.Sprintf("peers[%d]", i), a)
+		checkAddress(src, fmt.Sprintf("peers[%d]", i), a)
 	}
 	s.TLS.check(src)
 }
 
 func (t TLS) check(src *strict.Source) {
 	if (t.CA == "") != (t.Cert == "") || (t.CA == "") != (t.Key == "") {
-		src.Add("tls", "ca, cert and key go together: name all three or none")
+		src.Add("tls", "ca, cert and key go together: set all three or none")
 	}
 	if (t.CallerCert == "") != (t.CallerKey == "") {
-		src.Add("tls", "callercert and callerkey go together: name both or none")
+		src.Add("tls", "callercert and callerkey go together: set both or none")
 	}
 }
 
-// advertised checks the address that others connect to: the one named for this, or the one that the
-// door listens on.
+// checkAdvertised checks the address that other VMs connect to: the advertised address or, if that is
+// empty, the address to listen on.
 //
-// A daemon that listens on every address of its VM would tell the others 0.0.0.0. Each
-// would then connect to itself, take itself for that peer, and the operators' command
-// would show one VM under every name.
-func advertised(src *strict.Source, field, named, door, listens string) {
-	if named != "" {
-		address(src, field, named)
-		if wild(named) && !src.Faulty(field) {
-			src.Add(field, "is what others connect to: use the IP number and port by which they reach this VM")
+// A daemon that listens on every address of its VM would otherwise advertise 0.0.0.0. Each other
+// daemon would then connect to itself and take itself for that peer, and the operator command would
+// show one VM under every name.
+func checkAdvertised(src *strict.Source, field, advertise, listenField, listen string) {
+	if advertise != "" {
+		checkAddress(src, field, advertise)
+		if unreachable(advertise) && !src.Faulty(field) {
+			src.Add(field, "is what others connect to: use the IP address and port at which they reach this VM")
 		}
 		return
 	}
-	if wild(listens) && !src.Faulty(door) {
-		src.Add(field, "is needed, since %s is %s: give the IP number and port by which others reach this VM", door, listens)
+	if unreachable(listen) && !src.Faulty(listenField) {
+		src.Add(field, "is needed, since %s is %s: set it to the IP address and port at which others reach this VM", listenField, listen)
 	}
 }
 
-// wild tells whether nobody can connect to an address as it stands.
-func wild(a string) bool {
+// unreachable reports whether an address is no destination for a connection: it has the unspecified
+// IP address or port 0.
+func unreachable(a string) bool {
 	p, err := netip.ParseAddrPort(a)
 	return err == nil && (p.Addr().Unmap().IsUnspecified() || p.Port() == 0)
 }
 
-func address(src *strict.Source, field, a string) {
+// checkAddress requires an IP address with a port.
+func checkAddress(src *strict.Source, field, a string) {
 	if _, err := netip.ParseAddrPort(a); err != nil && !src.Faulty(field) {
-		src.Add(field, `must be an IP number and a port, such as "10.0.0.7:7000"`)
+		src.Add(field, `must be an IP address and a port, such as "10.0.0.7:7000"`)
 	}
 }
