--- a/daemon/book.go
+++ b/daemon/book.go
@@ -8,9 +8,9 @@
 	"snipeshift.example/lib/document"
 )
 
-// book holds the configuration in force, indexed, and which upstreams the
+// config holds the index of the configuration document in force and the upstreams that the
 // platform lists as leaving.
-type book struct {
+type config struct {
 	index atomic.Pointer[document.Index]
 
 	mu      sync.RWMutex
@@ -18,26 +18,26 @@
 }
 
 // Index implements caller.Book and pool.Book.
-func (b *book) Index() (*document.Index, bool) {
+func (b *config) Index() (*document.Index, bool) {
 	x := b.index.Load()
 	return x, x != nil
 }
 
 // Leaving implements pool.Book.
-func (b *book) Leaving(id decide.UpstreamID) bool {
+func (b *config) Leaving(id decide.UpstreamID) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.leaving[id]
 }
 
-// setLeaving takes a new list; changed is true when it differs.
-func (b *book) setLeaving(ids map[decide.UpstreamID]bool) (changed bool) {
+// setLeaving replaces the set of leaving upstreams and reports whether the set changed.
+func (b *config) setLeaving(leaving map[decide.UpstreamID]bool) (changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	changed = len(ids) != len(b.leaving)
-	for id := range ids {
+	changed = len(leaving) != len(b.leaving)
+	for id := range leaving {
 		changed = changed || !b.leaving[id]
 	}
-	b.leaving = ids
+	b.leaving = leaving
 	return changed
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,31 +37,32 @@
 const (
 	// dialTimeout bounds a connect to an upstream; the farthest is milliseconds away.
 	dialTimeout = 2 * time.Second
-	// headerTimeout bounds the reading of a request's header: a caller that
-	// trickles it would hold a connection for nothing.
+	// headerTimeout bounds the reading of a request's header: a client that sends its header
+	// byte by byte would otherwise occupy a connection indefinitely.
 	headerTimeout = 5 * time.Second
-	// headerLimit is where the server stops reading a header; up to there the
-	// gate refuses one over its own limit with the error kind.
+	// headerLimit is the header size, in bytes, at which the HTTP server stops reading. The gate
+	// has a lower limit: it refuses headers between the two limits and names the kind of error
+	// in its response.
 	headerLimit = 4 * caller.HeaderLimit
-	// idleTimeout closes callers' idle connections, so that a stopping daemon has few.
+	// idleTimeout closes idle client connections, so that few are open when the daemon stops.
 	idleTimeout = 2 * time.Minute
-	// dutyEvery is the time between two looks at which pools are owned here.
-	dutyEvery = 250 * time.Millisecond
-	// goodbye bounds the last words to peers and store.
-	goodbye = 3 * time.Second
+	// ownershipInterval is the time between two checks of which pools this VM owns.
+	ownershipInterval = 250 * time.Millisecond
+	// finalTimeout bounds the last writes to the store and the last messages to peers.
+	finalTimeout = 3 * time.Second
 )
 
-// daemon is one life of a VM's daemon with all its parts.
+// daemon is one process of snipeshiftd with all its components.
 type daemon struct {
 	settings *settings.Settings
 	log      *log.Logger
 	clock    *clock.Clock
-	// incarnation is the wall time of the start, so that a later life has a larger one.
+	// incarnation is the wall time of the start, so that a later process has a larger one.
 	incarnation peer.Incarnation
 	ring        *timeline.Ring
-	book        *book
+	config      *config
 	dialer      *peer.Dialer
-	store       *store
+	store       *recordedStore
 	members     *member.Members
 	pause       *member.Pause
 	directory   *directory
@@ -74,16 +75,17 @@
 	engines     *engine.Client
 	leases      *lease.Leases
 	orders      *orders.Holder
-	// state is all that is shared through the store and heartbeats.
-	state *state
-	// work is cancelled when the last caller is served.
-	work    context.Context //nolint:containedctx // the life of the background work
+	// state is the state shared with other daemons through the store and heartbeats.
+	state *sharedState
+	// work is canceled when the last request has been served.
+	work    context.Context //nolint:containedctx // the lifetime of the background work
 	endWork context.CancelFunc
-	// quiet is closed once no heartbeat is sent any more.
-	quiet chan struct{}
-	// stopping is set by the first signal or an operator's drain: the daemon is not ready any more.
+	// heartbeatsDone is closed once the last heartbeat has been sent.
+	heartbeatsDone chan struct{}
+	// stopping is set by the first signal or an operator's drain. From then on the daemon reports
+	// that it is not ready.
 	stopping atomic.Bool
-	// drain is closed by an operator's drain.
+	// drain is closed when an operator requests a drain.
 	drain     chan struct{}
 	drainOnce sync.Once
 }
@@ -92,37 +94,37 @@
 	k := clock.New()
 	l := newLogger(s)
 	dr, err := door.New(door.Files{Authority: s.TLS.CA, Certificate: s.TLS.Cert, Key: s.TLS.Key}, func(err error) {
-		l.Error().Err(err).Msg("changed certificates cannot be used")
+		l.Error().Err(err).Msg("cannot load the changed certificates; the earlier ones stay in use")
 	})
 	if err != nil {
 		return nil, err
 	}
 	d := &daemon{
 		settings: s, clock: k, incarnation: peer.Incarnation(k.Now()),
-		log:    l,
-		door:   dr,
-		drain:  make(chan struct{}),
-		quiet:  make(chan struct{}),
-		book:   &book{},
-		dialer: peer.NewDialer(dr.Dial),
-		peers:  peer.NewServer(),
+		log:            l,
+		door:           dr,
+		drain:          make(chan struct{}),
+		heartbeatsDone: make(chan struct{}),
+		config:         &config{},
+		dialer:         peer.NewDialer(dr.Dial),
+		peers:          peer.NewServer(),
 	}
 	d.work, d.endWork = context.WithCancel(context.Background())
 	d.ring = timeline.New("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
-	d.store = &store{Client: platform.New(s.Platform, platform.DefaultTimeouts), ring: d.ring}
+	d.store = &recordedStore{Client: platform.New(s.Platform, platform.DefaultTimeouts), ring: d.ring}
 	self := peer.Member{VM: s.Name, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Advertise, Operator: s.Contact}
 	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewList(s.Peers, d.store), k)
 	d.directory = newDirectory(d.members, k, d.ring)
 	d.engines = engine.NewClient(dialTimeout)
-	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.paused)
+	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.handlePause)
 	d.leases = lease.New(d.store, k, lease.DefaultRules, d.pause, self)
-	d.orders = orders.New(d.work, d.log, d.ring, d.book, d.engines, d.leases)
-	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.book, pool.NewWitness(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
+	d.orders = orders.New(d.work, d.log, d.ring, d.config, d.engines, d.leases)
+	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.config, pool.NewWitness(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
 	d.quarantine = quarantine.New(k, d.members, d.dialer)
 	d.limits = limit.New(k, d.directory, d.dialer, peer.Gate(s.Name, d.incarnation))
 	d.state = newState(d)
 	d.gate = caller.New(caller.Needs{
-		Clock: k, Log: d.log, Book: d.book, Members: d.directory, Peers: d.dialer, Engines: d.engines,
+		Clock: k, Log: d.log, Book: d.config, Members: d.directory, Peers: d.dialer, Engines: d.engines,
 		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewBudgets(k), Suspects: d.quarantine, Limits: d.limits,
 	}, s.Name, s.Domain, d.incarnation)
 	d.members.Add(d.directory, d.state.follower, d.state.counters, d.quarantine)
@@ -130,11 +132,11 @@
 	return d, d.register()
 }
 
-// register serves the receivers of the peer door.
+// register registers the RPC receivers that peers call.
 func (d *daemon) register() error {
-	var g errs
+	var g errList
 	g.add(d.peers.Register("Pool", d.owner))
-	g.add(d.peers.Register("Gate", holds{d.gate}))
+	g.add(d.peers.Register("Gate", gateReceiver{d.gate}))
 	g.add(d.peers.Register(quarantine.Name, quarantine.NewReceiver(d.quarantine)))
 	g.add(d.peers.Register(claim.Name, claim.NewReceiver(d.state.claims)))
 	g.add(d.peers.Register(limit.Name, limit.NewReceiver(d.limits)))
@@ -142,21 +144,23 @@
 	return g.err
 }
 
-// holds serves the one method of the gate that peers may call.
-type holds struct{ gate *caller.Gate }
+// gateReceiver exposes the one method of the gate that peers may call.
+type gateReceiver struct{ gate *caller.Gate }
 
 // Holds implements Gate.Holds.
-func (h holds) Holds(args peer.HoldsArgs, reply *peer.HoldsReply) error {
+func (h gateReceiver) Holds(args peer.HoldsArgs, reply *peer.HoldsReply) error {
 	return h.gate.Holds(args, reply)
 }
 
-type errs struct{ err error }
+// errList collects errors.
+type errList struct{ err error }
 
-func (e *errs) add(err error) { e.err = errors.Join(e.err, err) }
+func (e *errList) add(err error) { e.err = errors.Join(e.err, err) }
 
-// paused gives every duty up after this process stood still.
-func (d *daemon) paused(gap clock.Milli) {
-	d.log.Warn().Int64("gap", int64(gap)).Msg("this process stood still; all duties are given up")
+// handlePause gives up all leases and pools after this process was paused, for example by a
+// signal or because the VM was suspended: other VMs may have taken them over meanwhile.
+func (d *daemon) handlePause(gap clock.Milli) {
+	d.log.Warn().Int64("gap", int64(gap)).Msg("this process was paused; all leases and pools are given up")
 	d.ring.Add(timeline.Event{Kind: timeline.Paused})
 	d.leases.Drop()
 	d.owner.Paused()
@@ -169,16 +173,16 @@
 	if err != nil {
 		return err
 	}
-	callers := d.server(d.gate.Handler())
+	clients := d.server(d.gate.Handler())
 	operators := d.server(d.operatorHandler())
 	var g errgroup.Group
 	d.spawn(&g, "peer door", func() error { return d.peers.Serve(ls.peer) })
-	d.spawn(&g, "caller door", func() error { return served(callers.Serve(ls.caller)) })
-	d.spawn(&g, "operator door", func() error { return served(operators.Serve(ls.operator)) })
+	d.spawn(&g, "caller door", func() error { return ignoreServerClosed(clients.Serve(ls.caller)) })
+	d.spawn(&g, "operator door", func() error { return ignoreServerClosed(operators.Serve(ls.operator)) })
 	d.spawn(&g, "heartbeats", func() error { return d.heartbeats() })
 	d.spawn(&g, "pause", func() error { return d.pause.Run(d.work) })
-	d.spawn(&g, "duties", func() error { d.duties(); return nil })
-	d.spawn(&g, "list of VMs", func() error { d.watchList(); return nil })
+	d.spawn(&g, "duties", func() error { d.watchOwnership(); return nil })
+	d.spawn(&g, "list of VMs", func() error { d.watchVMList(); return nil })
 	d.spawn(&g, "leases", func() error { return d.leases.Run(d.work) })
 	d.spawn(&g, "limits", func() error { d.limits.Run(d.work); return nil })
 	d.spawn(&g, "renewals", func() error { d.gate.Renew(d.work); return nil })
@@ -191,7 +195,7 @@
 	case <-d.drain:
 	case <-d.work.Done():
 	}
-	d.stop(callers)
+	d.stop(clients)
 	_ = operators.Close()
 	_ = ls.peer.Close()
 	d.peers.Close()
@@ -199,7 +203,7 @@
 	return g.Wait()
 }
 
-// spawn runs a part; when it fails the daemon stops.
+// spawn runs a component in a goroutine. The daemon stops when the component fails.
 func (d *daemon) spawn(g *errgroup.Group, name string, f func() error) {
 	g.Go(func() error {
 		defer guard.ReportPanic(d.log, name)
@@ -212,20 +216,19 @@
 	})
 }
 
-// heartbeats go on until all callers are served: peers must see a stopping
+// heartbeats sends heartbeats until all requests have been served: peers must see a stopping
 // member as long as it holds grants.
 func (d *daemon) heartbeats() error {
-	defer close(d.quiet)
+	defer close(d.heartbeatsDone)
 	return d.members.Run(d.work)
 }
 
-// stop is the planned stop: it cuts off no request.
+// stop stops the daemon gracefully, without cutting off any request.
 //
-// First this VM says that it is not ready and stops being an owner, then it
-// still takes requests for as long as the balancer may need to notice, then it
-// closes its listener and waits for every request in work, however long its
-// allowed time is.
-func (d *daemon) stop(callers *http.Server) {
+// First the VM reports that it is not ready and hands over its pools. It goes on accepting
+// requests for the grace period, in which the balancer notices. Then it closes its listener and
+// waits for every running request, however long its deadline is.
+func (d *daemon) stop(clients *http.Server) {
 	d.log.Info().Msg("stopping")
 	d.ring.Add(timeline.Event{Kind: timeline.Stopping})
 	d.stopping.Store(true)
@@ -234,10 +237,10 @@
 	d.owner.HandOver()
 	t := time.NewTimer(d.settings.Grace.Duration())
 	<-t.C
-	if err := callers.Shutdown(context.Background()); err != nil {
-		d.log.Warn().Err(err).Msg("callers' door")
+	if err := clients.Shutdown(context.Background()); err != nil {
+		d.log.Warn().Err(err).Msg("cannot shut down the listener for clients")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), goodbye)
+	ctx, cancel := context.WithTimeout(context.Background(), finalTimeout)
 	defer cancel()
 	d.state.flush(ctx)
 	d.endWork()
@@ -245,39 +248,40 @@
 	d.log.Info().Msg("stopped")
 }
 
-// leave tells the members that this one is gone, once the last heartbeat is over:
-// a beat in flight keeps the goodbye to its receiver from being sent, and that one would
-// wait for seconds before it takes this VM for gone.
+// leave announces to the other members that this VM leaves, after the last heartbeat has ended.
+// While a heartbeat to a member is in flight, the leave message to the same member is not sent, and
+// that member would take seconds to detect that this VM is gone.
 func (d *daemon) leave(ctx context.Context) {
 	select {
-	case <-d.quiet:
+	case <-d.heartbeatsDone:
 		d.members.Leave(ctx)
 	case <-ctx.Done():
 	}
 }
 
-// duties keeps the pools that are owned here open, and lets go of others.
-func (d *daemon) duties() {
-	var seen roster
-	guard.Every(d.work, dutyEvery, func() {
+// watchOwnership checks periodically which pools this VM owns. It opens those pools, releases all
+// others, and records changes of membership and ownership in the timeline.
+func (d *daemon) watchOwnership() {
+	var seen changeTracker
+	guard.Every(d.work, ownershipInterval, func() {
 		d.pause.Check()
-		owned := d.owned()
-		d.record(seen.see(d.members.Live(), d.settings.Name))
-		d.record(seen.own(owned))
+		owned := d.ownedPools()
+		d.recordEvents(seen.memberEvents(d.members.Live(), d.settings.Name))
+		d.recordEvents(seen.poolEvents(owned))
 		d.owner.Keep(owned)
 		d.orders.Want(owned)
 	})
 }
 
-func (d *daemon) record(events []timeline.Event) {
+func (d *daemon) recordEvents(events []timeline.Event) {
 	for _, e := range events {
 		d.ring.Add(e)
 	}
 }
 
-// owned lists the pools that rendezvous hashing gives to this VM now.
-func (d *daemon) owned() []peer.PoolID {
-	x, ok := d.book.Index()
+// ownedPools lists the pools that rendezvous hashing currently assigns to this VM.
+func (d *daemon) ownedPools() []peer.PoolID {
+	x, ok := d.config.Index()
 	if !ok || d.stopping.Load() {
 		return nil
 	}
@@ -290,15 +294,16 @@
 	return ids
 }
 
-// listeners are the three doors.
+// listeners are the listeners for clients, operators and peers.
 type listeners struct{ caller, operator, peer net.Listener }
 
-// listen opens the doors. Without certificates the peer and operator doors bind
-// to loopback only: whoever reaches them could drain VMs and read who asks what.
+// listen opens the listeners. Without certificates the listeners for peers and operators bind to
+// loopback only: whoever can connect to them can drain VMs and read which workspace sends which
+// requests.
 func (d *daemon) listen() (ls listeners, err error) {
 	ctx := context.Background()
 	if !d.door.Secure() {
-		d.log.Warn().Msg("no certificates in the settings: the peer and operator doors bind to loopback only")
+		d.log.Warn().Msg("no certificates in the settings: the listeners for peers and operators bind to loopback only")
 	}
 	if ls.operator, err = d.door.Listen(ctx, d.settings.Operator); err != nil {
 		return ls, err
@@ -315,7 +320,7 @@
 		return ls, nil
 	}
 	conf, err := door.Callers(t.CallerCert, t.CallerKey, func(err error) {
-		d.log.Error().Err(err).Msg("changed certificate for callers cannot be used")
+		d.log.Error().Err(err).Msg("cannot load the changed certificate for clients; the earlier one stays in use")
 	})
 	if err != nil {
 		return ls, err
@@ -331,7 +336,8 @@
 	}
 }
 
-func served(err error) error {
+// ignoreServerClosed drops the error that http.Server.Serve returns after a shutdown.
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -11,11 +11,12 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// summaryAge is how long a pool's summary counts; an older one says nothing of
-// the pool's present.
-const summaryAge = 5 * clock.Second
+// summaryMaxAge is the age up to which a pool's summary is used; an older one does not describe
+// the current state of the pool.
+const summaryMaxAge = 5 * clock.Second
 
-// directory answers who owns what and what pools look like, from heartbeats.
+// directory finds the owners of pools, the home VMs of workspaces and the summaries of pools, from
+// the membership and from what heartbeats carry.
 type directory struct {
 	members   *member.Members
 	clock     *clock.Clock
@@ -23,65 +24,65 @@
 	summaries func() []peer.PoolSummary
 
 	mu    sync.Mutex
-	pools map[peer.PoolID]heard
-	// seen is the newest word on each VM, kept after it left.
-	seen map[peer.VM]seen
-	// ranks holds what follows from the live members alone.
-	ranks ranks
+	pools map[peer.PoolID]timedSummary
+	// known has the newest record of each VM and retains it after the VM has left.
+	known map[peer.VM]memberRecord
+	// ranks caches what depends only on the list of live members.
+	ranks rankCache
 }
 
-// ranks holds owners and homes for one list of live members.
+// rankCache caches the owners of pools and the home VMs of workspaces for one list of live members.
 //
-// Every request asks for the owners of a pool, and every workspace with a rate
-// for its home once a second. Worked out anew among hundreds of members, that
-// takes more of a core than all other control together, while members change a
-// few times an hour.
-type ranks struct {
-	// live is the list that the rest was worked out from. Members never change a
-	// list that they gave out, so the same list is the same members.
+// Every request looks up the owners of a pool, and every workspace with a rate limit its home once
+// a second. Computing them each time among hundreds of members uses more of a core than the rest of
+// the control plane together, while the membership changes a few times an hour.
+type rankCache struct {
+	// live is the list that the cached results were computed from. Members never modifies a list
+	// that it has returned, so the same slice means the same members.
 	live   []peer.Member
 	owners map[peer.PoolID][]peer.Member
 	homes  map[decide.WorkspaceID]peer.Member
 }
 
-// of returns the ranks for a list of live members, empty ones if it is a new list.
-func (r *ranks) of(live []peer.Member) *ranks {
+// forMembers returns the cache for a list of live members, emptied first if the list is a new one.
+func (r *rankCache) forMembers(live []peer.Member) *rankCache {
 	same := len(live) == len(r.live) && (len(live) == 0 || &live[0] == &r.live[0])
 	if !same || r.owners == nil {
-		*r = ranks{live: live, owners: map[peer.PoolID][]peer.Member{}, homes: map[decide.WorkspaceID]peer.Member{}}
+		*r = rankCache{live: live, owners: map[peer.PoolID][]peer.Member{}, homes: map[decide.WorkspaceID]peer.Member{}}
 	}
 	return r
 }
 
-// seen is the newest word on a VM.
-type seen struct {
+// memberRecord is the newest known state of a VM.
+type memberRecord struct {
 	member peer.Member
-	// revision and at are of its own last beat; zero when it never beat this VM.
+	// revision is the document revision in the last heartbeat from the VM itself, at the time that
+	// heartbeat arrived. Both are zero if this daemon has received none from it.
 	revision peer.Revision
 	at       clock.Milli
 }
 
-// heard is a summary with the instant it came.
-type heard struct {
-	summary decide.Summary
-	at      clock.Milli
+// timedSummary is a pool's summary and the time at which it was received.
+type timedSummary struct {
+	summary    decide.Summary
+	receivedAt clock.Milli
 }
 
 func newDirectory(m *member.Members, k *clock.Clock, r *timeline.Ring) *directory {
-	return &directory{members: m, clock: k, ring: r, pools: map[peer.PoolID]heard{}, seen: map[peer.VM]seen{}}
+	return &directory{members: m, clock: k, ring: r, pools: map[peer.PoolID]timedSummary{}, known: map[peer.VM]memberRecord{}}
 }
 
-// mostOwners is how many owners of a pool are kept: more than a gate asks in a
-// row. All members for all pools would be megabytes.
-const mostOwners = 4
+// maxOwners is how many members are cached as owners of a pool, in order of rank: more than a gate
+// tries for one request. Caching all members for all pools would take megabytes.
+const maxOwners = 4
 
-// Owners implements caller.Members: the first members of the pool's failure
-// domain by rank, then others. The answer must not be changed.
+// Owners implements caller.Members. It returns the members of the pool's failure domain by rank,
+// then those of other domains, at most maxOwners. The result must not be modified.
 func (d *directory) Owners(id peer.PoolID) []peer.Member {
 	live := d.members.Live()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.ranks.of(live)
+	r := d.ranks.forMembers(live)
 	owners, ok := r.owners[id]
 	if !ok {
 		owners = rank(id, live)
@@ -100,7 +101,7 @@
 		}
 	}
 	owners := append(member.Rank(string(id), near), member.Rank(string(id), far)...)
-	return slices.Clone(owners[:min(len(owners), mostOwners)])
+	return slices.Clone(owners[:min(len(owners), maxOwners)])
 }
 
 // Summary implements caller.Members.
@@ -108,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h, ok := d.pools[id]
-	if !ok || d.clock.Now()-h.at > summaryAge {
+	if !ok || d.clock.Now()-h.receivedAt > summaryMaxAge {
 		return decide.Summary{}, false
 	}
 	return h.summary, true
@@ -116,7 +117,7 @@
 
 // Heard implements caller.Members.
 func (d *directory) Heard(id peer.PoolID, s decide.Summary) {
-	d.learn([]peer.PoolSummary{{Pool: id, Summary: s}})
+	d.storeSummaries([]peer.PoolSummary{{Pool: id, Summary: s}})
 }
 
 // Find implements pool.Directory.
@@ -128,47 +129,48 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x, known := d.seen[v]
+	x, known := d.known[v]
 	return x.member, false, known
 }
 
-// Fill implements member.Part: a beat carries the summaries of the pools owned here.
+// Fill implements member.Part: a heartbeat carries the summaries of the pools that this VM owns.
 func (d *directory) Fill(_ peer.VM, b *peer.BeatArgs) {
 	b.Stamp = d.ring.Send()
 	ps := d.summaries()
 	b.Pools = append(b.Pools, ps...)
-	d.learn(ps)
+	d.storeSummaries(ps)
 }
 
 // Learn implements member.Part.
 func (d *directory) Learn(b *peer.BeatArgs, _ bool) {
 	d.ring.Receive(b.Stamp)
-	d.learn(b.Pools)
+	d.storeSummaries(b.Pools)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range b.Known {
-		d.hear(m)
+		d.updateMember(m)
 	}
-	d.hear(b.From)
-	x := d.seen[b.From.VM]
+	d.updateMember(b.From)
+	x := d.known[b.From.VM]
 	x.revision, x.at = b.Revision, d.clock.Now()
-	d.seen[b.From.VM] = x
+	d.known[b.From.VM] = x
 }
 
-// hear keeps the newest word on a VM. It needs mu.
-func (d *directory) hear(m peer.Member) {
-	x := d.seen[m.VM]
+// updateMember records the state of a VM unless a later incarnation of it is known. The caller
+// must hold mu.
+func (d *directory) updateMember(m peer.Member) {
+	x := d.known[m.VM]
 	if x.member.Incarnation <= m.Incarnation {
 		x.member = m
-		d.seen[m.VM] = x
+		d.known[m.VM] = x
 	}
 }
 
-// heardOf returns what is known of a VM from its own beats.
-func (d *directory) heardOf(v peer.VM) (revision peer.Revision, at clock.Milli) {
+// lastBeat returns the document revision and the arrival time of the last heartbeat from a VM.
+func (d *directory) lastBeat(v peer.VM) (revision peer.Revision, at clock.Milli) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x := d.seen[v]
+	x := d.known[v]
 	return x.revision, x.at
 }
 
@@ -177,7 +179,7 @@
 	live := d.members.Live()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.ranks.of(live)
+	r := d.ranks.forMembers(live)
 	if m, ok := r.homes[w]; ok {
 		return m, true
 	}
@@ -194,11 +196,11 @@
 // Self implements limit.Homes.
 func (d *directory) Self() peer.Member { return d.members.Self() }
 
-func (d *directory) learn(ps []peer.PoolSummary) {
+func (d *directory) storeSummaries(ps []peer.PoolSummary) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
 	for _, p := range ps {
-		d.pools[p.Pool] = heard{summary: p.Summary, at: now}
+		d.pools[p.Pool] = timedSummary{summary: p.Summary, receivedAt: now}
 	}
 }
--- a/daemon/directory_test.go
+++ b/daemon/directory_test.go
@@ -12,28 +12,27 @@
 	"snipeshift.example/lib/timeline"
 )
 
-func vmOf(i int) peer.Member {
+func testMember(i int) peer.Member {
 	return peer.Member{VM: peer.VM(fmt.Sprintf("vm-%d", i)), Domain: peer.Domain(fmt.Sprintf("hall-%d", i%2)), Incarnation: 1}
 }
 
-func directoryOf(t testing.TB, count int) (*directory, *member.Receiver) {
+func newTestDirectory(t testing.TB, count int) (*directory, *member.Receiver) {
 	k := clock.New()
-	m := member.New(vmOf(0), member.DefaultRules, nil, nil, k)
+	m := member.New(testMember(0), member.DefaultRules, nil, nil, k)
 	r := member.NewReceiver(m, nil)
 	for i := range count - 1 {
-		require.NoError(t, r.Beat(&peer.BeatArgs{From: vmOf(i + 1)}, &peer.BeatArgs{}))
+		require.NoError(t, r.Beat(&peer.BeatArgs{From: testMember(i + 1)}, &peer.BeatArgs{}))
 	}
 	return newDirectory(m, k, timeline.New("test", "vm-0", 1, 64, k)), r
 }
 
-// A VM that owned a pool stops, or dies. Owners that were worked out before
-// would send every further request for the pool to it, and callers would wait
-// until it is given up on each time.
-func TestOwnersAndHomesFollowTheMembers(t *testing.T) {
-	d, r := directoryOf(t, 9)
+// A VM that owns a pool stops or crashes. If the cached owners were not recomputed, every further
+// request for the pool would be sent to that VM, and its client would wait for the time-out.
+func TestOwnersAndHomesFollowMembership(t *testing.T) {
+	d, r := newTestDirectory(t, 9)
 	const pool = peer.PoolID("drafter@hall-1")
 	before := d.Owners(pool)
-	require.Len(t, before, mostOwners)
+	require.Len(t, before, maxOwners)
 	require.Equal(t, before, d.Owners(pool))
 	owner, ok := d.members.Owner(pool)
 	require.True(t, ok)
@@ -53,7 +52,7 @@
 }
 
 func BenchmarkOwnersOf450(b *testing.B) {
-	d, _ := directoryOf(b, 450)
+	d, _ := newTestDirectory(b, 450)
 	b.ReportAllocs()
 	for b.Loop() {
 		d.Owners("drafter@hall-1")
--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -9,24 +9,24 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Times of the look at the platform's list of VMs.
+// Times of reading the platform's list of VMs.
 const (
-	// listEvery is the time between two looks on a small fleet.
-	listEvery = clock.Second
-	// listRate is how many looks a second all VMs together may take: the store
-	// takes some 2,000 reads a second, and this is a twentieth.
-	listRate = 100
-	// listTimeout bounds a look. In an outage the last list holds.
+	// listInterval is the time between two reads in a small fleet.
+	listInterval = clock.Second
+	// fleetListRate is how many reads a second all VMs together may make: the store serves some
+	// 2,000 reads a second, and this is a twentieth.
+	fleetListRate = 100
+	// listTimeout bounds one read. During an outage of the store the last list stays in use.
 	listTimeout = 2 * time.Second
 )
 
-// watchList reads the platform's list until the work ends, and stops new work
-// on upstreams that are leaving. The list lags; an engine that says itself that
-// it is leaving is believed at once by the owner of its pool.
-func (d *daemon) watchList() {
+// watchVMList reads the platform's list of VMs periodically until d.work is canceled, and keeps new
+// requests off upstreams that the list marks as leaving. The list lags; when an engine itself
+// declares that it is leaving, the owner of its pool acts on that at once.
+func (d *daemon) watchVMList() {
 	for {
-		d.readList()
-		period := max(listEvery, clock.Milli(len(d.members.Live()))*clock.Second/listRate)
+		d.readVMList()
+		period := max(listInterval, clock.Milli(len(d.members.Live()))*clock.Second/fleetListRate)
 		t := time.NewTimer(period.Duration())
 		select {
 		case <-d.work.Done():
@@ -37,7 +37,7 @@
 	}
 }
 
-func (d *daemon) readList() {
+func (d *daemon) readVMList() {
 	ctx, cancel := context.WithTimeout(d.work, listTimeout)
 	defer cancel()
 	vms, err := d.store.VMs(ctx)
@@ -50,7 +50,7 @@
 			leaving[decide.UpstreamID(v.Name)] = true
 		}
 	}
-	if d.book.setLeaving(leaving) {
+	if d.config.setLeaving(leaving) {
 		d.log.Info().Int("leaving", len(leaving)).Msg("upstreams are leaving")
 		d.owner.Reconfigure()
 	}
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -1,6 +1,6 @@
-// Command snipeshiftd is the daemon that runs on every entry VM. It takes
-// requests of callers, owns its share of the pools, and keeps in touch with
-// its peers and the platform's store.
+// Command snipeshiftd is the daemon that runs on every entry VM. It accepts requests from clients,
+// owns a share of the pools (it places their requests on upstreams), and exchanges state with the
+// daemons on other VMs and with the platform's store.
 package main
 
 import (
@@ -29,7 +29,7 @@
 func command() *cli.Command {
 	return &cli.Command{
 		Name:    "snipeshiftd",
-		Usage:   "serve callers of language models and plain services on this VM",
+		Usage:   "serve clients of language models and plain services on this VM",
 		Version: version,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "settings `FILE` of this VM"},
@@ -38,7 +38,7 @@
 		Action: run,
 		Commands: []*cli.Command{{
 			Name:  "relay",
-			Usage: "relay opaque requests on a platform that gives the document and the upstreams",
+			Usage: "relay opaque requests on a platform that provides the configuration document and the list of upstreams",
 			Flags: []cli.Flag{
 				&cli.StringFlag{Name: "settings", Usage: "settings `FILE` of this VM", Required: true},
 				&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
@@ -55,14 +55,15 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// The settings are read at the start alone; a hangup must not end the process.
+	// The settings are read only at the start, so a SIGHUP has nothing to reload, and it must not
+	// end the process.
 	signal.Ignore(syscall.SIGHUP)
 	return runRelay(ctx, s)
 }
 
 func run(ctx context.Context, c *cli.Command) error {
 	if c.String("settings") == "" {
-		return errors.New("--settings FILE is needed")
+		return errors.New("missing flag: --settings FILE is required")
 	}
 	s, err := settings.Read(c.String("settings"))
 	if err != nil {
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -10,41 +10,41 @@
 	"snipeshift.example/lib/peer"
 )
 
-// operatorHandler serves the operator's address from the daemon's parts.
+// operatorHandler returns the handler of the operator address.
 func (d *daemon) operatorHandler() http.Handler {
-	v := views{d}
+	v := operatorViews{d}
 	s := operator.Sources{
 		Health: v, Members: v, Pools: v, Usage: v, Documents: d.state, Timeline: d.ring, Stopper: v, Store: d.store,
-		Metrics: []operator.Metrics{d.gate.Metrics(), traffic{d.dialer.Traffic(), d.peers.Traffic()}},
+		Metrics: []operator.Metrics{d.gate.Metrics(), peerTraffic{d.dialer.Traffic(), d.peers.Traffic()}},
 	}
 	return operator.New(s, d.log).Handler()
 }
 
-// hearFor is how long a daemon that starts waits for the word of a peer before it
-// takes callers: several tries over new connections. A VM that is the only one, or
-// whose peers are all out of reach, must not wait for good.
-const hearFor = 5 * clock.Second
+// firstPeerWait is how long a starting daemon waits for the first heartbeat of a peer before it
+// reports that it is ready. The time suffices for several attempts over new connections. The wait is
+// bounded because a VM may be the only one, or all its peers may be unreachable.
+const firstPeerWait = 5 * clock.Second
 
-// unheard tells whether this daemon has just started and no peer has told it yet
-// what it must know before it serves.
+// awaitingFirstPeer reports whether this daemon has just started and has not received the state
+// that it needs from a peer before it may serve requests.
 //
-// The store gives a new VM its document within milliseconds, earlier than the first
-// heartbeat brings the fingerprints of requests that kill upstreams. A caller that
-// repeats such a request through the new VM in between costs a third engine.
-func (d *daemon) unheard() bool {
-	return d.members.Reached() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < hearFor
+// The store returns the document to a new VM within milliseconds, before the first heartbeat brings
+// the fingerprints of requests that crash upstreams. A client that repeats such a request through
+// the new VM in between would crash a third engine.
+func (d *daemon) awaitingFirstPeer() bool {
+	return d.members.Reached() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < firstPeerWait
 }
 
-// views shows the daemon's parts in the answers that operators read.
-type views struct{ daemon *daemon }
+// operatorViews builds the responses of the operator address from the daemon's components.
+type operatorViews struct{ daemon *daemon }
 
 // Unready implements operator.Health.
-func (v views) Unready() []string {
+func (v operatorViews) Unready() []string {
 	var why []string
-	if _, ok := v.daemon.book.Index(); !ok {
+	if _, ok := v.daemon.config.Index(); !ok {
 		why = append(why, "no configuration document is in force")
 	}
-	if v.daemon.unheard() {
+	if v.daemon.awaitingFirstPeer() {
 		why = append(why, "no other VM was heard from since the start a moment ago")
 	}
 	if v.daemon.stopping.Load() {
@@ -54,21 +54,21 @@
 }
 
 // Drain implements operator.Stopper.
-func (v views) Drain() { v.daemon.drainOnce.Do(func() { close(v.daemon.drain) }) }
+func (v operatorViews) Drain() { v.daemon.drainOnce.Do(func() { close(v.daemon.drain) }) }
 
 // Draining implements operator.Stopper.
-func (v views) Draining() (began bool, requests int) {
+func (v operatorViews) Draining() (began bool, requests int) {
 	return v.daemon.stopping.Load(), v.daemon.gate.Busy()
 }
 
 // Members implements operator.Members.
-func (v views) Members() []answers.Member {
+func (v operatorViews) Members() []answers.Member {
 	d := v.daemon
 	now := d.clock.Now()
 	var out []answers.Member
 	for _, m := range d.members.Live() {
-		revision, at := d.directory.heardOf(m.VM)
-		a := answers.Member{VM: m.VM, Incarnation: m.Incarnation, Domain: m.Domain, Peer: m.Address, Operator: m.Operator, State: stateOf(m), Revision: revision, Age: now - at}
+		revision, at := d.directory.lastBeat(m.VM)
+		a := answers.Member{VM: m.VM, Incarnation: m.Incarnation, Domain: m.Domain, Peer: m.Address, Operator: m.Operator, State: memberState(m), Revision: revision, Age: now - at}
 		if m.VM == d.settings.Name {
 			a.Revision, _ = d.state.Newest()
 			a.Age = 0
@@ -78,7 +78,7 @@
 	return out
 }
 
-func stateOf(m peer.Member) answers.State {
+func memberState(m peer.Member) answers.State {
 	switch {
 	case m.Stopping:
 		return answers.Draining
@@ -91,7 +91,7 @@
 }
 
 // Pools implements operator.Pools.
-func (v views) Pools() []answers.Pool {
+func (v operatorViews) Pools() []answers.Pool {
 	var out []answers.Pool
 	for _, p := range v.daemon.owner.Pools() {
 		s := p.Look()
@@ -103,12 +103,12 @@
 	return out
 }
 
-// silentAfter is how old an engine's last report may be before operators see the
-// engine as silent: six polls. Plain services give no reports.
-const silentAfter = 3 * clock.Second
+// reportMaxAge is how old an engine's last load report may be before the engine is shown to
+// operators as silent. It is the time of six polls. Plain services send no reports.
+const reportMaxAge = 3 * clock.Second
 
 // Upstreams implements operator.Pools.
-func (v views) Upstreams() []answers.Upstream {
+func (v operatorViews) Upstreams() []answers.Upstream {
 	now := v.daemon.clock.Now()
 	var out []answers.Upstream
 	for _, p := range v.daemon.owner.Pools() {
@@ -121,19 +121,21 @@
 			if at, ok := s.Reported[u.ID]; ok {
 				a.Age = now - at
 			}
-			a.State = condition(u, a.Age)
+			a.State = upstreamState(u, a.Age)
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// condition is an upstream's state, with the age of its last report, negative for none.
-// Silence goes first: an engine that does not answer is shut out like one that leaves,
-// and an operator who reads that it is draining would wait for its end.
-func condition(u decide.View, age clock.Milli) answers.State {
+// upstreamState returns the state of an upstream that is shown to operators. The age is that of its
+// last report, negative if there is none.
+//
+// Silent has precedence: an engine that does not respond is marked as leaving too, so that it
+// receives no requests, and an operator who reads that it is draining would wait for it to finish.
+func upstreamState(u decide.View, age clock.Milli) answers.State {
 	switch {
-	case u.Memory > 0 && (age < 0 || age > silentAfter):
+	case u.Memory > 0 && (age < 0 || age > reportMaxAge):
 		return answers.Silent
 	case u.Leaving:
 		return answers.Draining
@@ -142,7 +144,7 @@
 }
 
 // Grants implements operator.Pools.
-func (v views) Grants() []answers.Grant {
+func (v operatorViews) Grants() []answers.Grant {
 	now := v.daemon.clock.Now()
 	var out []answers.Grant
 	for _, p := range v.daemon.owner.Pools() {
@@ -157,7 +159,7 @@
 }
 
 // Usage implements operator.Usage.
-func (v views) Usage() []answers.Counter {
+func (v operatorViews) Usage() []answers.Counter {
 	var out []answers.Counter
 	for _, u := range v.daemon.state.usage() {
 		out = append(out, answers.Counter{
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -28,54 +28,56 @@
 	"snipeshift.example/platform"
 )
 
-// Sizes and times of a relaying VM.
+// Sizes and times of a VM in relay mode.
 const (
-	// memoryShare of the VM's memory is what the runtime may fill before it
-	// collects at any cost: bytes that the kernel holds for connections count too.
-	memoryShare = 0.6
-	// bodiesShare of it is what requests' bodies may fill: each is held until its answer
-	// is over, and once more while it is written.
-	bodiesShare = 0.25
-	// upstreamDial bounds a connect to an upstream, which is 3 ms away. The first lost
-	// packet of a connect costs a second; another upstream is asked before.
-	upstreamDial = 300 * time.Millisecond
-	// peerDial bounds a connect to a peer for the same reason.
-	peerDial = 300 * time.Millisecond
-	// upstreamIdle closes connections to upstreams that nobody uses.
-	upstreamIdle = 20 * time.Second
-	// keptEach bounds the idle connections to one upstream: it takes some hundred from all VMs.
-	keptEach = 16
-	// relayHeader bounds a caller's header; the document may say less.
-	relayHeader = 64 << 10
-	// closing is what remains of the grace once the last answers must be out.
-	closing = 700 * clock.Milli(1)
-	// turnedAway is how long the balancer goes on sending new callers to a
-	// VM that says no: it asks each second and believes the second no.
-	turnedAway = 2500 * clock.Milli(1)
-	// thousandths are in one core.
-	thousandths = 1000
-	// logQueue bounds the lines that wait for whoever reads them.
-	logQueue = 4096
+	// memoryLimitShare is the part of the VM's memory that is set as the limit of the Go runtime.
+	// The rest is needed because the kernel's buffers for connections count too.
+	memoryLimitShare = 0.6
+	// bodyMemoryShare is the part of the VM's memory that request bodies may occupy. Each body is
+	// kept until its response has ended, and a second copy exists while it is sent.
+	bodyMemoryShare = 0.25
+	// upstreamDialTimeout bounds a connect to an upstream, which is 3 ms away. TCP retransmits a lost
+	// SYN only after a second; by then the request is sent to another upstream.
+	upstreamDialTimeout = 300 * time.Millisecond
+	// peerDialTimeout bounds a connect to a peer for the same reason.
+	peerDialTimeout = 300 * time.Millisecond
+	// upstreamIdleTimeout is how long an idle connection to an upstream stays open.
+	upstreamIdleTimeout = 20 * time.Second
+	// maxIdlePerUpstream bounds the idle connections of this VM to one upstream, which accepts only
+	// some hundred connections from all VMs together.
+	maxIdlePerUpstream = 16
+	// relayHeaderLimit bounds a request's header, in bytes; the document may set a lower limit.
+	relayHeaderLimit = 64 << 10
+	// closingReserve is the last part of the grace period, reserved for ending the process: all
+	// responses must have been sent before.
+	closingReserve = 700 * clock.Milli(1)
+	// balancerDelay is how long the balancer may still send new requests to a VM that is no longer
+	// ready: it checks readiness every second and acts on the second failed check in a row.
+	balancerDelay = 2500 * clock.Milli(1)
+	// milliCoresPerCore converts cores to the unit of peer.Member.Cores.
+	milliCoresPerCore = 1000
+	// logQueueLines bounds the log lines that are queued for writing; further ones are dropped.
+	logQueueLines = 4096
 )
 
-// budgetShare is the part of the fleet's budget of repeats that one owner gives
-// out: two owners of a service may overlap, and a window may straddle the change.
-const budgetShare = 0.4
+// ownerBudgetShare is the part of the fleet's retry budget that one owner may grant. It is below a
+// half because two owners of a service may overlap, and a budget window may span a change of owner.
+const ownerBudgetShare = 0.4
 
-// relayRules are the heartbeats of VMs a few milliseconds from each other. A dead
-// owner costs each gate one unanswered question, so the table may be quicker to
-// doubt than among domains that lose each other.
-var relayRules = func() member.Rules {
+// relayMemberRules are the heartbeat rules for VMs that are a few milliseconds apart. A crashed owner
+// costs each gate one placement query that is not answered, and there are no failure domains here that
+// lose contact with each other, so a member may be suspected sooner than under the default rules.
+var relayMemberRules = func() member.Rules {
 	r := member.DefaultRules
 	r.Near, r.Misses, r.Doubt, r.Seeds = 400, 2, 2, 2*clock.Second
-	// All VMs may start at once after a loss of power. Until they know each other
-	// each places by itself, and all on the same engines.
+	// After a power failure all VMs may start at once. Until they have found each other, each one
+	// decides placements by itself, and all choose the same engines. So seeds are tried often.
 	r.Alone = 100
 	return r
 }()
 
-// relayed is one life of a VM that relays opaque requests.
-type relayed struct {
+// relayDaemon is one process of snipeshiftd in relay mode, which relays opaque requests.
+type relayDaemon struct {
 	settings *settings.Relay
 	lines    *logline.Writer
 	log      *log.Logger
@@ -91,30 +93,30 @@
 	peers    *peer.Server
 	store    *platform.Store
 	stopping chan struct{}
-	// born is when this life began.
-	born clock.Milli
+	// startedAt is when this process started.
+	startedAt clock.Milli
 }
 
 // runRelay serves until ctx ends, then stops gracefully.
 func runRelay(ctx context.Context, s *settings.Relay) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Memory) * (1 << 20)))
-	d, err := newRelayed(s)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Memory) * (1 << 20)))
+	d, err := newRelayDaemon(s)
 	if err != nil {
 		return err
 	}
 	return d.run(ctx)
 }
 
-func newRelayed(s *settings.Relay) (*relayed, error) {
-	lines := logline.NewWriter(os.Stdout, logQueue)
-	d := &relayed{
-		settings: s, lines: lines, log: relayLogger(s, lines), dialer: peer.NewDialer(dialPeer).Within(peerDial), peers: peer.NewServer(),
+func newRelayDaemon(s *settings.Relay) (*relayDaemon, error) {
+	lines := logline.NewWriter(os.Stdout, logQueueLines)
+	d := &relayDaemon{
+		settings: s, lines: lines, log: relayLogger(s, lines), dialer: peer.NewDialer(dialPeer).Within(peerDialTimeout), peers: peer.NewServer(),
 		store: platform.NewStore(s.Store), stopping: make(chan struct{}),
 	}
-	d.born = d.clock.Now()
+	d.startedAt = d.clock.Now()
 	incarnation := peer.Incarnation(time.Now().UnixMilli())
-	self := peer.Member{VM: s.Name, Incarnation: incarnation, Domain: s.Domain, Address: s.Advertise, Cores: int(s.Cores * thousandths), Link: int(s.Link)}
-	d.members = member.New(self, relayRules, d.dialer, seeds(s.Peers), d.clock)
+	self := peer.Member{VM: s.Name, Incarnation: incarnation, Domain: s.Domain, Address: s.Advertise, Cores: int(s.Cores * milliCoresPerCore), Link: int(s.Link)}
+	d.members = member.New(self, relayMemberRules, d.dialer, staticSeeds(s.Peers), d.clock)
 	d.registry = registry.New(d.store, d.dialer, d.clock, d.log)
 	d.readers = readers.New(s.Name, slices.Contains(s.Peers, s.Advertise))
 	d.registry.SetReaders(d.roster)
@@ -124,23 +126,23 @@
 	q := quarantine.New(d.clock, d.members, d.dialer)
 	d.holders = placer.NewHolders(d.members, d.clock, d.log)
 	d.members.Add(d.registry, q, d.holders)
-	kept := upstreamTransport()
-	engines := platform.NewEngines(kept)
+	pooled := upstreamTransport()
+	engines := platform.NewEngines(pooled)
 	id := peer.Gate(s.Name, incarnation)
 	d.owner = placer.NewOwner(placer.OwnerNeeds{
 		Clock: d.clock, Knowledge: d.registry, Reports: engines, Gate: id, Name: string(s.Name), Alone: func() bool { return d.members.Reached() == 0 },
 		Holders: d.holders, Members: d.members, Peers: d.dialer, Log: d.log,
 	}, placer.Budget{
-		Share: budgetShare * s.Budget.Share, Floor: budgetShare * s.Budget.Floor, Window: s.Budget.Window,
+		Share: ownerBudgetShare * s.Budget.Share, Floor: ownerBudgetShare * s.Budget.Floor, Window: s.Budget.Window,
 	})
 	d.placer = placer.NewClient(d.clock, d.log, d.members, d.dialer, d.owner, id)
-	fresh := upstreamTransport()
-	fresh.DisableKeepAlives = true
+	unpooled := upstreamTransport()
+	unpooled.DisableKeepAlives = true
 	d.gate = relay.New(relay.Needs{
 		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Knowledge: d.registry,
-		Suspects: q, Memory: engines, Kept: kept, Fresh: fresh,
-	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, Bodies: int64(bodiesShare * float64(s.Memory) * (1 << 20))}, id)
-	var g errs
+		Suspects: q, Memory: engines, Kept: pooled, Fresh: unpooled,
+	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, Bodies: int64(bodyMemoryShare * float64(s.Memory) * (1 << 20))}, id)
+	var g errList
 	g.add(d.peers.Register(member.Name, member.NewReceiver(d.members, noDocuments{})))
 	g.add(d.peers.Register(quarantine.Name, quarantine.NewReceiver(q)))
 	g.add(d.peers.Register(registry.Name, registry.NewReceiver(d.registry)))
@@ -148,24 +150,26 @@
 	return d, g.err
 }
 
-// hedged opens connections to peers.
-var hedged = dial.Hedged((&net.Dialer{}).DialContext, dial.Again)
+// hedgedDial opens connections to peers. It starts a second attempt in parallel if the first one
+// has not succeeded after dial.Again.
+var hedgedDial = dial.Hedged((&net.Dialer{}).DialContext, dial.Again)
 
 // dialPeer implements peer.Dial.
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
-	return hedged(ctx, "tcp", address)
+	return hedgedDial(ctx, "tcp", address)
 }
 
 // roster implements registry.Readers.
-func (d *relayed) roster() registry.Roster { return d.readers.Roster(d.members.Live()) }
+func (d *relayDaemon) roster() registry.Roster { return d.readers.Roster(d.members.Live()) }
 
-// seeds are the addresses of the settings.
-type seeds []string
+// staticSeeds are the peer addresses of the settings.
+type staticSeeds []string
 
 // Seeds implements member.Seeds.
-func (s seeds) Seeds(context.Context) []string { return s }
+func (s staticSeeds) Seeds(context.Context) []string { return s }
 
-// noDocuments says that documents are fetched from the registry's receiver.
+// noDocuments is the empty source of documents: in relay mode peers fetch documents from the
+// registry's receiver instead.
 type noDocuments struct{}
 
 // Newest implements member.Documents.
@@ -173,26 +177,26 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialLives(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
-		DisableCompression: true, MaxIdleConnsPerHost: keptEach, IdleConnTimeout: upstreamIdle,
+		DialContext:        relay.DialLives(dial.Hedged((&net.Dialer{Timeout: upstreamDialTimeout}).DialContext, dial.Again)),
+		DisableCompression: true, MaxIdleConnsPerHost: maxIdlePerUpstream, IdleConnTimeout: upstreamIdleTimeout,
 		WriteBufferSize: 16 << 10,
 	}
 }
 
-// run opens the doors and serves.
-func (d *relayed) run(ctx context.Context) error {
+// run opens the listeners and serves until ctx ends or a component fails.
+func (d *relayDaemon) run(ctx context.Context) error {
 	work, end := context.WithCancel(context.Background())
 	defer end()
 	s := d.settings
 	var c net.ListenConfig
-	peerDoor, err := c.Listen(ctx, "tcp", s.Peer)
+	peerListener, err := c.Listen(ctx, "tcp", s.Peer)
 	if err != nil {
 		return err
 	}
-	callers := d.server(d.gate)
+	clients := d.server(d.gate)
 	ready := d.server(d.readiness())
 	var g errgroup.Group
-	part := func(name string, f func() error) {
+	start := func(name string, f func() error) {
 		g.Go(func() error {
 			defer guard.ReportPanic(d.log, name)
 			err := f()
@@ -203,56 +207,58 @@
 			return err
 		})
 	}
-	part("peer door", func() error { return d.peers.Serve(peerDoor) })
-	part("caller door", func() error { return listenAndServe(ctx, callers, s.Caller) })
-	part("ready door", func() error { return listenAndServe(ctx, ready, s.Ready) })
+	start("peer door", func() error { return d.peers.Serve(peerListener) })
+	start("caller door", func() error { return listenAndServe(ctx, clients, s.Caller) })
+	start("ready door", func() error { return listenAndServe(ctx, ready, s.Ready) })
 	servers := []*http.Server{ready}
 	if s.Metrics != "" {
 		m := d.server(d.insight().Handler())
-		part("metrics door", func() error { return listenAndServe(ctx, m, s.Metrics) })
+		start("metrics door", func() error { return listenAndServe(ctx, m, s.Metrics) })
 		servers = append(servers, m)
 	}
-	part("registry", func() error { return d.registry.Run(work) })
-	part("heartbeats", func() error { return d.members.Run(work) })
-	part("placer", func() error { return d.placer.Run(work) })
-	part("owner", func() error { return d.owner.Run(work) })
+	start("registry", func() error { return d.registry.Run(work) })
+	start("heartbeats", func() error { return d.members.Run(work) })
+	start("placer", func() error { return d.placer.Run(work) })
+	start("owner", func() error { return d.owner.Run(work) })
 	d.log.Info().Str(logline.Key, logline.Started).Str("caller", s.Caller).Str("peer", s.Peer).Strs("peers", s.Peers).Msg("started")
 	select {
 	case <-ctx.Done():
 	case <-work.Done():
 	}
-	d.stop(callers)
+	d.stop(clients)
 	end()
 	for _, h := range servers {
 		_ = h.Close()
 	}
-	_ = peerDoor.Close()
+	_ = peerListener.Close()
 	d.peers.Close()
 	d.dialer.Close()
 	d.log.Info().Str(logline.Key, logline.Stopped).Msg("stopped")
 	return g.Wait()
 }
 
-// stop is the planned stop: it says that it is not ready, asks callers to go elsewhere
-// with each answer, and closes once the balancer has noticed and all are served.
-func (d *relayed) stop(callers *http.Server) {
+// stop stops the daemon gracefully. The VM reports that it is not ready and hands over its services,
+// and each response from then on asks the client to use another VM. Once the balancer has had time
+// to notice, the listener is closed, and stop waits until all requests have been served or the grace
+// period is almost over.
+func (d *relayDaemon) stop(clients *http.Server) {
 	d.log.Info().Str(logline.Key, logline.Stopping).Msg("stopping")
 	close(d.stopping)
 	d.members.Stop()
 	d.owner.HandOver(context.Background())
 	d.gate.Stop()
-	time.Sleep(turnedAway.Duration())
-	left := max(d.settings.Bounds.Grace-turnedAway-closing, 0)
-	ctx, cancel := context.WithTimeout(context.Background(), left.Duration())
+	time.Sleep(balancerDelay.Duration())
+	remaining := max(d.settings.Bounds.Grace-balancerDelay-closingReserve, 0)
+	ctx, cancel := context.WithTimeout(context.Background(), remaining.Duration())
 	defer cancel()
-	if err := callers.Shutdown(ctx); err != nil {
-		d.log.Warn().Str(logline.Key, logline.Stopping).Err(err).Msg("some answers are cut off at the end of the grace")
+	if err := clients.Shutdown(ctx); err != nil {
+		d.log.Warn().Str(logline.Key, logline.Stopping).Err(err).Msg("the grace period ended before all responses were complete; the remaining ones are cut off")
 	}
 }
 
-// readiness answers the balancer: this VM takes callers while it knows where to
-// send them and is not about to stop.
-func (d *relayed) readiness() http.Handler {
+// readiness returns the handler of the balancer's readiness check. The VM is ready while it has a
+// current configuration document and a list of upstreams and is not stopping.
+func (d *relayDaemon) readiness() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != platform.ReadyPath {
 			http.NotFound(w, r)
@@ -264,7 +270,7 @@
 	})
 }
 
-func (d *relayed) ready() bool {
+func (d *relayDaemon) ready() bool {
 	select {
 	case <-d.stopping:
 		return false
@@ -275,9 +281,9 @@
 	return v.Table != nil && v.UpstreamsVerified > 0 && now-v.TableVerified < d.settings.Bounds.Revoke
 }
 
-func (d *relayed) server(h http.Handler) *http.Server {
+func (d *relayDaemon) server(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: relayHeader, IdleTimeout: idleTimeout,
+		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: relayHeaderLimit, IdleTimeout: idleTimeout,
 		ErrorLog: d.log.Std("", 0),
 	}
 }
@@ -288,11 +294,11 @@
 	if err != nil {
 		return err
 	}
-	return served(s.Serve(l))
+	return ignoreServerClosed(s.Serve(l))
 }
 
-// insight is what the metrics address answers.
-func (d *relayed) insight() *insight.Page {
+// insight returns the page that the metrics address serves.
+func (d *relayDaemon) insight() *insight.Page {
 	return insight.New(insight.Sources{
 		VM: d.settings.Name, Clock: d.clock, Gate: d.gate, Registry: d.registry, Members: d.members, Holders: d.holders,
 		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.lines,
--- a/daemon/roster.go
+++ b/daemon/roster.go
@@ -8,17 +8,18 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// roster turns what this daemon sees of members and of its own pools into
-// events, one for each change.
-type roster struct {
-	// members are those seen last, without this daemon.
+// changeTracker compares successive lists of live members and of owned pools and returns one
+// timeline event for each change.
+type changeTracker struct {
+	// members are the live members at the last call, without this daemon.
 	members map[peer.VM]peer.Member
-	// pools are those owned last.
+	// pools are the pools owned at the last call.
 	pools []peer.PoolID
 }
 
-// see returns the events of members that came, changed or went since the last look.
-func (r *roster) see(live []peer.Member, self peer.VM) []timeline.Event {
+// memberEvents returns events for the members that joined, became silent, restarted or left since
+// the last call.
+func (r *changeTracker) memberEvents(live []peer.Member, self peer.VM) []timeline.Event {
 	next := make(map[peer.VM]peer.Member, len(live))
 	var events []timeline.Event
 	add := func(k timeline.Kind, m peer.Member) {
@@ -30,14 +31,14 @@
 		}
 		next[m.VM] = m
 		old, known := r.members[m.VM]
-		again := known && old.Incarnation != m.Incarnation
-		if again {
+		restarted := known && old.Incarnation != m.Incarnation
+		if restarted {
 			add(timeline.Left, old)
 		}
-		if !known || again {
+		if !known || restarted {
 			add(timeline.Joined, m)
 		}
-		if m.Health == peer.Doubted && (again || old.Health != peer.Doubted) {
+		if m.Health == peer.Doubted && (restarted || old.Health != peer.Doubted) {
 			add(timeline.Silent, m)
 		}
 	}
@@ -51,8 +52,9 @@
 	return events
 }
 
-// own returns the events of pools that this daemon took or gave up since the last look.
-func (r *roster) own(pools []peer.PoolID) []timeline.Event {
+// poolEvents returns events for the pools whose ownership this daemon gained or lost since the last
+// call.
+func (r *changeTracker) poolEvents(pools []peer.PoolID) []timeline.Event {
 	var events []timeline.Event
 	for _, id := range pools {
 		if !slices.Contains(r.pools, id) {
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -20,9 +20,10 @@
 	answers "snipeshift.example/lib/operator"
 )
 
-// A caller trickles its header, or sends one without end. It is cut off or refused, the
-// refusal names its kind, and no goroutine stays behind to pile up to an outage.
-func TestServerLetsGoOfBadHeaders(t *testing.T) {
+// A client sends its header byte by byte, or sends one that is too large. The server must close the
+// connection or refuse the request with the kind of error, and must leave no goroutine behind:
+// leaked goroutines would accumulate until the daemon fails.
+func TestServerRejectsSlowAndOversizedHeaders(t *testing.T) {
 	d := &daemon{log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}}
 	g := caller.New(caller.Needs{Clock: clock.New()}, "vm-1", "hall", 1)
 	s := d.server(g.Handler())
@@ -35,7 +36,8 @@
 	for _, size := range []int{caller.HeaderLimit + 1, 2 * headerLimit} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		// The server may close before it has read all, so an error here says nothing.
+		// The server may close the connection before it has read everything, so a write error is
+		// no failure.
 		_, _ = fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: x\r\nX-Long: %s\r\n\r\n", strings.Repeat("h", size))
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
@@ -55,18 +57,19 @@
 	require.NoError(t, err)
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(3*headerTimeout)))
 	_, err = io.ReadAll(c)
-	require.NoError(t, err, "the server closes the connection by itself")
-	// One more is that of the condition itself.
+	require.NoError(t, err, "the server must close the connection")
+	// Eventually runs its condition in one additional goroutine.
 	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+1 }, 5*time.Second, 10*time.Millisecond)
 }
 
-// An engine dies and is shut out. An operator must not read that it is draining.
+// An engine crashes and is excluded from placement, for which it is marked as leaving. Operators must
+// not be told that it is draining.
 func TestSilentEngineIsNotShownAsDraining(t *testing.T) {
 	u := decide.View{Upstream: decide.Upstream{Memory: 1, Leaving: true}}
-	require.Equal(t, answers.Silent, condition(u, silentAfter+1))
-	require.Equal(t, answers.Draining, condition(u, 0))
+	require.Equal(t, answers.Silent, upstreamState(u, reportMaxAge+1))
+	require.Equal(t, answers.Draining, upstreamState(u, 0))
 	u.Leaving = false
-	require.Equal(t, answers.Serving, condition(u, 0))
+	require.Equal(t, answers.Serving, upstreamState(u, 0))
 	u.Memory = 0
-	require.Equal(t, answers.Serving, condition(u, -1), "plain services give no reports")
+	require.Equal(t, answers.Serving, upstreamState(u, -1), "plain services send no load reports")
 }
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -16,37 +16,39 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// state is what daemons share through the store and heartbeats.
-type state struct {
+// sharedState is the state that daemons share through the store and heartbeats: the configuration
+// document, idempotency claims and usage counters.
+type sharedState struct {
 	daemon   *daemon
 	follower *follow.Follower
 	claims   *claim.Claims
 	counters *usage.Book
 }
 
-func newState(d *daemon) *state {
-	s := &state{daemon: d}
-	s.follower = follow.New(d.store, d.dialer, d.clock, follow.DefaultRules, s.take)
+func newState(d *daemon) *sharedState {
+	s := &sharedState{daemon: d}
+	s.follower = follow.New(d.store, d.dialer, d.clock, follow.DefaultRules, s.applyDocument)
 	s.claims = claim.New(d.store, d.dialer, d.clock, claim.DefaultRules, d.members)
 	s.counters = usage.New(d.store, d.clock, usage.DefaultRules, d.members)
 	return s
 }
 
-func (s *state) run(d *daemon, g *errgroup.Group) {
+func (s *sharedState) run(d *daemon, g *errgroup.Group) {
 	d.spawn(g, "document", func() error { return s.follower.Run(d.work, d.members) })
 	d.spawn(g, "usage", func() error { return s.counters.Run(d.work) })
 }
 
-// flush writes what would be lost with this process. Usage goes first: an engine or a
-// peer that stands still takes all the time there is for what is left to tell it.
-func (s *state) flush(ctx context.Context) {
+// flush writes the state that would be lost with this process. The usage counters do not wait for
+// the gate's last messages, since an engine or a peer that hangs can use up the whole time until ctx
+// ends.
+func (s *sharedState) flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		s.daemon.gate.Settle()
 		close(done)
 	}()
 	if err := s.counters.Flush(ctx); err != nil {
-		s.daemon.log.Warn().Err(err).Msg("the last usage is not in the store; a neighbour's copy will be written")
+		s.daemon.log.Warn().Err(err).Msg("cannot write the last usage counters to the store; another VM will write its copy of them")
 	}
 	select {
 	case <-done:
@@ -54,28 +56,29 @@
 	}
 }
 
-// take puts a document in force; one that does not hold together stays out.
-func (s *state) take(r peer.Revision, text []byte) error {
+// applyDocument parses a configuration document and puts it in force. An invalid document is
+// rejected, and the earlier one stays in force.
+func (s *sharedState) applyDocument(r peer.Revision, text []byte) error {
 	start := time.Now()
 	doc, ps := document.Parse(text, "document")
 	if err := ps.Err(); err != nil {
-		s.daemon.log.Error().Uint64("revision", uint64(r)).Err(err).Msg("a document is refused; the earlier one stays in force")
+		s.daemon.log.Error().Uint64("revision", uint64(r)).Err(err).Msg("invalid configuration document rejected; the earlier one stays in force")
 		s.daemon.ring.Add(timeline.Event{Kind: timeline.Rejected, Text: err.Error()})
 		return err
 	}
-	s.daemon.book.index.Store(document.NewIndex(doc))
+	s.daemon.config.index.Store(document.NewIndex(doc))
 	s.daemon.limits.Configure(doc.Workspaces)
 	s.daemon.owner.Reconfigure()
-	s.daemon.log.Info().Uint64("revision", uint64(r)).Dur("took", time.Since(start)).Msg("a document is in force")
+	s.daemon.log.Info().Uint64("revision", uint64(r)).Dur("took", time.Since(start)).Msg("configuration document is in force")
 	s.daemon.ring.Add(timeline.Event{Kind: timeline.Applied, Text: fmt.Sprintf("revision %d", r)})
 	return nil
 }
 
 // Newest implements member.Documents.
-func (s *state) Newest() (peer.Revision, []byte) { return s.follower.Newest() }
+func (s *sharedState) Newest() (peer.Revision, []byte) { return s.follower.Newest() }
 
-// unready lists why the shared state keeps this daemon from being ready.
-func (s *state) unready() []string {
+// unready lists the reasons in the shared state for which this daemon is not ready.
+func (s *sharedState) unready() []string {
 	if s.follower.Ready() {
 		return nil
 	}
@@ -83,7 +86,7 @@
 }
 
 // Count implements caller.Meter.
-func (s *state) Count(w decide.WorkspaceID, u peer.Usage) { s.counters.Add(w, u) }
+func (s *sharedState) Count(w decide.WorkspaceID, u peer.Usage) { s.counters.Add(w, u) }
 
-// usage lists every counter known here.
-func (s *state) usage() []peer.WorkspaceUsage { return s.counters.Counters() }
+// usage lists every usage counter that this daemon knows.
+func (s *sharedState) usage() []peer.WorkspaceUsage { return s.counters.Counters() }
--- a/daemon/store.go
+++ b/daemon/store.go
@@ -9,66 +9,67 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// store is the platform's store with its calls in the time line. Reads of the
-// list of VMs, one a second, and watches without news are left out when they
-// are answered: they would crowd out what happened.
-type store struct {
+// recordedStore is a client of the platform's store that records its calls in the timeline. It omits
+// successful reads of the list of VMs, of which there is one a second, and watches that return no
+// change: they would displace the other events from the ring buffer.
+type recordedStore struct {
 	*platform.Client
 	ring *timeline.Ring
 }
 
 // Get implements the stores of the daemon's parts.
-func (s *store) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
+func (s *recordedStore) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
 	o, err := s.Client.Get(ctx, k, n)
-	s.note(timeline.Read, k, n, err)
+	s.record(timeline.Read, k, n, err)
 	return o, err
 }
 
 // Watch implements the stores of the daemon's parts.
-func (s *store) Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error) {
-	o, news, err := s.Client.Watch(ctx, k, n, after, wait)
-	if news || err != nil {
-		s.note(timeline.Read, k, n, err)
+func (s *recordedStore) Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error) {
+	o, changed, err := s.Client.Watch(ctx, k, n, after, wait)
+	if changed || err != nil {
+		s.record(timeline.Read, k, n, err)
 	}
-	return o, news, err
+	return o, changed, err
 }
 
 // List implements the stores of the daemon's parts.
-func (s *store) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
+func (s *recordedStore) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
 	os, err := s.Client.List(ctx, k, prefix)
-	s.note(timeline.Read, k, platform.Name(prefix), err)
+	s.record(timeline.Read, k, platform.Name(prefix), err)
 	return os, err
 }
 
 // VMs reads the platform's list of VMs.
-func (s *store) VMs(ctx context.Context) ([]platform.VM, error) {
+func (s *recordedStore) VMs(ctx context.Context) ([]platform.VM, error) {
 	vms, err := s.Client.VMs(ctx)
 	if err != nil {
-		s.note(timeline.Read, "vms", "", err)
+		s.record(timeline.Read, "vms", "", err)
 	}
 	return vms, err
 }
 
 // Put implements the stores of the daemon's parts.
-func (s *store) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
+func (s *recordedStore) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
 	v, err := s.Client.Put(ctx, k, n, value, cond)
-	s.note(timeline.Wrote, k, n, err)
+	s.record(timeline.Wrote, k, n, err)
 	return v, err
 }
 
 // Delete implements the stores of the daemon's parts.
-func (s *store) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
+func (s *recordedStore) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
 	err := s.Client.Delete(ctx, k, n, cond)
-	s.note(timeline.Wrote, k, n, err)
+	s.record(timeline.Wrote, k, n, err)
 	return err
 }
 
-// note records how a call ended.
-func (s *store) note(done timeline.Kind, k platform.Kind, n platform.Name, err error) {
-	kind := done
+// record adds a call and its outcome to the timeline. The kind success is used for a call without
+// error.
+func (s *recordedStore) record(success timeline.Kind, k platform.Kind, n platform.Name, err error) {
+	kind := success
 	switch {
 	case errors.Is(err, context.Canceled):
-		return // this daemon gave the call up
+		return // this daemon canceled the call
 	case errors.Is(err, platform.ErrConflict):
 		kind = timeline.Conflicted
 	case errors.Is(err, platform.ErrUnknown):
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -8,12 +8,12 @@
 	"snipeshift.example/lib/peer"
 )
 
-// traffic writes the bytes between this daemon and its peers, over the
-// connections of both directions. Without callers it is what control costs.
-type traffic []*peer.Traffic
+// peerTraffic writes the number of bytes between this daemon and its peers, over the connections that
+// either side opened. On a fleet without requests this is the cost of the control plane.
+type peerTraffic []*peer.Traffic
 
 // WritePrometheus implements operator.Metrics.
-func (t traffic) WritePrometheus(w io.Writer) {
+func (t peerTraffic) WritePrometheus(w io.Writer) {
 	var read, written uint64
 	for _, x := range t {
 		read += x.Read()
