--- a/daemon/book.go
+++ b/daemon/book.go
@@ -18,26 +18,26 @@
 }
 
 // Index implements caller.Book and pool.Book.
-func (b *config) Index() (*document.Index, bool) {
-	x := b.index.Load()
+func (c *config) Index() (*document.Index, bool) {
+	x := c.index.Load()
 	return x, x != nil
 }
 
 // Leaving implements pool.Book.
-func (b *config) Leaving(id decide.UpstreamID) bool {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.leaving[id]
+func (c *config) Leaving(id decide.UpstreamID) bool {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.leaving[id]
 }
 
 // setLeaving replaces the set of leaving upstreams and reports whether the set changed.
-func (b *config) setLeaving(leaving map[decide.UpstreamID]bool) (changed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	changed = len(leaving) != len(b.leaving)
+func (c *config) setLeaving(leaving map[decide.UpstreamID]bool) (changed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	changed = len(leaving) != len(c.leaving)
 	for id := range leaving {
-		changed = changed || !b.leaving[id]
+		changed = changed || !c.leaving[id]
 	}
-	b.leaving = leaving
+	c.leaving = leaving
 	return changed
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -66,15 +66,17 @@
 	members     *member.Members
 	pause       *member.Pause
 	directory   *directory
-	owner       *pool.Owner
-	gate        *caller.Gate
-	peers       *peer.Server
-	quarantine  *quarantine.Quarantine
-	limits      *limit.Limits
-	door        *door.Door
-	engines     *engine.Client
-	leases      *lease.Leases
-	orders      *orders.Holder
+	// owner queues and places the requests of the pools that this VM owns.
+	owner *pool.Owner
+	// gate serves the requests of the clients that are connected to this VM.
+	gate       *caller.Gate
+	peers      *peer.Server
+	quarantine *quarantine.Quarantine
+	limits     *limit.Limits
+	door       *door.Door
+	engines    *engine.Client
+	leases     *lease.Leases
+	orders     *orders.Holder
 	// state is the state shared with other daemons through the store and heartbeats.
 	state *sharedState
 	// work is canceled when the last request has been served.
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -174,7 +174,7 @@
 	return x.revision, x.at
 }
 
-// Home implements limit.Homes: each workspace has one home VM.
+// Home implements limit.Homes: each workspace has one home VM, which is responsible for its rate limit.
 func (d *directory) Home(w decide.WorkspaceID) (peer.Member, bool) {
 	live := d.members.Live()
 	d.mu.Lock()
--- a/daemon/operator/door_test.go
+++ b/daemon/operator/door_test.go
@@ -75,7 +75,7 @@
 	return f
 }
 
-func (f *fixture) call(method, path, body string) *httptest.ResponseRecorder {
+func (f *fixture) request(method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	f.door.ServeHTTP(w, httptest.NewRequestWithContext(f.t.Context(), method, path, strings.NewReader(body)))
 	return w
@@ -83,7 +83,7 @@
 
 // get requests a page and decodes the response.
 func get[A any](f *fixture, path string) A {
-	w := f.call(http.MethodGet, path, "")
+	w := f.request(http.MethodGet, path, "")
 	require.Equal(f.t, http.StatusOK, w.Code, path)
 	var a A
 	j := json.NewDecoder(w.Body)
@@ -98,23 +98,23 @@
 	require.Equal(t, f.daemon.Pools(), get[[]answers.Pool](f, "/pools"))
 	require.Equal(t, f.daemon.Upstreams(), get[[]answers.Upstream](f, "/upstreams"))
 	require.Equal(t, f.daemon.Usage(), get[[]answers.Counter](f, "/usage"))
-	require.Equal(t, "[]\n", f.call(http.MethodGet, "/grants", "").Body.String())
-	require.Equal(t, "live\n", f.call(http.MethodGet, "/live", "").Body.String())
+	require.Equal(t, "[]\n", f.request(http.MethodGet, "/grants", "").Body.String())
+	require.Equal(t, "live\n", f.request(http.MethodGet, "/live", "").Body.String())
 
 	d := get[answers.Document](f, "/document")
 	require.Equal(t, peer.Revision(7), d.Revision)
 	require.Equal(t, 2, d.Size)
 	require.Empty(t, d.Text)
 	require.Equal(t, "{}", get[answers.Document](f, "/document?text").Text)
-	require.Equal(t, http.StatusNotFound, f.call(http.MethodPost, "/members", "").Code)
-	require.Contains(t, f.call(http.MethodGet, "/nothing", "").Body.String(), `"error"`)
+	require.Equal(t, http.StatusNotFound, f.request(http.MethodPost, "/members", "").Code)
+	require.Contains(t, f.request(http.MethodGet, "/nothing", "").Body.String(), `"error"`)
 }
 
 func TestReadyReportsReasons(t *testing.T) {
 	f := newFixture(t)
 	require.True(t, get[answers.Readiness](f, "/ready").Ready)
 	f.daemon.reasons = []string{"no document yet"}
-	w := f.call(http.MethodGet, "/ready", "")
+	w := f.request(http.MethodGet, "/ready", "")
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.JSONEq(t, `{"ready":false,"reasons":["no document yet"]}`, w.Body.String())
 }
@@ -126,22 +126,22 @@
 	for query, want := range map[string]int{
 		"": 2, "?request=r1": 1, "?workspace=w": 1, "?upstream=u": 1, "?since=1001": 0, "?since=1000&until=1000": 2,
 	} {
-		w := f.call(http.MethodGet, "/timeline"+query, "")
+		w := f.request(http.MethodGet, "/timeline"+query, "")
 		require.Equal(t, want, bytes.Count(w.Body.Bytes(), []byte("\n")), query)
 	}
 	var e timeline.Event
-	require.NoError(t, json.Unmarshal(f.call(http.MethodGet, "/timeline?request=r2", "").Body.Bytes(), &e))
+	require.NoError(t, json.Unmarshal(f.request(http.MethodGet, "/timeline?request=r2", "").Body.Bytes(), &e))
 	require.Equal(t, decide.UpstreamID("u"), e.Upstream)
-	require.Equal(t, http.StatusBadRequest, f.call(http.MethodGet, "/timeline?since=yesterday", "").Code)
+	require.Equal(t, http.StatusBadRequest, f.request(http.MethodGet, "/timeline?since=yesterday", "").Code)
 }
 
 func TestLevelChangesAtRunTime(t *testing.T) {
 	f := newFixture(t)
-	require.Equal(t, http.StatusOK, f.call(http.MethodPut, "/level", `{"level":"debug"}`).Code)
+	require.Equal(t, http.StatusOK, f.request(http.MethodPut, "/level", `{"level":"debug"}`).Code)
 	require.Equal(t, "debug", get[answers.Level](f, "/level").Level)
 	require.Len(t, f.ring.Events(timeline.Filter{}), 1)
 	for _, body := range []string{`{"level":"loud"}`, `{"level":"fatal"}`, `{`, `{"lvl":"info"}`, strings.Repeat(" ", maxBody+1)} {
-		require.Equal(t, http.StatusBadRequest, f.call(http.MethodPut, "/level", body).Code, body)
+		require.Equal(t, http.StatusBadRequest, f.request(http.MethodPut, "/level", body).Code, body)
 	}
 	require.Equal(t, "debug", get[answers.Level](f, "/level").Level)
 }
@@ -149,15 +149,15 @@
 func TestDrain(t *testing.T) {
 	f := newFixture(t)
 	require.False(t, get[answers.Drain](f, "/drain").Draining)
-	require.Equal(t, http.StatusBadRequest, f.call(http.MethodPut, "/drain", `{"draining":false}`).Code)
+	require.Equal(t, http.StatusBadRequest, f.request(http.MethodPut, "/drain", `{"draining":false}`).Code)
 	require.False(t, f.daemon.draining)
-	require.Equal(t, http.StatusAccepted, f.call(http.MethodPut, "/drain", `{"draining":true}`).Code)
+	require.Equal(t, http.StatusAccepted, f.request(http.MethodPut, "/drain", `{"draining":true}`).Code)
 	require.Equal(t, answers.Drain{Draining: true, Requests: 2}, get[answers.Drain](f, "/drain"))
 }
 
 func TestMetrics(t *testing.T) {
 	f := newFixture(t)
-	text := f.call(http.MethodGet, "/metrics", "").Body.String()
+	text := f.request(http.MethodGet, "/metrics", "").Body.String()
 	for _, line := range []string{
 		"snipeshift_test_total 1",
 		`snipeshift_pool_queued{pool="m@d"} 3`,
@@ -193,7 +193,7 @@
 func TestOperationsPageNamesEveryMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
-	text := newFixture(t).call(http.MethodGet, "/metrics", "").Body.String()
+	text := newFixture(t).request(http.MethodGet, "/metrics", "").Body.String()
 	for _, line := range strings.Split(text, "\n") {
 		name, _, _ := strings.Cut(line, "{")
 		name, _, _ = strings.Cut(name, " ")
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -78,21 +78,21 @@
 
 // relayDaemon is one process of snipeshiftd in relay mode, which relays opaque requests.
 type relayDaemon struct {
-	settings *settings.Relay
-	lines    *logline.Writer
-	log      *log.Logger
-	clock    clock.Boot
-	dialer   *peer.Dialer
-	members  *member.Members
-	registry *registry.Registry
-	readers  *readers.Selector
-	holders  *placer.Holders
-	owner    *placer.Owner
-	placer   *placer.Client
-	gate     *relay.Gate
-	peers    *peer.Server
-	store    *platform.Store
-	stopping chan struct{}
+	settings  *settings.Relay
+	logWriter *logline.Writer
+	log       *log.Logger
+	clock     clock.Boot
+	dialer    *peer.Dialer
+	members   *member.Members
+	registry  *registry.Registry
+	readers   *readers.Selector
+	holders   *placer.Holders
+	owner     *placer.Owner
+	placer    *placer.Client
+	gate      *relay.Gate
+	peers     *peer.Server
+	store     *platform.Store
+	stopping  chan struct{}
 	// startedAt is when this process started.
 	startedAt clock.Milli
 }
@@ -108,9 +108,9 @@
 }
 
 func newRelayDaemon(s *settings.Relay) (*relayDaemon, error) {
-	lines := logline.NewWriter(os.Stdout, logQueueLines)
+	logWriter := logline.NewWriter(os.Stdout, logQueueLines)
 	d := &relayDaemon{
-		settings: s, lines: lines, log: relayLogger(s, lines), dialer: peer.NewDialer(dialPeer).Within(peerDialTimeout), peers: peer.NewServer(),
+		settings: s, logWriter: logWriter, log: relayLogger(s, logWriter), dialer: peer.NewDialer(dialPeer).Within(peerDialTimeout), peers: peer.NewServer(),
 		store: platform.NewStore(s.Store), stopping: make(chan struct{}),
 	}
 	d.startedAt = d.clock.Now()
@@ -301,7 +301,7 @@
 func (d *relayDaemon) insight() *insight.Page {
 	return insight.New(insight.Sources{
 		VM: d.settings.Name, Clock: d.clock, Gate: d.gate, Registry: d.registry, Members: d.members, Holders: d.holders,
-		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.lines,
+		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.logWriter,
 	})
 }
 
--- a/daemon/roster.go
+++ b/daemon/roster.go
@@ -19,7 +19,7 @@
 
 // memberEvents returns events for the members that joined, became silent, restarted or left since
 // the last call.
-func (r *changeTracker) memberEvents(live []peer.Member, self peer.VM) []timeline.Event {
+func (t *changeTracker) memberEvents(live []peer.Member, self peer.VM) []timeline.Event {
 	next := make(map[peer.VM]peer.Member, len(live))
 	var events []timeline.Event
 	add := func(k timeline.Kind, m peer.Member) {
@@ -30,7 +30,7 @@
 			continue
 		}
 		next[m.VM] = m
-		old, known := r.members[m.VM]
+		old, known := t.members[m.VM]
 		restarted := known && old.Incarnation != m.Incarnation
 		if restarted {
 			add(timeline.Left, old)
@@ -42,30 +42,30 @@
 			add(timeline.Silent, m)
 		}
 	}
-	for _, m := range r.members {
+	for _, m := range t.members {
 		if _, still := next[m.VM]; !still {
 			add(timeline.Left, m)
 		}
 	}
-	r.members = next
+	t.members = next
 	slices.SortStableFunc(events, func(a, b timeline.Event) int { return cmp.Compare(a.Peer, b.Peer) })
 	return events
 }
 
 // poolEvents returns events for the pools whose ownership this daemon gained or lost since the last
 // call.
-func (r *changeTracker) poolEvents(pools []peer.PoolID) []timeline.Event {
+func (t *changeTracker) poolEvents(pools []peer.PoolID) []timeline.Event {
 	var events []timeline.Event
 	for _, id := range pools {
-		if !slices.Contains(r.pools, id) {
+		if !slices.Contains(t.pools, id) {
 			events = append(events, timeline.Event{Kind: timeline.Owned, Peer: string(id)})
 		}
 	}
-	for _, id := range r.pools {
+	for _, id := range t.pools {
 		if !slices.Contains(pools, id) {
 			events = append(events, timeline.Event{Kind: timeline.Disowned, Peer: string(id)})
 		}
 	}
-	r.pools = pools
+	t.pools = pools
 	return events
 }
--- a/daemon/roster_test.go
+++ b/daemon/roster_test.go
@@ -9,7 +9,7 @@
 	"snipeshift.example/lib/timeline"
 )
 
-func kinds(es []timeline.Event) []string {
+func eventTexts(es []timeline.Event) []string {
 	var out []string
 	for _, e := range es {
 		out = append(out, e.Kind.String()+" "+e.Peer)
@@ -24,20 +24,20 @@
 	self := peer.Member{VM: "vm-1"}
 	b := peer.Member{VM: "vm-2", Incarnation: 1}
 	c := peer.Member{VM: "vm-3", Incarnation: 1}
-	require.Equal(t, []string{"joined vm-2", "joined vm-3"}, kinds(r.memberEvents([]peer.Member{c, self, b}, "vm-1")))
+	require.Equal(t, []string{"joined vm-2", "joined vm-3"}, eventTexts(r.memberEvents([]peer.Member{c, self, b}, "vm-1")))
 	require.Empty(t, r.memberEvents([]peer.Member{self, b, c}, "vm-1"))
 	b.Health = peer.Doubted
-	require.Equal(t, []string{"silent vm-2"}, kinds(r.memberEvents([]peer.Member{self, b, c}, "vm-1")))
+	require.Equal(t, []string{"silent vm-2"}, eventTexts(r.memberEvents([]peer.Member{self, b, c}, "vm-1")))
 	require.Empty(t, r.memberEvents([]peer.Member{self, b, c}, "vm-1"))
 	b.Health = peer.Live
 	require.Empty(t, r.memberEvents([]peer.Member{self, b, c}, "vm-1"))
 	b.Incarnation = 2
-	require.Equal(t, []string{"left vm-2", "joined vm-2", "left vm-3"}, kinds(r.memberEvents([]peer.Member{self, b}, "vm-1")))
+	require.Equal(t, []string{"left vm-2", "joined vm-2", "left vm-3"}, eventTexts(r.memberEvents([]peer.Member{self, b}, "vm-1")))
 }
 
 func TestOwnedPoolChangesAreReportedOnce(t *testing.T) {
 	var r changeTracker
-	require.Equal(t, []string{"owned a@h", "owned b@h"}, kinds(r.poolEvents([]peer.PoolID{"a@h", "b@h"})))
+	require.Equal(t, []string{"owned a@h", "owned b@h"}, eventTexts(r.poolEvents([]peer.PoolID{"a@h", "b@h"})))
 	require.Empty(t, r.poolEvents([]peer.PoolID{"a@h", "b@h"}))
-	require.Equal(t, []string{"owned c@h", "disowned a@h"}, kinds(r.poolEvents([]peer.PoolID{"b@h", "c@h"})))
+	require.Equal(t, []string{"owned c@h", "disowned a@h"}, eventTexts(r.poolEvents([]peer.PoolID{"b@h", "c@h"})))
 }
--- a/lib/operator/answers.go
+++ b/lib/operator/answers.go
@@ -111,17 +111,20 @@
 type Grant struct {
 	// Grant is a string in JSON, since it exceeds the precision of readers that decode numbers as
 	// floats.
-	Grant     decide.GrantID      `json:"grant,string"`
-	Pool      peer.PoolID         `json:"pool"`
-	Owner     peer.VM             `json:"owner"`
-	Request   decide.RequestID    `json:"request"`
-	Workspace decide.WorkspaceID  `json:"workspace"`
+	Grant     decide.GrantID     `json:"grant,string"`
+	Pool      peer.PoolID        `json:"pool"`
+	Owner     peer.VM            `json:"owner"`
+	Request   decide.RequestID   `json:"request"`
+	Workspace decide.WorkspaceID `json:"workspace"`
+	// Gate is the VM, in one incarnation, that holds the client's connection of the request.
 	Gate      decide.GateID       `json:"gate"`
 	Upstreams []decide.UpstreamID `json:"upstreams"`
 	Urgency   decide.Urgency      `json:"urgency"`
-	Prompt    decide.Tokens       `json:"prompt"`
-	Output    decide.Tokens       `json:"output"`
-	Reserved  decide.Tokens       `json:"reserved"`
+	// Prompt and Output are estimated token counts. Reserved is the KV memory, in tokens, that is
+	// reserved on each upstream.
+	Prompt   decide.Tokens `json:"prompt"`
+	Output   decide.Tokens `json:"output"`
+	Reserved decide.Tokens `json:"reserved"`
 	// Lease is the time until the lease expires, Left the time until the deadline of the request,
 	// both in milliseconds.
 	Lease clock.Milli `json:"lease"`
