--- a/daemon/operator/door.go
+++ b/daemon/operator/door.go
@@ -91,26 +91,26 @@
 }
 
 // New returns a server that reads the given components. Operators can change the level of logger l.
-func New(s Sources, l *log.Logger) *Door { return &Door{sources: s, log: l} }
+func New(sources Sources, l *log.Logger) *Door { return &Door{sources: sources, log: l} }
 
 // Handler returns the handler of all pages.
-func (d *Door) Handler() http.Handler {
-	s := &d.sources
+func (s *Door) Handler() http.Handler {
+	src := &s.sources
 	m := http.NewServeMux()
-	m.HandleFunc("GET "+answers.PathLive, d.live)
-	m.HandleFunc("GET "+answers.PathReady, d.ready)
-	m.HandleFunc("GET "+answers.PathMetrics, d.metrics)
-	m.HandleFunc("GET "+answers.PathMembers, listPage(func() []answers.Member { return s.Members.Members() }))
-	m.HandleFunc("GET "+answers.PathPools, listPage(func() []answers.Pool { return s.Pools.Pools() }))
-	m.HandleFunc("GET "+answers.PathUpstreams, listPage(func() []answers.Upstream { return s.Pools.Upstreams() }))
-	m.HandleFunc("GET "+answers.PathGrants, listPage(func() []answers.Grant { return s.Pools.Grants() }))
-	m.HandleFunc("GET "+answers.PathUsage, listPage(func() []answers.Counter { return s.Usage.Usage() }))
-	m.HandleFunc("GET "+answers.PathDocument, d.document)
-	m.HandleFunc("GET "+answers.PathTimeline, d.timeline)
-	m.HandleFunc("GET "+answers.PathLevel, d.level)
-	m.HandleFunc("PUT "+answers.PathLevel, d.setLevel)
-	m.HandleFunc("GET "+answers.PathDrain, d.drain)
-	m.HandleFunc("PUT "+answers.PathDrain, d.startDrain)
+	m.HandleFunc("GET "+answers.PathLive, s.live)
+	m.HandleFunc("GET "+answers.PathReady, s.ready)
+	m.HandleFunc("GET "+answers.PathMetrics, s.metrics)
+	m.HandleFunc("GET "+answers.PathMembers, listPage(func() []answers.Member { return src.Members.Members() }))
+	m.HandleFunc("GET "+answers.PathPools, listPage(func() []answers.Pool { return src.Pools.Pools() }))
+	m.HandleFunc("GET "+answers.PathUpstreams, listPage(func() []answers.Upstream { return src.Pools.Upstreams() }))
+	m.HandleFunc("GET "+answers.PathGrants, listPage(func() []answers.Grant { return src.Pools.Grants() }))
+	m.HandleFunc("GET "+answers.PathUsage, listPage(func() []answers.Counter { return src.Usage.Usage() }))
+	m.HandleFunc("GET "+answers.PathDocument, s.document)
+	m.HandleFunc("GET "+answers.PathTimeline, s.timeline)
+	m.HandleFunc("GET "+answers.PathLevel, s.level)
+	m.HandleFunc("PUT "+answers.PathLevel, s.setLevel)
+	m.HandleFunc("GET "+answers.PathDrain, s.drain)
+	m.HandleFunc("PUT "+answers.PathDrain, s.startDrain)
 	m.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, http.StatusNotFound, "no page for "+r.Method+" "+r.URL.Path+": see the page of operator addresses")
 	})
--- a/daemon/operator/metrics.go
+++ b/daemon/operator/metrics.go
@@ -14,23 +14,23 @@
 // metrics writes the metrics that the daemon's components collect, and gauges that are read at the
 // time of the request. Labels have only names from the document and of VMs, which bounds their
 // number; request ids and keys never become labels.
-func (d *Door) metrics(w http.ResponseWriter, _ *http.Request) {
+func (s *Door) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	b := bufio.NewWriter(w)
-	for _, m := range d.sources.Metrics {
+	for _, m := range s.sources.Metrics {
 		m.WritePrometheus(b)
 	}
-	for _, p := range d.sources.Pools.Pools() {
+	for _, p := range s.sources.Pools.Pools() {
 		writePool(b, p)
 	}
-	for _, u := range d.sources.Pools.Upstreams() {
+	for _, u := range s.sources.Pools.Upstreams() {
 		writeUpstream(b, u)
 	}
-	d.writeMembers(b)
-	d.writeStore(b)
-	revision, _ := d.sources.Documents.Newest()
+	s.writeMembers(b)
+	s.writeStore(b)
+	revision, _ := s.sources.Documents.Newest()
 	gauge(b, "snipeshift_document_revision", uint64(revision))
-	gauge(b, "snipeshift_ready", boolGauge(len(d.sources.Health.Unready()) == 0))
+	gauge(b, "snipeshift_ready", boolGauge(len(s.sources.Health.Unready()) == 0))
 	metrics.WriteProcessMetrics(b)
 	_ = b.Flush()
 }
@@ -57,9 +57,9 @@
 // states lists all states, so that a state without members is written as zero.
 var states = []answers.State{answers.Serving, answers.Draining, answers.Silent, answers.Gone}
 
-func (d *Door) writeMembers(w io.Writer) {
+func (s *Door) writeMembers(w io.Writer) {
 	counts := map[answers.State]uint64{}
-	for _, m := range d.sources.Members.Members() {
+	for _, m := range s.sources.Members.Members() {
 		counts[m.State]++
 	}
 	for _, s := range states {
@@ -67,8 +67,8 @@
 	}
 }
 
-func (d *Door) writeStore(w io.Writer) {
-	c := d.sources.Store.Counts()
+func (s *Door) writeStore(w io.Writer) {
+	c := s.sources.Store.Counts()
 	for _, call := range []struct {
 		name  string
 		count uint64
--- a/daemon/operator/pages.go
+++ b/daemon/operator/pages.go
@@ -22,13 +22,13 @@
 )
 
 // live is the liveness check: it succeeds whenever the process can respond.
-func (d *Door) live(w http.ResponseWriter, _ *http.Request) {
+func (s *Door) live(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "live\n")
 }
 
 // ready is the readiness check, by which the balancer decides whether to send requests to this VM.
-func (d *Door) ready(w http.ResponseWriter, _ *http.Request) {
-	reasons := d.sources.Health.Unready()
+func (s *Door) ready(w http.ResponseWriter, _ *http.Request) {
+	reasons := s.sources.Health.Unready()
 	status := http.StatusOK
 	if len(reasons) > 0 {
 		status = http.StatusServiceUnavailable
@@ -36,8 +36,8 @@
 	writeJSON(w, status, answers.Readiness{Ready: len(reasons) == 0, Reasons: reasons})
 }
 
-func (d *Door) document(w http.ResponseWriter, r *http.Request) {
-	revision, text := d.sources.Documents.Newest()
+func (s *Door) document(w http.ResponseWriter, r *http.Request) {
+	revision, text := s.sources.Documents.Newest()
 	sum := sha256.Sum256(text)
 	a := answers.Document{Revision: revision, Sum: "sha256:" + hex.EncodeToString(sum[:]), Size: len(text)}
 	if r.URL.Query().Has(answers.ParamText) {
@@ -48,7 +48,7 @@
 
 // timeline responds with JSON lines: the events of a full ring buffer can be megabytes, and a reader
 // whose connection is cut can still use the lines that it has received.
-func (d *Door) timeline(w http.ResponseWriter, r *http.Request) {
+func (s *Door) timeline(w http.ResponseWriter, r *http.Request) {
 	f, err := parseFilter(r.URL.Query())
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
@@ -57,7 +57,7 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	b := bufio.NewWriter(w)
 	j := json.NewEncoder(b)
-	for _, e := range d.sources.Timeline.Events(f) {
+	for _, e := range s.sources.Timeline.Events(f) {
 		if j.Encode(e) != nil {
 			return
 		}
@@ -94,16 +94,16 @@
 // levels are the names of log levels, lowest first.
 var levels = []string{"trace", "debug", "info", "warn", "error"}
 
-func (d *Door) level(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, answers.Level{Level: d.currentLevel().String()})
+func (s *Door) level(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, answers.Level{Level: s.currentLevel().String()})
 }
 
 // currentLevel reads the level atomically, since SetLevel may change it at the same time.
-func (d *Door) currentLevel() log.Level {
-	return log.Level(atomic.LoadUint32((*uint32)(&d.log.Level)))
+func (s *Door) currentLevel() log.Level {
+	return log.Level(atomic.LoadUint32((*uint32)(&s.log.Level)))
 }
 
-func (d *Door) setLevel(w http.ResponseWriter, r *http.Request) {
+func (s *Door) setLevel(w http.ResponseWriter, r *http.Request) {
 	var a answers.Level
 	if !readJSON(w, r, &a) {
 		return
@@ -112,19 +112,19 @@
 		writeError(w, http.StatusBadRequest, fmt.Sprintf("level: use one of %q", levels))
 		return
 	}
-	d.log.SetLevel(log.ParseLevel(a.Level))
-	d.sources.Timeline.Add(timeline.Event{Kind: timeline.Leveled, Text: a.Level})
-	d.level(w, r)
+	s.log.SetLevel(log.ParseLevel(a.Level))
+	s.sources.Timeline.Add(timeline.Event{Kind: timeline.Leveled, Text: a.Level})
+	s.level(w, r)
 }
 
-func (d *Door) drain(w http.ResponseWriter, _ *http.Request) {
-	began, requests := d.sources.Stopper.Draining()
+func (s *Door) drain(w http.ResponseWriter, _ *http.Request) {
+	began, requests := s.sources.Stopper.Draining()
 	writeJSON(w, http.StatusOK, answers.Drain{Draining: began, Requests: requests})
 }
 
 // startDrain begins the graceful stop. It responds at once, since the running requests may take until
 // their deadlines.
-func (d *Door) startDrain(w http.ResponseWriter, r *http.Request) {
+func (s *Door) startDrain(w http.ResponseWriter, r *http.Request) {
 	var a answers.Drain
 	if !readJSON(w, r, &a) {
 		return
@@ -133,8 +133,8 @@
 		writeError(w, http.StatusBadRequest, "a planned stop cannot be taken back: start the daemon anew when it has stopped")
 		return
 	}
-	d.sources.Timeline.Add(timeline.Event{Kind: timeline.Drained, Text: "by an operator"})
-	d.sources.Stopper.Drain()
-	began, requests := d.sources.Stopper.Draining()
+	s.sources.Timeline.Add(timeline.Event{Kind: timeline.Drained, Text: "by an operator"})
+	s.sources.Stopper.Drain()
+	began, requests := s.sources.Stopper.Draining()
 	writeJSON(w, http.StatusAccepted, answers.Drain{Draining: began, Requests: requests})
 }
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -27,7 +27,7 @@
 	// ErrBroken means that the connection was cut or that the response is malformed.
 	ErrBroken = errs.Class("engine stream broken")
 	// ErrSilent means that no event arrived on the stream within the allowed time.
-	ErrSilent = errs.Class("engine stream silent")
+	ErrSilent = errs.Class("engine stream timed out")
 	// ErrForeign means that a chunk belongs to another request or is out of order.
 	ErrForeign = errs.Class("engine chunk of another request")
 )
