--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -43,7 +43,7 @@
 	// headerLimit is the header size, in bytes, at which the HTTP server stops reading. The gate
 	// has a lower limit: it refuses headers between the two limits and names the kind of error
 	// in its response.
-	headerLimit = 4 * caller.HeaderLimit
+	headerLimit = 4 * caller.MaxHeaderBytes
 	// idleTimeout closes idle client connections, so that few are open when the daemon stops.
 	idleTimeout = 2 * time.Minute
 	// ownershipInterval is the time between two checks of which pools this VM owns.
@@ -73,10 +73,10 @@
 	peers      *peer.Server
 	quarantine *quarantine.Quarantine
 	limits     *limit.Limits
-	door       *door.Door
+	door       *door.Endpoint
 	engines    *engine.Client
 	leases     *lease.Leases
-	orders     *orders.Holder
+	orders     *orders.Sender
 	// state is the state shared with other daemons through the store and heartbeats.
 	state *sharedState
 	// work is canceled when the last request has been served.
@@ -121,13 +121,13 @@
 	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.handlePause)
 	d.leases = lease.New(d.store, k, lease.DefaultRules, d.pause, self)
 	d.orders = orders.New(d.work, d.log, d.ring, d.config, d.engines, d.leases)
-	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.config, pool.NewWitness(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
+	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.config, pool.NewGateClient(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
 	d.quarantine = quarantine.New(k, d.members, d.dialer)
 	d.limits = limit.New(k, d.directory, d.dialer, peer.Gate(s.Name, d.incarnation))
 	d.state = newState(d)
-	d.gate = caller.New(caller.Needs{
-		Clock: k, Log: d.log, Book: d.config, Members: d.directory, Peers: d.dialer, Engines: d.engines,
-		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewBudgets(k), Suspects: d.quarantine, Limits: d.limits,
+	d.gate = caller.New(caller.Dependencies{
+		Clock: k, Log: d.log, Registry: d.config, Members: d.directory, Peers: d.dialer, Engines: d.engines,
+		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewRetryBudgets(k), Suspects: d.quarantine, Limits: d.limits,
 	}, s.Name, s.Domain, d.incarnation)
 	d.members.Add(d.directory, d.state.follower, d.state.counters, d.quarantine)
 	d.directory.summaries = d.owner.Summaries
@@ -165,7 +165,7 @@
 	d.log.Warn().Int64("gap", int64(gap)).Msg("this process was paused; all leases and pools are given up")
 	d.ring.Add(timeline.Event{Kind: timeline.Paused})
 	d.leases.Drop()
-	d.owner.Paused()
+	d.owner.DiscardPools()
 	d.members.Resume()
 }
 
@@ -270,8 +270,8 @@
 		owned := d.ownedPools()
 		d.recordEvents(seen.memberEvents(d.members.Live(), d.settings.Name))
 		d.recordEvents(seen.poolEvents(owned))
-		d.owner.Keep(owned)
-		d.orders.Want(owned)
+		d.owner.SetOwned(owned)
+		d.orders.RequestLeases(owned)
 	})
 }
 
@@ -321,7 +321,7 @@
 	if t.CallerCert == "" {
 		return ls, nil
 	}
-	conf, err := door.Callers(t.CallerCert, t.CallerKey, func(err error) {
+	conf, err := door.ClientListenerConfig(t.CallerCert, t.CallerKey, func(err error) {
 		d.log.Error().Err(err).Msg("cannot load the changed certificate for clients; the earlier one stays in use")
 	})
 	if err != nil {
--- a/daemon/insight/insight.go
+++ b/daemon/insight/insight.go
@@ -82,15 +82,15 @@
 	}
 	for _, s := range slices.Sorted(maps.Keys(known)) {
 		row := answers.Service{Service: s, Upstreams: len(v.Upstreams[s])}
-		if x, since, ok := p.Holders.Followed(s); ok {
+		if x, since, ok := p.Holders.HolderSince(s); ok {
 			row.Holder, row.Epoch, row.Since = x.VM, x.Epoch, now-since
 		}
-		row.Successor = p.Holders.Next(s)
+		row.Successor = p.Holders.Fallback(s)
 		r.Services = append(r.Services, row)
 	}
 	p.Placer.Statements(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 		row := answers.Statement{Service: s, Upstream: u, Kind: st.Kind.String(), Gate: st.Gate, Rate: float64(st.Rate), Age: now - st.At}
-		if st.Kind == statement.Rest {
+		if st.Kind == statement.BackOff {
 			row.Left = st.Until - now
 		}
 		r.Statements = append(r.Statements, row)
--- a/daemon/insight/metrics.go
+++ b/daemon/insight/metrics.go
@@ -40,7 +40,7 @@
 		switch st.Kind {
 		case statement.Limit:
 			gauge("snipeshift_upstream_limit"+labels, float64(st.Rate))
-		case statement.Rest:
+		case statement.BackOff:
 			gauge("snipeshift_upstream_rest_seconds"+labels, (st.Until - now).Duration().Seconds())
 		case statement.Leaving:
 			gauge("snipeshift_upstream_leaving"+labels, 1)
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -58,7 +58,7 @@
 
 // Draining implements operator.Stopper.
 func (v operatorViews) Draining() (began bool, requests int) {
-	return v.daemon.stopping.Load(), v.daemon.gate.Busy()
+	return v.daemon.stopping.Load(), v.daemon.gate.InFlight()
 }
 
 // Members implements operator.Members.
@@ -94,7 +94,7 @@
 func (v operatorViews) Pools() []answers.Pool {
 	var out []answers.Pool
 	for _, p := range v.daemon.owner.Pools() {
-		s := p.Look()
+		s := p.Status()
 		out = append(out, answers.Pool{
 			Pool: p.ID(), Owner: v.daemon.settings.Name, Epoch: p.Epoch(), Wait: s.Summary.Wait,
 			Queued: s.Summary.Queued, Running: s.Summary.Running, Free: s.Summary.Free, Largest: s.Summary.Largest, Upstreams: len(s.Upstreams),
@@ -112,11 +112,11 @@
 	now := v.daemon.clock.Now()
 	var out []answers.Upstream
 	for _, p := range v.daemon.owner.Pools() {
-		s := p.Look()
+		s := p.Status()
 		for _, u := range s.Upstreams {
 			a := answers.Upstream{
 				Name: u.ID, Pool: p.ID(), Owner: v.daemon.settings.Name, Address: s.Addresses[u.ID],
-				Running: u.Running, Slots: u.Slots, Reserved: u.Taken, Used: s.Used[u.ID], Memory: u.Memory, Age: -1, Fenced: s.Fenced[u.ID],
+				Running: u.Running, Slots: u.Slots, Reserved: u.Reserved, Used: s.Used[u.ID], Memory: u.Memory, Age: -1, Fenced: s.Fenced[u.ID],
 			}
 			if at, ok := s.Reported[u.ID]; ok {
 				a.Age = now - at
@@ -133,7 +133,7 @@
 //
 // Silent has precedence: an engine that does not respond is marked as leaving too, so that it
 // receives no requests, and an operator who reads that it is draining would wait for it to finish.
-func upstreamState(u decide.View, age clock.Milli) answers.State {
+func upstreamState(u decide.UpstreamView, age clock.Milli) answers.State {
 	switch {
 	case u.Memory > 0 && (age < 0 || age > reportMaxAge):
 		return answers.Silent
@@ -148,7 +148,7 @@
 	now := v.daemon.clock.Now()
 	var out []answers.Grant
 	for _, p := range v.daemon.owner.Pools() {
-		for _, g := range p.Look().Grants {
+		for _, g := range p.Status().Grants {
 			out = append(out, answers.Grant{
 				Grant: g.ID, Pool: p.ID(), Owner: v.daemon.settings.Name, Request: g.Request, Workspace: g.Workspace, Gate: g.Gate,
 				Upstreams: g.Upstreams, Urgency: g.Urgency, Prompt: g.Prompt, Output: g.Output, Reserved: g.Reserved, Lease: g.Until - now, Left: g.Deadline - now,
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -138,10 +138,10 @@
 	d.placer = placer.NewClient(d.clock, d.log, d.members, d.dialer, d.owner, id)
 	unpooled := upstreamTransport()
 	unpooled.DisableKeepAlives = true
-	d.gate = relay.New(relay.Needs{
-		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Knowledge: d.registry,
-		Suspects: q, Memory: engines, Kept: pooled, Fresh: unpooled,
-	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, Bodies: int64(bodyMemoryShare * float64(s.Memory) * (1 << 20))}, id)
+	d.gate = relay.New(relay.Dependencies{
+		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Registry: d.registry,
+		Suspects: q, Memory: engines, Pooled: pooled, Unpooled: unpooled,
+	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, BodyBytes: int64(bodyMemoryShare * float64(s.Memory) * (1 << 20))}, id)
 	var g errList
 	g.add(d.peers.Register(member.Name, member.NewReceiver(d.members, noDocuments{})))
 	g.add(d.peers.Register(quarantine.Name, quarantine.NewReceiver(q)))
@@ -177,7 +177,7 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialLives(dial.Hedged((&net.Dialer{Timeout: upstreamDialTimeout}).DialContext, dial.Again)),
+		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDialTimeout}).DialContext, dial.Again)),
 		DisableCompression: true, MaxIdleConnsPerHost: maxIdlePerUpstream, IdleConnTimeout: upstreamIdleTimeout,
 		WriteBufferSize: 16 << 10,
 	}
--- a/daemon/pool/reap.go
+++ b/daemon/pool/reap.go
@@ -187,7 +187,7 @@
 	var g errgroup.Group
 	g.SetLimit(pollers)
 	for _, s := range due {
-		if evidence[s.request] == Gone || overdue(s.request, now) {
+		if evidence[s.request] == NotHeld || overdue(s.request, now) {
 			g.Go(func() error { p.free(s); return nil })
 		}
 	}
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -25,7 +25,7 @@
 // leaked goroutines would accumulate until the daemon fails.
 func TestServerRejectsSlowAndOversizedHeaders(t *testing.T) {
 	d := &daemon{log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}}
-	g := caller.New(caller.Needs{Clock: clock.New()}, "vm-1", "hall", 1)
+	g := caller.New(caller.Dependencies{Clock: clock.New()}, "vm-1", "hall", 1)
 	s := d.server(g.Handler())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 	defer func() { require.NoError(t, s.Close()) }()
 	before := runtime.NumGoroutine()
 
-	for _, size := range []int{caller.HeaderLimit + 1, 2 * headerLimit} {
+	for _, size := range []int{caller.MaxHeaderBytes + 1, 2 * headerLimit} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		// The server may close the connection before it has read everything, so a write error is
@@ -65,7 +65,7 @@
 // An engine crashes and is excluded from placement, for which it is marked as leaving. Operators must
 // not be told that it is draining.
 func TestSilentEngineIsNotShownAsDraining(t *testing.T) {
-	u := decide.View{Upstream: decide.Upstream{Memory: 1, Leaving: true}}
+	u := decide.UpstreamView{Upstream: decide.Upstream{Memory: 1, Leaving: true}}
 	require.Equal(t, answers.Silent, upstreamState(u, reportMaxAge+1))
 	require.Equal(t, answers.Draining, upstreamState(u, 0))
 	u.Leaving = false
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -22,7 +22,7 @@
 	daemon   *daemon
 	follower *follow.Follower
 	claims   *claim.Claims
-	counters *usage.Book
+	counters *usage.Meter
 }
 
 func newState(d *daemon) *sharedState {
@@ -44,7 +44,7 @@
 func (s *sharedState) flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.daemon.gate.Settle()
+		s.daemon.gate.WaitBackground()
 		close(done)
 	}()
 	if err := s.counters.Flush(ctx); err != nil {
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -178,7 +178,7 @@
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
 	resp.Body.Close()
 	e := &StatusError{Status: resp.StatusCode, Text: strings.TrimSpace(string(b))}
-	if retryafter.TurnsAway(e.Status) {
+	if retryafter.IsRejection(e.Status) {
 		e.Rest, _ = retryafter.Parse(resp.Header)
 	}
 	return e
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -192,7 +192,7 @@
 	// history at which the set was right.
 	Digest    uint64
 	DigestAge clock.Milli
-	Mark      route.Mark
+	Mark      route.StoreRevision
 	// MarkEra is the era of the store in which Mark was given out, Era the latest one that the daemon knows of.
 	MarkEra, Era route.Era
 	// Shut is set by a daemon whose own last call of the store failed.
@@ -240,7 +240,7 @@
 	Left clock.Milli
 	// Last is the upstream of the newest death counted, Born its life, Ago the time since.
 	Last decide.UpstreamID
-	Born decide.Born
+	Born decide.Incarnation
 	Ago  clock.Milli
 }
 
