--- a/daemon/caller/backoff.go
+++ b/daemon/caller/backoff.go
@@ -20,10 +20,10 @@
 // this VM only, since other VMs may have sent the upstream fewer requests.
 func (g *Gate) noteBackoff(target string, u decide.UpstreamID, err error) bool {
 	var status *engine.StatusError
-	if !errors.As(err, &status) || status.Rest <= 0 {
+	if !errors.As(err, &status) || status.RetryAfter <= 0 {
 		return false
 	}
-	g.recordBackoff(target, u, status.Rest)
+	g.recordBackoff(target, u, status.RetryAfter)
 	return true
 }
 
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -131,7 +131,7 @@
 	}
 	call := engine.Call{
 		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeat, Request: x.q.id,
-		Priority: pg.grant.Priority, Reserve: pg.grant.Reserved, Grant: pg.grant.ID, Group: pg.grant.Upstreams, Key: x.q.idempotencyKey,
+		Priority: pg.grant.Priority, Reserve: pg.grant.Reserved, Grant: pg.grant.ID, Group: pg.grant.Upstreams, IdempotencyKey: x.q.idempotencyKey,
 	}
 	// During the prefill of a long prompt no tokens arrive, so a broken kept-alive connection would
 	// only be detected at the deadline. The cost of a new connection is negligible beside such a
@@ -269,7 +269,7 @@
 	case x.gate.crashed(u.Address):
 		r.outcome = decide.Lost
 		r.fault = fault.New(fault.Upstream, "upstream %s died", u.Name)
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		x.gate.Engines.CloseIdle()
 		r.fault = fault.New(fault.Upstream, "upstream %s went silent", u.Name)
 	default:
@@ -290,9 +290,9 @@
 // address.
 func interruptionText(err error) string {
 	switch {
-	case engine.ErrForeign.Has(err):
+	case engine.ErrMismatch.Has(err):
 		return "it was mixed up with another"
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		return "it went silent"
 	}
 	return "the connection broke"
--- a/daemon/operator/metrics.go
+++ b/daemon/operator/metrics.go
@@ -14,7 +14,7 @@
 // metrics writes the metrics that the daemon's components collect, and gauges that are read at the
 // time of the request. Labels have only names from the document and of VMs, which bounds their
 // number; request ids and keys never become labels.
-func (s *Door) metrics(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	b := bufio.NewWriter(w)
 	for _, m := range s.sources.Metrics {
@@ -57,7 +57,7 @@
 // states lists all states, so that a state without members is written as zero.
 var states = []answers.State{answers.Serving, answers.Draining, answers.Silent, answers.Gone}
 
-func (s *Door) writeMembers(w io.Writer) {
+func (s *Server) writeMembers(w io.Writer) {
 	counts := map[answers.State]uint64{}
 	for _, m := range s.sources.Members.Members() {
 		counts[m.State]++
@@ -67,7 +67,7 @@
 	}
 }
 
-func (s *Door) writeStore(w io.Writer) {
+func (s *Server) writeStore(w io.Writer) {
 	c := s.sources.Store.Counts()
 	for _, call := range []struct {
 		name  string
--- a/daemon/operator/pages.go
+++ b/daemon/operator/pages.go
@@ -22,12 +22,12 @@
 )
 
 // live is the liveness check: it succeeds whenever the process can respond.
-func (s *Door) live(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) live(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "live\n")
 }
 
 // ready is the readiness check, by which the balancer decides whether to send requests to this VM.
-func (s *Door) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	reasons := s.sources.Health.Unready()
 	status := http.StatusOK
 	if len(reasons) > 0 {
@@ -36,7 +36,7 @@
 	writeJSON(w, status, answers.Readiness{Ready: len(reasons) == 0, Reasons: reasons})
 }
 
-func (s *Door) document(w http.ResponseWriter, r *http.Request) {
+func (s *Server) document(w http.ResponseWriter, r *http.Request) {
 	revision, text := s.sources.Documents.Newest()
 	sum := sha256.Sum256(text)
 	a := answers.Document{Revision: revision, Sum: "sha256:" + hex.EncodeToString(sum[:]), Size: len(text)}
@@ -48,7 +48,7 @@
 
 // timeline responds with JSON lines: the events of a full ring buffer can be megabytes, and a reader
 // whose connection is cut can still use the lines that it has received.
-func (s *Door) timeline(w http.ResponseWriter, r *http.Request) {
+func (s *Server) timeline(w http.ResponseWriter, r *http.Request) {
 	f, err := parseFilter(r.URL.Query())
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
@@ -94,16 +94,16 @@
 // levels are the names of log levels, lowest first.
 var levels = []string{"trace", "debug", "info", "warn", "error"}
 
-func (s *Door) level(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) level(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, answers.Level{Level: s.currentLevel().String()})
 }
 
 // currentLevel reads the level atomically, since SetLevel may change it at the same time.
-func (s *Door) currentLevel() log.Level {
+func (s *Server) currentLevel() log.Level {
 	return log.Level(atomic.LoadUint32((*uint32)(&s.log.Level)))
 }
 
-func (s *Door) setLevel(w http.ResponseWriter, r *http.Request) {
+func (s *Server) setLevel(w http.ResponseWriter, r *http.Request) {
 	var a answers.Level
 	if !readJSON(w, r, &a) {
 		return
@@ -117,14 +117,14 @@
 	s.level(w, r)
 }
 
-func (s *Door) drain(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) drain(w http.ResponseWriter, _ *http.Request) {
 	began, requests := s.sources.Stopper.Draining()
 	writeJSON(w, http.StatusOK, answers.Drain{Draining: began, Requests: requests})
 }
 
 // startDrain begins the graceful stop. It responds at once, since the running requests may take until
 // their deadlines.
-func (s *Door) startDrain(w http.ResponseWriter, r *http.Request) {
+func (s *Server) startDrain(w http.ResponseWriter, r *http.Request) {
 	var a answers.Drain
 	if !readJSON(w, r, &a) {
 		return
--- a/daemon/operator/door.go
+++ b/daemon/operator/server.go
@@ -39,7 +39,7 @@
 
 // Usage lists every usage counter that this daemon knows, its own and those of other daemons.
 type Usage interface {
-	Usage() []answers.Counter
+	Usage() []answers.UsageCounter
 }
 
 // Documents returns the document in force; its revision is zero if there is none.
@@ -84,17 +84,17 @@
 	Metrics   []Metrics
 }
 
-// Door serves the operator address.
-type Door struct {
+// Server serves the operator address.
+type Server struct {
 	sources Sources
 	log     *log.Logger
 }
 
 // New returns a server that reads the given components. Operators can change the level of logger l.
-func New(sources Sources, l *log.Logger) *Door { return &Door{sources: sources, log: l} }
+func New(sources Sources, l *log.Logger) *Server { return &Server{sources: sources, log: l} }
 
 // Handler returns the handler of all pages.
-func (s *Door) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	src := &s.sources
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+answers.PathLive, s.live)
@@ -104,7 +104,7 @@
 	m.HandleFunc("GET "+answers.PathPools, listPage(func() []answers.Pool { return src.Pools.Pools() }))
 	m.HandleFunc("GET "+answers.PathUpstreams, listPage(func() []answers.Upstream { return src.Pools.Upstreams() }))
 	m.HandleFunc("GET "+answers.PathGrants, listPage(func() []answers.Grant { return src.Pools.Grants() }))
-	m.HandleFunc("GET "+answers.PathUsage, listPage(func() []answers.Counter { return src.Usage.Usage() }))
+	m.HandleFunc("GET "+answers.PathUsage, listPage(func() []answers.UsageCounter { return src.Usage.Usage() }))
 	m.HandleFunc("GET "+answers.PathDocument, s.document)
 	m.HandleFunc("GET "+answers.PathTimeline, s.timeline)
 	m.HandleFunc("GET "+answers.PathLevel, s.level)
--- a/daemon/operator/door_test.go
+++ b/daemon/operator/server_test.go
@@ -41,8 +41,8 @@
 	return []answers.Upstream{{Name: "u", Pool: "m@d", State: answers.Draining, Used: 7}}
 }
 func (f *fakeDaemon) Grants() []answers.Grant { return nil }
-func (f *fakeDaemon) Usage() []answers.Counter {
-	return []answers.Counter{{VM: "vm-1", Workspace: "w"}}
+func (f *fakeDaemon) Usage() []answers.UsageCounter {
+	return []answers.UsageCounter{{VM: "vm-1", Workspace: "w"}}
 }
 func (f *fakeDaemon) Newest() (peer.Revision, []byte)  { return 7, []byte("{}") }
 func (f *fakeDaemon) Drain()                           { f.draining = true }
@@ -97,7 +97,7 @@
 	require.Equal(t, f.daemon.Members(), get[[]answers.Member](f, "/members"))
 	require.Equal(t, f.daemon.Pools(), get[[]answers.Pool](f, "/pools"))
 	require.Equal(t, f.daemon.Upstreams(), get[[]answers.Upstream](f, "/upstreams"))
-	require.Equal(t, f.daemon.Usage(), get[[]answers.Counter](f, "/usage"))
+	require.Equal(t, f.daemon.Usage(), get[[]answers.UsageCounter](f, "/usage"))
 	require.Equal(t, "[]\n", f.request(http.MethodGet, "/grants", "").Body.String())
 	require.Equal(t, "live\n", f.request(http.MethodGet, "/live", "").Body.String())
 
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -159,10 +159,10 @@
 }
 
 // Usage implements operator.Usage.
-func (v operatorViews) Usage() []answers.Counter {
-	var out []answers.Counter
+func (v operatorViews) Usage() []answers.UsageCounter {
+	var out []answers.UsageCounter
 	for _, u := range v.daemon.state.usage() {
-		out = append(out, answers.Counter{
+		out = append(out, answers.UsageCounter{
 			VM: u.VM, Incarnation: u.Incarnation, Workspace: u.Workspace,
 			Usage: answers.Usage{Requests: u.Usage.Requests, Prompt: u.Usage.Prompt, Cached: u.Usage.Cached, Output: u.Usage.Output},
 		})
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -52,7 +52,7 @@
 	Load(ctx context.Context, address string) (engine.Load, error)
 	Events(ctx context.Context, address string, after uint64) ([]engine.Event, error)
 	Cancel(ctx context.Context, address string, id decide.RequestID) error
-	Drop(ctx context.Context, address, handle string) error
+	DeleteExport(ctx context.Context, address, handle string) error
 }
 
 // Registry provides the current configuration and the state of upstreams.
--- a/daemon/platform.go
+++ b/daemon/relay.go
@@ -301,7 +301,7 @@
 func (d *relayDaemon) insight() *insight.Page {
 	return insight.New(insight.Sources{
 		VM: d.settings.Name, Clock: d.clock, Gate: d.gate, Registry: d.registry, Members: d.members, Holders: d.holders,
-		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.logWriter,
+		Placer: d.placer, Owner: d.owner, Store: d.store, LogWriter: d.logWriter,
 	})
 }
 
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -26,10 +26,10 @@
 	ErrNotSent = errs.Class("engine not reached")
 	// ErrBroken means that the connection was cut or that the response is malformed.
 	ErrBroken = errs.Class("engine stream broken")
-	// ErrSilent means that no event arrived on the stream within the allowed time.
-	ErrSilent = errs.Class("engine stream timed out")
-	// ErrForeign means that a chunk belongs to another request or is out of order.
-	ErrForeign = errs.Class("engine chunk of another request")
+	// ErrIdleTimeout means that no event arrived on the stream within the allowed time.
+	ErrIdleTimeout = errs.Class("engine stream timed out")
+	// ErrMismatch means that a chunk belongs to another request or is out of order.
+	ErrMismatch = errs.Class("engine chunk of another request")
 )
 
 // Header fields of requests to engines.
@@ -113,8 +113,8 @@
 	Grant    decide.GrantID
 	// Group lists the engines if the prompt spans several, the leader first.
 	Group []decide.UpstreamID
-	// Key is the client's idempotency key, if any.
-	Key string
+	// IdempotencyKey is the client's idempotency key, if any.
+	IdempotencyKey string
 }
 
 // Start sends a generation request and returns its stream. The first event must arrive within first
@@ -129,7 +129,7 @@
 	// Without GetBody, net/http cannot send the body a second time by itself.
 	req.GetBody = nil
 	setHeaders(req, call)
-	w := newWatchdog(first, func() { cancel(ErrSilent.New("no event within the allowed time")) })
+	w := newWatchdog(first, func() { cancel(ErrIdleTimeout.New("no event within the allowed time")) })
 	resp, err := c.Do(req, call.Once)
 	if err != nil {
 		w.stop()
@@ -160,14 +160,14 @@
 		}
 		h.Set(HeaderGroup, strings.Join(names, ","))
 	}
-	if call.Key != "" {
-		h.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		h.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 }
 
 // idleCauseOr returns the watchdog's error if the watchdog canceled the call, and err otherwise.
 func idleCauseOr(ctx context.Context, err error) error {
-	if cause := context.Cause(ctx); cause != nil && ErrSilent.Has(cause) {
+	if cause := context.Cause(ctx); cause != nil && ErrIdleTimeout.Has(cause) {
 		return cause
 	}
 	return err
@@ -179,7 +179,7 @@
 	resp.Body.Close()
 	e := &StatusError{Status: resp.StatusCode, Text: strings.TrimSpace(string(b))}
 	if retryafter.IsRejection(e.Status) {
-		e.Rest, _ = retryafter.Parse(resp.Header)
+		e.RetryAfter, _ = retryafter.Parse(resp.Header)
 	}
 	return e
 }
@@ -189,8 +189,8 @@
 	Status int
 	// Text is the start of the response body.
 	Text string
-	// Rest is the back-off that an engine asks for when it rejects a request; zero if it names none.
-	Rest clock.Milli
+	// RetryAfter is the back-off that an engine asks for when it rejects a request; zero if it names none.
+	RetryAfter clock.Milli
 }
 
 // Error implements error.
@@ -208,8 +208,8 @@
 	return c.shortCall(ctx, http.MethodPost, address, "/v1/kv", reservation{Request: id, Tokens: n}, nil)
 }
 
-// Drop deletes an export, which frees its memory.
-func (c *Client) Drop(ctx context.Context, address, handle string) error {
+// DeleteExport deletes an export, which frees its memory.
+func (c *Client) DeleteExport(ctx context.Context, address, handle string) error {
 	return c.shortCall(ctx, http.MethodDelete, address, "/v1/kv/"+handle, nil, nil)
 }
 
--- a/lib/operator/answers.go
+++ b/lib/operator/answers.go
@@ -131,9 +131,9 @@
 	Left  clock.Milli `json:"left"`
 }
 
-// Counter is the total usage of one workspace through one incarnation of one VM. Several daemons may
+// UsageCounter is the total usage of one workspace through one incarnation of one VM. Several daemons may
 // report the same counter; the largest value is the newest.
-type Counter struct {
+type UsageCounter struct {
 	VM          peer.VM            `json:"vm"`
 	Incarnation peer.Incarnation   `json:"incarnation"`
 	Workspace   decide.WorkspaceID `json:"workspace"`
--- a/lib/operator/relay.go
+++ b/lib/operator/relay.go
@@ -11,9 +11,9 @@
 // address.
 const PathServices = "/services"
 
-// Relay is the response of the services page: the services and statements that one VM in relay mode
+// RelayStatus is the response of the services page: the services and statements that one VM in relay mode
 // knows.
-type Relay struct {
+type RelayStatus struct {
 	VM peer.VM `json:"vm"`
 	// Era is the era of the platform's store: it rises each time the store restarts from an older
 	// copy.
--- a/lib/operator/usage.go
+++ b/lib/operator/usage.go
@@ -21,10 +21,10 @@
 	workspace   decide.WorkspaceID
 }
 
-// Sum adds up, for each workspace, the counters that several daemons reported. It counts each counter
+// SumUsage adds up, for each workspace, the counters that several daemons reported. It counts each counter
 // once: counters never decrease, so of several values of a counter the largest is the newest.
 // The totals are sorted by workspace.
-func Sum(counters []Counter) []Total {
+func SumUsage(counters []UsageCounter) []Total {
 	newest := map[counterKey]Usage{}
 	for _, c := range counters {
 		key := counterKey{c.VM, c.Incarnation, c.Workspace}
--- a/lib/operator/usage_test.go
+++ b/lib/operator/usage_test.go
@@ -10,7 +10,7 @@
 // all values would charge a workspace twice; counting only one counter per VM would lose the usage
 // before the restart.
 func TestSumCountsEachIncarnationOnce(t *testing.T) {
-	got := Sum([]Counter{
+	got := SumUsage([]UsageCounter{
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 5, Prompt: 50, Output: 9}},
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 7, Prompt: 70, Output: 11}},
 		{VM: "a", Incarnation: 2, Workspace: "w", Usage: Usage{Requests: 1, Prompt: 10, Cached: 4}},
