--- a/lib/clock/clock.go
+++ b/lib/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the project's one notion of time: whole milliseconds.
+// Package clock represents time in whole milliseconds and reads the process's clocks.
 //
-// Decision code never reads a clock. It takes a Milli as an argument, so that
-// a test or a bench can play a day in a second and get the same result twice.
+// Decision code never reads a clock. It takes a Milli as an argument, so that a test or
+// benchmark can simulate a day in a second and get the same result each time.
 package clock
 
 import (
@@ -10,48 +10,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Milli is an instant or a span in milliseconds. An instant counts from the
-// Unix epoch; instants of two VMs must not be compared, so messages carry
-// remaining spans rather than instants.
+// Milli is an instant or a duration in milliseconds. Instants count from the Unix epoch. Instants
+// of two VMs must not be compared, so messages carry remaining durations rather than instants.
 type Milli int64
 
-// Second and Minute are spans.
+// Durations.
 const (
 	Second Milli = 1000
 	Minute Milli = 60 * Second
 )
 
-// Duration converts a span for use with the standard library.
+// Duration converts a duration to the type of the standard library.
 func (m Milli) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Of converts a span of the standard library, rounded down.
+// Of converts a duration of the standard library to milliseconds, truncated.
 func Of(d time.Duration) Milli { return Milli(d / time.Millisecond) }
 
-// Clock reads the time of this process.
+// Clock is the monotonic clock of this process, based on its wall time at New.
 type Clock struct {
-	// start is one wall reading; every later reading adds the monotonic
-	// time since, so a step of the wall clock never moves a deadline.
+	// start is the only reading of the wall clock. Now adds the monotonic time
+	// since, so a step of the wall clock never moves a deadline.
 	start time.Time
 }
 
-// New returns a clock that starts from the wall time of now.
+// New returns a clock based on the current wall time.
 func New() *Clock { return &Clock{start: time.Now()} }
 
-// Now returns the present instant. It never goes back within a process.
+// Now returns the current instant. It never decreases within a process.
 func (c *Clock) Now() Milli {
 	return Milli(c.start.UnixMilli()) + Of(time.Since(c.start))
 }
 
-// Boot is a clock that goes on while the VM is suspended. What others count by
-// wall time - how old a list is, when a key was withdrawn, when a caller
-// gives up - must not stand still with a VM that was frozen for seconds.
+// Boot is CLOCK_BOOTTIME, which advances while the VM is suspended. It is for durations that go on
+// outside a suspended VM: the age of a list, the time since an API key was revoked, a client's timeout.
 type Boot struct{}
 
-// Now returns the present instant. It never goes back.
+// Now returns the time since boot. It never decreases.
 func (Boot) Now() Milli {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // the clock exists since Linux 2.6.39; only a wrong id fails
+		panic(err) // CLOCK_BOOTTIME exists since Linux 2.6.39; only a wrong clock id fails
 	}
 	return Milli(t.Nano() / int64(time.Millisecond))
 }
--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -1,4 +1,4 @@
-// Package dial opens TCP connections within a few milliseconds where the other end is a few milliseconds away.
+// Package dial opens TCP connections with hedging, so that a lost packet doesn't delay a connect by a second.
 package dial
 
 import (
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// Dial opens a connection to an address (host:port).
+// Dial opens a connection to address (host:port), as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Again is how long a connect is given before another one is tried beside it: many times the few
-// milliseconds among VMs and upstreams of a region.
+// HedgeDelay is the time that an attempt gets before a parallel one is started. A connect between VMs
+// and upstreams of a region takes a few milliseconds, a small part of it.
 const Again = 60 * time.Millisecond
 
-// Hedged tries again, beside the attempts under way, each time that a span passes without a connection. The first
-// connection counts, the others are closed.
-// The kernel sends a lost first packet again after a second, for which a peer that is up would count as unreachable.
+// Hedged returns a Dial that starts a further attempt by d, in parallel with the earlier ones, after each delay
+// without a result. The first connection or error is returned; connections of the other attempts are closed.
+// The kernel retransmits a lost first packet only after a second, during which a peer that is up would count
+// as unreachable.
 //
-// Refusals and other errors count at once: whoever answers so is reached.
-func Hedged(d Dial, again time.Duration) Dial {
+// A refusal or other error is returned at once, without waiting for other attempts: a host that refuses was reached.
+func Hedged(d Dial, delay time.Duration) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
-		h := &hedge{dial: d, ends: make(chan end), cancel: cancel}
-		return h.run(ctx, again, network, address)
+		h := &hedge{dial: d, results: make(chan result), cancel: cancel}
+		return h.run(ctx, delay, network, address)
 	}
 }
 
-// end is the result of one attempt.
-type end struct {
+// result is the outcome of one attempt.
+type result struct {
 	conn net.Conn
 	err  error
 }
 
-// hedge is one connection being opened.
+// hedge is the state of one call of a hedged Dial.
 type hedge struct {
-	dial   Dial
-	ends   chan end
-	cancel context.CancelFunc
-	// pending counts the attempts under way.
+	dial    Dial
+	results chan result
+	cancel  context.CancelFunc
+	// pending counts the attempts that have not ended.
 	pending int
 }
 
-func (h *hedge) run(ctx context.Context, again time.Duration, network, address string) (net.Conn, error) {
-	t := time.NewTicker(again)
+func (h *hedge) run(ctx context.Context, delay time.Duration, network, address string) (net.Conn, error) {
+	t := time.NewTicker(delay)
 	defer t.Stop()
-	defer h.rest()
+	defer h.cancelPending()
 	h.start(ctx, network, address)
 	for {
 		select {
-		case e := <-h.ends:
+		case e := <-h.results:
 			h.pending--
 			return e.conn, e.err
 		case <-t.C:
@@ -63,16 +64,16 @@
 	h.pending++
 	go func() {
 		c, err := h.dial(ctx, network, address)
-		h.ends <- end{c, err}
+		h.results <- result{c, err}
 	}()
 }
 
-// rest ends the attempts that are still under way.
-func (h *hedge) rest() {
+// cancelPending cancels the attempts that have not ended and closes connections that they still open.
+func (h *hedge) cancelPending() {
 	h.cancel()
 	go func(n int) {
 		for range n {
-			if e := <-h.ends; e.conn != nil {
+			if e := <-h.results; e.conn != nil {
 				_ = e.conn.Close()
 			}
 		}
--- a/lib/dial/dial_test.go
+++ b/lib/dial/dial_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lossy loses the first packets of some attempts: these hang until their context ends.
+// lossy is a Dial whose first lost attempts hang until their context ends, as if their first packet was lost.
 type lossy struct {
 	lost     int64
 	attempts atomic.Int64
@@ -27,20 +27,20 @@
 	return &counted{c, l}, nil
 }
 
-// counted counts its closing.
+// counted counts its calls of Close in dialer.
 type counted struct {
 	net.Conn
-	of *lossy
+	dialer *lossy
 }
 
 func (c *counted) Close() error {
-	c.of.closed.Add(1)
+	c.dialer.closed.Add(1)
 	return c.Conn.Close()
 }
 
-// A VM starts a moment after another one wanted to reach it, whose first packet is lost. Without a second attempt all who
-// wait for that connect would hold the VM for unreachable until the kernel's next packet, a second later.
-func TestALostPacketCostsOneSpan(t *testing.T) {
+// Connecting to a VM that starts a moment later loses the first packet. Without a parallel attempt all
+// callers waiting for the connection would count the VM as unreachable until the kernel retransmits a second later.
+func TestLostPacketDelaysConnectByOneHedgeDelay(t *testing.T) {
 	l := &lossy{lost: 2}
 	began := time.Now()
 	c, err := Hedged(l.dial, 20*time.Millisecond)(context.Background(), "tcp", "a:1")
@@ -50,8 +50,8 @@
 	require.EqualValues(t, 3, l.attempts.Load())
 }
 
-// Two attempts may succeed. The one that is not used must not stay open at the other end.
-func TestTheOtherConnectionIsClosed(t *testing.T) {
+// Two attempts may succeed. The unused connection must be closed, or it would stay open at the peer.
+func TestUnusedConnectionIsClosed(t *testing.T) {
 	l := &lossy{}
 	begun, both := atomic.Int64{}, make(chan struct{})
 	slow := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -66,8 +66,8 @@
 	require.Eventually(t, func() bool { return l.attempts.Load() > 1 && l.closed.Load() == l.attempts.Load()-1 }, 5*time.Second, 5*time.Millisecond)
 }
 
-// A process that refuses is reached: nothing is gained by trying again.
-func TestARefusalCountsAtOnce(t *testing.T) {
+// A refusal proves that the host was reached: it is returned at once, without another attempt.
+func TestRefusalIsReturnedAtOnce(t *testing.T) {
 	refused := errors.New("refused")
 	n := 0
 	_, err := Hedged(func(context.Context, string, string) (net.Conn, error) { n++; return nil, refused }, time.Hour)(context.Background(), "tcp", "a:1")
@@ -75,8 +75,8 @@
 	require.Equal(t, 1, n)
 }
 
-// The caller's time is over before any attempt succeeds.
-func TestTheEndOfTheTimeEndsAllAttempts(t *testing.T) {
+// When the caller's context ends before any attempt succeeds, the call ends with the context's error.
+func TestContextEndCancelsAllAttempts(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err := Hedged((&lossy{lost: 1 << 20}).dial, 10*time.Millisecond)(ctx, "tcp", "a:1")
--- a/lib/expect/expect.go
+++ b/lib/expect/expect.go
@@ -1,8 +1,8 @@
-// Package expect tells what answer the stand-in engine gives to a prompt, so
-// that a caller or a test can check that an answer is whole and its own.
+// Package expect computes the answer of the emulated engine to a prompt, so that a client or a test
+// can check that an answer is complete and belongs to its prompt.
 //
-// The answer to a prompt is a row of tokens of four bytes each. Token i is
-// three letters a to z and a space, cut from splitmix64(xxhash64(prompt) + i).
+// The answer to a prompt is a sequence of tokens of four bytes each. Token i is
+// three letters a to z and a space, derived from splitmix64(xxhash64(prompt) + i).
 // The prompt is the text of all messages of a chat, joined by newlines, or the
 // prompt of a completion. The number of tokens is the request's limit
 // (max_completion_tokens or max_tokens), or the engine's default.
@@ -15,19 +15,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TokenBytes is the length of every token, and the number of bytes of a prompt that count as one.
+// TokenBytes is the length of every output token, and the number of bytes of a prompt that count as one token.
 const TokenBytes = 4
 
-// Default is the number of output tokens where a request names no limit.
+// DefaultTokens is the number of output tokens for a request without a limit.
 const Default = 16
 
-// Seed determines the whole answer to one prompt.
+// Seed is the hash of a prompt, from which its answer is generated.
 type Seed uint64
 
-// Of returns the seed of a prompt.
+// SeedOf returns the seed of a prompt.
 func Of(prompt string) Seed { return Seed(xxhash.Sum64String(prompt)) }
 
-// Append adds token i to b.
+// Append appends token i to b.
 func (s Seed) Append(b []byte, i int) []byte {
 	x := mix(uint64(s) + uint64(i))
 	for range TokenBytes - 1 {
@@ -49,8 +49,8 @@
 	return string(b)
 }
 
-// Check compares an answer with the n tokens that the prompt calls for. Its
-// error tells an answer that stopped early from one that is not the prompt's own.
+// Check returns an error unless answer consists of the n tokens expected for prompt. The error
+// distinguishes a truncated answer from one that belongs to another prompt.
 func Check(prompt, answer string, n int) error {
 	want := Of(prompt).Answer(n)
 	if answer == want {
@@ -63,10 +63,10 @@
 	for i < len(want) && i < len(answer) && want[i] == answer[i] {
 		i++
 	}
-	return fmt.Errorf("answer differs from its prompt's at byte %d: token %q in place of %q", i, tokenAt(answer, i), tokenAt(want, i))
+	return fmt.Errorf("answer differs from the expected one at byte %d: token %q instead of %q", i, tokenAt(answer, i), tokenAt(want, i))
 }
 
-// Tokens counts the tokens of a text: one for every four bytes, rounded up.
+// Tokens returns the number of tokens in text: one for every four bytes, rounded up.
 func Tokens(text string) int { return (len(text) + TokenBytes - 1) / TokenBytes }
 
 func tokenAt(s string, i int) string {
--- a/lib/expect/expect_test.go
+++ b/lib/expect/expect_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAnswerIsItsPromptsOwn(t *testing.T) {
+func TestAnswerDependsOnPrompt(t *testing.T) {
 	a := Of("ward 7").Answer(5)
 	require.Len(t, a, 5*TokenBytes)
 	require.Equal(t, a, Of("ward 7").Answer(5))
@@ -15,7 +15,7 @@
 	require.Equal(t, a[4:8], Of("ward 7").Token(1))
 }
 
-func TestCheckTellsShortFromForeign(t *testing.T) {
+func TestCheckDistinguishesTruncatedFromWrongAnswer(t *testing.T) {
 	a := Of("ward 7").Answer(5)
 	require.NoError(t, Check("ward 7", a, 5))
 	require.ErrorContains(t, Check("ward 7", a[:8], 5), "stops after 8 of 20")
--- a/lib/fault/fault.go
+++ b/lib/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault is the closed list of error kinds that a caller, an operator
-// or a peer can be given, with the table from kind to HTTP answer.
+// Package fault defines all error kinds that are returned to clients, operators and peers, and maps
+// each to an HTTP response.
 package fault
 
 import (
@@ -11,58 +11,59 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Kind names one reason for an answer that is not a success.
+// Kind is the reason for an error response.
 type Kind string
 
-// The closed list of error kinds.
+// All error kinds; no others are returned.
 const (
 	Malformed     Kind = "malformed"     // the request cannot be read: body, JSON, encoding, header value
-	Keyless       Kind = "keyless"       // a kind that must not be repeated came without Idempotency-Key
-	Unauthorized  Kind = "unauthorized"  // no key, or a key no workspace holds
+	Keyless       Kind = "keyless"       // a request of a kind that must not run twice has no Idempotency-Key
+	Unauthorized  Kind = "unauthorized"  // no API key, or one that belongs to no workspace
 	Forbidden     Kind = "forbidden"     // the workspace may not use this kind or model
 	Unknown       Kind = "unknown"       // no such model, kind, service or path
-	Slow          Kind = "slow"          // the request's own bytes came too slowly
-	Large         Kind = "large"         // the body is over its limit
-	Header        Kind = "header"        // the header is over its limit
-	Oversize      Kind = "oversize"      // the prompt fits no group of engines
+	Slow          Kind = "slow"          // the client sent the request too slowly
+	Large         Kind = "large"         // the body exceeds its size limit
+	Header        Kind = "header"        // the header exceeds its size limit
+	Oversize      Kind = "oversize"      // the prompt is too long for every group of engines
 	Duplicate     Kind = "duplicate"     // the idempotency key is in use or already answered
-	Quarantined   Kind = "quarantined"   // the request killed upstreams before
-	Limited       Kind = "limited"       // the workspace is over its rate
-	Overloaded    Kind = "overloaded"    // it could not finish within its allowed time
-	Draining      Kind = "draining"      // this VM is stopping and no other took the request
-	Unavailable   Kind = "unavailable"   // the store, the pool or every upstream is out of reach
-	Expired       Kind = "expired"       // admitted, but its allowed time ran out
+	Quarantined   Kind = "quarantined"   // upstreams crashed while running the same request before
+	Limited       Kind = "limited"       // the workspace exceeds its rate limit
+	Overloaded    Kind = "overloaded"    // the request could not finish within its allowed time
+	Draining      Kind = "draining"      // this VM is stopping and no other VM accepted the request
+	Unavailable   Kind = "unavailable"   // the store, the pool's owner or every upstream is unreachable
+	Expired       Kind = "expired"       // the request was admitted, but its allowed time ran out
 	Upstream      Kind = "upstream"      // the upstream failed or answered with an error
-	Incomplete    Kind = "incomplete"    // the answer stopped before its end mark
-	Indeterminate Kind = "indeterminate" // a request not to be repeated was sent and its outcome is unknown
-	Canceled      Kind = "canceled"      // the caller went away
-	Internal      Kind = "internal"      // a fault of ours
+	Incomplete    Kind = "incomplete"    // the upstream's response ended before its end marker
+	Indeterminate Kind = "indeterminate" // a request that must not run twice was sent and its outcome is unknown
+	Canceled      Kind = "canceled"      // the client disconnected
+	Internal      Kind = "internal"      // a bug or failure in snipeshift itself
 )
 
-// Ran tells a caller whether an upstream executed the request.
+// Ran reports to a client whether an upstream executed the request.
 type Ran string
 
-// The three answers to "did it run?".
+// The values of Ran.
 const (
-	RanNo    Ran = "no"    // proved: no byte of it was sent to an upstream, or the upstream proved it did not start
-	RanMaybe Ran = "maybe" // it was sent and the outcome is not known
-	RanYes   Ran = "yes"   // an upstream executed at least part of it
+	RanNo    Ran = "no"    // certain: no byte of the request was sent to an upstream, or the upstream reported that it did not start
+	RanMaybe Ran = "maybe" // the request was sent and its outcome is unknown
+	RanYes   Ran = "yes"   // an upstream executed at least part of the request
 )
 
-// KeyState tells what is known of a request's idempotency key.
+// KeyState reports what is known about a request's idempotency key.
 type KeyState string
 
-// KeyUnknown says that the store could not be asked about the key: an earlier request
-// under it may have run, whatever Ran says of this one. Other refusals say nothing of it.
+// KeyUnknown reports that the store could not be queried for the key: an earlier request with the
+// same key may have run, whatever Ran reports for this one. Other errors leave the state empty.
 const KeyUnknown KeyState = "unknown"
 
-// Answer is one row of the table from kind to HTTP answer.
+// Answer is the HTTP response for a kind.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
-	// Ran is the default; an Error may carry a weaker claim, never a stronger one by accident.
+	// Ran is the default for errors of the kind. An Error may report less certainty than the default;
+	// it reports more only by an explicit WithRan.
 	Ran Ran
-	// Again tells whether the same request may succeed later; such answers carry Retry-After.
+	// Retryable reports whether the same request may succeed later; such responses carry Retry-After.
 	Again bool
 }
 
@@ -90,7 +91,7 @@
 	Internal:      {500, RanMaybe, false},
 }
 
-// Lookup returns the row of a kind; a kind outside the list reads as Internal.
+// Lookup returns the response for a kind; an undefined kind is treated as Internal.
 func Lookup(k Kind) Answer {
 	a, ok := answers[k]
 	if !ok {
@@ -99,7 +100,7 @@
 	return a
 }
 
-// Kinds returns every kind of the closed list.
+// Kinds returns all kinds, in no particular order.
 func Kinds() []Kind {
 	ks := make([]Kind, 0, len(answers))
 	for k := range answers {
@@ -108,52 +109,52 @@
 	return ks
 }
 
-// Class is the error class of this project.
+// Class is the class of errors of this project (see errs.Class).
 var Class = errs.Class("snipeshift")
 
-// Error is the one error type that reaches callers and peers.
+// Error is the only error type that is returned to clients and peers.
 type Error struct {
 	Kind Kind
-	// Ran is what is proved about execution at the time of the answer.
+	// Ran reports whether the request was executed, as far as known when the response is sent.
 	Ran Ran
-	// Key is what is known of the request's key; empty where nothing is to be said.
+	// Key is what is known about the request's idempotency key; empty if nothing has to be reported.
 	Key KeyState
-	// Retry is the span after which to come back; zero where coming back does not help.
+	// Retry is the time after which the client should retry; zero if a retry does not help.
 	Retry clock.Milli
-	// Text is one line for a person.
+	// Text is a message of one line for a person.
 	Text string
 }
 
 // Error implements error.
 func (e *Error) Error() string { return string(e.Kind) + ": " + e.Text }
 
-// New makes an error of a kind with the table's default for Ran.
+// New returns an error of kind k with the default Ran of that kind.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Ran: Lookup(k).Ran, Text: fmt.Sprintf(format, args...)}
 }
 
-// WithRan returns a copy that claims r about execution.
+// WithRan returns a copy with Ran set to r.
 func (e *Error) WithRan(r Ran) *Error {
 	c := *e
 	c.Ran = r
 	return &c
 }
 
-// WithKey returns a copy that says what is known of the request's key.
+// WithKey returns a copy with Key set to k.
 func (e *Error) WithKey(k KeyState) *Error {
 	c := *e
 	c.Key = k
 	return &c
 }
 
-// WithRetry returns a copy that tells the caller when to come back.
+// WithRetry returns a copy with Retry set to m.
 func (e *Error) WithRetry(m clock.Milli) *Error {
 	c := *e
 	c.Retry = m
 	return &c
 }
 
-// From finds the Error in err, or wraps err as Internal.
+// From returns the Error that err wraps, or else a new Internal error with the text of err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/lib/fault/fault_test.go
+++ b/lib/fault/fault_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// Callers decide by the page whether to send a request again. A row that differed
-// from the table would make them double a notice, or give one up that had not run.
-func TestPageOfTheAPIListsEveryKind(t *testing.T) {
+// Clients decide by the API documentation whether to send a request again. If its table differed from the
+// code, they would send a request twice, or give up on one that had not run.
+func TestAPIDocumentationMatchesAnswers(t *testing.T) {
 	text, err := os.ReadFile("../../docs/API.md")
 	require.NoError(t, err)
 	_, errorsPart, ok := strings.Cut(string(text), "## Errors\n")
@@ -29,20 +29,20 @@
 	errorsPart, _, _ = strings.Cut(errorsPart, "\n## ")
 	rows := regexp.MustCompile("(?m)^\\| `(\\w+)` \\| (\\d+) \\| (\\w+) \\| (yes|no) \\|").FindAllStringSubmatch(errorsPart, -1)
 	require.Len(t, rows, len(Kinds()))
-	again := map[string]bool{"yes": true, "no": false}
+	retryable := map[string]bool{"yes": true, "no": false}
 	listed := map[Kind]bool{}
 	for _, r := range rows {
 		k := Kind(r[1])
 		require.Contains(t, answers, k)
 		a := Lookup(k)
 		require.Equal(t, r[2:4], []string{fmt.Sprint(a.Status), string(a.Ran)}, k)
-		require.Equal(t, again[r[4]], a.Again, k)
+		require.Equal(t, retryable[r[4]], a.Again, k)
 		listed[k] = true
 	}
-	require.Len(t, listed, len(rows), "a kind stands twice")
+	require.Len(t, listed, len(rows), "a kind is listed twice")
 }
 
-func TestFromFindsAWrappedError(t *testing.T) {
+func TestFromUnwrapsError(t *testing.T) {
 	e := New(Overloaded, "no room")
 	require.Equal(t, e, From(fmt.Errorf("gate: %w", e)))
 	require.Equal(t, Internal, From(errors.New("other")).Kind)
