--- a/lib/peer/compress.go
+++ b/lib/peer/compress.go
@@ -9,13 +9,13 @@
 	"snipeshift.example/lib/route"
 )
 
-// maxText bounds a document after it was expanded, in bytes: four times what the
-// store keeps in one value.
-const maxText = 4 << 20
+// maxExpanded limits the size of an expanded document, in bytes: four times the size limit of
+// one value in the store.
+const maxExpanded = 4 << 20
 
-// Compress makes a document's text small for the wire. The load is 2,100
-// changes a day of a document of 0.7 MB, sent to every VM: plain it would take
-// 17 KB a second of a VM's 7, compressed it takes a fifth.
+// Compress compresses the text of a document for transfer. At 2,100 changes a day a document of
+// 0.7 MB, sent to every VM, would take 17 KB/s of a VM's 7 KB/s uncompressed; compressed it takes
+// a fifth of that.
 func Compress(text []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -28,18 +28,18 @@
 	return b.Bytes(), nil
 }
 
-// Expand undoes Compress.
+// Expand returns the text that Compress compressed, truncated to maxExpanded bytes.
 func Expand(b []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
 	defer closeQuietly(r)
-	return io.ReadAll(io.LimitReader(r, maxText))
+	return io.ReadAll(io.LimitReader(r, maxExpanded))
 }
 
-// PackDocument makes a table of routes small for the wire. A document of 1,100 routes is
-// handed to some twenty VMs by one with a link of 20 Mbit/s after each change.
+// PackDocument encodes and compresses a table of routes for transfer: after each change a VM with a
+// link of 20 Mbit/s sends a document of 1,100 routes to about twenty other VMs.
 func PackDocument(d *route.Document) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(d); err != nil {
@@ -48,7 +48,7 @@
 	return Compress(b.Bytes())
 }
 
-// UnpackDocument undoes PackDocument.
+// UnpackDocument decodes the result of PackDocument.
 func UnpackDocument(b []byte) (*route.Document, error) {
 	text, err := Expand(b)
 	if err != nil {
--- a/lib/peer/compress_test.go
+++ b/lib/peer/compress_test.go
@@ -9,9 +9,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// A change of a document with 1,100 routes goes to every VM of a fleet, many of them with a link of 20 Mbit/s. As net/rpc writes it, it
-// takes 65 KB, and heartbeats wait behind it.
-func TestADocumentIsSmallOnTheWire(t *testing.T) {
+// A document with 1,100 routes is sent to every VM after each change, to many of them over a link of 20 Mbit/s.
+// Encoded by net/rpc it takes 65 KB and delays the heartbeats behind it.
+func TestPackedDocumentIsSmall(t *testing.T) {
 	d := &route.Document{Revision: 7}
 	for i := range 1100 {
 		n := i * 7919 % 9973
@@ -23,7 +23,7 @@
 	b, err := PackDocument(d)
 	require.NoError(t, err)
 	require.Less(t, len(b), 16_000)
-	back, err := UnpackDocument(b)
+	unpacked, err := UnpackDocument(b)
 	require.NoError(t, err)
-	require.Equal(t, d, back)
+	require.Equal(t, d, unpacked)
 }
--- a/lib/peer/cost_test.go
+++ b/lib/peer/cost_test.go
@@ -14,25 +14,25 @@
 	"snipeshift.example/lib/peer"
 )
 
-// ends answers every message with what a daemon would, at no cost of its own.
-type ends struct{}
+// stubReceiver answers every message with a reply of the usual size and does no other work.
+type stubReceiver struct{}
 
-func (ends) Acquire(args peer.AcquireArgs, reply *peer.AcquireReply) error {
+func (stubReceiver) Acquire(args peer.AcquireArgs, reply *peer.AcquireReply) error {
 	reply.Stamp, reply.Grant = args.Stamp, grant(7)
 	reply.Summary = decide.Summary{Wait: [4]clock.Milli{3, 5, 40, 200}, Queued: 12, Running: 240, Free: 1_400_000, Largest: 1_100_000}
 	return nil
 }
 
-func (ends) Return(peer.ReturnArgs, *peer.Empty) error { return nil }
+func (stubReceiver) Return(peer.ReturnArgs, *peer.Empty) error { return nil }
 
-func (ends) Renew(peer.RenewArgs, *peer.RenewReply) error { return nil }
+func (stubReceiver) Renew(peer.RenewArgs, *peer.RenewReply) error { return nil }
 
-func (ends) Beat(args *peer.BeatArgs, reply *peer.BeatArgs) error {
+func (stubReceiver) Beat(args *peer.BeatArgs, reply *peer.BeatArgs) error {
 	reply.Stamp, reply.From, reply.View = args.Stamp, args.From, args.View
 	return nil
 }
 
-func (ends) Share(args peer.ShareArgs, reply *peer.ShareReply) error {
+func (stubReceiver) Share(args peer.ShareArgs, reply *peer.ShareReply) error {
 	reply.Rates = make([]decide.Rate, len(args.Demands))
 	for i, d := range args.Demands {
 		reply.Rates[i] = d.Rate * 0.9
@@ -41,21 +41,21 @@
 }
 
 const (
-	vm   = "vm-kerala-217"
-	gate = decide.GateID(vm + "-1796245057123")
-	pool = peer.PoolID("notice-drafter@tvm-hall")
-	life = peer.Incarnation(1_796_245_057_123)
+	vm          = "vm-kerala-217"
+	gate        = decide.GateID(vm + "-1796245057123")
+	pool        = peer.PoolID("notice-drafter@tvm-hall")
+	incarnation = peer.Incarnation(1_796_245_057_123)
 )
 
 func requestID(i int) decide.RequestID {
-	return (peer.Origin{VM: vm, Incarnation: life, Deadline: clock.Milli(life) + 600_000, Count: uint64(100_000 + i)}).ID()
+	return (peer.Origin{VM: vm, Incarnation: incarnation, Deadline: clock.Milli(incarnation) + 600_000, Count: uint64(100_000 + i)}).ID()
 }
 
 func workspace(i int) decide.WorkspaceID { return decide.WorkspaceID(fmt.Sprintf("workspace-%04d", i)) }
 
 func grant(i int) decide.Grant {
 	return decide.Grant{
-		ID: decide.GrantID(uint64(life)<<20 + uint64(i)), Epoch: decide.Epoch(life), Request: requestID(i), Workspace: workspace(i), Gate: gate,
+		ID: decide.GrantID(uint64(incarnation)<<20 + uint64(i)), Epoch: decide.Epoch(incarnation), Request: requestID(i), Workspace: workspace(i), Gate: gate,
 		Urgency: 1, Upstreams: []decide.UpstreamID{"notice-127"}, Reserved: 9000, Prompt: 8000, Output: 400, Until: 5000, Deadline: 570_000,
 	}
 }
@@ -78,9 +78,9 @@
 }
 
 func beat(changed int) *peer.BeatArgs {
-	b := &peer.BeatArgs{Stamp: 1 << 60, From: peer.Member{VM: vm, Incarnation: life, Domain: "tvm-hall", Address: "10.20.1.217:7000", Operator: "10.20.1.217:7001", Seq: 3}, View: 1 << 63}
+	b := &peer.BeatArgs{Stamp: 1 << 60, From: peer.Member{VM: vm, Incarnation: incarnation, Domain: "tvm-hall", Address: "10.20.1.217:7000", Operator: "10.20.1.217:7001", Seq: 3}, View: 1 << 63}
 	for i := range changed {
-		b.Usage = append(b.Usage, peer.WorkspaceUsage{VM: vm, Incarnation: life, Workspace: workspace(i), Usage: peer.Usage{Requests: 1200, Prompt: 9_000_000, Cached: 2_000_000, Output: 400_000}})
+		b.Usage = append(b.Usage, peer.WorkspaceUsage{VM: vm, Incarnation: incarnation, Workspace: workspace(i), Usage: peer.Usage{Requests: 1200, Prompt: 9_000_000, Cached: 2_000_000, Output: 400_000}})
 	}
 	return b
 }
@@ -93,7 +93,7 @@
 	return a
 }
 
-// message is one call that daemons exchange.
+// message is a call between daemons, with its arguments and reply.
 type message struct {
 	name, method string
 	args, reply  any
@@ -119,13 +119,13 @@
 	l, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	s := peer.NewServer()
-	require.NoError(b, s.Register("Pool", ends{}))
+	require.NoError(b, s.Register("Pool", stubReceiver{}))
 	go func() { _ = s.Serve(l) }()
 	b.Cleanup(func() { _ = l.Close(); s.Close() })
 	return l.Addr().String()
 }
 
-// BenchmarkMessage prints what one message and its answer cost both daemons
+// BenchmarkMessage reports the cost of one message and its reply for both daemons
 // together: bytes in both directions, time and allocations.
 func BenchmarkMessage(b *testing.B) {
 	for _, m := range messages() {
@@ -134,7 +134,7 @@
 			d := peer.NewDialer(peer.DialTCP)
 			defer d.Close()
 			call := func() { require.NoError(b, d.Call(context.Background(), address, m.method, m.args, m.reply)) }
-			call() // the first one also describes the types
+			call() // the first call also transfers gob's type descriptions
 			before := d.Traffic().Written() + d.Traffic().Read()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -145,14 +145,14 @@
 	}
 }
 
-// BenchmarkConnection prints the memory that an idle connection between two
-// daemons holds, both ends together, after a few messages, and its first bytes.
+// BenchmarkConnection reports the memory of an idle connection between two daemons, both ends
+// together, after two messages, and the bytes of these first messages.
 func BenchmarkConnection(b *testing.B) {
 	const count = 200
 	ds := make([]*peer.Dialer, count)
 	address := serve(b)
 	for b.Loop() {
-		before := held()
+		before := heapInUse()
 		var first uint64
 		for i := range ds {
 			ds[i] = peer.NewDialer(peer.DialTCP)
@@ -160,7 +160,7 @@
 			require.NoError(b, ds[i].Call(context.Background(), address, "Pool.Return", peer.ReturnArgs{}, &peer.Empty{}))
 			first += ds[i].Traffic().Written() + ds[i].Traffic().Read()
 		}
-		b.ReportMetric(float64(held()-before)/count, "B/connection")
+		b.ReportMetric(float64(heapInUse()-before)/count, "B/connection")
 		b.ReportMetric(float64(first)/count, "wire-B/connection")
 		for _, d := range ds {
 			d.Close()
@@ -168,7 +168,7 @@
 	}
 }
 
-func held() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/lib/peer/dialer.go
+++ b/lib/peer/dialer.go
@@ -12,16 +12,16 @@
 	"github.com/zeebo/errs"
 )
 
-// ErrUnreachable wraps every failure to get an answer from a peer: refused,
-// cut, silent or out of time. Whether the peer ran the call is not known.
+// ErrUnreachable is the class of all errors where no reply arrived: the connection was refused, broken or
+// unresponsive, or the call timed out. Whether the peer executed the call is unknown.
 var ErrUnreachable = errs.Class("peer unreachable")
 
-// Times of the peer door. A connection that something between two VMs has
-// forgotten stays open and silent for good; its calls would wait until their
-// deadlines. So a connection is probed once a call has waited for probeEvery or was given up
-// before, and as long as calls wait, and is thrown away with all its calls when a probe is not answered.
-// Calls that are answered sooner cost no timer beside their own: with a prober for each
-// connection an idle VM of a fleet of hundreds woke up 50 times a second for sixteen connections.
+// Times of connections between peers. If a firewall or NAT between two VMs drops its state of a connection, the
+// connection stays open at both ends but carries nothing, and its calls would wait until their deadlines. So a
+// connection is probed when a call has waited for probeEvery or was abandoned earlier, and then as long as calls
+// wait. If a probe is not answered, the connection is closed and all its calls fail.
+// Calls that are answered sooner need only their own timer. A permanent prober for each connection
+// woke up an idle VM in a fleet of hundreds 50 times a second for its sixteen connections.
 const (
 	dialTimeout  = time.Second
 	probeEvery   = 300 * time.Millisecond
@@ -29,92 +29,95 @@
 	idleClose    = 30 * time.Second
 )
 
-// ProbeMethod is the call that proves a connection alive.
+// ProbeMethod is the method that is called to check whether a connection works.
 const ProbeMethod = "Probe.Answer"
 
-// Dial opens a connection to a peer's door.
+// Dial opens a connection to a peer's address (host:port).
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP is the Dial of a deployment without certificates.
+// DialTCP is the Dial of a deployment without TLS certificates.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout}
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Dialer calls methods of peers over net/rpc, one connection a peer.
+// Dialer calls methods of peers over net/rpc, with one connection per peer.
 // It is safe for concurrent use.
 type Dialer struct {
 	dial    Dial
 	traffic Traffic
-	// patience bounds the opening of a connection.
-	patience time.Duration
+	// openTimeout limits the time for opening a connection.
+	openTimeout time.Duration
 
 	mu sync.Mutex
-	// links holds at most one connection in use for each address.
-	links map[string]*link
-	// closed is set once; no link is added after it.
+	// conns holds the current connection to each address.
+	conns map[string]*clientConn
+	// closed is set by Close; no connection is added afterwards.
 	closed bool
 }
 
-// link is one connection with its calls.
-type link struct {
+// clientConn is a connection to a peer and the state of its calls.
+type clientConn struct {
 	// ready is closed once client or err is set.
 	ready  chan struct{}
 	client *rpc.Client
 	conn   net.Conn
 	err    error
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// pending counts the calls that wait for a reply.
 	pending int
+	// probing is set while probeLoop runs.
 	probing bool
-	used    time.Time
+	// lastUsed is the start of the latest call.
+	lastUsed time.Time
 }
 
-// NewDialer returns a dialer that opens connections by dial.
+// NewDialer returns a dialer that opens connections with dial.
 func NewDialer(dial Dial) *Dialer {
-	return &Dialer{dial: dial, patience: dialTimeout, links: map[string]*link{}}
+	return &Dialer{dial: dial, openTimeout: dialTimeout, conns: map[string]*clientConn{}}
 }
 
-// Within bounds the opening of a connection. It is called before any Call.
-// The first packet to a VM that is up a moment later is lost and sent again after a second: for so long VMs that start together would know nobody.
-func (d *Dialer) Within(patience time.Duration) *Dialer {
-	d.patience = patience
+// WithOpenTimeout sets the time limit for opening a connection and returns d. It must be called before any Call.
+// The kernel retransmits a lost first packet only after a second. VMs that start together send
+// such packets before the others listen, and with a long limit they would find no peer for that time.
+func (d *Dialer) Within(timeout time.Duration) *Dialer {
+	d.openTimeout = timeout
 	return d
 }
 
-// Call runs method at address and waits for the reply, the end of ctx, or
-// proof that the connection is dead. Errors are of class ErrUnreachable, or
-// rpc.ServerError when the peer's method returned one. After an error reply
-// must not be read.
+// Call calls method of the peer at address and waits for the reply, the end of ctx, or a failed probe
+// of the connection. An error is of type rpc.ServerError if the peer's method returned it, otherwise of
+// class ErrUnreachable. After an error the reply must not be read.
 func (d *Dialer) Call(ctx context.Context, address, method string, args, reply any) error {
-	l, err := d.link(ctx, address)
+	c, err := d.connTo(ctx, address)
 	if err != nil {
 		return ErrUnreachable.Wrap(err)
 	}
-	l.enter()
-	defer l.leave()
-	call := l.client.Go(method, args, reply, make(chan *rpc.Call, 1))
-	t := time.AfterFunc(probeEvery, func() { d.probe(address, l) })
+	c.beginCall()
+	defer c.endCall()
+	call := c.client.Go(method, args, reply, make(chan *rpc.Call, 1))
+	t := time.AfterFunc(probeEvery, func() { d.startProbing(address, c) })
 	defer t.Stop()
 	select {
 	case <-call.Done:
-		return d.result(address, l, call.Error)
+		return d.result(address, c, call.Error)
 	case <-ctx.Done():
-		d.probe(address, l)
+		d.startProbing(address, c)
 		return ErrUnreachable.Wrap(ctx.Err())
 	}
 }
 
-// Prove finds out over a connection of its own whether address answers before ctx ends. It tells a peer that is gone
-// from a kept connection that waits for a lost packet to be sent again.
+// Probe checks over a new connection whether the peer at address responds before ctx ends. This distinguishes an
+// unreachable peer from an existing connection that waits for the retransmission of a lost packet.
 func (d *Dialer) Prove(ctx context.Context, address string) error {
 	conn, err := d.dial(ctx, address)
 	if err != nil {
 		return ErrUnreachable.Wrap(err)
 	}
-	l := &link{client: rpc.NewClient(&countedConn{Conn: conn, traffic: &d.traffic})}
-	defer closeQuietly(l.client)
-	call := l.client.Go(ProbeMethod, Empty{}, &Empty{}, make(chan *rpc.Call, 1))
+	c := &clientConn{client: rpc.NewClient(&countedConn{Conn: conn, traffic: &d.traffic})}
+	defer closeQuietly(c.client)
+	call := c.client.Go(ProbeMethod, Empty{}, &Empty{}, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 		return ErrUnreachable.Wrap(call.Error)
@@ -123,8 +126,8 @@
 	}
 }
 
-// result tells an error of the peer's method from one of the connection.
-func (d *Dialer) result(address string, l *link, err error) error {
+// result returns an error of the peer's method unchanged. On an error of the connection it drops the connection.
+func (d *Dialer) result(address string, c *clientConn, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -132,167 +135,167 @@
 	if errors.As(err, &remote) {
 		return remote
 	}
-	d.drop(address, l)
+	d.drop(address, c)
 	return ErrUnreachable.Wrap(err)
 }
 
-// Traffic counts the bytes of all connections that d opened.
+// Traffic returns the byte counters over all connections that d opened.
 func (d *Dialer) Traffic() *Traffic { return &d.traffic }
 
-// Drop throws the connection to address away, so that the next call opens a fresh one.
+// Drop closes the connection to address, which fails its calls; the next call opens a new one.
 func (d *Dialer) Drop(address string) {
 	d.mu.Lock()
-	l := d.links[address]
+	c := d.conns[address]
 	d.mu.Unlock()
-	if l != nil {
-		d.drop(address, l)
+	if c != nil {
+		d.drop(address, c)
 	}
 }
 
-// Close ends all connections; later calls fail.
+// Close closes all connections; later calls fail.
 func (d *Dialer) Close() {
 	d.mu.Lock()
 	d.closed = true
-	links := d.links
-	d.links = map[string]*link{}
+	conns := d.conns
+	d.conns = map[string]*clientConn{}
 	d.mu.Unlock()
-	for _, l := range links {
-		l.close()
+	for _, c := range conns {
+		c.close()
 	}
 }
 
-// link returns the connection to address, opening it when there is none.
-func (d *Dialer) link(ctx context.Context, address string) (*link, error) {
+// connTo returns the connection to address and opens it if there is none.
+func (d *Dialer) connTo(ctx context.Context, address string) (*clientConn, error) {
 	d.mu.Lock()
 	if d.closed {
 		d.mu.Unlock()
 		return nil, net.ErrClosed
 	}
-	l, ok := d.links[address]
+	c, ok := d.conns[address]
 	if !ok {
-		l = &link{ready: make(chan struct{}), used: time.Now()}
-		d.links[address] = l
-		go d.open(address, l)
+		c = &clientConn{ready: make(chan struct{}), lastUsed: time.Now()}
+		d.conns[address] = c
+		go d.open(address, c)
 	}
 	d.mu.Unlock()
 	select {
-	case <-l.ready:
-		return l, l.err
+	case <-c.ready:
+		return c, c.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// open dials for all callers that wait on l, so that the first one's deadline
-// does not fail the others.
-func (d *Dialer) open(address string, l *link) {
-	ctx, cancel := context.WithTimeout(context.Background(), d.patience)
+// open dials on behalf of all calls that wait for c. It does not use the context of the first call,
+// whose deadline would fail the others too.
+func (d *Dialer) open(address string, c *clientConn) {
+	ctx, cancel := context.WithTimeout(context.Background(), d.openTimeout)
 	defer cancel()
 	conn, err := d.dial(ctx, address)
 	if err != nil {
-		l.err = err
-		d.forget(address, l)
-		close(l.ready)
+		c.err = err
+		d.remove(address, c)
+		close(c.ready)
 		return
 	}
-	l.conn = &writeConn{Conn: &countedConn{Conn: conn, traffic: &d.traffic}}
-	l.client = rpc.NewClient(l.conn)
-	close(l.ready)
-	time.AfterFunc(idleClose, func() { d.expire(address, l) })
-	if d.gone(address, l) {
-		l.close()
+	c.conn = &writeConn{Conn: &countedConn{Conn: conn, traffic: &d.traffic}}
+	c.client = rpc.NewClient(c.conn)
+	close(c.ready)
+	time.AfterFunc(idleClose, func() { d.closeIdle(address, c) })
+	if d.replaced(address, c) {
+		c.close()
 	}
 }
 
-// gone reports whether l was dropped while it was being opened.
-func (d *Dialer) gone(address string, l *link) bool {
+// replaced reports whether c is no longer the current connection to address.
+func (d *Dialer) replaced(address string, c *clientConn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.links[address] != l
+	return d.conns[address] != c
 }
 
-// probe starts the prober of l unless one runs.
-func (d *Dialer) probe(address string, l *link) {
-	l.mu.Lock()
-	start := !l.probing
-	l.probing = true
-	l.mu.Unlock()
+// startProbing starts the probing of c unless it is running.
+func (d *Dialer) startProbing(address string, c *clientConn) {
+	c.mu.Lock()
+	start := !c.probing
+	c.probing = true
+	c.mu.Unlock()
 	if start {
-		go d.watch(address, l)
+		go d.probeLoop(address, c)
 	}
 }
 
-// watch probes l at once and then as long as calls wait on it, and closes it when a probe is not answered.
-func (d *Dialer) watch(address string, l *link) {
+// probeLoop probes c once, then repeatedly as long as calls wait on it. It drops c if a probe is not answered.
+func (d *Dialer) probeLoop(address string, c *clientConn) {
 	for {
-		if !l.alive() {
-			d.drop(address, l)
+		if !c.probe() {
+			d.drop(address, c)
 			return
 		}
-		if l.rest() {
+		if c.endProbing() {
 			return
 		}
 		time.Sleep(probeEvery)
 	}
 }
 
-// rest ends the probing of l if no call waits on it, and tells whether it did.
-func (l *link) rest() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.probing = l.pending > 0
-	return !l.probing
+// endProbing marks the probing of c as ended if no call waits on it, and reports whether it did.
+func (c *clientConn) endProbing() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.probing = c.pending > 0
+	return !c.probing
 }
 
-// expire closes l once nobody has used it for long.
-func (d *Dialer) expire(address string, l *link) {
-	pending, idle := l.state()
-	if d.gone(address, l) {
+// closeIdle drops c if it has been unused for idleClose, else schedules the next check.
+func (d *Dialer) closeIdle(address string, c *clientConn) {
+	pending, idle := c.state()
+	if d.replaced(address, c) {
 		return
 	}
 	if pending == 0 && idle >= idleClose {
-		d.drop(address, l)
+		d.drop(address, c)
 		return
 	}
-	time.AfterFunc(max(idleClose-idle, probeEvery), func() { d.expire(address, l) })
+	time.AfterFunc(max(idleClose-idle, probeEvery), func() { d.closeIdle(address, c) })
 }
 
-// drop forgets l and closes it, which ends its waiting calls.
-func (d *Dialer) drop(address string, l *link) {
-	d.forget(address, l)
-	l.close()
+// drop removes c from the current connections and closes it, which fails its waiting calls.
+func (d *Dialer) drop(address string, c *clientConn) {
+	d.remove(address, c)
+	c.close()
 }
 
-func (d *Dialer) forget(address string, l *link) {
+func (d *Dialer) remove(address string, c *clientConn) {
 	d.mu.Lock()
-	if d.links[address] == l {
-		delete(d.links, address)
+	if d.conns[address] == c {
+		delete(d.conns, address)
 	}
 	d.mu.Unlock()
 }
 
-func (l *link) enter() {
-	l.mu.Lock()
-	l.pending++
-	l.used = time.Now()
-	l.mu.Unlock()
+func (c *clientConn) beginCall() {
+	c.mu.Lock()
+	c.pending++
+	c.lastUsed = time.Now()
+	c.mu.Unlock()
 }
 
-func (l *link) leave() {
-	l.mu.Lock()
-	l.pending--
-	l.mu.Unlock()
+func (c *clientConn) endCall() {
+	c.mu.Lock()
+	c.pending--
+	c.mu.Unlock()
 }
 
-func (l *link) state() (pending int, idle time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.pending, time.Since(l.used)
+func (c *clientConn) state() (pending int, idle time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.pending, time.Since(c.lastUsed)
 }
 
-// alive sends one probe and waits for its answer.
-func (l *link) alive() bool {
-	call := l.client.Go(ProbeMethod, Empty{}, &Empty{}, make(chan *rpc.Call, 1))
+// probe sends a probe and reports whether it is answered within probeTimeout.
+func (c *clientConn) probe() bool {
+	call := c.client.Go(ProbeMethod, Empty{}, &Empty{}, make(chan *rpc.Call, 1))
 	t := time.NewTimer(probeTimeout)
 	defer t.Stop()
 	select {
@@ -303,21 +306,21 @@
 	}
 }
 
-func (l *link) close() {
+func (c *clientConn) close() {
 	select {
-	case <-l.ready:
+	case <-c.ready:
 	default:
 		return
 	}
-	if l.client != nil {
-		// The connection first: a client that is blocked in a write would hold its own lock.
-		closeQuietly(l.conn)
-		closeQuietly(l.client)
+	if c.client != nil {
+		// The connection is closed first: a client that is blocked in a write holds the lock that its Close needs.
+		closeQuietly(c.conn)
+		closeQuietly(c.client)
 	}
 }
 
-// writeConn bounds each write. Once a silent connection's buffers are full, a
-// write would block for good and the probe with it.
+// writeConn sets a deadline for each write. Once the buffers of an unresponsive connection are full, a
+// write without one would block forever, and the probe with it.
 type writeConn struct{ net.Conn }
 
 // Write implements net.Conn.
--- a/lib/peer/dialer_test.go
+++ b/lib/peer/dialer_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-type slow struct{ release chan struct{} }
+type slowReceiver struct{ release chan struct{} }
 
-func (s slow) Wait(Empty, *Empty) error {
+func (s slowReceiver) Wait(Empty, *Empty) error {
 	<-s.release
 	return nil
 }
 
-func (s slow) Fail(Empty, *Empty) error { return rpc.ErrShutdown }
+func (s slowReceiver) Fail(Empty, *Empty) error { return rpc.ErrShutdown }
 
 func startServer(t *testing.T) (address string, release chan struct{}) {
 	t.Helper()
 	release = make(chan struct{})
 	s := NewServer()
-	require.NoError(t, s.Register("Slow", slow{release}))
+	require.NoError(t, s.Register("Slow", slowReceiver{release}))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() { _ = s.Serve(l) }()
@@ -32,7 +32,7 @@
 	return l.Addr().String(), release
 }
 
-func TestCallAnswersAndTellsRemoteErrors(t *testing.T) {
+func TestCallReturnsReplyOrRemoteError(t *testing.T) {
 	address, release := startServer(t)
 	close(release)
 	d := NewDialer(DialTCP)
@@ -44,13 +44,12 @@
 	require.False(t, ErrUnreachable.Has(err))
 }
 
-// A firewall between two VMs forgets a connection: both ends keep it open and
-// nothing arrives any more. Without the probe, a gate that waits for a grant on
-// it would wait until the request's deadline; with it, the call fails within
-// about a second and the next call uses a fresh connection.
-func TestSilentConnectionIsThrownAway(t *testing.T) {
+// A firewall between two VMs drops its state of a connection: both ends keep the connection open, but
+// nothing arrives. Without the probe a gate would wait for a grant until the request's deadline. With
+// it the call fails within about a second, and the next call uses a new connection.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	address, release := startServer(t)
-	d, silent, dials := newMuteDialer()
+	d, silent, dials := newBlackholeDialer()
 	defer d.Close()
 	require.NoError(t, d.Call(context.Background(), address, ProbeMethod, Empty{}, &Empty{}))
 	silent.Store(true)
@@ -66,8 +65,8 @@
 	require.Equal(t, int32(2), dials.Load())
 }
 
-// newMuteDialer returns a dialer whose first connection can be silenced, and counts its dials.
-func newMuteDialer() (d *Dialer, silent *atomic.Bool, dials *atomic.Int32) {
+// newBlackholeDialer returns a dialer that counts its dials and discards writes to its first connection while silent is set.
+func newBlackholeDialer() (d *Dialer, silent *atomic.Bool, dials *atomic.Int32) {
 	silent, dials = &atomic.Bool{}, &atomic.Int32{}
 	d = NewDialer(func(ctx context.Context, a string) (net.Conn, error) {
 		c, err := DialTCP(ctx, a)
@@ -75,32 +74,32 @@
 			return nil, err
 		}
 		if dials.Add(1) == 1 {
-			return &muteConn{Conn: c, silent: silent}, nil
+			return &blackholeConn{Conn: c, silent: silent}, nil
 		}
 		return c, nil
 	})
 	return d, silent, dials
 }
 
-// muteConn swallows writes once silent, as a forgotten connection does.
-type muteConn struct {
+// blackholeConn discards writes while silent is set, as a firewall does that lost its state of the connection.
+type blackholeConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-func (c *muteConn) Write(p []byte) (int, error) {
+func (c *blackholeConn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// A gate gives an owner 300 ms for each answer and then asks another one. On a connection that was forgotten each of its calls
-// ends so, none waits long enough for a probe, and for as long as the owner lives it is asked in vain.
-func TestASilentConnectionIsThrownAwayThoughItsCallsAreShort(t *testing.T) {
+// A gate waits 300 ms for the reply of an owner and then asks another VM. On a connection that carries nothing all calls
+// time out like that. If only longer calls started a probe, the connection would never be replaced.
+func TestUnresponsiveConnectionIsReplacedAfterShortCalls(t *testing.T) {
 	address, release := startServer(t)
 	defer close(release)
-	d, silent, dials := newMuteDialer()
+	d, silent, dials := newBlackholeDialer()
 	defer d.Close()
 	call := func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -110,12 +109,12 @@
 	require.NoError(t, call())
 	silent.Store(true)
 	require.Error(t, call())
-	time.Sleep(probeTimeout + probeEvery) // nobody calls meanwhile
+	time.Sleep(probeTimeout + probeEvery) // no call is made in the meantime
 	require.NoError(t, call())
 	require.Equal(t, int32(2), dials.Load())
 }
 
-func TestRefusedDialIsUnreachable(t *testing.T) {
+func TestRefusedDialReturnsErrUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -1,7 +1,7 @@
 // Package peer is the protocol between daemons: typed messages over net/rpc.
 //
-// Instants never travel: a message carries remaining spans in milliseconds, and
-// the receiver adds its own clock.
+// Messages never carry instants, since the clocks of VMs differ: they carry remaining durations in
+// milliseconds, to which the receiver adds its own clock.
 package peer
 
 import (
@@ -12,11 +12,11 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// VM names an entry VM; Incarnation tells two lives of it apart.
+// Identifiers in messages.
 type (
 	// VM is the name of an entry VM.
 	VM string
-	// Incarnation is larger for a later life of the same VM.
+	// Incarnation distinguishes two runs of the daemon of a VM; a later run has a larger one.
 	Incarnation uint64
 	// Revision numbers configuration documents; a larger one is newer.
 	Revision uint64
@@ -26,7 +26,7 @@
 	PoolID string
 )
 
-// Fault is a fault.Error on the wire; net/rpc errors are plain strings.
+// Fault is a fault.Error in a message. It is needed since net/rpc transfers errors as plain strings.
 type Fault struct {
 	Kind  fault.Kind
 	Ran   fault.Ran
@@ -34,13 +34,13 @@
 	Text  string
 }
 
-// AcquireArgs asks the owner of a pool for a grant. The call waits for the decision.
+// AcquireArgs requests a grant from the owner of a pool. The call returns once the owner has decided.
 type AcquireArgs struct {
 	Stamp timeline.Stamp
 	Pool  PoolID
-	// Serial rises with each question of a gate.
+	// Serial increases with each AcquireArgs of a gate.
 	Serial uint64
-	// Left is what remains of the allowed time.
+	// Left is the remaining part of the request's allowed time.
 	Left    clock.Milli
 	Request decide.Request // Deadline is ignored: Left replaces it
 }
@@ -49,9 +49,9 @@
 type AcquireReply struct {
 	Stamp timeline.Stamp
 	Fault *Fault
-	Grant decide.Grant // Until and Deadline are remaining spans
-	// Summary is the pool after the decision, so that gates far from the owner's
-	// heartbeats know it too.
+	Grant decide.Grant // Until and Deadline are remaining durations
+	// Summary is the state of the pool after the decision, for gates that do not receive
+	// heartbeats of the owner.
 	Summary decide.Summary
 }
 
@@ -64,87 +64,88 @@
 	Request decide.RequestID
 	Outcome decide.Outcome
 	Usage   Usage
-	// First is the span from the grant to the first token, zero if none came.
+	// First is the time from the grant to the first token; zero if there was no token.
 	First clock.Milli
 }
 
-// Usage is what one request or a sum of requests consumed.
+// Usage is the consumption of one request or the sum over several.
 type Usage struct {
 	Requests       uint64
 	Prompt, Cached decide.Tokens
 	Output         decide.Tokens
 }
 
-// Progress is what a gate has seen of one live grant.
+// Progress is a live grant and the progress of its request as observed by the gate.
 type Progress struct {
-	Grant decide.Grant // Until and Deadline are remaining spans
-	// First is the span from the grant to the first token, zero before it came.
+	Grant decide.Grant // Until and Deadline are remaining durations
+	// First is the time from the grant to the first token; zero before the first token.
 	First clock.Milli
-	// Output counts tokens so far.
+	// Output is the number of output tokens so far.
 	Output decide.Tokens
 }
 
-// Renewal is what a gate has seen of one live grant that its owner knows.
+// Renewal is like Progress, for a grant that the owner has recorded: it names the grant by its ids only.
 type Renewal struct {
 	Grant   decide.GrantID
 	Request decide.RequestID
-	// First is the span from the grant to the first token, zero before it came.
+	// First is the time from the grant to the first token; zero before the first token.
 	First clock.Milli
-	// Output counts tokens so far.
+	// Output is the number of output tokens so far.
 	Output decide.Tokens
 }
 
-// RenewArgs presents all live grants of a gate on one pool, about once a second.
+// RenewArgs lists all live grants of a gate on one pool. A gate sends it about once a second.
 type RenewArgs struct {
 	Pool PoolID
 	Gate decide.GateID
-	// Grants are whole: for an owner that has not said yet that it knows them.
+	// Grants are complete grants, sent until the owner has confirmed that it has recorded them.
 	Grants []Progress
-	// Known are those that the owner granted or adopted itself.
+	// Known are the grants that the owner has issued itself or confirmed.
 	Known []Renewal
 }
 
-// RenewReply lists grants of Known that the owner does not know; the gate sends them whole.
+// RenewReply lists the requests of RenewArgs.Known that the owner has not recorded. The gate then sends their
+// grants complete.
 type RenewReply struct{ Unknown []decide.RequestID }
 
-// WithdrawArgs takes a queued request back, when its caller left.
+// WithdrawArgs removes a queued request whose client has disconnected.
 type WithdrawArgs struct {
 	Pool    PoolID
 	Request decide.RequestID
-	// Serial is that of the question taken back; a later one for the request stands.
+	// Serial is that of the withdrawn AcquireArgs. A later AcquireArgs for the same request stays queued.
 	Serial uint64
 }
 
-// Empty is a reply without content.
+// Empty is a message without content.
 type Empty struct{}
 
-// Member is one daemon as its peers see it.
+// Member describes one daemon in heartbeats.
 type Member struct {
 	VM          VM
 	Incarnation Incarnation
 	Domain      Domain
-	// Address is host:port of the peer door, Operator that of the operator door.
+	// Address is the host:port for peers, Operator that for operators.
 	Address, Operator string
-	// Stopping members take no new duty.
+	// Stopping is set when the member accepts no new duties.
 	Stopping bool
-	// Seq orders words about one incarnation. Only the member itself raises it:
-	// when its state changes, and when it learns that others doubt it.
+	// Seq orders the descriptions of one incarnation. Only the member itself increases it:
+	// when its state changes, and when it learns that others suspect it to have failed.
 	Seq uint64
-	// Health is what the sender believes; of two words with one Seq the worse holds.
+	// Health is the sender's view. Of two descriptions with the same Seq the one with the worse health prevails.
 	Health Health
-	// Cores is its share of the processor in thousandths of a core, Link its network link in megabits
-	// a second; zero where its settings do not say.
+	// Cores is the member's share of the processor in thousandths of a core, Link the bandwidth of its
+	// network link in megabits per second; zero if not set in its settings.
 	Cores, Link int
 }
 
-// Health is the belief about a member.
+// Health is a view of whether a member works.
 type Health uint8
 
-// The beliefs, from best to worst.
+// The states of a member, from best to worst.
 const (
-	Live    Health = iota // it answers, or nobody has said otherwise
-	Doubted               // somebody's heartbeats to it were missed; it still counts as live
-	Gone                  // it did not contradict in time
+	Live    Health = iota // the member responds, or no failure has been reported
+	Doubted               // the member did not answer the heartbeats of some peer; it still counts as live
+	Gone                  // the member left, or did not refute the suspicion within the time limit
 )
 
 // BeatArgs is one heartbeat. The reply has the same shape.
@@ -152,20 +153,21 @@
 	Stamp    timeline.Stamp
 	From     Member
 	Revision Revision
-	// Quarantine lists fingerprints of requests that killed upstreams.
+	// Quarantine lists fingerprints of requests during which upstreams crashed.
 	Quarantine []Suspect
-	// Pools summarises the pools that the sender owns.
+	// Pools summarizes the pools that the sender owns.
 	Pools []PoolSummary
-	// Known lists members of whom the sender has news, so that it spreads without the store.
+	// Known lists members whose state changed recently, and others if the Views of sender and receiver
+	// differ. It spreads the state of members without the store.
 	Known []Member
-	// View is a digest of the members that the sender believes live; where two
+	// View is a digest of the members that the sender considers live. If the Views of two members
 	// differ, both send more of Known.
 	View uint64
-	// Usage holds the sender's absolute counters that changed since the last beat that was answered.
+	// Usage lists those of the sender's cumulative counters that changed since its last answered heartbeat.
 	Usage []WorkspaceUsage
-	// Registry is how far the sender's knowledge of routes and upstreams goes.
+	// Registry is the version summary of the sender's registry.
 	Registry RegistryWord
-	// Holders names who places the requests of each service, as far as the sender knows.
+	// Holders lists the holder of each service, as far as known to the sender.
 	Holders []Holder
 }
 
@@ -174,83 +176,88 @@
 	Service     route.ServiceID
 	VM          VM
 	Incarnation Incarnation
-	// Address is that of its peer door: a VM that starts hears of the holder before it knows all members.
+	// Address is the host:port for peers. A VM that starts may learn of the holder before it knows all members.
 	Address string
-	// Epoch rises with each change of holder.
+	// Epoch increases with each change of holder.
 	Epoch uint64
-	// Cores is the holder's share of the processor in thousandths of a core. It decides between two VMs that became
-	// holder at the same epoch without knowing of each other.
+	// Cores is the holder's share of the processor in thousandths of a core. It is the tie-break between two VMs that
+	// became holder in the same epoch independently.
 	Cores int
 }
 
-// RegistryWord is how far a daemon's knowledge of the store goes. Ages are spans
-// before the sending; zero revisions and digests mean that nothing is known.
+// RegistrySummary is the version summary of a daemon's registry, its copy of the store. Ages count back
+// from the time of sending. Zero revisions and digests mean that the daemon has no copy.
 type RegistryWord struct {
 	Revision    route.Revision
 	RevisionAge clock.Milli
-	// Digest is equal for equal sets of upstreams, Mark the position in the store's
-	// history at which the set was right.
+	// Digest is a hash of the set of upstreams, Mark the store's revision at which this set
+	// was current.
 	Digest    uint64
 	DigestAge clock.Milli
 	Mark      route.Mark
-	// MarkEra is the era of the store in which Mark was given out, Era the latest one that the daemon knows of.
+	// MarkEra is the era of the store that Mark belongs to, Era the latest era known to the daemon.
 	MarkEra, Era route.Era
-	// Shut is set by a daemon whose own last call of the store failed.
+	// Shut is set if the daemon's own last call to the store failed.
 	Shut bool
-	// Packs is set by an asker that takes documents packed; daemons of an earlier version do not.
+	// Packs is set in a request by a daemon that accepts packed documents; earlier versions do not set it.
 	Packs bool
-	// Content is that of the asker's list of upstreams, to which changes may be told; zero for none.
+	// Content is, in a request, the hash of the sender's list of upstreams, to which the reply may list
+	// only the changes; zero if it has no list.
 	Content uint64
 }
 
-// Position is the place in the store's history at which the set of upstreams was right.
+// Position returns the era and revision of the store at which the set of upstreams was current.
 func (w *RegistryWord) Position() route.Position { return route.Position{Era: w.MarkEra, Mark: w.Mark} }
 
-// RegistryReply is what a daemon knows of the store, whole.
+// RegistryReply transfers a daemon's copy of the store to the requester, without the parts that it already has.
 type RegistryReply struct {
-	// Busy is set where the asker is to ask another peer, since many ask at once. The rest is then empty.
+	// Busy is set if too many daemons send requests at once and the requester should try another peer. All other
+	// fields are then empty.
 	Busy bool
-	// Document is nil where the asker has it already, or takes it packed.
+	// Document is nil if the requester already has it or accepts it packed.
 	Document *route.Document
-	// Packed is the document as PackDocument made it.
+	// Packed is the document as returned by PackDocument.
 	Packed      []byte
 	DocumentAge clock.Milli
-	// Upstreams is empty where the asker has the same ones. Where Base is set it holds those that changed or came since the
-	// asker's list, which has this content, and Without those that went; otherwise it is the whole list.
+	// Upstreams is empty if the requester has the same list. If Base is set, it is the hash of the requester's list:
+	// Upstreams then lists only entries that were added or changed since, and Without those that were removed.
+	// Otherwise Upstreams is the complete list.
 	Upstreams    []route.Upstream
 	UpstreamsAge clock.Milli
 	Base         uint64
 	Without      []decide.UpstreamID
-	// Content is that of the list that results.
+	// Content is the hash of the resulting list.
 	Content uint64
-	// Unusable are entries that name no upstream to use; told with Upstreams. Those that such an entry
-	// replaced have not left: they are back with their next heartbeat.
+	// Unusable lists invalid entries of the store, with the reasons; sent with Upstreams. An upstream whose entry was
+	// replaced by an invalid one has not left: its next heartbeat restores the entry.
 	Unusable []route.Unusable
-	// Doubted are entries of a copy of the store that the teller doubts: Upstreams lacks them, and does not say that they are gone.
+	// Doubted lists entries of a copy of the store that the sender could not verify. Upstreams does not contain them,
+	// which does not mean that they were removed.
 	Doubted []route.Upstream
-	// Word is how far the knowledge goes from which the reply is made.
+	// Word is the version summary of the copy from which the reply was made.
 	Word RegistryWord
 }
 
-// Suspect is a request's fingerprint with the number of upstreams that died running it.
+// Suspect is the fingerprint of a request with the number of upstreams that crashed while running it.
 type Suspect struct {
 	Fingerprint uint64
 	Deaths      int
-	// Left is how long the entry still holds.
+	// Left is the time until the entry expires.
 	Left clock.Milli
-	// Last is the upstream of the newest death counted, Born its life, Ago the time since.
+	// Last is the upstream of the latest crash counted, Born the start time of its incarnation, Ago the
+	// time since the crash.
 	Last decide.UpstreamID
 	Born decide.Born
 	Ago  clock.Milli
 }
 
-// PoolSummary is a pool's summary with its id.
+// PoolSummary is the summary of the named pool.
 type PoolSummary struct {
 	Pool    PoolID
 	Summary decide.Summary
 }
 
-// WorkspaceUsage is one absolute counter of one incarnation.
+// WorkspaceUsage is the usage of a workspace counted by one incarnation of a VM since its start.
 type WorkspaceUsage struct {
 	VM          VM
 	Incarnation Incarnation
@@ -258,38 +265,39 @@
 	Usage       Usage
 }
 
-// DocumentArgs asks for the newest document above a revision.
+// DocumentArgs requests the newest document if its revision is larger than Above.
 type DocumentArgs struct{ Above Revision }
 
-// DocumentReply carries the document's text, or revision zero when there is none newer.
+// DocumentReply contains the document's text, or revision zero if there is no newer one.
 type DocumentReply struct {
 	Revision Revision
-	// Packed is the text as Compress made it.
+	// Packed is the text as returned by Compress.
 	Packed []byte
 }
 
-// ClaimArgs asks the home of a key's shard to write a claim.
+// ClaimArgs requests a claim from the home of the key's shard.
 type ClaimArgs struct {
 	Workspace decide.WorkspaceID
 	Key       string
 	Nonce     string
-	// Void lists earlier nonces of the same request, withdrawn in the same write.
+	// Void lists earlier nonces of the same request, which the same write withdraws.
 	Void []string
+	// Left is the time within which the claim has to be written.
 	Left clock.Milli
 }
 
-// ClaimState tells what became of a claim.
+// ClaimState is the result of requesting a claim.
 type ClaimState uint8
 
-// The answers to a claim.
+// The results of requesting a claim.
 const (
-	ClaimUnknown ClaimState = iota // the write's outcome is not known: do not dispatch
-	ClaimWon                       // the nonce stands in the journal: dispatch once
-	ClaimTaken                     // another nonce holds the key
-	ClaimDone                      // the key was answered; Answer holds what was kept
+	ClaimUnknown ClaimState = iota // the outcome of the write is unknown: do not dispatch
+	ClaimWon                       // the nonce is recorded as claiming the key: dispatch once
+	ClaimTaken                     // the key is claimed by another nonce
+	ClaimDone                      // the key's request has completed; Answer is its stored response
 )
 
-// ClaimReply is the answer to a claim.
+// ClaimReply is the reply to ClaimArgs.
 type ClaimReply struct {
 	State  ClaimState
 	Status int
@@ -297,7 +305,7 @@
 	Fault  *Fault
 }
 
-// SettleArgs records the end of a claim: done with an answer, or released because nothing was sent.
+// SettleArgs records the end of a claim: completed with a response, or released because nothing was sent.
 type SettleArgs struct {
 	Workspace decide.WorkspaceID
 	Key       string
@@ -307,23 +315,23 @@
 	Answer    []byte
 }
 
-// HoldsArgs asks a gate which of these requests it still holds.
+// HoldsArgs asks a gate which of these requests it is still serving.
 type HoldsArgs struct{ Requests []decide.RequestID }
 
-// HoldsReply answers in the order of the question.
+// HoldsReply answers in the order of HoldsArgs.Requests.
 type HoldsReply struct{ Held []bool }
 
-// Demand is what callers of a workspace asked of one VM lately.
+// Demand is the recent demand of a workspace's clients at one VM, in tokens per second.
 type Demand struct {
 	Workspace decide.WorkspaceID
 	Rate      decide.Rate
 }
 
-// ShareArgs asks the home of some workspaces for shares of their rates.
+// ShareArgs requests shares of the rate limits of some workspaces from their home.
 type ShareArgs struct {
 	Gate    decide.GateID
 	Demands []Demand
 }
 
-// ShareReply answers in the order of the question, in tokens per second.
+// ShareReply contains the shares in the order of ShareArgs.Demands, in tokens per second.
 type ShareReply struct{ Rates []decide.Rate }
--- a/lib/peer/request.go
+++ b/lib/peer/request.go
@@ -10,22 +10,21 @@
 	"snipeshift.example/lib/fault"
 )
 
-// Origin is what a request id tells about the request: which life of which VM
-// took it and when its allowed time ends at the latest.
+// Origin is the content of a request id: the VM and incarnation that received the request from
+// its client, and the latest end of its allowed time.
 //
-// An owner that finds a request on an engine which no grant explains needs this
-// to decide whether its gate can still be there. The instant is of the gate's
-// clock; whoever compares it allows for the difference between clocks.
+// An owner that finds a request without a grant on an engine decides by its Origin whether the gate of
+// the request can still exist. Deadline is by the gate's clock; a comparison must allow for clock skew.
 type Origin struct {
 	VM          VM
 	Incarnation Incarnation
-	// Deadline is an instant of the gate's clock, in whole seconds rounded up.
+	// Deadline is an instant of the gate's clock; ID rounds it up to whole seconds.
 	Deadline clock.Milli
-	// Count tells apart requests of one incarnation.
+	// Count distinguishes the requests of one incarnation.
 	Count uint64
 }
 
-const originParts = 4
+const requestIDParts = 4
 
 // ID formats the request id: vm.incarnation.deadline.count, numbers in base 36.
 func (o Origin) ID() decide.RequestID {
@@ -34,18 +33,18 @@
 		strconv.FormatInt(int64(s), 36), strconv.FormatUint(o.Count, 36)))
 }
 
-// Gate is the id of that life of the VM.
+// Gate returns the id of the gate that received the request.
 func (o Origin) Gate() decide.GateID { return Gate(o.VM, o.Incarnation) }
 
-// Gate is the id of one life of a VM as the holder of callers' connections.
+// Gate returns the id of a gate: one incarnation of a VM in its role of serving client connections.
 func Gate(v VM, i Incarnation) decide.GateID {
 	return decide.GateID(string(v) + "." + strconv.FormatUint(uint64(i), 36))
 }
 
-// ParseRequest reads a request id; ok is false for an id of another make.
+// ParseRequest parses a request id; ok is false if id was not made by Origin.ID.
 func ParseRequest(id decide.RequestID) (o Origin, ok bool) {
 	ps := strings.Split(string(id), ".")
-	if len(ps) != originParts {
+	if len(ps) != requestIDParts {
 		return o, false
 	}
 	i, err1 := strconv.ParseUint(ps[1], 36, 64)
@@ -57,7 +56,7 @@
 	return Origin{VM: VM(ps[0]), Incarnation: Incarnation(i), Deadline: clock.Milli(d) * clock.Second, Count: n}, true
 }
 
-// Wire makes a fault fit for a message; nil stays nil.
+// NewFault converts an error for transfer in a message; nil stays nil.
 func Wire(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
@@ -65,7 +64,7 @@
 	return &Fault{Kind: e.Kind, Ran: e.Ran, Retry: e.Retry, Text: e.Text}
 }
 
-// Error is the fault as an error.
+// Error converts the fault back to a fault.Error.
 func (f *Fault) Error() *fault.Error {
 	return &fault.Error{Kind: f.Kind, Ran: f.Ran, Retry: f.Retry, Text: f.Text}
 }
--- a/lib/peer/server.go
+++ b/lib/peer/server.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// readIdle ends a connection on which nothing arrived for long. A dialer
-// closes its own idle connections earlier, so only forgotten ones reach it.
-const readIdle = 2 * time.Minute
+// idleTimeout is the time without data after which a connection is closed. Dialers close their idle
+// connections earlier, so it only applies to connections whose other end is lost.
+const idleTimeout = 2 * time.Minute
 
-// Server is the peer door: it serves registered receivers over net/rpc.
+// Server serves the registered receivers to peers over net/rpc.
 type Server struct {
 	rpc     *rpc.Server
 	traffic Traffic
 
 	mu sync.Mutex
-	// conns holds every open connection; nil after Close.
+	// conns holds all open connections; nil after Close.
 	conns map[net.Conn]struct{}
 }
 
-// Probe answers the probes of dialers.
+// Probe is the receiver that answers the probes of dialers.
 type Probe struct{}
 
-// Answer does nothing; its reply proves that the connection carries both ways.
+// Answer does nothing; its reply shows that the connection works in both directions.
 func (Probe) Answer(Empty, *Empty) error { return nil }
 
-// NewServer returns a server that answers probes and nothing else yet.
+// NewServer returns a server that answers only probes until further receivers are registered.
 func NewServer() *Server {
 	s := &Server{rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	if err := s.rpc.RegisterName("Probe", Probe{}); err != nil {
-		panic(err) // the receiver above is fixed; only a typing mistake gets here
+		panic(err) // fails only if the methods of Probe are not valid for net/rpc
 	}
 	return s
 }
@@ -60,10 +60,10 @@
 	}
 }
 
-// Traffic counts the bytes of all connections that s accepted.
+// Traffic returns the byte counters over all connections that s accepted.
 func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// Close ends all connections.
+// Close closes all connections. Serve closes those that it accepts later and returns.
 func (s *Server) Close() {
 	s.mu.Lock()
 	conns := s.conns
@@ -96,12 +96,12 @@
 	s.mu.Unlock()
 }
 
-// idleConn pushes the read deadline on with every read.
+// idleConn sets the read deadline to idleTimeout from now at each read.
 type idleConn struct{ net.Conn }
 
 // Read implements net.Conn.
 func (c *idleConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(readIdle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
--- a/lib/peer/traffic.go
+++ b/lib/peer/traffic.go
@@ -9,13 +9,13 @@
 // encryption. It is safe for concurrent use.
 type Traffic struct{ read, written atomic.Uint64 }
 
-// Read counts the bytes that came.
+// Read returns the number of bytes received.
 func (t *Traffic) Read() uint64 { return t.read.Load() }
 
-// Written counts the bytes that went.
+// Written returns the number of bytes sent.
 func (t *Traffic) Written() uint64 { return t.written.Load() }
 
-// countedConn counts what passes through a connection.
+// countedConn adds the bytes of a connection to traffic.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
--- a/lib/peer/traffic_test.go
+++ b/lib/peer/traffic_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, d.Call(context.Background(), l.Addr().String(), peer.ProbeMethod, peer.Empty{}, &peer.Empty{}))
 	require.Positive(t, d.Traffic().Written())
 	require.Equal(t, d.Traffic().Written(), s.Traffic().Read())
-	// An end counts a write when it returns, which may be after the other has read it.
+	// An end counts a write when the call returns, which may be after the other end has read the data.
 	require.Eventually(t, func() bool { return d.Traffic().Read() == s.Traffic().Written() }, 5*time.Second, time.Millisecond)
 
 	d.Close()
