--- a/daemon/member/cost_test.go
+++ b/daemon/member/cost_test.go
@@ -7,7 +7,7 @@
 	"snipeshift.example/lib/peer"
 )
 
-// fleet lists members spread over 8 failure domains.
+// fleet returns n members in 8 failure domains.
 func fleet(n int) []peer.Member {
 	ms := make([]peer.Member, n)
 	for i := range ms {
@@ -16,8 +16,8 @@
 	return ms
 }
 
-// BenchmarkOwner prints what it costs to find the owner of a pool, and the home
-// of a workspace, by the number of members.
+// BenchmarkOwner measures the cost of determining the owner of a pool and the home of a
+// workspace by the number of members.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{3, 27, 81, 450} {
 		ms := fleet(n)
--- a/daemon/member/list_test.go
+++ b/daemon/member/list_test.go
@@ -9,9 +9,9 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// A VM starts while the store is out. The addresses of its settings, and those
-// of the last list it read, are all that leads it to its peers.
-func TestSeedsOutliveAnOutageOfTheList(t *testing.T) {
+// During an outage of the store a VM can find its peers only by the addresses in its settings
+// and those of the VM list that it read last.
+func TestSeedsRemainDuringStoreOutage(t *testing.T) {
 	s := platformtest.New()
 	s.SetVMs(
 		platform.VM{Name: "a", Role: platform.Entry, Address: "127.0.0.1:1", State: platform.Live},
--- a/daemon/member/members.go
+++ b/daemon/member/members.go
@@ -14,9 +14,8 @@
 // Name is the name under which Receiver is registered with net/rpc.
 const Name = "Member"
 
-// Caller calls a method of a peer. A call whose context ends must close its
-// connection, so that the next one dials: a connection can go silent for good
-// while new ones work.
+// Caller calls a method of a peer. After a call whose context ended it must replace an
+// unresponsive connection: a connection can stop working permanently while new ones work.
 type Caller interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
@@ -26,74 +25,76 @@
 	Now() clock.Milli
 }
 
-// Seeds names addresses of peer doors to try: those of the settings, and those
-// of live entry VMs in the platform's lagging list.
+// Seeds returns peer addresses for the first contact with other members: those of the settings,
+// and those of live entry VMs in the platform's VM list, which may be out of date.
 type Seeds interface {
 	Seeds(ctx context.Context) []string
 }
 
-// Part is something that travels with heartbeats. Its methods are called
+// Part is a component that sends and receives fields of heartbeats. Its methods are called
 // without locks of this package, from many goroutines, and must not block.
 type Part interface {
-	// Fill adds to a beat, or the answer to one, for a member. The name is
-	// empty while only a seed's address is known.
+	// Fill sets fields of a heartbeat, or of the reply to one, for a member. The name is
+	// empty for a seed, of which only the address is known.
 	Fill(to peer.VM, b *peer.BeatArgs)
-	// Learn takes what came from b.From. With reply set it is the answer to a
-	// beat of ours.
+	// Learn processes a heartbeat from b.From, or with reply set the reply to a heartbeat
+	// that this member sent.
 	Learn(b *peer.BeatArgs, reply bool)
 }
 
-// AckedPart is a Part that must know which of its beats arrived. Answers to
-// beats of others carry nothing of it.
+// AckedPart is a Part that needs to know which heartbeats were delivered. Fields that Load
+// sets are sent only in heartbeats, not in replies.
 type AckedPart interface {
 	Part
-	// Load adds to a beat. At most one beat to a member is under way.
+	// Load sets fields of a heartbeat. At most one heartbeat to a member is unanswered.
 	Load(to peer.Member, b *peer.BeatArgs)
-	// Arrived tells that the beat loaded last for to was answered.
+	// Arrived reports that the latest heartbeat loaded for a member was answered.
 	Arrived(to peer.Member)
 }
 
-// ErrSuperseded ends Run when a later life of this VM's name is at work.
+// ErrSuperseded is returned by Run when a later incarnation of this VM is running.
 var ErrSuperseded = errors.New("a later incarnation of this VM is running")
 
-// gap is the least time between two rounds of beats, so that a burst of news
-// travels in one.
-const gap clock.Milli = 50
+// minRoundGap is the minimum time between two rounds of heartbeats, so that a burst of updates is
+// sent in one.
+const minRoundGap clock.Milli = 50
 
-// Members runs a Table: it beats, answers beats and knows who is alive.
+// Members runs the membership protocol of one daemon: it sends and answers heartbeats and
+// maintains the Table of members.
 type Members struct {
 	caller Caller
 	seeds  Seeds
 	clock  Clock
 	rules  Rules
-	kick   chan struct{}
+	wake   chan struct{}
 
 	mu    sync.Mutex
 	table *Table
 	parts []Part
-	// acked are those of the parts that are acked.
+	// acked are the AckedParts among parts.
 	acked []AckedPart
-	// busy holds the addresses with a beat under way, one at a time each.
-	busy map[string]bool
-	// views are the digests that members told last.
+	// inFlight holds the addresses to which a heartbeat is unanswered: each gets one at a time.
+	inFlight map[string]bool
+	// views are the View digests that members sent last.
 	views map[peer.VM]uint64
-	// reached is the last contact with any other member.
-	reached clock.Milli
-	beats   sync.WaitGroup
+	// lastContact is the time of the last message from any other member.
+	lastContact clock.Milli
+	// beats waits for the goroutines that send heartbeats.
+	beats sync.WaitGroup
 }
 
-// New returns the members as self sees them; Run starts the heartbeats.
+// New returns Members for the daemon self. Heartbeats are sent by Run.
 func New(self peer.Member, r Rules, c Caller, s Seeds, k Clock) *Members {
 	return &Members{
 		caller: c, seeds: s, clock: k, rules: r,
-		kick:  make(chan struct{}, 1),
-		table: NewTable(self, r),
-		busy:  map[string]bool{},
-		views: map[peer.VM]uint64{},
+		wake:     make(chan struct{}, 1),
+		table:    NewTable(self, r),
+		inFlight: map[string]bool{},
+		views:    map[peer.VM]uint64{},
 	}
 }
 
-// Add lets parts travel with heartbeats. It is called before Run.
+// Add registers parts of heartbeats. It must be called before Run.
 func (m *Members) Add(ps ...Part) {
 	m.parts = append(m.parts, ps...)
 	for _, p := range ps {
@@ -103,37 +104,38 @@
 	}
 }
 
-// Self is this member.
+// Self returns this member.
 func (m *Members) Self() peer.Member { m.mu.Lock(); defer m.mu.Unlock(); return m.table.Self() }
 
-// Live lists the members that count as live, this one included.
+// Live returns the members that count as live, including this one.
 func (m *Members) Live() []peer.Member { m.mu.Lock(); defer m.mu.Unlock(); return m.table.Live() }
 
-// Lost counts those that fell silent without a word and may live behind a cut.
+// Lost returns the number of members that stopped responding without announcing a stop. They
+// may still run on the other side of a network partition.
 func (m *Members) Lost() int { m.mu.Lock(); defer m.mu.Unlock(); return m.table.Lost() }
 
-// Owner names the owner of a pool.
+// Owner returns the owner of a pool.
 func (m *Members) Owner(p peer.PoolID) (peer.Member, bool) { return Owner(p, m.Live()) }
 
-// Neighbours lists the few members that this one always beats.
+// RingSuccessors returns the few members to which this one always sends heartbeats.
 func (m *Members) Neighbours() []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Neighbours()
 }
 
-// Reached is when another member was last heard from; zero if never.
-func (m *Members) Reached() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.reached }
+// LastContact returns the time of the last message from another member; zero if there was none.
+func (m *Members) Reached() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.lastContact }
 
-// Kick sends the next beats at once, because a part has news.
+// BeatNow starts the next round of heartbeats at once, to send an update without delay.
 func (m *Members) Kick() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Stop tells all that this member takes no new duty.
+// Stop announces to all members that this one accepts no new duties.
 func (m *Members) Stop() {
 	m.mu.Lock()
 	m.table.Stop()
@@ -141,8 +143,8 @@
 	m.Kick()
 }
 
-// Leave tells the members beaten next that this one is gone, and returns when
-// they answered or ctx ended. It is called once Run has returned.
+// Leave announces to the current heartbeat targets that this member is gone, and returns when
+// they have answered or ctx has ended. It must be called after Run has returned.
 func (m *Members) Leave(ctx context.Context) {
 	m.mu.Lock()
 	m.table.Leave()
@@ -151,7 +153,7 @@
 	m.beats.Wait()
 }
 
-// Resume tells that this process had been paused.
+// Resume must be called after a pause of this process (see Table.Resume).
 func (m *Members) Resume() {
 	m.mu.Lock()
 	m.table.Resume(m.clock.Now())
@@ -159,15 +161,15 @@
 	m.Kick()
 }
 
-// Run beats until ctx ends.
+// Run sends heartbeats until ctx ends. It returns ErrSuperseded if a later incarnation of this VM is running.
 func (m *Members) Run(ctx context.Context) error {
 	defer m.beats.Wait()
 	last := -m.rules.Sparse
 	for ctx.Err() == nil {
 		now := m.clock.Now()
-		if now-last >= m.greetEvery() {
+		if now-last >= m.seedPeriod() {
 			last = now
-			m.beats.Go(func() { m.greet(ctx) })
+			m.beats.Go(func() { m.contactSeeds(ctx) })
 		}
 		m.round(ctx)
 		if m.Superseded() {
@@ -178,35 +180,35 @@
 	return nil
 }
 
-// greetEvery is the time between two looks at the seeds.
-func (m *Members) greetEvery() clock.Milli {
+// seedPeriod returns the time between two contacts of the seeds.
+func (m *Members) seedPeriod() clock.Milli {
 	if m.Reached() == 0 {
 		return m.rules.Alone
 	}
 	return m.rules.Greet(m.size())
 }
 
-// Superseded tells whether a later life of this VM's name was heard of.
+// Superseded reports whether a later incarnation of this VM is running.
 func (m *Members) Superseded() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Superseded()
 }
 
-// wait returns after a period, or earlier when there is news.
+// wait returns after a period, or earlier after BeatNow, but not before gap.
 func (m *Members) wait(ctx context.Context) {
-	if !sleep(ctx, gap) {
+	if !sleep(ctx, minRoundGap) {
 		return
 	}
 	period := m.period()
 	if m.Reached() == 0 {
 		period = min(period, m.rules.Alone)
 	}
-	t := time.NewTimer((period - gap).Duration())
+	t := time.NewTimer((period - minRoundGap).Duration())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-m.kick:
+	case <-m.wake:
 	case <-t.C:
 	}
 }
@@ -230,8 +232,8 @@
 	return m.table.size()
 }
 
-// greet beats the seeds that are not among the live members.
-func (m *Members) greet(ctx context.Context) {
+// contactSeeds sends heartbeats to the seeds that are not among the live members.
+func (m *Members) contactSeeds(ctx context.Context) {
 	known := map[string]bool{}
 	for _, l := range m.Live() {
 		known[l.Address] = true
@@ -243,7 +245,7 @@
 	}
 }
 
-// round beats all targets of now, each in a goroutine of its own.
+// round sends a heartbeat to each current target, in a goroutine each.
 func (m *Members) round(ctx context.Context) {
 	now := m.clock.Now()
 	m.mu.Lock()
@@ -258,23 +260,23 @@
 	}
 }
 
-// start beats one address unless a beat to it is under way.
+// start sends a heartbeat to the address of a member, unless one is unanswered.
 func (m *Members) start(ctx context.Context, to peer.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.busy[to.Address] {
+	if m.inFlight[to.Address] {
 		return
 	}
-	m.busy[to.Address] = true
+	m.inFlight[to.Address] = true
 	m.beats.Go(func() {
 		m.beat(ctx, to)
 		m.mu.Lock()
-		delete(m.busy, to.Address)
+		delete(m.inFlight, to.Address)
 		m.mu.Unlock()
 	})
 }
 
-// beat calls one member; to has no name for a seed.
+// beat sends a heartbeat and processes the reply. For a seed to contains only the address.
 func (m *Members) beat(ctx context.Context, to peer.Member) {
 	limited, cancel := context.WithTimeout(ctx, m.period().Duration())
 	defer cancel()
@@ -295,14 +297,14 @@
 		return
 	}
 	m.mu.Lock()
-	news := m.table.Missed(m.clock.Now(), to.VM)
+	changed := m.table.Missed(m.clock.Now(), to.VM)
 	m.mu.Unlock()
-	if news {
+	if changed {
 		m.Kick()
 	}
 }
 
-// message writes a beat, or the answer to one, for a member.
+// message returns a heartbeat, or the reply to one, for a member.
 func (m *Members) message(to peer.VM) *peer.BeatArgs {
 	m.mu.Lock()
 	view := m.table.View()
@@ -315,13 +317,13 @@
 	return b
 }
 
-// learn takes a beat, or the answer to one.
+// learn processes a heartbeat, or the reply to one.
 func (m *Members) learn(b *peer.BeatArgs, reply bool) {
 	now := m.clock.Now()
 	m.mu.Lock()
-	news := m.table.Heard(now, b.From)
+	changed := m.table.Heard(now, b.From)
 	for _, k := range b.Known {
-		news = m.table.Learn(now, k) || news
+		changed = m.table.Learn(now, k) || changed
 	}
 	other := b.From.VM != m.table.Self().VM
 	if other {
@@ -332,26 +334,26 @@
 		p.Learn(b, reply)
 	}
 	if other {
-		m.contact(now)
+		m.recordContact(now)
 	}
-	if news {
+	if changed {
 		m.Kick()
 	}
 }
 
-// contact notes that another member was heard from, once all parts have its word.
-func (m *Members) contact(now clock.Milli) {
+// recordContact records a message from another member. It is called after all parts have processed the message.
+func (m *Members) recordContact(now clock.Milli) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reached = max(m.reached, now)
+	m.lastContact = max(m.lastContact, now)
 }
 
-// Documents gives the newest document in force.
+// Documents returns the newest document in force, with its revision.
 type Documents interface {
 	Newest() (peer.Revision, []byte)
 }
 
-// Receiver answers peers over net/rpc.
+// Receiver handles calls of peers over net/rpc.
 type Receiver struct {
 	members   *Members
 	documents Documents
@@ -360,14 +362,14 @@
 // NewReceiver returns the receiver to register under Name.
 func NewReceiver(m *Members, d Documents) *Receiver { return &Receiver{members: m, documents: d} }
 
-// Beat answers one heartbeat.
+// Beat processes a heartbeat and replies with one.
 func (r *Receiver) Beat(args, reply *peer.BeatArgs) error {
 	r.members.learn(args, false)
 	*reply = *r.members.message(args.From.VM)
 	return nil
 }
 
-// Document answers with the newest document, if it is above what the asker has.
+// Document replies with the newest document if its revision is above args.Above.
 func (r *Receiver) Document(args *peer.DocumentArgs, reply *peer.DocumentReply) error {
 	revision, text := r.documents.Newest()
 	if revision <= args.Above {
@@ -381,22 +383,24 @@
 	return nil
 }
 
-// lister is the platform's VM list.
+// lister returns the platform's VM list.
 type lister interface {
 	VMs(ctx context.Context) ([]platform.VM, error)
 }
 
-// List is Seeds from the settings and the platform's VM list. The list may
-// lag or be out of reach; then the last one read still helps.
+// SeedList implements Seeds with the addresses of the settings and the platform's VM list. While
+// the list cannot be read, the one read last is used.
 type List struct {
+	// fixed are the addresses of the settings.
 	fixed  []string
 	lister lister
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// last are the addresses in the VM list read last.
 	last []string
 }
 
-// NewList returns seeds of fixed addresses and of the entry VMs that l lists.
+// NewSeedList returns a SeedList of fixed addresses and of the live entry VMs that l lists.
 func NewList(fixed []string, l lister) *List { return &List{fixed: fixed, lister: l} }
 
 // Seeds implements Seeds.
@@ -405,12 +409,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		l.last = entries(vms)
+		l.last = entryAddresses(vms)
 	}
 	return append(append([]string(nil), l.fixed...), l.last...)
 }
 
-func entries(vms []platform.VM) []string {
+// entryAddresses returns the addresses of the live entry VMs.
+func entryAddresses(vms []platform.VM) []string {
 	var as []string
 	for _, v := range vms {
 		if v.Role == platform.Entry && v.State == platform.Live && v.Address != "" {
--- a/daemon/member/members_test.go
+++ b/daemon/member/members_test.go
@@ -23,7 +23,7 @@
 
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
-	// cut makes every call fail while set.
+	// cut, while set, makes every call fail.
 	cut atomic.Bool
 }
 
@@ -89,14 +89,14 @@
 
 func (noDocuments) Newest() (peer.Revision, []byte) { return 7, []byte("text") }
 
-// node is one running member.
+// node is a running member with its dialer.
 type node struct {
 	*Members
 	dialer *dialer
 	stop   func()
 }
 
-// startNode runs a member on loopback until the test ends or stop is called.
+// startNode runs member number i on loopback until the test ends or stop is called.
 func startNode(t testing.TB, i int, seeds []string) *node {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -136,7 +136,7 @@
 	}, time.Minute, 10*time.Millisecond)
 }
 
-func TestDaemonsFindAndLoseEachOtherOverNetRPC(t *testing.T) {
+func TestMembersJoinLeaveAndReconnectOverNetRPC(t *testing.T) {
 	nodes := startNodes(t, 4)
 	require.Positive(t, nodes[1].Reached())
 	var reply peer.DocumentReply
@@ -164,7 +164,7 @@
 	rest := []*node{nodes[0], nodes[2], nodes[3]}
 	allSee(t, rest, 3)
 
-	// All lose each other without a word. The seeds bring them together again.
+	// All connections fail at once, without an announced stop. The seeds reconnect the members.
 	for _, n := range rest {
 		n.dialer.cut.Store(true)
 	}
@@ -175,8 +175,8 @@
 	allSee(t, rest, 3)
 }
 
-// BenchmarkHeartbeats prints what membership costs a node without news: bytes
-// a second in each direction, and processor time of the whole process by node.
+// BenchmarkHeartbeats measures the cost of membership per node while nothing changes: bytes per
+// second, sent and received together, and processor time of the whole process divided by the nodes.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, size := range []int{3, 9, 27, 81} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -194,7 +194,7 @@
 }
 
 func measure(b *testing.B, nodes []*node, span time.Duration) {
-	// The news of the start has to die away first.
+	// The updates caused by the start have to end first.
 	time.Sleep(10 * time.Second)
 	var sent, received int64
 	for _, n := range nodes {
@@ -209,7 +209,7 @@
 		received += n.dialer.received.Load()
 	}
 	per := span.Seconds() * float64(len(nodes))
-	// A node also answers as many beats as it sends.
+	// A node also answers as many heartbeats as it sends, so the bytes of both directions count.
 	b.ReportMetric(float64(sent+received)/per, "B/s/node-out")
 	b.ReportMetric(100*cpu.Seconds()/per, "%core/node")
 }
--- a/daemon/member/owner.go
+++ b/daemon/member/owner.go
@@ -10,12 +10,12 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Rank orders members by rendezvous hashing of key, best first, leaving out
-// those that are stopping. Each VM computes the same order from the same
-// members, and a member that comes or goes moves only the keys it holds.
+// Rank orders members by rendezvous hashing of key, highest score first, without those that
+// are stopping. Every VM computes the same order from the same members, and a member that
+// joins or leaves moves only the keys that it ranks first for.
 //
-// Each score is computed once: computed within the comparisons, ranking 450
-// members took four times as long, and every request needs a ranking.
+// Scores are computed once per member: computing them in the comparison function made
+// ranking 450 members four times slower, and every request needs a ranking.
 func Rank(key string, members []peer.Member) []peer.Member {
 	type scored struct {
 		score uint64
@@ -40,7 +40,7 @@
 	return ranked
 }
 
-// First is the head of Rank, in one pass.
+// First returns the first member of Rank, without sorting. It returns false if all members are stopping.
 func First(key string, members []peer.Member) (peer.Member, bool) {
 	var best peer.Member
 	var top uint64
@@ -57,26 +57,26 @@
 	return best, found
 }
 
-// strongPart is the part of the most capacity, one in so many, that a member needs to decide for others.
-const strongPart = 2
+// capacityDivisor defines high capacity: at least the maximum among the members, divided by it.
+const capacityDivisor = 2
 
-// Strong returns the members with at least half of the most processor and half of the most link; all of them where no
-// settings say. If no member has both, it goes by the processor alone.
+// HighCapacity returns the members with at least half of the maximum processor share and half of the maximum link
+// bandwidth; all members if their settings give neither. If no member has both, only the processor counts.
 //
-// The load: a fleet most of whose VMs are small, and hundreds of short requests a second for one service. Whoever places them gets
-// three messages a request. A small VM's processor is used up by them: it answers late while nothing waits in its
-// queue, and short requests are late for it.
+// Consider a fleet of mostly small VMs and a service with hundreds of short requests a second. The VM that places
+// them receives three messages per request, which use up the processor of a small VM: it replies late although its
+// queue is empty, and short requests miss their latency targets.
 func Strong(members []peer.Member) []peer.Member {
-	cores, link := most(members)
-	both := with(members, func(m peer.Member) bool { return m.Cores*strongPart >= cores && m.Link*strongPart >= link })
+	cores, link := maxCapacity(members)
+	both := filter(members, func(m peer.Member) bool { return m.Cores*capacityDivisor >= cores && m.Link*capacityDivisor >= link })
 	if len(both) > 0 {
 		return both
 	}
-	return with(members, func(m peer.Member) bool { return m.Cores*strongPart >= cores })
+	return filter(members, func(m peer.Member) bool { return m.Cores*capacityDivisor >= cores })
 }
 
-// most is the largest processor and the largest link among members that take duties.
-func most(members []peer.Member) (cores, link int) {
+// maxCapacity returns the maximum processor share and the maximum link bandwidth among members that are not stopping.
+func maxCapacity(members []peer.Member) (cores, link int) {
 	for _, m := range members {
 		if !m.Stopping {
 			cores, link = max(cores, m.Cores), max(link, m.Link)
@@ -85,7 +85,8 @@
 	return cores, link
 }
 
-func with(members []peer.Member, fits func(peer.Member) bool) []peer.Member {
+// filter returns the members that are not stopping and for which fits is true.
+func filter(members []peer.Member, fits func(peer.Member) bool) []peer.Member {
 	var ms []peer.Member
 	for _, m := range members {
 		if !m.Stopping && fits(m) {
@@ -95,36 +96,36 @@
 	return ms
 }
 
-// RankStrong orders members as Rank does, the strong ones first.
+// RankByCapacity orders members like Rank, but with all high-capacity members before the others.
 func RankStrong(key string, members []peer.Member) []peer.Member {
-	strong := Strong(members)
-	if len(strong) == len(members) {
+	high := Strong(members)
+	if len(high) == len(members) {
 		return Rank(key, members)
 	}
-	is := make(map[peer.VM]bool, len(strong))
-	for _, m := range strong {
-		is[m.VM] = true
+	selected := make(map[peer.VM]bool, len(high))
+	for _, m := range high {
+		selected[m.VM] = true
 	}
-	rest := with(members, func(m peer.Member) bool { return !is[m.VM] })
-	return append(Rank(key, strong), Rank(key, rest)...)
+	rest := filter(members, func(m peer.Member) bool { return !selected[m.VM] })
+	return append(Rank(key, high), Rank(key, rest)...)
 }
 
-// Owner names the owner of a pool among live members. Members of the pool's
-// own failure domain come first: when failure domains lose each other, the
-// owner then stays on the side of its engines.
+// Owner returns the owner of a pool among the live members. Members in the failure domain of
+// the pool are preferred: in a network partition between failure domains the owner is then on
+// the same side as its engines.
 func Owner(pool peer.PoolID, members []peer.Member) (peer.Member, bool) {
-	if m, ok := First(string(pool), within(DomainOf(pool), members)); ok {
+	if m, ok := First(string(pool), inDomain(DomainOf(pool), members)); ok {
 		return m, true
 	}
 	return First(string(pool), members)
 }
 
-// DomainOf is the failure domain in a pool's id, "model@domain".
+// DomainOf returns the failure domain in a pool's id, "model@domain".
 func DomainOf(pool peer.PoolID) peer.Domain {
 	return peer.Domain(pool[strings.LastIndexByte(string(pool), '@')+1:])
 }
 
-func within(d peer.Domain, members []peer.Member) []peer.Member {
+func inDomain(d peer.Domain, members []peer.Member) []peer.Member {
 	var ms []peer.Member
 	for _, m := range members {
 		if m.Domain == d {
--- a/daemon/member/pause.go
+++ b/daemon/member/pause.go
@@ -9,19 +9,20 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Pause notices that this process stood still: it was stopped by a signal, or
-// its VM was. Whatever it held then - leases, grants, ownership of pools - may
-// have lapsed and gone to others while its own state says nothing of it.
+// PauseDetector detects that this process was paused: it was stopped by a signal, or its VM was
+// suspended. Its leases, grants and ownership of pools may have expired and passed to other VMs
+// in the meantime, which its own state doesn't show.
 //
-// Check runs the callback before it returns, and whoever is about to act on a
-// duty calls Check first. So after a pause the duties are given up before the
-// first act, whichever goroutine the scheduler wakes first.
+// Check runs the callback before it returns, and code that acts on a duty calls Check first.
+// So after a pause the duties are given up before any of them is acted on, whichever goroutine
+// the scheduler runs first.
 type Pause struct {
 	clock Clock
 	wall  Clock
-	// lease is the longest gap between two checks that endangers no duty.
+	// lease is the longest gap between two checks during which no duty can have expired.
 	lease clock.Milli
-	lost  func(gap clock.Milli)
+	// onPause gives up the duties.
+	onPause func(gap clock.Milli)
 
 	mu sync.Mutex
 	// last and lastWall are the readings of the latest check.
@@ -29,22 +30,22 @@
 	count          int
 }
 
-// NewPause returns a detector that calls lost after a gap longer than lease.
-// Of the two clocks one may stand still with the VM while the other leaps on;
-// the larger gap counts, so a step of the wall clock can give duties up in
-// vain, which costs a rebuild and nothing else.
-func NewPause(k, wall Clock, lease clock.Milli, lost func(gap clock.Milli)) *Pause {
-	return &Pause{clock: k, wall: wall, lease: lease, lost: lost, last: k.Now(), lastWall: wall.Now()}
+// NewPauseDetector returns a detector that calls lost after a gap longer than lease.
+// While a VM is suspended one of the two clocks may stop and the other advance, so the larger
+// gap counts. A step of the wall clock can therefore give up duties needlessly, which costs
+// only the rebuilding of their state.
+func NewPause(k, wall Clock, lease clock.Milli, onPause func(gap clock.Milli)) *Pause {
+	return &Pause{clock: k, wall: wall, lease: lease, onPause: onPause, last: k.Now(), lastWall: wall.Now()}
 }
 
-// Wall reads the wall clock, which leaps when the VM was suspended.
+// WallClock reads the wall clock, which jumps forward when the VM was suspended.
 type Wall struct{}
 
 // Now implements Clock.
 func (Wall) Now() clock.Milli { return clock.Milli(time.Now().UnixMilli()) }
 
-// Check compares the clocks with the last check, and tells whether there was
-// a pause. The callback has then run.
+// Check compares the clocks with those of the last check, and reports whether the process was
+// paused in between. If so, the callback has run when Check returns.
 func (p *Pause) Check() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,19 +56,19 @@
 		return false
 	}
 	p.count++
-	p.lost(stretch)
+	p.onPause(stretch)
 	return true
 }
 
-// Count is how many pauses were noticed.
+// Count returns the number of pauses detected.
 func (p *Pause) Count() int { p.mu.Lock(); defer p.mu.Unlock(); return p.count }
 
-// Gap is the time between two checks by the clock that moved more.
+// Gap returns the time between two checks by the clock that advanced more.
 func Gap(last, now, lastWall, wall clock.Milli) clock.Milli {
 	return max(now-last, wall-lastWall)
 }
 
-// Run checks often enough that a gap longer than the lease means a pause.
+// Run calls Check until ctx ends, eight times per lease, so that only a pause causes a gap longer than the lease.
 func (p *Pause) Run(ctx context.Context) error {
 	guard.Every(ctx, (p.lease / 8).Duration(), func() { p.Check() })
 	return nil
--- a/daemon/member/pause_test.go
+++ b/daemon/member/pause_test.go
@@ -8,15 +8,14 @@
 	"snipeshift.example/lib/clock"
 )
 
-type handClock struct{ now clock.Milli }
+type fakeClock struct{ now clock.Milli }
 
-func (h *handClock) Now() clock.Milli { return h.now }
+func (h *fakeClock) Now() clock.Milli { return h.now }
 
-// A VM is frozen for longer than its leases last and goes on as if nothing had
-// happened, while others hold its duties by now. Duties must be given up
-// before anything is done on them, by whichever clock the pause shows.
-func TestPauseGivesDutiesUpBeforeTheNextAct(t *testing.T) {
-	mono, wall := &handClock{now: 100}, &handClock{now: 9000}
+// A VM is suspended for longer than its leases and resumes after other VMs have taken over its
+// duties. It must give up the duties before acting on them, whichever of the clocks shows the pause.
+func TestPauseIsDetectedByEitherClock(t *testing.T) {
+	mono, wall := &fakeClock{now: 100}, &fakeClock{now: 9000}
 	var gaps []clock.Milli
 	p := NewPause(mono, wall, 3000, func(gap clock.Milli) { gaps = append(gaps, gap) })
 	mono.now, wall.now = 3100, 12000
--- a/daemon/member/rules.go
+++ b/daemon/member/rules.go
@@ -1,48 +1,51 @@
-// Package member keeps the list of daemons that are alive, by heartbeats
-// between them, and names the owner of each pool from it.
+// Package member maintains the list of live daemons by heartbeats between them (a gossip
+// protocol), and determines the owner of each pool from it.
 //
-// What is decided - who is alive, whom to beat, what to tell, who owns - is in
-// Table and in pure functions, which take the time as an argument. Members
-// runs them: it holds the lock, the goroutines and the calls.
+// The decisions - which members are live, which get heartbeats with what content, which
+// member owns a pool - are in Table and in pure functions, which take the time as an
+// argument. Members runs them: it has the lock, the goroutines and the calls.
 package member
 
 import "snipeshift.example/lib/clock"
 
-// Rules set the pace and the fan-out of heartbeats.
+// Rules are the intervals, fan-out and limits of heartbeats.
 type Rules struct {
-	// Full is the size up to which every member beats every other.
+	// FullMesh is the number of members up to which every member sends heartbeats to all others.
 	Full int
-	// Fixed is how many neighbours on the ring of names a member beats beyond
-	// that size, and Random how many others, chosen anew each Rotation.
+	// RingTargets is the number of successors on the hash ring to which a member sends
+	// heartbeats in larger groups, and RandomTargets the number of further members, chosen
+	// anew each Rotation.
 	Fixed, Random int
 	Rotation      clock.Milli
-	// Near is the period between beats up to the size Full, Far beyond it.
+	// MeshPeriod is the time between two heartbeats to a member in groups up to FullMesh,
+	// SparsePeriod in larger ones.
 	Near, Far clock.Milli
-	// Alone is the time between two looks at the seeds while nobody was heard of. If the
-	// first beats of a member are lost, nobody else knows of it, and until the
-	// next look it would serve without what the others know.
+	// IsolatedSeedPeriod is the time between two contacts of the seeds before any other member
+	// has been heard from. If the first heartbeats of a member are lost, no other member knows
+	// about it, and until the next contact it would serve without their shared state.
 	Alone clock.Milli
-	// Misses is how many beats in a row go unanswered before a member is doubted.
+	// MaxMisses is the number of consecutive unanswered heartbeats after which a member is suspected.
 	Misses int
-	// Doubt is how long a doubted member has to contradict, in periods.
+	// RefutePeriods is the time that a suspected member has to refute the suspicion, in periods.
 	Doubt clock.Milli
-	// Forget is when a gone member leaves the table.
+	// ForgetAfter is the time after which a gone member is removed from the table.
 	Forget clock.Milli
-	// Tell is how often one piece of news is sent, and Most how many a beat carries.
+	// UpdateSends is the number of heartbeats in which each update is sent, and MaxUpdates the
+	// number of updates in one heartbeat.
 	Tell, Most int
-	// Seeds is the time between two looks at the seeds and the platform's VM
-	// list up to the size Full, Sparse beyond it: 450 members that read the list
-	// every 5 s would take 90 reads a second of the store, every 30 s they take 15.
+	// MeshSeedPeriod is the time between two contacts of the seeds, which include the platform's
+	// VM list, in groups up to FullMesh, SparseSeedPeriod in larger ones. With 450 members that read
+	// the list every 5 s the store would serve 90 reads a second; with 30 s it serves 15.
 	Seeds, Sparse clock.Milli
 }
 
-// DefaultRules are made for 3 to 450 members. A dead member is out of every
-// table after Misses periods, plus Doubt periods, plus the spread of the doubt:
-// about 3 s among few and 8 s among hundreds. Fewer misses would take a pause
-// of the garbage collector or one lost packet for a death; more would leave
-// requests waiting for a dead owner. Beyond Full members the cost of beating
-// all grows with the square of the size, and two neighbours suffice to notice
-// a death; the random ones join the halves of a ring that was cut.
+// DefaultRules are for 3 to 450 members. A crashed member is removed from the live list of every
+// table after MaxMisses periods, plus RefutePeriods periods, plus the time for spreading the
+// suspicion: about 3 s in small groups and 8 s with hundreds of members. With fewer misses a
+// garbage collection pause or a lost packet would count as a crash; with more, requests would
+// wait longer for a crashed owner. Beyond FullMesh members the cost of heartbeats to all grows
+// with the square of the size, and two ring successors suffice to detect a crash. The random
+// targets reconnect the parts of a ring after a network partition.
 var DefaultRules = Rules{
 	Full: 12, Fixed: 2, Random: 2, Rotation: 20 * clock.Second,
 	Near: 500, Far: clock.Second, Alone: clock.Second,
@@ -51,7 +54,7 @@
 	Seeds: 5 * clock.Second, Sparse: 30 * clock.Second,
 }
 
-// Period is the time between two beats at a size.
+// Period returns the time between two heartbeats to the same member in a group of size members.
 func (r Rules) Period(size int) clock.Milli {
 	if size <= r.Full {
 		return r.Near
@@ -59,7 +62,7 @@
 	return r.Far
 }
 
-// Greet is the time between two looks at the seeds at a size.
+// SeedPeriod returns the time between two contacts of the seeds in a group of size members.
 func (r Rules) Greet(size int) clock.Milli {
 	if size <= r.Full {
 		return r.Seeds
--- a/daemon/member/table.go
+++ b/daemon/member/table.go
@@ -8,83 +8,86 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Table is what one member believes about all. It has no lock and no clock.
+// Table is the view that one member has of all members. It has no lock and no clock.
 type Table struct {
 	rules Rules
 	self  peer.Member
-	// rows never holds self.
-	rows map[peer.VM]*row
-	// tell is how many more beats carry the news about self.
-	tell int
-	// cursor is the name after which the next full exchange goes on.
+	// entries holds all members but self.
+	entries map[peer.VM]*entry
+	// selfSends is the number of heartbeats that still have to be sent with the last change of self.
+	selfSends int
+	// cursor is the name up to which the last heartbeat listed live members: see nextLive.
 	cursor peer.VM
-	// superseded is set when a later life of this VM's name was heard of.
+	// superseded is set when a later incarnation of this VM was reported.
 	superseded bool
-	// cache is what follows from rows and self; it is dropped when they change.
+	// cache is computed from entries and self; nil after they changed.
 	cache *derived
 }
 
-// derived is worked out once for each change of the table, not for each beat.
+// derived is computed once for each change of the table, not for each heartbeat.
 type derived struct {
 	// live is sorted by name.
 	live []peer.Member
 	view uint64
-	// targets hold for rotation, a count of Rules.Rotation.
+	// targets are the members that get heartbeats in rotation, the current time divided by
+	// Rules.Rotation; rotation is -1 before they are chosen.
 	targets  []peer.Member
 	rotation clock.Milli
-	// neighbours come first in targets.
-	neighbours []peer.Member
-	// cores is the most that one of live has.
-	cores int
-	// lost counts members that are gone without having said so.
+	// successors are the ring successors, the first of targets.
+	successors []peer.Member
+	// maxCores is the maximum of Cores in live.
+	maxCores int
+	// lost counts members that are gone without having announced a stop.
 	lost int
 }
 
-// row is one other member.
-type row struct {
+// entry is the state of another member.
+type entry struct {
 	member peer.Member
-	// missed counts beats in a row that it did not answer.
+	// missed counts consecutive heartbeats to the member that were not answered.
 	missed int
-	// heard is the last direct contact, in either direction.
+	// heard is the time of the last message received from the member itself.
 	heard clock.Milli
-	// since is when the health changed last.
+	// since is the time of the last change of health.
 	since clock.Milli
-	// tell is how many more beats carry this row.
-	tell int
+	// sends is the number of heartbeats that still have to report the last change.
+	sends int
 }
 
-// NewTable returns a table that knows only its own member.
+// NewTable returns a table that contains only self.
 func NewTable(self peer.Member, r Rules) *Table {
-	return &Table{rules: r, self: self, rows: map[peer.VM]*row{}, tell: r.Tell}
+	return &Table{rules: r, self: self, entries: map[peer.VM]*entry{}, selfSends: r.Tell}
 }
 
-// Self is this member as it describes itself.
+// Self returns the description of this member.
 func (t *Table) Self() peer.Member { return t.self }
 
-// Superseded tells whether a later life of this VM's name is at work, so that
-// this one must stop taking part.
+// Superseded reports whether a later incarnation of this VM is running. This one must then
+// stop sending heartbeats.
 func (t *Table) Superseded() bool { return t.superseded }
 
-// Stop announces that this member takes no new duty.
+// Stop marks this member as stopping: it accepts no new duties.
 func (t *Table) Stop() {
 	t.self.Stopping = true
-	t.raise(t.self.Seq)
+	t.raiseSeq(t.self.Seq)
 }
 
-// Leave announces that this member is gone.
+// Leave marks this member as gone.
 func (t *Table) Leave() {
 	t.self.Stopping = true
 	t.self.Health = peer.Gone
-	t.raise(t.self.Seq)
+	t.raiseSeq(t.self.Seq)
 }
 
-func (t *Table) raise(above uint64) {
+// raiseSeq sets the Seq of this member to one more than above, so that its description replaces
+// all earlier ones, and schedules it to be sent.
+func (t *Table) raiseSeq(above uint64) {
 	t.cache = nil
 	t.self.Seq = above + 1
-	t.tell = t.rules.Tell
+	t.selfSends = t.rules.Tell
 }
 
-// newer tells whether word a replaces word b about one VM.
+// newer reports whether description a of a VM replaces description b.
 func newer(a, b peer.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -95,47 +98,49 @@
 	return a.Health > b.Health
 }
 
-// Learn takes the word of a peer about a member, and tells whether it was news.
+// Learn processes the description of a member sent by any peer, and reports whether it
+// changed the table.
 func (t *Table) Learn(now clock.Milli, m peer.Member) bool {
 	if m.VM == "" {
 		return false
 	}
 	if m.VM == t.self.VM {
-		return t.contradict(m)
+		return t.refute(m)
 	}
-	r := t.rows[m.VM]
-	if r == nil {
+	e := t.entries[m.VM]
+	if e == nil {
 		if m.Health == peer.Gone {
 			return false
 		}
 		t.cache = nil
-		t.rows[m.VM] = &row{member: m, heard: now, since: now, tell: t.rules.Tell}
+		t.entries[m.VM] = &entry{member: m, heard: now, since: now, sends: t.rules.Tell}
 		return true
 	}
-	if m.Health == peer.Gone && r.member.Health != peer.Gone {
-		// Another one gave it up. It may have been behind a cut that is gone
-		// by now, so it gets its time to contradict here as well.
+	if m.Health == peer.Gone && e.member.Health != peer.Gone {
+		// Another member gave it up, perhaps because of a network partition that has ended
+		// since. So it gets time to refute the suspicion here as well.
 		m.Health = peer.Doubted
 	}
-	if newer(r.member, m) && r.member.Seq == m.Seq && r.member.Incarnation == m.Incarnation {
-		// Others believe it live by a word that is not enough to clear it
-		// here. Only it can: spread the doubt until it hears of it. Without
-		// this the two sides of a healed cut would differ for good.
-		r.tell = t.rules.Tell
+	if newer(e.member, m) && e.member.Seq == m.Seq && e.member.Incarnation == m.Incarnation {
+		// The sender considers it healthier than this table, at the same Seq, and only the
+		// member itself can refute the suspicion, by a larger Seq. So the suspicion is sent
+		// until the member receives it. Otherwise the two sides of a partition that has
+		// healed would disagree permanently.
+		e.sends = t.rules.Tell
 	}
-	if !newer(m, r.member) {
+	if !newer(m, e.member) {
 		return false
 	}
-	if m.Health != r.member.Health || m.Incarnation != r.member.Incarnation {
-		r.since = now
+	if m.Health != e.member.Health || m.Incarnation != e.member.Incarnation {
+		e.since = now
 	}
-	r.member, r.missed, r.tell = m, 0, t.rules.Tell
+	e.member, e.missed, e.sends = m, 0, t.rules.Tell
 	t.cache = nil
 	return true
 }
 
-// contradict answers doubts about this member by a larger Seq.
-func (t *Table) contradict(m peer.Member) bool {
+// refute refutes a suspicion of this member by increasing its Seq. It reports whether it did.
+func (t *Table) refute(m peer.Member) bool {
 	if m.Incarnation > t.self.Incarnation {
 		t.superseded = true
 		return false
@@ -143,104 +148,107 @@
 	if m.Incarnation < t.self.Incarnation || m.Seq < t.self.Seq || m.Health <= t.self.Health {
 		return false
 	}
-	t.raise(m.Seq)
+	t.raiseSeq(m.Seq)
 	return true
 }
 
-// Heard takes a member's own word, that came straight from it.
+// Heard processes the description that a member sent of itself, and reports whether it changed the table.
 func (t *Table) Heard(now clock.Milli, m peer.Member) bool {
 	if m.VM == "" || m.VM == t.self.VM {
 		return t.Learn(now, m)
 	}
-	news := t.Learn(now, m)
-	r := t.rows[m.VM]
-	if r == nil || r.member.Incarnation != m.Incarnation {
-		return news
+	changed := t.Learn(now, m)
+	e := t.entries[m.VM]
+	if e == nil || e.member.Incarnation != m.Incarnation {
+		return changed
 	}
-	r.heard, r.missed = now, 0
-	if m.Health == peer.Gone && r.member.Health != peer.Gone {
-		// It says so itself: a planned stop has ended.
-		t.setHealth(r, peer.Gone, now)
+	e.heard, e.missed = now, 0
+	if m.Health == peer.Gone && e.member.Health != peer.Gone {
+		// The member itself reports the end of a planned stop: no time to refute is needed.
+		t.setHealth(e, peer.Gone, now)
 		return true
 	}
-	return news
+	return changed
 }
 
-// Missed notes that a member did not answer a beat.
+// Missed records that a member did not answer a heartbeat, and reports whether it is newly suspected.
 func (t *Table) Missed(now clock.Milli, v peer.VM) bool {
-	r := t.rows[v]
-	if r == nil || r.member.Health != peer.Live {
+	e := t.entries[v]
+	if e == nil || e.member.Health != peer.Live {
 		return false
 	}
-	r.missed++
-	if r.missed < t.rules.Misses {
+	e.missed++
+	if e.missed < t.rules.Misses {
 		return false
 	}
-	t.setHealth(r, peer.Doubted, now)
+	t.setHealth(e, peer.Doubted, now)
 	return true
 }
 
-// Tick gives up members that did not contradict in time, and forgets old ones.
+// Tick marks suspected members as gone that did not refute the suspicion within the time limit, and removes
+// members that have been gone for long. It reports whether a member was marked as gone.
 func (t *Table) Tick(now clock.Milli) bool {
 	changed := false
-	doubt := t.rules.Doubt * t.rules.Period(t.size())
-	for v, r := range t.rows {
+	limit := t.rules.Doubt * t.rules.Period(t.size())
+	for v, e := range t.entries {
 		switch {
-		case r.member.Health == peer.Doubted && now-r.since >= doubt && now-r.heard >= doubt:
-			t.setHealth(r, peer.Gone, now)
+		case e.member.Health == peer.Doubted && now-e.since >= limit && now-e.heard >= limit:
+			t.setHealth(e, peer.Gone, now)
 			changed = true
-		case r.member.Health == peer.Gone && now-r.since >= t.rules.Forget:
-			delete(t.rows, v)
+		case e.member.Health == peer.Gone && now-e.since >= t.rules.Forget:
+			delete(t.entries, v)
 			t.cache = nil
 		}
 	}
 	return changed
 }
 
-// setHealth changes the belief about a member.
-func (t *Table) setHealth(r *row, h peer.Health, now clock.Milli) {
-	r.member.Health, r.since, r.tell = h, now, t.rules.Tell
+// setHealth sets the health of a member and schedules the change to be sent.
+func (t *Table) setHealth(e *entry, h peer.Health, now clock.Milli) {
+	e.member.Health, e.since, e.sends = h, now, t.rules.Tell
 	t.cache = nil
 }
 
-// Resume is called after a pause of this process. The time that passed in it
-// says nothing about others, so doubts start anew.
+// Resume must be called after a pause of this process. No messages were received during the pause,
+// whatever the state of the other members, so the time limits of suspicions start anew.
 func (t *Table) Resume(now clock.Milli) {
-	for _, r := range t.rows {
-		r.since, r.heard, r.missed = now, now, 0
+	for _, e := range t.entries {
+		e.since, e.heard, e.missed = now, now, 0
 	}
 }
 
 func (t *Table) size() int { return len(t.derive().live) }
 
-// Live lists the members that count as live, this one included, by name. The
-// slice is shared: it is not to be written to.
+// Live returns the members that count as live, including this one, sorted by name. The
+// slice is shared and must not be modified.
 func (t *Table) Live() []peer.Member { return t.derive().live }
 
-// Lost counts the members that fell silent without a word and are not forgotten: they may live behind a cut.
+// Lost returns the number of members that stopped responding without announcing a stop and have not been removed.
+// They may still run on the other side of a network partition.
 func (t *Table) Lost() int { return t.derive().lost }
 
-// View is a digest of the members that count as live: equal tables have equal views.
+// View returns a digest of the names, incarnations and Seqs of the members that count as live. It is equal for
+// tables that agree on these.
 func (t *Table) View() uint64 { return t.derive().view }
 
 func (t *Table) derive() *derived {
 	if t.cache != nil {
 		return t.cache
 	}
-	d := &derived{live: make([]peer.Member, 0, len(t.rows)+1), rotation: -1}
+	d := &derived{live: make([]peer.Member, 0, len(t.entries)+1), rotation: -1}
 	if t.self.Health != peer.Gone {
 		d.live = append(d.live, t.self)
 	}
-	for _, r := range t.rows {
+	for _, e := range t.entries {
 		switch {
-		case r.member.Health != peer.Gone:
-			d.live = append(d.live, r.member)
-		case !r.member.Stopping:
+		case e.member.Health != peer.Gone:
+			d.live = append(d.live, e.member)
+		case !e.member.Stopping:
 			d.lost++
 		}
 	}
 	sort.Slice(d.live, func(i, j int) bool { return d.live[i].VM < d.live[j].VM })
-	d.cores, _ = most(d.live)
+	d.maxCores, _ = maxCapacity(d.live)
 	for _, m := range d.live {
 		d.view ^= score(strconv.FormatUint(uint64(m.Incarnation), 36)+"/"+strconv.FormatUint(m.Seq, 36), m.VM)
 	}
@@ -248,50 +256,51 @@
 	return d
 }
 
-// Targets lists whom to beat now.
+// Targets returns the members that get heartbeats now. The slice is shared and must not be modified.
 func (t *Table) Targets(now clock.Milli) []peer.Member {
 	d := t.derive()
 	rotation := now / t.rules.Rotation
 	if d.rotation != rotation {
 		d.rotation = rotation
-		d.neighbours, d.targets = t.pick(rotation, d.live)
+		d.successors, d.targets = t.pickTargets(rotation, d.live)
 	}
 	return d.targets
 }
 
-// Neighbours lists the members that this one beats as long as they live.
+// RingSuccessors returns the members that get heartbeats as long as they are live. The slice is shared
+// and must not be modified.
 func (t *Table) Neighbours() []peer.Member {
 	if t.derive().rotation < 0 {
 		t.Targets(0)
 	}
-	return t.derive().neighbours
+	return t.derive().successors
 }
 
-// pick chooses the next members on the ring of hashed names, and whom to beat.
-func (t *Table) pick(rotation clock.Milli, live []peer.Member) (neighbours, targets []peer.Member) {
+// pickTargets chooses the successors of this member on the ring of hashed names, and the heartbeat targets.
+func (t *Table) pickTargets(rotation clock.Milli, live []peer.Member) (successors, targets []peer.Member) {
 	var others []peer.Member
 	for _, m := range live {
 		if m.VM != t.self.VM {
 			others = append(others, m)
 		}
 	}
-	own := score("ring", t.self.VM)
-	order(others, func(m peer.Member) uint64 { return score("ring", m.VM) - own })
-	t.spread(others)
+	selfScore := score("ring", t.self.VM)
+	sortBy(others, func(m peer.Member) uint64 { return score("ring", m.VM) - selfScore })
+	t.putOtherDomainSecond(others)
 	fixed := min(t.rules.Fixed, len(others))
-	neighbours = others[:fixed:fixed]
+	successors = others[:fixed:fixed]
 	if len(others) < t.rules.Full {
-		return neighbours, others
+		return successors, others
 	}
 	rest := others[fixed:]
 	salt := string(t.self.VM) + strconv.FormatInt(int64(rotation), 10)
-	order(rest, func(m peer.Member) uint64 { return score(salt, m.VM) })
-	return neighbours, append(neighbours, rest[:min(t.rules.Random, len(rest))]...)
+	sortBy(rest, func(m peer.Member) uint64 { return score(salt, m.VM) })
+	return successors, append(successors, rest[:min(t.rules.Random, len(rest))]...)
 }
 
-// spread moves the nearest member of another failure domain to the second
-// place, so that the neighbours are not all lost with this one's own domain.
-func (t *Table) spread(ring []peer.Member) {
+// putOtherDomainSecond moves the first member of another failure domain to the second position of ring, unless it
+// is further ahead. So the successors are not all lost with the failure domain of this member.
+func (t *Table) putOtherDomainSecond(ring []peer.Member) {
 	for i, m := range ring {
 		if m.Domain != t.self.Domain {
 			if i > 1 {
@@ -303,8 +312,8 @@
 	}
 }
 
-// order sorts members by a number each.
-func order(ms []peer.Member, number func(peer.Member) uint64) {
+// sortBy sorts members by number, called once for each.
+func sortBy(ms []peer.Member, number func(peer.Member) uint64) {
 	numbers := make(map[peer.VM]uint64, len(ms))
 	for _, m := range ms {
 		numbers[m.VM] = number(m)
@@ -312,54 +321,55 @@
 	sort.Slice(ms, func(i, j int) bool { return numbers[ms[i].VM] < numbers[ms[j].VM] })
 }
 
-// News returns what a beat to a member carries: what changed of late, what is
-// believed of the receiver if that is not good, and with all set the next
-// stretch of the whole table.
+// Updates returns the descriptions to send in a heartbeat to a member: that of the receiver itself if
+// its health is not Live, recent changes, and with all set the next part of the list of live members.
 func (t *Table) News(to peer.VM, all bool) []peer.Member {
 	var ms []peer.Member
-	if r := t.rows[to]; r != nil && r.member.Health != peer.Live {
-		ms = append(ms, r.member)
+	if e := t.entries[to]; e != nil && e.member.Health != peer.Live {
+		ms = append(ms, e.member)
 	}
-	if t.tell > 0 {
-		t.tell--
+	if t.selfSends > 0 {
+		t.selfSends--
 	}
-	ms = t.tellRows(ms, to, true)
-	ms = t.tellRows(ms, to, false)
+	ms = t.appendChanges(ms, to, true)
+	ms = t.appendChanges(ms, to, false)
 	if all {
-		ms = append(ms, t.stretch(t.rules.Most-len(ms))...)
+		ms = append(ms, t.nextLive(t.rules.Most-len(ms))...)
 	}
 	return ms
 }
 
-// tellRows adds what changed of late of the strong members, or of the others.
+// appendChanges appends recent changes of the high-capacity members, or with highCapacity unset of the others.
 //
-// Strong members come first, or VMs that start together would each know another few of them, and name different owners.
-func (t *Table) tellRows(ms []peer.Member, to peer.VM, strong bool) []peer.Member {
-	least := t.derive().cores
-	for v, r := range t.rows {
-		if r.tell == 0 || v == to || len(ms) >= t.rules.Most || strong != (r.member.Cores*strongPart >= least) {
+// The high-capacity members have to be sent first. Otherwise VMs that start together would each receive a different
+// few of them, and choose different owners.
+func (t *Table) appendChanges(ms []peer.Member, to peer.VM, highCapacity bool) []peer.Member {
+	maxCores := t.derive().maxCores
+	for v, e := range t.entries {
+		if e.sends == 0 || v == to || len(ms) >= t.rules.Most || highCapacity != (e.member.Cores*capacityDivisor >= maxCores) {
 			continue
 		}
-		r.tell--
-		ms = append(ms, r.member)
+		e.sends--
+		ms = append(ms, e.member)
 	}
 	return ms
 }
 
-// Fresh tells whether there is news to send.
+// HasUpdates reports whether there are changes to send.
 func (t *Table) Fresh() bool {
-	if t.tell > 0 {
+	if t.selfSends > 0 {
 		return true
 	}
-	for _, r := range t.rows {
-		if r.tell > 0 {
+	for _, e := range t.entries {
+		if e.sends > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) stretch(most int) []peer.Member {
+// nextLive returns up to most live members, following those of the previous call.
+func (t *Table) nextLive(most int) []peer.Member {
 	live := t.Live()
 	from := sort.Search(len(live), func(i int) bool { return live[i].VM > t.cursor })
 	var ms []peer.Member
--- a/daemon/member/table_bench_test.go
+++ b/daemon/member/table_bench_test.go
@@ -10,8 +10,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// meter encodes messages as net/rpc does, with one encoder for each pair that
-// beats, and counts their bytes.
+// meter encodes messages as net/rpc does, with one encoder for each pair of members that exchange
+// heartbeats, and counts the bytes.
 type meter struct {
 	bytes int64
 	pairs map[[2]peer.VM]*gob.Encoder
@@ -36,20 +36,19 @@
 	}
 }
 
-// BenchmarkPlayed plays the heartbeats of a large fleet in one thread and
-// prints bytes a second out of a node, gob and net/rpc headers included, and the
-// processor time of a node's share. "replaced" replaces one member each ten
-// seconds, many times as often as the planned 372 a day.
-func BenchmarkPlayed(b *testing.B) {
+// BenchmarkSimulatedHeartbeats simulates the heartbeats of a large fleet in one goroutine. It reports the
+// bytes per second that a node sends, including gob and net/rpc headers, and the processor time per node.
+// The variant "replaced" replaces one member every ten seconds, many times as often as the planned 372 a day.
+func BenchmarkSimulatedHeartbeats(b *testing.B) {
 	for _, size := range []int{81, 450} {
 		for _, churn := range []bool{false, true} {
 			name := map[bool]string{false: "quiet", true: "replaced"}[churn]
-			b.Run(fmt.Sprintf("%d-%s", size, name), func(b *testing.B) { play(b, size, churn) })
+			b.Run(fmt.Sprintf("%d-%s", size, name), func(b *testing.B) { simulate(b, size, churn) })
 		}
 	}
 }
 
-func play(b *testing.B, size int, churn bool) {
+func simulate(b *testing.B, size int, churn bool) {
 	g := &group{now: 1000, tables: map[peer.VM]*Table{}, views: map[[2]peer.VM]uint64{}}
 	g.cut = func(_, _ peer.VM) bool { return false }
 	for i := range size {
@@ -93,7 +92,7 @@
 	runtime.KeepAlive(g)
 }
 
-// replace starts a new life of one member, which knows the first one only.
+// replace starts a new incarnation of one member, whose table contains only one other member.
 func (g *group) replace(r int) {
 	i := (7*r + 13) % len(g.order)
 	m := self(i)
--- a/daemon/member/table_test.go
+++ b/daemon/member/table_test.go
@@ -11,16 +11,16 @@
 	"snipeshift.example/lib/peer"
 )
 
-// group plays many tables in one thread, with a network that can be cut.
+// group simulates the heartbeats between many tables in one goroutine, with a network that can be partitioned.
 type group struct {
 	t      *testing.T
 	now    clock.Milli
 	tables map[peer.VM]*Table
 	order  []peer.VM
 	views  map[[2]peer.VM]uint64
-	// cut tells whether a message from a to b is lost.
+	// cut reports whether messages from a to b are lost.
 	cut func(a, b peer.VM) bool
-	// sent, if not nil, sees each message.
+	// sent, if not nil, is called with each message.
 	sent func(from *Table, to peer.VM, known []peer.Member, reply bool)
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// newGroup starts n members that know only the first one.
+// newGroup returns a group of n members whose tables contain only themselves and the first member.
 func newGroup(t *testing.T, n int) *group {
 	g := &group{
 		t: t, now: 1000, tables: map[peer.VM]*Table{}, views: map[[2]peer.VM]uint64{},
@@ -48,7 +48,7 @@
 	return g
 }
 
-// round lets every member beat its targets once, as Members does.
+// round sends a heartbeat from every member to each of its targets, as Members does.
 func (g *group) round() {
 	g.now += DefaultRules.Period(len(g.order))
 	for _, v := range g.order {
@@ -87,8 +87,8 @@
 	g.views[[2]peer.VM{b, a}] = from.View()
 }
 
-// until plays rounds until all members present agree that want are live.
-func (g *group) until(most, want int) int {
+// runUntil runs up to most rounds until every running member has want live members, and returns the number of rounds.
+func (g *group) runUntil(most, want int) int {
 	for r := range most {
 		if g.agree(want) {
 			return r
@@ -108,7 +108,7 @@
 	return true
 }
 
-// sizes are played in tests; the largest takes minutes under the race detector.
+// sizes returns the group sizes for tests; the largest would take minutes under the race detector.
 func sizes() []int {
 	if race {
 		return []int{3, 9, 27, 81}
@@ -116,35 +116,34 @@
 	return []int{3, 9, 27, 81, 450}
 }
 
-func TestMembersFindEachOther(t *testing.T) {
+func TestAllMembersJoin(t *testing.T) {
 	for _, n := range sizes() {
 		g := newGroup(t, n)
-		rounds := g.until(60, n)
-		t.Logf("%d members: all known after %d rounds", n, rounds)
+		rounds := g.runUntil(60, n)
+		t.Logf("%d members: all tables complete after %d rounds", n, rounds)
 	}
 }
 
-// A VM dies. While others take it for live, its pools have no owner that
-// answers and callers wait; so it must leave every table within seconds.
-func TestDeadMemberLeavesEveryTable(t *testing.T) {
+// A VM crashes. As long as other VMs count it as live, the owner of its pools does not respond and
+// clients wait, so it must be removed from every live list within seconds.
+func TestCrashedMemberIsRemovedFromEveryTable(t *testing.T) {
 	for _, n := range sizes() {
 		g := newGroup(t, n)
-		g.until(60, n)
+		g.runUntil(60, n)
 		delete(g.tables, name(n/2))
 		before := g.now
-		g.until(20, n-1)
-		t.Logf("%d members: gone from all after %d ms", n, g.now-before)
+		g.runUntil(20, n-1)
+		t.Logf("%d members: removed from all tables after %d ms", n, g.now-before)
 		require.LessOrEqual(t, g.now-before, 10*clock.Second)
 	}
 }
 
-// Two VMs lose each other while all others reach both. If each threw the other
-// out, owners would change forth and back and callers would see refusals; the
-// word of the others must keep both in.
-func TestOneCutLinkExpelsNobody(t *testing.T) {
+// The link between two VMs fails while all others reach both. If each gave up the other, owners would
+// change back and forth and clients would get errors. The two must refute the suspicion through the others.
+func TestFailureOfOneLinkRemovesNoMember(t *testing.T) {
 	for _, n := range []int{3, 9, 81} {
 		g := newGroup(t, n)
-		g.until(60, n)
+		g.runUntil(60, n)
 		a := g.tables[name(0)].Targets(g.now)[0].VM
 		g.cut = func(x, y peer.VM) bool { return x == name(0) && y == a || x == a && y == name(0) }
 		for range 60 {
@@ -154,12 +153,12 @@
 	}
 }
 
-// Regions lose each other for a minute. Each side goes on with its own members,
-// and when the cut heals both find each other again without a restart.
-func TestSplitHeals(t *testing.T) {
+// Regions are partitioned for a minute. Each side continues with its own members, and after the
+// partition both sides find each other again without a restart.
+func TestMembersRejoinAfterPartition(t *testing.T) {
 	for _, n := range []int{9, 81} {
 		g := newGroup(t, n)
-		g.until(60, n)
+		g.runUntil(60, n)
 		side := func(v peer.VM) bool { return v < name(n/3) }
 		g.cut = func(a, b peer.VM) bool { return side(a) != side(b) }
 		for range 60 {
@@ -167,48 +166,48 @@
 		}
 		require.Len(t, g.tables[name(0)].Live(), n/3)
 		require.Len(t, g.tables[name(n-1)].Live(), n-n/3)
-		require.Equal(t, n-n/3, g.tables[name(0)].Lost(), "they may live behind the cut")
+		require.Equal(t, n-n/3, g.tables[name(0)].Lost(), "they may still run on the other side of the partition")
 		require.Equal(t, n/3, g.tables[name(n-1)].Lost())
 		g.cut = func(_, _ peer.VM) bool { return false }
-		// The seeds join the sides: one contact is enough.
+		// Seeds connect the sides: one heartbeat between them is enough.
 		g.exchange(g.tables[name(0)], name(n-1))
-		rounds := g.until(60, n)
-		t.Logf("%d members: joined after %d rounds", n, rounds)
+		rounds := g.runUntil(60, n)
+		t.Logf("%d members: sides rejoined after %d rounds", n, rounds)
 		for _, v := range g.order {
 			require.Zero(t, g.tables[v].Lost())
 		}
 	}
 }
 
-func TestPlannedLeaveIsBelievedAtOnce(t *testing.T) {
+func TestPlannedLeaveTakesEffectAtOnce(t *testing.T) {
 	g := newGroup(t, 3)
-	g.until(60, 3)
+	g.runUntil(60, 3)
 	leaving := g.tables[name(2)]
 	leaving.Leave()
 	g.exchange(leaving, name(0))
 	g.exchange(leaving, name(1))
 	delete(g.tables, name(2))
 	require.True(t, g.agree(2))
-	require.Zero(t, g.tables[name(0)].Lost(), "it has said so")
+	require.Zero(t, g.tables[name(0)].Lost(), "the member announced its stop")
 }
 
-// A VM that is dead for good must not weigh on the others for good.
-func TestALostMemberIsForgotten(t *testing.T) {
+// A VM that never comes back must not be counted as lost by the others forever.
+func TestLostMemberIsForgotten(t *testing.T) {
 	g := newGroup(t, 3)
-	g.until(60, 3)
+	g.runUntil(60, 3)
 	delete(g.tables, name(2))
-	g.until(60, 2)
+	g.runUntil(60, 2)
 	require.Equal(t, 1, g.tables[name(0)].Lost())
 	g.now += DefaultRules.Forget
 	g.round()
 	require.Zero(t, g.tables[name(0)].Lost())
 }
 
-// A VM is replaced by one of the same name while the old one is only frozen.
-// When the old one thaws it must learn that its name has gone on without it.
-func TestOlderLifeLearnsThatItIsSuperseded(t *testing.T) {
+// A VM that is suspended is replaced by a new one of the same name. When the old one resumes, it must
+// learn that a later incarnation is running.
+func TestOlderIncarnationLearnsThatItIsSuperseded(t *testing.T) {
 	g := newGroup(t, 3)
-	g.until(60, 3)
+	g.runUntil(60, 3)
 	old := g.tables[name(2)]
 	later := self(2)
 	later.Incarnation = 2
@@ -220,11 +219,11 @@
 	require.False(t, g.tables[name(2)].Superseded())
 }
 
-// A VM was stopped for a minute and goes on. Its own table has heard nobody
-// for that long; it must not take the pause for the death of all others.
-func TestPauseOfOneExpelsNobodyElse(t *testing.T) {
+// A VM is suspended for a minute and received no heartbeats during that time. When it resumes, it must
+// not conclude that all other members have crashed.
+func TestPausedMemberRemovesNoOther(t *testing.T) {
 	g := newGroup(t, 9)
-	g.until(60, 9)
+	g.runUntil(60, 9)
 	table := g.tables[name(1)]
 	table.Missed(g.now, name(2))
 	table.Learn(g.now, peer.Member{VM: name(2), Incarnation: 1, Health: peer.Doubted, Address: "x"})
@@ -234,12 +233,12 @@
 	require.Len(t, table.Live(), 9)
 }
 
-// A failure domain is lost whole. If both neighbours that hold a VM's usage
-// were in its own domain, what they hold would be lost with it.
-func TestSecondNeighbourIsOfAnotherDomain(t *testing.T) {
+// A whole failure domain is lost. If both successors that store copies of a VM's usage counters were in
+// its own failure domain, the copies would be lost with it.
+func TestRingSuccessorsSpanTwoDomains(t *testing.T) {
 	for _, n := range []int{3, 9, 81} {
 		g := newGroup(t, n)
-		g.until(60, n)
+		g.runUntil(60, n)
 		for _, table := range g.tables {
 			ns := table.Neighbours()
 			require.Len(t, ns, 2)
@@ -249,7 +248,7 @@
 	}
 }
 
-func TestOwnerStaysInTheDomainOfItsPool(t *testing.T) {
+func TestOwnerIsInDomainOfPool(t *testing.T) {
 	var ms []peer.Member
 	for i := range 9 {
 		ms = append(ms, self(i))
@@ -265,7 +264,7 @@
 	require.NotEmpty(t, owner.VM)
 }
 
-func TestOnlyTheKeysOfALostMemberMove(t *testing.T) {
+func TestOnlyKeysOfStoppingMemberMove(t *testing.T) {
 	var ms []peer.Member
 	for i := range 9 {
 		ms = append(ms, self(i))
@@ -292,35 +291,34 @@
 	require.False(t, ok)
 }
 
-// One member takes a new document. Whoever learns of a higher revision beats
-// at once, so news crosses one hop in a beat's time; a member that lost that
-// beat still hears of it in the rounds that follow.
-func TestNewsReachesAllInFewHops(t *testing.T) {
+// One member receives a new document. Every member that learns of a higher revision sends heartbeats at
+// once, so the revision advances one hop per heartbeat. If such a heartbeat is lost, later rounds repeat it.
+func TestRevisionReachesAllInFewHops(t *testing.T) {
 	for _, n := range sizes() {
 		g := newGroup(t, n)
-		g.until(60, n)
-		know := map[peer.VM]bool{name(0): true}
+		g.runUntil(60, n)
+		informed := map[peer.VM]bool{name(0): true}
 		hops := 0
-		for ; len(know) < n; hops++ {
+		for ; len(informed) < n; hops++ {
 			require.Less(t, hops, 20)
-			next := maps.Clone(know)
+			next := maps.Clone(informed)
 			for _, v := range g.order {
 				for _, to := range g.tables[v].Targets(g.now) {
-					// A beat carries the revision both ways.
-					if know[v] || know[to.VM] {
+					// A heartbeat and its reply carry the revision in both directions.
+					if informed[v] || informed[to.VM] {
 						next[v], next[to.VM] = true, true
 					}
 				}
 			}
-			know = next
+			informed = next
 		}
-		t.Logf("%d members: all know after %d rounds", n, hops)
+		t.Logf("%d members: revision reached all after %d rounds", n, hops)
 	}
 }
 
-// One small VM of three hundred is drawn as owner of a service with hundreds of requests a second. Nothing
-// waits in its queue, and it answers after a quarter of a second all the same, since its processor is used up.
-func TestStrongMembersDecideForOthers(t *testing.T) {
+// A small VM among three hundred is chosen as owner of a service with hundreds of requests a second. It replies only
+// after a quarter of a second although its queue is empty, since its processor is used up.
+func TestHighCapacityMembersRankFirst(t *testing.T) {
 	var ms []peer.Member
 	for i := range 300 {
 		m := self(i)
@@ -338,15 +336,15 @@
 	for i := range ms {
 		ms[i].Stopping = ms[i].Cores == 800
 	}
-	require.Len(t, RankStrong("service", ms), 285, "without strong ones the others decide")
-	require.Len(t, Strong([]peer.Member{self(1), self(2)}), 2, "nobody says what it has")
+	require.Len(t, RankStrong("service", ms), 285, "if all high-capacity members are stopping, the others remain")
+	require.Len(t, Strong([]peer.Member{self(1), self(2)}), 2, "no member declares its capacity")
 	require.Equal(t, []peer.Member{{VM: "a", Cores: 4, Link: 1}},
-		Strong([]peer.Member{{VM: "a", Cores: 4, Link: 1}, {VM: "b", Cores: 1, Link: 9}}), "the processor goes first")
+		Strong([]peer.Member{{VM: "a", Cores: 4, Link: 1}, {VM: "b", Cores: 1, Link: 9}}), "if no member has both, the processor counts")
 }
 
-// Three hundred VMs start together and hear from a seed of as many members as a beat carries. If the strong ones are not
-// among them, each VM names another owner.
-func TestNewsOfStrongMembersGoesFirst(t *testing.T) {
+// Three hundred VMs start together and learn from a seed only as many members as one heartbeat carries. If the
+// high-capacity ones are not among them, the VMs choose different owners.
+func TestUpdatesListHighCapacityMembersFirst(t *testing.T) {
 	table := NewTable(self(0), DefaultRules)
 	for i := 1; i < 200; i++ {
 		m := self(i)
@@ -356,11 +354,11 @@
 		}
 		table.Learn(1, m)
 	}
-	strong := 0
+	highCapacity := 0
 	for _, m := range table.News(name(7), false) {
 		if m.Cores == 800 {
-			strong++
+			highCapacity++
 		}
 	}
-	require.Equal(t, 9, strong)
+	require.Equal(t, 9, highCapacity)
 }
