--- a/bench/passes/play.go
+++ b/bench/passes/play.go
@@ -324,7 +324,7 @@
 	j.members, j.parts = len(places), len(places)
 	j.leader = p.engines[g.Leader.Upstream]
 	tokens := float64(j.prompt) / float64(len(places))
-	cost := p.load.Engine.Reading(j.prompt) / float64(j.prompt)
+	cost := p.load.Engine.PrefillTime(j.prompt) / float64(j.prompt)
 	for _, pl := range places {
 		e := p.engines[pl.Upstream]
 		pt := &part{job: j, tokens: tokens, cost: cost}
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -40,7 +40,7 @@
 func (d *Day) works(a *passes.Arrival, writes bool) []work {
 	e := &d.Load.Engine
 	aim := float64(a.Kind.Aim)
-	read := work{first: int(a.At / slot), last: int((a.At + aim) / slot), cost: e.Reading(a.Prompt), worth: a.Kind.Of(a.Prompt)}
+	read := work{first: int(a.At / slot), last: int((a.At + aim) / slot), cost: e.PrefillTime(a.Prompt), worth: a.Kind.Of(a.Prompt)}
 	switch n := float64(a.Events - 1); {
 	case read.cost > aim*float64(min(mostEngines, d.Load.Engines)):
 		return nil
--- a/daemon/placer/hold_test.go
+++ b/daemon/placer/hold_test.go
@@ -27,7 +27,7 @@
 func TestAnAnswerThatComesTooLateIsNotRead(t *testing.T) {
 	self, far := peer.Member{VM: "self", Address: "self"}, peer.Member{VM: "far", Address: "far"}
 	o := ownerAt(t, at{members{far, self}, self}, halfAnswered{}, "e0")
-	o.Holders.Hear(holder.Of("s", far, 1), "test")
+	o.Holders.Update(holder.NewHolder("s", far, 1), "test")
 	var reply AskReply
 	require.NoError(t, o.Ask(&AskArgs{Service: "s", Ask: ask("1"), Epoch: 1}, &reply))
 	require.False(t, reply.Decided)
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -275,7 +275,7 @@
 	}
 	f.send(v, reply.Grant.Leader.Upstream)
 	time.Sleep(20 * time.Millisecond)
-	v.client.First(a.ID)
+	v.client.FirstByte(a.ID)
 	time.Sleep(answerTime)
 	v.client.End(a.ID, span.Done, "")
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -136,10 +136,10 @@
 	d.placer = placer.NewClient(d.clock, d.log, d.members, d.dialer, d.owner, id)
 	fresh := upstreamTransport()
 	fresh.DisableKeepAlives = true
-	d.gate = relay.New(relay.Needs{
-		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Knowledge: d.registry,
-		Suspects: q, Memory: engines, Kept: kept, Fresh: fresh,
-	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, Bodies: int64(bodiesShare * float64(s.Memory) * (1 << 20))}, id)
+	d.gate = relay.New(relay.Dependencies{
+		Clock: d.clock, Log: d.log, Codec: platform.Codec{}, Placer: d.placer, Registry: d.registry,
+		Suspects: q, Memory: engines, Pooled: kept, Unpooled: fresh,
+	}, relay.Bounds{Revoke: s.Bounds.Revoke, Config: s.Bounds.Config, BodyBytes: int64(bodiesShare * float64(s.Memory) * (1 << 20))}, id)
 	var g errs
 	g.add(d.peers.Register(member.Name, member.NewReceiver(d.members, noDocuments{})))
 	g.add(d.peers.Register(quarantine.Name, quarantine.NewReceiver(q)))
@@ -173,7 +173,7 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialLives(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
+		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
 		DisableCompression: true, MaxIdleConnsPerHost: keptEach, IdleConnTimeout: upstreamIdle,
 		WriteBufferSize: 16 << 10,
 	}
@@ -295,7 +295,7 @@
 func (d *relayed) insight() *insight.Page {
 	return insight.New(insight.Sources{
 		VM: d.settings.Name, Clock: d.clock, Gate: d.gate, Registry: d.registry, Members: d.members, Holders: d.holders,
-		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.lines,
+		Placer: d.placer, Owner: d.owner, Store: d.store, LogWriter: d.lines,
 	})
 }
 
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -67,7 +67,7 @@
 		seen:      map[decide.RequestID]clock.Milli{},
 		missed:    map[decide.UpstreamID]int{},
 	}
-	p.core = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Rebuild: rebuild, Seed: uint64(epoch), Delay: wordDelay})
+	p.core = decide.New(decide.Config{Epoch: epoch, Lease: Lease, Recovery: rebuild, Seed: uint64(epoch), ProgressDelay: wordDelay})
 	p.configure()
 	return p
 }
@@ -386,10 +386,10 @@
 	}
 }
 
-// Look is a pool as operators see it.
-type Look struct {
+// Status is a pool as operators see it.
+type Status struct {
 	Summary   decide.Summary
-	Upstreams []decide.View
+	Upstreams []decide.UpstreamView
 	Grants    []decide.Grant
 	// Addresses, Used, Reported and Fenced are by upstream: host:port, the
 	// engine's own word on its memory, when it gave it, and whether it checks
@@ -406,12 +406,12 @@
 // Epoch tells this pool from the ones of earlier and other owners.
 func (p *Pool) Epoch() decide.Epoch { return p.epoch }
 
-// Look copies what operators see.
-func (p *Pool) Look() Look {
+// Status copies what operators see.
+func (p *Pool) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
-	l := Look{
+	l := Status{
 		Summary: p.core.Summary(now), Upstreams: p.core.Upstreams(now), Grants: p.core.Grants(),
 		Addresses: map[decide.UpstreamID]string{}, Used: map[decide.UpstreamID]decide.Tokens{},
 		Reported: map[decide.UpstreamID]clock.Milli{}, Fenced: map[decide.UpstreamID]bool{},
--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -84,7 +84,7 @@
 	b.changeUpstreams(listing(upstreams("c", "young")), mark(10), b.clock.Now())
 	leaving := upstreams("c")
 	leaving[0].Leaving = true
-	b.changeUpstreams(route.News{Upstreams: leaving, Gone: []decide.UpstreamID{"b"}}, mark(11), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Upstreams: leaving, Removed: []decide.UpstreamID{"b"}}, mark(11), b.clock.Now())
 	b.restoreStore(document(1), upstreams("a", "b", "c"))
 	b.list()
 	used, left := b.usedAndLeaving()
@@ -265,7 +265,7 @@
 func TestUnverifiedEntriesOfPeerRemoveNothing(t *testing.T) {
 	b, verifying, uninformed := newHarness(t), newHarness(t), newHarness(t)
 	verifying.Registry.clock, uninformed.Registry.clock = b.clock, b.clock
-	gone := route.News{Gone: []decide.UpstreamID{"b"}}
+	gone := route.UpstreamUpdate{Removed: []decide.UpstreamID{"b"}}
 	verifying.changeUpstreams(gone, mark(10), b.clock.Now())
 	uninformed.changeUpstreams(gone, mark(10), b.clock.Now())
 	verifying.restoreStore(document(1), upstreams("a", "b"))
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -270,7 +270,7 @@
 		return route.Position{}, r.checkEra(at.Era)
 	}
 	proven := sent
-	if len(update.Upstreams) == 0 && len(update.Gone) == 0 && len(update.Unusable) == 0 {
+	if len(update.Upstreams) == 0 && len(update.Removed) == 0 && len(update.Unusable) == 0 {
 		proven = r.provenUntil(sent, wait)
 	}
 	r.changeUpstreams(update, at, proven)
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -161,7 +161,7 @@
 		return false
 	}
 	if len(us) > 0 {
-		r.learnPeerUpstreams(route.News{Upstreams: us, Unusable: reply.Unusable, Doubted: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
+		r.learnPeerUpstreams(route.UpstreamUpdate{Upstreams: us, Unusable: reply.Unusable, Unverified: reply.Doubted}, reply.Word.Position(), sent-reply.UpstreamsAge)
 	}
 	return true
 }
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -27,8 +27,8 @@
 type Store interface {
 	Document(ctx context.Context) (*route.Document, route.Position, error)
 	WatchDocument(ctx context.Context, after route.Position, wait clock.Milli) (*route.Document, route.Position, error)
-	Upstreams(ctx context.Context) (route.News, route.Position, error)
-	WatchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.News, route.Position, error)
+	Upstreams(ctx context.Context) (route.UpstreamUpdate, route.Position, error)
+	WatchUpstreams(ctx context.Context, after route.Position, wait clock.Milli) (route.UpstreamUpdate, route.Position, error)
 }
 
 // Peers calls net/rpc methods of other daemons.
@@ -237,7 +237,7 @@
 // departure is when an upstream was removed, and its incarnation.
 type departure struct {
 	at   clock.Milli
-	born decide.Born
+	born decide.Incarnation
 }
 
 // RosterFunc returns the current roster.
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -43,12 +43,12 @@
 }
 
 // position returns a position in the present era.
-func (f *fakeStore) position(m route.Mark) route.Position {
+func (f *fakeStore) position(m route.StoreRevision) route.Position {
 	return route.Position{Era: f.at.Era, Mark: m}
 }
 
 // mark returns a position without an era.
-func mark(m route.Mark) route.Position { return route.Position{Mark: m} }
+func mark(m route.StoreRevision) route.Position { return route.Position{Mark: m} }
 
 // next returns the position that follows p.
 func next(p route.Position) route.Position { return route.Position{Era: p.Era, Mark: p.Mark + 1} }
@@ -74,26 +74,26 @@
 	return nil, f.position(2), nil
 }
 
-func (f *fakeStore) Upstreams(context.Context) (route.News, route.Position, error) {
+func (f *fakeStore) Upstreams(context.Context) (route.UpstreamUpdate, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return route.News{}, route.Position{}, errDown
+		return route.UpstreamUpdate{}, route.Position{}, errDown
 	}
 	f.at.Mark++
-	return route.News{Upstreams: f.upstreams}, f.at, nil
+	return route.UpstreamUpdate{Upstreams: f.upstreams}, f.at, nil
 }
 
-func (f *fakeStore) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.News, route.Position, error) {
+func (f *fakeStore) WatchUpstreams(context.Context, route.Position, clock.Milli) (route.UpstreamUpdate, route.Position, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return route.News{}, route.Position{}, errDown
+		return route.UpstreamUpdate{}, route.Position{}, errDown
 	}
 	gone := f.gone
 	f.gone = nil
 	f.at.Mark++
-	return route.News{Gone: gone}, f.at, nil
+	return route.UpstreamUpdate{Removed: gone}, f.at, nil
 }
 
 // localPeer calls a receiver without a network.
@@ -116,7 +116,7 @@
 }
 
 // listing returns the answer of the store to a list with these upstreams.
-func listing(us []route.Upstream) route.News { return route.News{Upstreams: us} }
+func listing(us []route.Upstream) route.UpstreamUpdate { return route.UpstreamUpdate{Upstreams: us} }
 
 type harness struct {
 	*Registry
@@ -338,14 +338,14 @@
 // that announced that it leaves, is still removed at once.
 func TestUpstreamsRemovedTogetherAreRetained(t *testing.T) {
 	b := newHarness(t)
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a", "b"}}, mark(60), b.clock.Now())
 	require.Equal(t, 2, b.upstreamCount())
 	b.clock.advance(clock.Second)
 	b.changeUpstreams(listing(upstreams("a")), mark(61), b.clock.Now())
 	b.clock.advance(massRemovalHold)
-	b.changeUpstreams(route.News{}, mark(62), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{}, mark(62), b.clock.Now())
 	require.Equal(t, 1, b.upstreamCount(), "b did not come back")
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a"}}, mark(63), b.clock.Now())
 	require.Equal(t, 0, b.upstreamCount(), "a single upstream is removed at once")
 
 	b.list()
@@ -359,7 +359,7 @@
 	leaving := upstreams("c", "d")
 	leaving[0].Leaving, leaving[1].Leaving = true, true
 	b.changeUpstreams(listing(leaving), mark(64), b.clock.Now())
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"c", "d"}}, mark(65), b.clock.Now())
 	require.Equal(t, 0, b.upstreamCount(), "they had announced that they leave")
 }
 
@@ -600,8 +600,8 @@
 }
 
 // unusable returns the store's answer for entries that are invalid for a reason.
-func unusable(reason string, ids ...decide.UpstreamID) route.News {
-	var n route.News
+func unusable(reason string, ids ...decide.UpstreamID) route.UpstreamUpdate {
+	var n route.UpstreamUpdate
 	for _, id := range ids {
 		n.Unusable = append(n.Unusable, route.Unusable{ID: id, Reason: reason})
 	}
@@ -625,7 +625,7 @@
 	b.watch()
 	b.clock.advance(5 * clock.Second)
 	b.store.down = false
-	b.learnUpstreams(route.News{Upstreams: upstreams("b"), Unusable: unusable("no state", "a").Unusable}, mark(13), b.clock.Now())
+	b.learnUpstreams(route.UpstreamUpdate{Upstreams: upstreams("b"), Unusable: unusable("no state", "a").Unusable}, mark(13), b.clock.Now())
 	require.Equal(t, 1, b.upstreamCount())
 }
 
@@ -663,7 +663,7 @@
 }
 
 // upstreamsBorn returns upstreams whose incarnation started at an instant.
-func upstreamsBorn(born decide.Born, ids ...decide.UpstreamID) []route.Upstream {
+func upstreamsBorn(born decide.Incarnation, ids ...decide.UpstreamID) []route.Upstream {
 	us := upstreams(ids...)
 	for i := range us {
 		us[i].Born = born
@@ -676,7 +676,7 @@
 // exclude the new one.
 func TestEntryOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := newHarness(t)
-	born := func() decide.Born {
+	born := func() decide.Incarnation {
 		return b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Born
 	}
 	b.changeUpstreams(listing(upstreamsBorn(5, "a")), mark(10), b.clock.Now())
@@ -690,7 +690,7 @@
 	require.False(t, b.View().Upstream("s", func(u *route.Upstream) bool { return u.ID == "a" }).Leaving)
 	require.Equal(t, generation+1, b.View().Generation, "only b has changed")
 
-	b.changeUpstreams(route.News{Gone: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
+	b.changeUpstreams(route.UpstreamUpdate{Removed: []decide.UpstreamID{"a"}}, mark(14), b.clock.Now())
 	b.learnPeerUpstreams(listing(upstreamsBorn(7, "a", "b")), mark(15), b.clock.Now())
 	require.Equal(t, 1, b.upstreamCount(), "that incarnation has left")
 	b.learnPeerUpstreams(listing(upstreamsBorn(9, "a", "b")), mark(16), b.clock.Now())
--- a/daemon/registry/upstreams.go
+++ b/daemon/registry/upstreams.go
@@ -15,7 +15,7 @@
 
 // learnUpstreams applies a whole list of the store that was current at an instant and has a
 // position.
-func (r *Registry) learnUpstreams(update route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnUpstreams(update route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
@@ -67,7 +67,7 @@
 // removed entries sends no list. But if no VM had current state for long, the store was down for
 // all, and a peer that has just started does not know which entries expired meanwhile. Then
 // upstreams are retained as after the first answer of the store itself.
-func (r *Registry) learnPeerUpstreams(update route.News, position route.Position, at clock.Milli) {
+func (r *Registry) learnPeerUpstreams(update route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.excludeUnusable(update.Unusable)
@@ -81,7 +81,7 @@
 		}
 		kept = append(kept, u)
 	}
-	unverified := r.learnUnverified(update.Doubted)
+	unverified := r.learnUnverified(update.Unverified)
 	until := r.clock.Now()
 	if until-max(r.tableVerified, r.upstreamsVerified) > entryTTL {
 		until += outageHold
@@ -111,7 +111,7 @@
 }
 
 // changeUpstreams applies changes that were current at an instant and end at a position.
-func (r *Registry) changeUpstreams(update route.News, position route.Position, at clock.Milli) {
+func (r *Registry) changeUpstreams(update route.UpstreamUpdate, position route.Position, at clock.Milli) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.Era < r.era {
@@ -123,8 +123,8 @@
 		delete(r.unverified, u.ID)
 		r.putUpstream(u, true)
 	}
-	r.massRemoved = r.massRemoval(update.Gone)
-	for _, id := range update.Gone {
+	r.massRemoved = r.massRemoval(update.Removed)
+	for _, id := range update.Removed {
 		delete(r.unusable, id)
 		delete(r.unverified, id)
 		r.remove(id)
--- a/daemon/relay/body.go
+++ b/daemon/relay/body.go
@@ -15,7 +15,7 @@
 
 // limit is the largest body that is taken, in bytes.
 func (x *flight) limit() int64 {
-	if t := x.gate.Knowledge.View().Table; t != nil && t.Document().Limits.Body > 0 {
+	if t := x.gate.Registry.View().Table; t != nil && t.Document().Limits.Body > 0 {
 		return int64(t.Document().Limits.Body)
 	}
 	return bodyLimit
@@ -29,7 +29,7 @@
 		size = x.limit()
 	}
 	g := x.gate
-	if held := g.bodies.Add(size); held > g.bounds.Bodies {
+	if held := g.bodies.Add(size); held > g.bounds.BodyBytes {
 		g.bodies.Add(-size)
 		return nil, fault.New(fault.Overloaded, "%d bytes of requests are held here", held-size).WithRetry(startRetry)
 	}
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -27,12 +27,12 @@
 
 // Codec reads and writes the headers of one protocol.
 type Codec interface {
-	// Head reads a caller's header.
-	Head(h http.Header) (exchange.Head, error)
+	// RequestHead reads a caller's header.
+	RequestHead(h http.Header) (exchange.RequestHead, error)
 	// Forward makes the header that an upstream is sent.
 	Forward(from http.Header, s exchange.Send) http.Header
-	// Word reads what an answer to the request id says of itself.
-	Word(resp *http.Response, id string) exchange.Word
+	// ResponseHead reads what an answer to the request id says of itself.
+	ResponseHead(resp *http.Response, id string) exchange.ResponseHead
 	// Answer copies the header of an upstream's answer for the caller.
 	Answer(to, from http.Header)
 	// Refuse writes the header of an answer of our own.
@@ -42,17 +42,17 @@
 // Placer asks owners for places.
 type Placer interface {
 	Ask(ctx context.Context, s route.ServiceID, a span.Ask) (placer.AskReply, error)
-	First(id decide.RequestID)
+	FirstByte(id decide.RequestID)
 	End(id decide.RequestID, o span.Outcome, culprit decide.UpstreamID)
 	Withdraw(s route.ServiceID, id decide.RequestID)
-	// Hear takes what an answer says of its upstream.
-	Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
+	// RecordStatement takes what an answer says of its upstream.
+	RecordStatement(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
 	// Binding returns a statement of an upstream by which this VM must not send to it now, if there is one.
 	Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool)
 }
 
-// Knowledge is what is known of routes and upstreams.
-type Knowledge interface {
+// Registry is what is known of routes and upstreams.
+type Registry interface {
 	View() *registry.View
 	// Known is closed once there are routes and upstreams.
 	Known() <-chan struct{}
@@ -63,29 +63,29 @@
 	Check(fingerprint uint64) gate.Verdict
 	Begin(fingerprint uint64) bool
 	End(fingerprint uint64, whole bool)
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Memory reserves KV memory on engines.
 type Memory interface {
 	Reserve(ctx context.Context, address, id string, tokens decide.Tokens, hold clock.Milli) (exchange.Reserved, error)
-	Release(ctx context.Context, address, id string) (exchange.Said, error)
+	Release(ctx context.Context, address, id string) (exchange.Declared, error)
 }
 
 // Clock reads a clock that goes on while the VM is suspended.
 type Clock interface{ Now() clock.Milli }
 
-// Needs are what a Gate works with.
-type Needs struct {
-	Clock     Clock
-	Log       *log.Logger
-	Codec     Codec
-	Placer    Placer
-	Knowledge Knowledge
-	Suspects  Suspects
-	Memory    Memory
-	// Kept keeps connections to upstreams between requests; Fresh opens one for each.
-	Kept, Fresh http.RoundTripper
+// Dependencies are what a Gate works with.
+type Dependencies struct {
+	Clock    Clock
+	Log      *log.Logger
+	Codec    Codec
+	Placer   Placer
+	Registry Registry
+	Suspects Suspects
+	Memory   Memory
+	// Pooled keeps connections to upstreams between requests; Fresh opens one for each.
+	Pooled, Unpooled http.RoundTripper
 }
 
 // Bounds are the deployment's, in milliseconds.
@@ -95,13 +95,13 @@
 	Revoke clock.Milli
 	// Config is the time within which a document must be in force.
 	Config clock.Milli
-	// Bodies is how many bytes of requests are held at once.
-	Bodies int64
+	// BodyBytes is how many bytes of requests are held at once.
+	BodyBytes int64
 }
 
 // Gate serves callers.
 type Gate struct {
-	Needs
+	Dependencies
 	bounds Bounds
 	id     decide.GateID
 	// started is when this life of the VM began.
@@ -117,8 +117,8 @@
 }
 
 // New returns a gate; id names this VM in this life.
-func New(n Needs, b Bounds, id decide.GateID) *Gate {
-	return &Gate{Needs: n, bounds: b, id: id, started: n.Clock.Now(), metrics: newMetrics()}
+func New(n Dependencies, b Bounds, id decide.GateID) *Gate {
+	return &Gate{Dependencies: n, bounds: b, id: id, started: n.Clock.Now(), metrics: newMetrics()}
 }
 
 // Stop asks callers to open their next connection elsewhere.
@@ -133,7 +133,7 @@
 	gate    *Gate
 	w       http.ResponseWriter
 	r       *http.Request
-	head    exchange.Head
+	head    exchange.RequestHead
 	route   *route.Route
 	holder  *route.Workspace
 	service route.ServiceID
@@ -196,10 +196,10 @@
 // admit finds the route and proves the workspace.
 func (x *flight) admit() *fault.Error {
 	g := x.gate
-	head, err := g.Codec.Head(x.r.Header)
+	head, err := g.Codec.RequestHead(x.r.Header)
 	x.head = head
 	x.awaitKnowledge()
-	v := g.Knowledge.View()
+	v := g.Registry.View()
 	if v.Table == nil || v.UpstreamsVerified == 0 {
 		return fault.New(fault.Unavailable, "no document is known yet").WithRetry(startRetry)
 	}
@@ -215,14 +215,14 @@
 	}
 	x.service = x.route.Pick(xxhash.Sum64String(head.ID))
 	x.deadline = x.arrived + x.route.Timeout
-	if head.Left > 0 {
-		x.deadline = min(x.deadline, x.arrived+head.Left)
+	if head.TimeLeft > 0 {
+		x.deadline = min(x.deadline, x.arrived+head.TimeLeft)
 	}
-	x.keyed = v.Table.Keyed()
+	x.keyed = v.Table.KeyRequired()
 	if !x.keyed {
 		return nil
 	}
-	x.holder = v.Table.Holder(head.Key)
+	x.holder = v.Table.WorkspaceByKey(head.Key)
 	if x.route.Public {
 		return nil
 	}
@@ -251,8 +251,8 @@
 	if float64(age) > keyShare*float64(x.gate.bounds.Revoke) {
 		return fault.New(fault.Unavailable, "the keys known here are %d ms old", age).WithRetry(startRetry)
 	}
-	if x.holder != nil && v.Table.Holder(x.head.Key) != x.holder {
-		if x.holder = v.Table.Holder(x.head.Key); x.holder == nil {
+	if x.holder != nil && v.Table.WorkspaceByKey(x.head.Key) != x.holder {
+		if x.holder = v.Table.WorkspaceByKey(x.head.Key); x.holder == nil {
 			return fault.New(fault.Unauthorized, "the key was withdrawn")
 		}
 	}
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -34,31 +34,31 @@
 // testCodec is a protocol of few headers, so that these tests know no platform's names.
 type testCodec struct{}
 
-func (testCodec) Head(h http.Header) (exchange.Head, error) {
-	return exchange.Head{ID: h.Get("Id"), Key: route.Key(h.Get("Key")), Last: h.Get("Last")}, nil
+func (testCodec) RequestHead(h http.Header) (exchange.RequestHead, error) {
+	return exchange.RequestHead{ID: h.Get("Id"), Key: route.Key(h.Get("Key")), LastEventID: h.Get("Last")}, nil
 }
 
 func (testCodec) Forward(from http.Header, s exchange.Send) http.Header {
 	h := from.Clone()
 	h.Del("Key")
 	h.Set("Workspace", string(s.Workspace))
-	h.Set("Left", fmt.Sprint(int64(s.Left)))
-	if s.Last != "" {
-		h.Set("Last", s.Last)
+	h.Set("Left", fmt.Sprint(int64(s.TimeLeft)))
+	if s.LastEventID != "" {
+		h.Set("Last", s.LastEventID)
 	}
 	h["User-Agent"] = nil
 	return h
 }
 
-func (testCodec) Word(resp *http.Response, id string) exchange.Word {
-	word := exchange.Word{Mine: resp.Header.Get("Id") == id, Genuine: resp.Header.Get("Mark") != "", Idle: resp.Header.Get("Idle") != ""}
+func (testCodec) ResponseHead(resp *http.Response, id string) exchange.ResponseHead {
+	word := exchange.ResponseHead{Matches: resp.Header.Get("Id") == id, Signed: resp.Header.Get("Mark") != "", NotRun: resp.Header.Get("Idle") != ""}
 	if rate, err := strconv.ParseFloat(resp.Header.Get("Limit"), 64); err == nil {
-		word.Said.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
+		word.Declared.Limit = exchange.Limit{Named: true, Rate: statement.PerSecond(rate)}
 	}
 	if rest, err := strconv.ParseInt(resp.Header.Get("Rest"), 10, 64); err == nil {
-		word.Said.Rest = clock.Milli(rest)
+		word.Declared.BackOff = clock.Milli(rest)
 	}
-	word.Said.Leaving = resp.Header.Get("Leaving") != ""
+	word.Declared.Leaving = resp.Header.Get("Leaving") != ""
 	return word
 }
 
@@ -121,7 +121,7 @@
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
 }
 
-func (p *inTurn) First(decide.RequestID) {}
+func (p *inTurn) FirstByte(decide.RequestID) {}
 
 func (p *inTurn) End(_ decide.RequestID, o span.Outcome, _ decide.UpstreamID) {
 	p.mu.Lock()
@@ -131,7 +131,7 @@
 
 func (p *inTurn) Withdraw(route.ServiceID, decide.RequestID) {}
 
-func (p *inTurn) Hear(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+func (p *inTurn) RecordStatement(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.said.Learn(u, st)
@@ -140,7 +140,7 @@
 func (p *inTurn) Binding(_ route.ServiceID, l span.Placement) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.said.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
+	return p.said.Blocking(clock.Boot{}.Now(), l.Upstream, l.Born)
 }
 
 // fixed is knowledge that a test sets.
@@ -180,7 +180,7 @@
 		*n.whole = append(*n.whole, whole)
 	}
 }
-func (noSuspects) Died(uint64, decide.UpstreamID, decide.Born) {}
+func (noSuspects) RecordCrash(uint64, decide.UpstreamID, decide.Incarnation) {}
 
 // world is a gate before upstreams that a test scripts.
 type world struct {
@@ -192,7 +192,7 @@
 	// upstreams are the servers behind the placer's.
 	upstreams []*httptest.Server
 	table     *route.Table
-	needs     Needs
+	needs     Dependencies
 }
 
 // routes are one of each kind, under paths of their names.
@@ -218,18 +218,18 @@
 		})
 	}
 	w.learn(2*clock.Second, "key")
-	transport := &http.Transport{DisableCompression: true, DialContext: DialLives((&net.Dialer{}).DialContext)}
+	transport := &http.Transport{DisableCompression: true, DialContext: DialPoolHost((&net.Dialer{}).DialContext)}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.needs = Needs{
-		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Knowledge: w.known,
-		Suspects: noSuspects{}, Kept: transport, Fresh: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+	w.needs = Dependencies{
+		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Registry: w.known,
+		Suspects: noSuspects{}, Pooled: transport, Unpooled: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}
 	w.start()
 	return w
 }
 
 func (w *world) start() {
-	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, Bodies: 1 << 16}, "vm.1")
+	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, BodyBytes: 1 << 16}, "vm.1")
 	w.server = httptest.NewServer(w.gate)
 	w.t.Cleanup(w.server.Close)
 }
--- a/daemon/relay/life.go
+++ b/daemon/relay/life.go
@@ -17,15 +17,15 @@
 const lifeMark = "life-"
 
 // host is the name under which connections to one life of an upstream are pooled.
-func host(address string, born decide.Born) string {
+func host(address string, born decide.Incarnation) string {
 	if born == 0 || strings.HasPrefix(address, "[") { // brackets must come first in a host
 		return address
 	}
 	return lifeMark + strconv.FormatInt(int64(born), 36) + "." + address
 }
 
-// DialLives makes a dial of addresses into one that takes hosts of lives as well.
-func DialLives(d dial.Dial) dial.Dial {
+// DialPoolHost makes a dial of addresses into one that takes hosts of lives as well.
+func DialPoolHost(d dial.Dial) dial.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if rest, ok := strings.CutPrefix(address, lifeMark); ok {
 			_, address, _ = strings.Cut(rest, ".")
--- a/daemon/relay/life_test.go
+++ b/daemon/relay/life_test.go
@@ -19,11 +19,11 @@
 	require.Equal(t, "[::1]:80", host("[::1]:80", 7))
 	require.NotEqual(t, host("10.0.0.1:80", 7), host("10.0.0.1:80", 8))
 	var dialed []string
-	d := DialLives(func(_ context.Context, _, address string) (net.Conn, error) {
+	d := DialPoolHost(func(_ context.Context, _, address string) (net.Conn, error) {
 		dialed = append(dialed, address)
 		return nil, errors.New("test")
 	})
-	for _, born := range []decide.Born{0, 7, 1_796_245_335_600} {
+	for _, born := range []decide.Incarnation{0, 7, 1_796_245_335_600} {
 		_, err := d(context.Background(), "tcp", host("10.0.0.1:80", born))
 		require.Error(t, err)
 	}
@@ -37,7 +37,7 @@
 		from = append(from, r.RemoteAddr)
 		whole("answer")(w, r)
 	})
-	for _, born := range []decide.Born{5, 5, 6, 6} {
+	for _, born := range []decide.Incarnation{5, 5, 6, 6} {
 		w.placer.upstreams[0].Born = born
 		w.learn(2000, "key")
 		_, _, err := w.call(http.MethodGet, "/again/x", "")
--- a/daemon/relay/reserve.go
+++ b/daemon/relay/reserve.go
@@ -77,8 +77,8 @@
 	for i, h := range r.held {
 		g.Go(func() error {
 			answer, err := r.gate.Memory.Reserve(ctx, h.place.Address, h.ticket, h.place.Reserve, reserveHold)
-			r.gate.hear(r.service, h.place, &answer.Said)
-			if err == nil && !answer.Held {
+			r.gate.hear(r.service, h.place, &answer.Declared)
+			if err == nil && !answer.Accepted {
 				err = errReserve
 			}
 			if err != nil {
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -23,7 +23,7 @@
 	reserved, released int
 	longest            clock.Milli
 	full               bool
-	said               exchange.Said
+	said               exchange.Declared
 	// during is called while memory is being reserved.
 	during func()
 }
@@ -36,14 +36,14 @@
 	defer m.mu.Unlock()
 	m.reserved++
 	m.longest = max(m.longest, hold)
-	return exchange.Reserved{Held: !m.full, Said: m.said}, nil
+	return exchange.Reserved{Accepted: !m.full, Declared: m.said}, nil
 }
 
-func (m *memory) Release(context.Context, string, string) (exchange.Said, error) {
+func (m *memory) Release(context.Context, string, string) (exchange.Declared, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.released++
-	return exchange.Said{}, nil
+	return exchange.Declared{}, nil
 }
 
 func (m *memory) counts() (reserved, released int) {
@@ -104,7 +104,7 @@
 // An engine that only helps gets no requests, and names its limit in answers to orders alone. Not heard there, it would go on helping.
 func TestAHelperNamesItsLimitInItsAnswersToOrders(t *testing.T) {
 	w := newWorld(t, streamed(stream(1, 2)))
-	w.giant(&memory{said: exchange.Said{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
+	w.giant(&memory{said: exchange.Declared{Limit: exchange.Limit{Named: true, Rate: 2.5}}})
 	_, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
 	s, ok := w.placer.said.Of("h", statement.Limit)
--- a/daemon/relay/said.go
+++ b/daemon/relay/said.go
@@ -14,19 +14,19 @@
 
 // hear passes on what an answer says of its upstream. Any answer may say something, also one that turns the request away; that a limit is
 // over shows in a whole one alone. Sent is when the request was sent.
-func (x *flight) hear(word *exchange.Word, leader span.Placement, sent clock.Milli) {
-	if word.Stranger {
+func (x *flight) hear(word *exchange.ResponseHead, leader span.Placement, sent clock.Milli) {
+	if word.Misdirected {
 		return
 	}
-	x.gate.hear(x.service, leader, &word.Said)
-	limit := word.Said.Limit
-	if !limit.Named && limit.Unreadable == "" && word.Mine && word.Genuine && !word.Idle {
-		x.gate.Placer.Hear(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
+	x.gate.hear(x.service, leader, &word.Declared)
+	limit := word.Declared.Limit
+	if !limit.Named && limit.Unreadable == "" && word.Matches && word.Signed && !word.NotRun {
+		x.gate.Placer.RecordStatement(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
 	}
 }
 
 // hear passes on what an answer that came now says of its upstream.
-func (g *Gate) hear(s route.ServiceID, p span.Placement, said *exchange.Said) {
+func (g *Gate) hear(s route.ServiceID, p span.Placement, said *exchange.Declared) {
 	unreadable := said.Unreadable
 	if said.Limit.Unreadable != "" {
 		unreadable = append(unreadable, "limit: "+said.Limit.Unreadable)
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, st := range said.Statements(g.Clock.Now(), g.id, p.Born) {
-		g.Placer.Hear(s, p.Upstream, st)
+		g.Placer.RecordStatement(s, p.Upstream, st)
 	}
 }
 
@@ -55,7 +55,7 @@
 	g := x.gate
 	for i, p := range append([]span.Placement{grant.Leader}, grant.Helpers...) {
 		st, bound := g.Placer.Binding(x.service, p)
-		if helps := i > 0; !bound || helps && st.Kind == statement.Rest && p.Reserve == 0 {
+		if helps := i > 0; !bound || helps && st.Kind == statement.BackOff && p.Reserve == 0 {
 			continue
 		}
 		g.Log.Info().Str(logline.Key, logline.Withheld).Str("id", x.head.ID).Str("service", string(x.service)).Str("upstream", string(p.Upstream)).
--- a/daemon/relay/said_test.go
+++ b/daemon/relay/said_test.go
@@ -88,7 +88,7 @@
 	var sent atomic.Int64
 	w := newWorld(t, counted(&sent, streamed(stream(1, 2))))
 	m := &memory{during: func() {
-		w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Said{Leaving: true})
+		w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Leaving: true})
 	}}
 	w.giant(m)
 	resp, _, err := w.call(http.MethodPost, "/stream/", "")
@@ -101,14 +101,14 @@
 // An engine that helps says in the answer to an order that it wants rest. Another order would reach it within that.
 func TestAnOrdersAnswerAsksForRest(t *testing.T) {
 	w := newWorld(t, streamed(stream(1, 2)))
-	m := &memory{full: true, said: exchange.Said{Rest: 3000}}
+	m := &memory{full: true, said: exchange.Declared{BackOff: 3000}}
 	w.giant(m)
 	for range 2 {
 		_, _, _ = w.call(http.MethodPost, "/stream/", "")
 	}
 	reserved, _ := m.counts()
 	require.Equal(t, 1, reserved)
-	s, ok := w.placer.said.Of("h", statement.Rest)
+	s, ok := w.placer.said.Of("h", statement.BackOff)
 	require.True(t, ok)
 	require.EqualValues(t, w.gate.id, s.Gate)
 }
@@ -121,7 +121,7 @@
 	w.start()
 	for i := range 3 * knownNames {
 		for range 3 {
-			w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unknown: []string{fmt.Sprint("Field", i)}})
+			w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Unknown: []string{fmt.Sprint("Field", i)}})
 		}
 	}
 	require.Equal(t, knownNames, strings.Count(lines.String(), `"unknown"`))
@@ -137,7 +137,7 @@
 	long := strings.Repeat("9", 1<<16)
 	for i := range 3 * knownNames {
 		for range 3 {
-			w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Said{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
+			w.gate.hear("s", span.Placement{Upstream: "u0"}, &exchange.Declared{Unreadable: []string{fmt.Sprint("Rest: ", i, long)}, Limit: exchange.Limit{Unreadable: "soon"}})
 		}
 	}
 	require.Equal(t, knownNames, strings.Count(lines.String(), `"unreadable"`))
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -46,7 +46,7 @@
 // send sends the request to where the grant says, once.
 func (x *flight) send(ctx context.Context, grant span.Grant) result {
 	g := x.gate
-	v := g.Knowledge.View()
+	v := g.Registry.View()
 	if err := x.fresh(v); err != nil {
 		return result{verdict: idle, outcome: span.Left, err: err, final: err}
 	}
@@ -78,7 +78,7 @@
 	}
 	res = x.exchange(ctx, cancel, grant, host(u.Address, u.Born), memory.helpers(grant), v)
 	if res.suspicious && g.died(grant.Leader.Address) {
-		g.Suspects.Died(x.fingerprint, u.ID, u.Born)
+		g.Suspects.RecordCrash(x.fingerprint, u.ID, u.Born)
 		res.outcome = span.Unreachable
 	}
 	return res
@@ -104,7 +104,7 @@
 		return x.broken(ctx, err, wrote.Load())
 	}
 	defer resp.Body.Close()
-	word := x.gate.Codec.Word(resp, x.head.ID)
+	word := x.gate.Codec.ResponseHead(resp, x.head.ID)
 	x.hear(&word, grant.Leader, sent)
 	if culprit := v.Upstream(x.service, func(u *route.Upstream) bool { return u.Address == word.Culprit }); culprit != nil {
 		res := x.judge(ctx, resp, word, grant, w)
@@ -115,16 +115,16 @@
 }
 
 // judge decides what an answer is worth by its header, and passes it on.
-func (x *flight) judge(ctx context.Context, resp *http.Response, word exchange.Word, grant span.Grant, w *watchdog) result {
+func (x *flight) judge(ctx context.Context, resp *http.Response, word exchange.ResponseHead, grant span.Grant, w *watchdog) result {
 	switch {
-	case word.Stranger:
+	case word.Misdirected:
 		return result{verdict: idle, outcome: span.Unreachable, err: errStranger}
-	case word.Idle:
+	case word.NotRun:
 		drain(resp.Body)
-		return result{verdict: idle, outcome: span.Full, err: errTurned, rests: word.Said.Rest > 0}
-	case !word.Mine:
+		return result{verdict: idle, outcome: span.Full, err: errTurned, rests: word.Declared.BackOff > 0}
+	case !word.Matches:
 		return result{verdict: ran, outcome: span.Broken, err: errForeign}
-	case !word.Genuine:
+	case !word.Signed:
 		return result{verdict: ran, outcome: span.Broken, err: errForged}
 	}
 	if resp.StatusCode == http.StatusOK && x.route.Stream {
@@ -147,7 +147,7 @@
 		}
 		return res
 	}
-	x.gate.Placer.First(grant.Request)
+	x.gate.Placer.FirstByte(grant.Request)
 	if x.begun {
 		return result{verdict: ran, outcome: span.Broken, err: errs.New("a stream was continued with status %d", resp.StatusCode)}
 	}
@@ -223,7 +223,7 @@
 		u = &url.URL{Scheme: "http", Host: host, Path: plain, RawPath: path, RawQuery: query, ForceQuery: has}
 	}
 	send := exchange.Send{
-		Upstream: grant.Leader.Upstream, Workspace: x.workspace(), Left: x.left(), Keyed: x.keyed, Helpers: helpers, Last: x.last,
+		Upstream: grant.Leader.Upstream, Workspace: x.workspace(), TimeLeft: x.left(), KeyRequired: x.keyed, Helpers: helpers, LastEventID: x.last,
 	}
 	r := &http.Request{
 		Method: x.r.Method, URL: u, Host: x.r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -241,9 +241,9 @@
 // fresh one: a kept one that turns out closed leaves open whether it ran.
 func (x *flight) transport() http.RoundTripper {
 	if x.route.Repeat == route.Once {
-		return x.gate.Fresh
+		return x.gate.Unpooled
 	}
-	return x.gate.Kept
+	return x.gate.Pooled
 }
 
 // drain reads the short rest of an answer, so that its connection can be kept.
--- a/daemon/relay/start.go
+++ b/daemon/relay/start.go
@@ -20,13 +20,13 @@
 func (x *flight) awaitKnowledge() {
 	g := x.gate
 	select {
-	case <-g.Knowledge.Known():
+	case <-g.Registry.Known():
 		return
 	default:
 	}
 	wait := g.started + startHold - x.arrived
-	if x.head.Left > 0 {
-		wait = min(wait, x.head.Left/holdPart)
+	if x.head.TimeLeft > 0 {
+		wait = min(wait, x.head.TimeLeft/holdPart)
 	}
 	if wait <= 0 {
 		return
@@ -34,7 +34,7 @@
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
-	case <-g.Knowledge.Known():
+	case <-g.Registry.Known():
 	case <-t.C:
 	case <-x.r.Context().Done():
 	}
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -16,7 +16,7 @@
 	w := newWorld(t, whole("fine"))
 	known := w.known
 	w.known = unknown()
-	w.needs.Knowledge = w.known
+	w.needs.Registry = w.known
 	w.start()
 	learn := time.AfterFunc(100*time.Millisecond, func() { w.known.set(known.View()) })
 	defer learn.Stop()
@@ -30,7 +30,7 @@
 func TestARequestIsNotHeldForADocumentThatDoesNotCome(t *testing.T) {
 	w := newWorld(t, whole("fine"))
 	w.known = unknown()
-	w.needs.Knowledge = w.known
+	w.needs.Registry = w.known
 	w.start()
 	began := time.Now()
 	resp, _, err := w.call(http.MethodPost, "/once/x", "body")
--- a/daemon/relay/story.go
+++ b/daemon/relay/story.go
@@ -87,7 +87,7 @@
 	e = e.Str(logline.Key, logline.Request).Str("id", x.head.ID).Str("route", routeName).Str("service", string(x.service)).
 		Str("workspace", string(x.workspace())).Uint64("revision", s.revision).Int64("age", int64(s.age)).
 		Int64("prompt", int64(x.head.Prompt)).Int64("output", int64(x.head.Output)).Int64("aim", int64(aim)).Int64("gap", int64(gap)).
-		Int64("due", int64(due)).Int("urgency", int(urgency)).Int64("left", int64(x.head.Left)).Str("last", x.head.Last).Int64("queued", int64(s.queued)).Str("reason", s.reason).
+		Int64("due", int64(due)).Int("urgency", int(urgency)).Int64("left", int64(x.head.TimeLeft)).Str("last", x.head.LastEventID).Int64("queued", int64(s.queued)).Str("reason", s.reason).
 		Int64("read", int64(s.read)).Int64("placed", s.placed.Load()).Int64("connected", s.connected.Load()).Int64("sent", s.sent.Load()).
 		Int("waiting", s.waiting).Int("running", s.running).
 		Str("sends", strings.Join(s.sends, "; ")).Int64("first", int64(s.first)).Int64("pause", int64(s.pause)).
--- a/daemon/relay/stream.go
+++ b/daemon/relay/stream.go
@@ -71,7 +71,7 @@
 		w.touch(x.nextLimits())
 		if first {
 			first = false
-			x.gate.Placer.First(grant.Request)
+			x.gate.Placer.FirstByte(grant.Request)
 		}
 		if !x.begun {
 			header := resp.Header.Clone()
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -161,7 +161,7 @@
 // leads. Nothing is reserved on an upstream that limits its request rate: it may count reservation
 // orders as requests.
 func (r *upstreamState) reservableMemory(now clock.Milli) decide.Tokens {
-	if r.declared.limit.Bounds(now) {
+	if r.declared.limit.Limited(now) {
 		return 0
 	}
 	return r.freeMemory()
@@ -191,7 +191,7 @@
 func (r *upstreamState) addGrant(now clock.Milli, g *grantState, read float64) {
 	if r.streams > 0 && read > 0 {
 		// Streams that are decoded meanwhile take their share of each pass.
-		read += r.engine.Pass(r.streams, r.context)
+		read += r.engine.PassTime(r.streams, r.context)
 	}
 	read *= max(r.pace, 1)
 	r.readUntil = max(r.readUntil, float64(now)) + read
--- a/lib/decide/span/pool_test.go
+++ b/lib/decide/span/pool_test.go
@@ -113,7 +113,7 @@
 		read[g.Leader.Upstream] += g.Leader.Read
 	}
 	for id, r := range read {
-		require.Less(t, r+engine.Pass(1, 5000), 200.0, id)
+		require.Less(t, r+engine.PassTime(1, 5000), 200.0, id)
 	}
 }
 
@@ -147,7 +147,7 @@
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
 		if p.Upstream == first.Leader.Upstream {
-			require.Less(t, p.Read+engine.Pass(2, 330_000), 800.0)
+			require.Less(t, p.Read+engine.PassTime(2, 330_000), 800.0)
 		}
 	}
 }
@@ -643,7 +643,7 @@
 	require.GreaterOrEqual(t, len(g.Helpers), 3)
 	for _, pl := range append(g.Helpers, g.Leader) {
 		r := b.upstreams[pl.Upstream]
-		require.LessOrEqual(t, r.backlog(now)+r.engine.Pass(r.streams, r.context), DefaultRules.PauseFraction*200)
+		require.LessOrEqual(t, r.backlog(now)+r.engine.PassTime(r.streams, r.context), DefaultRules.PauseFraction*200)
 	}
 }
 
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -34,11 +34,11 @@
 	if p.engine == nil || w.Prompt == 0 {
 		return
 	}
-	w.readTime = p.engine.Reading(w.Prompt)
+	w.readTime = p.engine.PrefillTime(w.Prompt)
 	w.groupReadTime = w.readTime
 	if w.long = w.readTime > p.maxShortRead(&w.Ask); w.long {
 		w.groupReadTime = w.readTime / float64(p.maxGroup())
-		w.latestFirst = min(w.latestFirst, w.Deadline-clock.Milli(p.engine.Writing(w.Likely, w.Prompt)))
+		w.latestFirst = min(w.latestFirst, w.Deadline-clock.Milli(p.engine.DecodeTime(w.Likely, w.Prompt)))
 	}
 }
 
@@ -56,7 +56,7 @@
 		return p.rules.MaxShortRead
 	}
 	streams := min(p.rules.PackedStreams, p.engine.Slots)
-	pass := p.engine.Pass(streams, decide.Tokens(streams)*shortContext)
+	pass := p.engine.PassTime(streams, decide.Tokens(streams)*shortContext)
 	return max(p.rules.MaxShortRead, p.rules.PauseFraction*float64(a.Gap)-pass)
 }
 
@@ -258,7 +258,7 @@
 	}
 	d.Grant = p.grant(now, a, pl)
 	if s, known := pl.leader.declared.limit.Statement(); known {
-		limit := s.Aged(now, pl.leader.ID)
+		limit := s.Message(now, pl.leader.ID)
 		d.Limit = &limit
 	}
 	if w.long {
--- a/lib/decide/span/slow.go
+++ b/lib/decide/span/slow.go
@@ -25,7 +25,7 @@
 // pass returns the time in milliseconds of one pass that decodes streams with this many tokens of
 // context in total, at the engine's present pace.
 func (r *upstreamState) pass(streams int, context decide.Tokens) float64 {
-	return max(r.pace, 1) * r.engine.Pass(streams, context)
+	return max(r.pace, 1) * r.engine.PassTime(streams, context)
 }
 
 // suspectIfLate requests load reports of the upstreams of a grant if its first byte arrived late.
--- a/lib/door/door.go
+++ b/lib/door/door.go
@@ -38,8 +38,8 @@
 // Empty tells whether no file is named.
 func (f Files) Empty() bool { return f == Files{} }
 
-// Door opens listeners and connections. It may be used by any number of goroutines.
-type Door struct {
+// Endpoint opens listeners and connections. It may be used by any number of goroutines.
+type Endpoint struct {
 	// files is nil without certificates.
 	files *files
 }
@@ -47,9 +47,9 @@
 // New reads the files; without any it returns a door for loopback only.
 // Report is told, once for each change, when files that changed cannot be used;
 // the door then goes on with the ones it has.
-func New(f Files, report func(error)) (*Door, error) {
+func New(f Files, report func(error)) (*Endpoint, error) {
 	if f.Empty() {
-		return &Door{}, nil
+		return &Endpoint{}, nil
 	}
 	if f.Authority == "" || f.Certificate == "" || f.Key == "" {
 		return nil, Class.New("tls needs authority, certificate and key: name all three files or none")
@@ -58,15 +58,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Door{files: fs}, nil
+	return &Endpoint{files: fs}, nil
 }
 
 // Secure tells whether the door asks for certificates.
-func (d *Door) Secure() bool { return d.files != nil }
+func (d *Endpoint) Secure() bool { return d.files != nil }
 
 // Listen binds to address, an IP number and a port. The handshake runs with the
 // first read of a connection, so the server's own read timeout bounds it.
-func (d *Door) Listen(ctx context.Context, address string) (net.Listener, error) {
+func (d *Endpoint) Listen(ctx context.Context, address string) (net.Listener, error) {
 	if !d.Secure() && !loopback(address) {
 		return nil, Class.New("%s is no loopback address and there are no certificates: "+
 			"name the tls files in the settings, or bind to 127.0.0.1", address)
@@ -88,7 +88,7 @@
 }
 
 // Dial connects to a door and shakes hands.
-func (d *Door) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (d *Endpoint) Dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if !d.Secure() {
@@ -100,7 +100,7 @@
 }
 
 // Transport returns an HTTP transport through the door, for URLs that begin with "http".
-func (d *Door) Transport() *http.Transport {
+func (d *Endpoint) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return d.Dial(ctx, address)
@@ -110,9 +110,9 @@
 	}
 }
 
-// Callers returns the TLS configuration for callers' connections, which show
+// ClientListenerConfig returns the TLS configuration for callers' connections, which show
 // no certificate; the pair is re-read when it changes.
-func Callers(certificate, key string, report func(error)) (*tls.Config, error) {
+func ClientListenerConfig(certificate, key string, report func(error)) (*tls.Config, error) {
 	fs, err := newFiles(Files{Certificate: certificate, Key: key}, report)
 	if err != nil {
 		return nil, err
--- a/lib/door/door_test.go
+++ b/lib/door/door_test.go
@@ -29,7 +29,7 @@
 
 func filesIn(t *testing.T) door.Files { return doortest.FilesIn(t.TempDir()) }
 
-func member(t *testing.T, a *doortest.Authority, until time.Time) *door.Door {
+func member(t *testing.T, a *doortest.Authority, until time.Time) *door.Endpoint {
 	f := filesIn(t)
 	require.NoError(t, a.Issue(f, until))
 	d, err := door.New(f, func(err error) { t.Log(err) })
@@ -38,7 +38,7 @@
 }
 
 // serve answers "hello" on the door and returns its address.
-func serve(t *testing.T, d *door.Door) string {
+func serve(t *testing.T, d *door.Endpoint) string {
 	l, err := d.Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &http.Server{ReadHeaderTimeout: time.Second, ErrorLog: quiet, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -49,7 +49,7 @@
 	return l.Addr().String()
 }
 
-func get(t *testing.T, d *door.Door, address string) error {
+func get(t *testing.T, d *door.Endpoint, address string) error {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/", http.NoBody)
@@ -78,7 +78,7 @@
 	a, other := newAuthority(t), newAuthority(t)
 	later := time.Now().Add(time.Hour)
 	address := serve(t, member(t, a, later))
-	require.Error(t, get(t, &door.Door{}, address), "no certificate")
+	require.Error(t, get(t, &door.Endpoint{}, address), "no certificate")
 	require.Error(t, get(t, member(t, other, later), address), "another deployment's")
 	require.Error(t, get(t, member(t, a, time.Now().Add(-time.Minute)), address), "an expired one")
 	require.Error(t, get(t, member(t, a, later), serve(t, member(t, other, later))), "another deployment's server")
@@ -128,7 +128,7 @@
 	a := newAuthority(t)
 	f := filesIn(t)
 	require.NoError(t, a.Issue(f, time.Now().Add(time.Hour)))
-	c, err := door.Callers(f.Certificate, f.Key, func(error) {})
+	c, err := door.ClientListenerConfig(f.Certificate, f.Key, func(error) {})
 	require.NoError(t, err)
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -194,7 +194,7 @@
 	// was current.
 	Digest    uint64
 	DigestAge clock.Milli
-	Mark      route.Mark
+	Mark      route.StoreRevision
 	// MarkEra is the era of the store that Mark belongs to, Era the latest era known to the daemon.
 	MarkEra, Era route.Era
 	// Shut is set if the daemon's own last call to the store failed.
@@ -247,7 +247,7 @@
 	// Last is the upstream of the latest crash counted, Born the start time of its incarnation, Ago the
 	// time since the crash.
 	Last decide.UpstreamID
-	Born decide.Born
+	Born decide.Incarnation
 	Ago  clock.Milli
 }
 
--- a/lib/retryafter/retryafter.go
+++ b/lib/retryafter/retryafter.go
@@ -13,8 +13,8 @@
 // Header is the name of the header field.
 const Header = "Retry-After"
 
-// Longest is the longest span that is believed: what is longer is a mistake.
-const Longest = 24 * 60 * clock.Minute
+// MaxSpan is the longest span that is believed: what is longer is a mistake.
+const MaxSpan = 24 * 60 * clock.Minute
 
 // Parse returns the longest span that an answer's fields name, and the values that cannot be read. A value is a number of seconds, fractions
 // allowed, or an instant beside the Date of the answer itself.
@@ -29,8 +29,8 @@
 	return span, unreadable
 }
 
-// TurnsAway reports whether a status says that a request was not taken, so that Retry-After speaks of the server and not of the request.
-func TurnsAway(status int) bool {
+// IsRejection reports whether a status says that a request was not taken, so that Retry-After speaks of the server and not of the request.
+func IsRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -47,5 +47,5 @@
 	if math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
 		return 0, false
 	}
-	return clock.Milli(min(math.Ceil(seconds*float64(clock.Second)), float64(Longest))), true
+	return clock.Milli(min(math.Ceil(seconds*float64(clock.Second)), float64(MaxSpan))), true
 }
--- a/lib/retryafter/retryafter_test.go
+++ b/lib/retryafter/retryafter_test.go
@@ -27,7 +27,7 @@
 		{[]string{"-1"}, "", 0, 1},
 		{[]string{"NaN"}, "", 0, 1},
 		{[]string{"Inf"}, "", 0, 1},
-		{[]string{"1e9"}, "", Longest, 0},
+		{[]string{"1e9"}, "", MaxSpan, 0},
 		{[]string{later}, now, 7000, 0},
 		{[]string{now}, later, 0, 0},
 		{[]string{later}, "", 0, 1},
--- a/lib/route/cost.go
+++ b/lib/route/cost.go
@@ -2,10 +2,10 @@
 
 import "snipeshift.example/lib/decide"
 
-// Reading is the time in milliseconds that one engine alone needs to read a
+// PrefillTime is the time in milliseconds that one engine alone needs to read a
 // prompt: linear in its tokens, and quadratic since each token attends to all
 // earlier ones. k engines that read even parts need a k-th each.
-func (e *Engine) Reading(prompt decide.Tokens) float64 {
+func (e *Engine) PrefillTime(prompt decide.Tokens) float64 {
 	n := float64(prompt)
 	return n/e.Read + e.Pairs*n*n/2/1e6
 }
@@ -17,16 +17,16 @@
 	stalls = 1.3
 )
 
-// Writing is the time in milliseconds that it probably takes to write an answer of this
+// DecodeTime is the time in milliseconds that it probably takes to write an answer of this
 // many tokens after a prompt of this length.
-func (e *Engine) Writing(tokens, prompt decide.Tokens) float64 {
+func (e *Engine) DecodeTime(tokens, prompt decide.Tokens) float64 {
 	step := e.Step + e.Writer*usualWriters + e.Context*float64(prompt)/1000
 	return stalls * step * float64(tokens)
 }
 
-// Pass is the time in milliseconds of one pass that writes streams with this many
+// PassTime is the time in milliseconds of one pass that writes streams with this many
 // tokens of context together, without what is read meanwhile.
-func (e *Engine) Pass(streams int, context decide.Tokens) float64 {
+func (e *Engine) PassTime(streams int, context decide.Tokens) float64 {
 	if streams == 0 {
 		return e.Step
 	}
--- a/lib/route/doc.go
+++ b/lib/route/doc.go
@@ -16,8 +16,8 @@
 type (
 	// Revision numbers documents; a larger one is newer.
 	Revision uint64
-	// Mark is a revision of the store. Those of one era compare: a larger one is later.
-	Mark uint64
+	// StoreRevision is a revision of the store. Those of one era compare: a larger one is later.
+	StoreRevision uint64
 	// Era counts the copies that the store came back from. Revisions are given out anew in each; zero where
 	// the store does not tell its era.
 	Era uint64
@@ -141,7 +141,7 @@
 type Upstream struct {
 	ID decide.UpstreamID
 	// Born tells its lives apart: an upstream that crashed may come back under its ID.
-	Born    decide.Born
+	Born    decide.Incarnation
 	Service ServiceID
 	// Address may serve another upstream once this one is gone.
 	Address string
@@ -162,13 +162,13 @@
 	Reason string
 }
 
-// News is what the platform's store says of upstreams: all of them in a list, or what changed.
-type News struct {
+// UpstreamUpdate is what the platform's store says of upstreams: all of them in a list, or what changed.
+type UpstreamUpdate struct {
 	Upstreams []Upstream
-	// Gone are those whose entries were removed; empty in a list.
-	Gone []decide.UpstreamID
+	// Removed are those whose entries were removed; empty in a list.
+	Removed []decide.UpstreamID
 	// Unusable are entries that somebody wrote and that name no upstream to use.
 	Unusable []Unusable
-	// Doubted are entries of which a peer that tells its list does not know whether they still hold; its Upstreams lack them.
-	Doubted []Upstream
+	// Unverified are entries of which a peer that tells its list does not know whether they still hold; its Upstreams lack them.
+	Unverified []Upstream
 }
--- a/lib/route/position.go
+++ b/lib/route/position.go
@@ -6,7 +6,7 @@
 // before everything.
 type Position struct {
 	Era  Era
-	Mark Mark
+	Mark StoreRevision
 }
 
 // After reports whether p is later than o. The store may come back from an older copy of itself: what it writes then is later than
--- a/lib/route/table.go
+++ b/lib/route/table.go
@@ -74,11 +74,11 @@
 	return nil
 }
 
-// Keyed tells whether callers must show a key where a route is not public.
-func (t *Table) Keyed() bool { return len(t.document.Workspaces) > 0 }
+// KeyRequired tells whether callers must show a key where a route is not public.
+func (t *Table) KeyRequired() bool { return len(t.document.Workspaces) > 0 }
 
-// Holder returns the workspace that holds a key, nil if none does.
-func (t *Table) Holder(k Key) *Workspace { return t.keys[k] }
+// WorkspaceByKey returns the workspace that holds a key, nil if none does.
+func (t *Table) WorkspaceByKey(k Key) *Workspace { return t.keys[k] }
 
 // Service returns a service, nil if the document does not name it.
 func (t *Table) Service(id ServiceID) *Service { return t.services[id] }
--- a/lib/route/table_test.go
+++ b/lib/route/table_test.go
@@ -48,7 +48,7 @@
 // with the square must not be lost in the estimate, or it would be placed alone.
 func TestReadingGrowsWithTheSquare(t *testing.T) {
 	e := &Engine{Read: 256, Pairs: 0.0917}
-	require.InDelta(t, 20.5, e.Reading(4960), 0.5)
-	require.InDelta(t, 2842, e.Reading(210_000), 2)
-	require.InDelta(t, 49_756, e.Reading(1_000_000), 10)
+	require.InDelta(t, 20.5, e.PrefillTime(4960), 0.5)
+	require.InDelta(t, 2842, e.PrefillTime(210_000), 2)
+	require.InDelta(t, 49_756, e.PrefillTime(1_000_000), 10)
 }
--- a/scenarios/world/secure.go
+++ b/scenarios/world/secure.go
@@ -112,7 +112,7 @@
 	return errors.Join(errs...)
 }
 
-func (w *World) otherDeployment() (*tlsdoor.Door, error) {
+func (w *World) otherDeployment() (*tlsdoor.Endpoint, error) {
 	if err := w.issue("stranger"); err != nil {
 		return nil, err
 	}
