--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -284,7 +284,7 @@
 // prompt may be too long for the engines of one pool and fit the busy engines of another: the
 // caller should get the refusal of the busy pool.
 func preferRefusal(e, other *fault.Error) bool {
-	retryable, otherRetryable := fault.Lookup(e.Kind).Again, fault.Lookup(other.Kind).Again
+	retryable, otherRetryable := fault.Lookup(e.Kind).Retryable, fault.Lookup(other.Kind).Retryable
 	if retryable != otherRetryable {
 		return retryable
 	}
--- a/daemon/member/members.go
+++ b/daemon/member/members.go
@@ -118,17 +118,17 @@
 func (m *Members) Owner(p peer.PoolID) (peer.Member, bool) { return Owner(p, m.Live()) }
 
 // RingSuccessors returns the few members to which this one always sends heartbeats.
-func (m *Members) Neighbours() []peer.Member {
+func (m *Members) RingSuccessors() []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Neighbours()
+	return m.table.RingSuccessors()
 }
 
 // LastContact returns the time of the last message from another member; zero if there was none.
-func (m *Members) Reached() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.lastContact }
+func (m *Members) LastContact() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.lastContact }
 
 // BeatNow starts the next round of heartbeats at once, to send an update without delay.
-func (m *Members) Kick() {
+func (m *Members) BeatNow() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -140,7 +140,7 @@
 	m.mu.Lock()
 	m.table.Stop()
 	m.mu.Unlock()
-	m.Kick()
+	m.BeatNow()
 }
 
 // Leave announces to the current heartbeat targets that this member is gone, and returns when
@@ -158,13 +158,13 @@
 	m.mu.Lock()
 	m.table.Resume(m.clock.Now())
 	m.mu.Unlock()
-	m.Kick()
+	m.BeatNow()
 }
 
 // Run sends heartbeats until ctx ends. It returns ErrSuperseded if a later incarnation of this VM is running.
 func (m *Members) Run(ctx context.Context) error {
 	defer m.beats.Wait()
-	last := -m.rules.Sparse
+	last := -m.rules.SparseSeedPeriod
 	for ctx.Err() == nil {
 		now := m.clock.Now()
 		if now-last >= m.seedPeriod() {
@@ -182,10 +182,10 @@
 
 // seedPeriod returns the time between two contacts of the seeds.
 func (m *Members) seedPeriod() clock.Milli {
-	if m.Reached() == 0 {
-		return m.rules.Alone
+	if m.LastContact() == 0 {
+		return m.rules.IsolatedSeedPeriod
 	}
-	return m.rules.Greet(m.size())
+	return m.rules.SeedPeriod(m.size())
 }
 
 // Superseded reports whether a later incarnation of this VM is running.
@@ -201,8 +201,8 @@
 		return
 	}
 	period := m.period()
-	if m.Reached() == 0 {
-		period = min(period, m.rules.Alone)
+	if m.LastContact() == 0 {
+		period = min(period, m.rules.IsolatedSeedPeriod)
 	}
 	t := time.NewTimer((period - minRoundGap).Duration())
 	defer t.Stop()
@@ -256,7 +256,7 @@
 		m.start(ctx, t)
 	}
 	if changed {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -300,7 +300,7 @@
 	changed := m.table.Missed(m.clock.Now(), to.VM)
 	m.mu.Unlock()
 	if changed {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -309,7 +309,7 @@
 	m.mu.Lock()
 	view := m.table.View()
 	theirs, known := m.views[to]
-	b := &peer.BeatArgs{From: m.table.Self(), View: view, Known: m.table.News(to, !known || theirs != view)}
+	b := &peer.BeatArgs{From: m.table.Self(), View: view, Known: m.table.Updates(to, !known || theirs != view)}
 	m.mu.Unlock()
 	for _, p := range m.parts {
 		p.Fill(to, b)
@@ -337,7 +337,7 @@
 		m.recordContact(now)
 	}
 	if changed {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -390,7 +390,7 @@
 
 // SeedList implements Seeds with the addresses of the settings and the platform's VM list. While
 // the list cannot be read, the one read last is used.
-type List struct {
+type SeedList struct {
 	// fixed are the addresses of the settings.
 	fixed  []string
 	lister lister
@@ -401,10 +401,10 @@
 }
 
 // NewSeedList returns a SeedList of fixed addresses and of the live entry VMs that l lists.
-func NewList(fixed []string, l lister) *List { return &List{fixed: fixed, lister: l} }
+func NewSeedList(fixed []string, l lister) *SeedList { return &SeedList{fixed: fixed, lister: l} }
 
 // Seeds implements Seeds.
-func (l *List) Seeds(ctx context.Context) []string {
+func (l *SeedList) Seeds(ctx context.Context) []string {
 	vms, err := l.lister.VMs(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/member/owner.go
+++ b/daemon/member/owner.go
@@ -66,7 +66,7 @@
 // Consider a fleet of mostly small VMs and a service with hundreds of short requests a second. The VM that places
 // them receives three messages per request, which use up the processor of a small VM: it replies late although its
 // queue is empty, and short requests miss their latency targets.
-func Strong(members []peer.Member) []peer.Member {
+func HighCapacity(members []peer.Member) []peer.Member {
 	cores, link := maxCapacity(members)
 	both := filter(members, func(m peer.Member) bool { return m.Cores*capacityDivisor >= cores && m.Link*capacityDivisor >= link })
 	if len(both) > 0 {
@@ -97,8 +97,8 @@
 }
 
 // RankByCapacity orders members like Rank, but with all high-capacity members before the others.
-func RankStrong(key string, members []peer.Member) []peer.Member {
-	high := Strong(members)
+func RankByCapacity(key string, members []peer.Member) []peer.Member {
+	high := HighCapacity(members)
 	if len(high) == len(members) {
 		return Rank(key, members)
 	}
--- a/daemon/member/pause.go
+++ b/daemon/member/pause.go
@@ -16,7 +16,7 @@
 // Check runs the callback before it returns, and code that acts on a duty calls Check first.
 // So after a pause the duties are given up before any of them is acted on, whichever goroutine
 // the scheduler runs first.
-type Pause struct {
+type PauseDetector struct {
 	clock Clock
 	wall  Clock
 	// lease is the longest gap between two checks during which no duty can have expired.
@@ -34,19 +34,19 @@
 // While a VM is suspended one of the two clocks may stop and the other advance, so the larger
 // gap counts. A step of the wall clock can therefore give up duties needlessly, which costs
 // only the rebuilding of their state.
-func NewPause(k, wall Clock, lease clock.Milli, onPause func(gap clock.Milli)) *Pause {
-	return &Pause{clock: k, wall: wall, lease: lease, onPause: onPause, last: k.Now(), lastWall: wall.Now()}
+func NewPauseDetector(k, wall Clock, lease clock.Milli, onPause func(gap clock.Milli)) *PauseDetector {
+	return &PauseDetector{clock: k, wall: wall, lease: lease, onPause: onPause, last: k.Now(), lastWall: wall.Now()}
 }
 
 // WallClock reads the wall clock, which jumps forward when the VM was suspended.
-type Wall struct{}
+type WallClock struct{}
 
 // Now implements Clock.
-func (Wall) Now() clock.Milli { return clock.Milli(time.Now().UnixMilli()) }
+func (WallClock) Now() clock.Milli { return clock.Milli(time.Now().UnixMilli()) }
 
 // Check compares the clocks with those of the last check, and reports whether the process was
 // paused in between. If so, the callback has run when Check returns.
-func (p *Pause) Check() bool {
+func (p *PauseDetector) Check() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, wall := p.clock.Now(), p.wall.Now()
@@ -61,7 +61,7 @@
 }
 
 // Count returns the number of pauses detected.
-func (p *Pause) Count() int { p.mu.Lock(); defer p.mu.Unlock(); return p.count }
+func (p *PauseDetector) Count() int { p.mu.Lock(); defer p.mu.Unlock(); return p.count }
 
 // Gap returns the time between two checks by the clock that advanced more.
 func Gap(last, now, lastWall, wall clock.Milli) clock.Milli {
@@ -69,7 +69,7 @@
 }
 
 // Run calls Check until ctx ends, eight times per lease, so that only a pause causes a gap longer than the lease.
-func (p *Pause) Run(ctx context.Context) error {
+func (p *PauseDetector) Run(ctx context.Context) error {
 	guard.Every(ctx, (p.lease / 8).Duration(), func() { p.Check() })
 	return nil
 }
--- a/daemon/member/rules.go
+++ b/daemon/member/rules.go
@@ -11,32 +11,32 @@
 // Rules are the intervals, fan-out and limits of heartbeats.
 type Rules struct {
 	// FullMesh is the number of members up to which every member sends heartbeats to all others.
-	Full int
+	FullMesh int
 	// RingTargets is the number of successors on the hash ring to which a member sends
 	// heartbeats in larger groups, and RandomTargets the number of further members, chosen
 	// anew each Rotation.
-	Fixed, Random int
-	Rotation      clock.Milli
+	RingTargets, RandomTargets int
+	Rotation                   clock.Milli
 	// MeshPeriod is the time between two heartbeats to a member in groups up to FullMesh,
 	// SparsePeriod in larger ones.
-	Near, Far clock.Milli
+	MeshPeriod, SparsePeriod clock.Milli
 	// IsolatedSeedPeriod is the time between two contacts of the seeds before any other member
 	// has been heard from. If the first heartbeats of a member are lost, no other member knows
 	// about it, and until the next contact it would serve without their shared state.
-	Alone clock.Milli
+	IsolatedSeedPeriod clock.Milli
 	// MaxMisses is the number of consecutive unanswered heartbeats after which a member is suspected.
-	Misses int
+	MaxMisses int
 	// RefutePeriods is the time that a suspected member has to refute the suspicion, in periods.
-	Doubt clock.Milli
+	RefutePeriods clock.Milli
 	// ForgetAfter is the time after which a gone member is removed from the table.
-	Forget clock.Milli
+	ForgetAfter clock.Milli
 	// UpdateSends is the number of heartbeats in which each update is sent, and MaxUpdates the
 	// number of updates in one heartbeat.
-	Tell, Most int
+	UpdateSends, MaxUpdates int
 	// MeshSeedPeriod is the time between two contacts of the seeds, which include the platform's
 	// VM list, in groups up to FullMesh, SparseSeedPeriod in larger ones. With 450 members that read
 	// the list every 5 s the store would serve 90 reads a second; with 30 s it serves 15.
-	Seeds, Sparse clock.Milli
+	MeshSeedPeriod, SparseSeedPeriod clock.Milli
 }
 
 // DefaultRules are for 3 to 450 members. A crashed member is removed from the live list of every
@@ -47,25 +47,25 @@
 // with the square of the size, and two ring successors suffice to detect a crash. The random
 // targets reconnect the parts of a ring after a network partition.
 var DefaultRules = Rules{
-	Full: 12, Fixed: 2, Random: 2, Rotation: 20 * clock.Second,
-	Near: 500, Far: clock.Second, Alone: clock.Second,
-	Misses: 3, Doubt: 3, Forget: 10 * clock.Minute,
-	Tell: 8, Most: 32,
-	Seeds: 5 * clock.Second, Sparse: 30 * clock.Second,
+	FullMesh: 12, RingTargets: 2, RandomTargets: 2, Rotation: 20 * clock.Second,
+	MeshPeriod: 500, SparsePeriod: clock.Second, IsolatedSeedPeriod: clock.Second,
+	MaxMisses: 3, RefutePeriods: 3, ForgetAfter: 10 * clock.Minute,
+	UpdateSends: 8, MaxUpdates: 32,
+	MeshSeedPeriod: 5 * clock.Second, SparseSeedPeriod: 30 * clock.Second,
 }
 
 // Period returns the time between two heartbeats to the same member in a group of size members.
 func (r Rules) Period(size int) clock.Milli {
-	if size <= r.Full {
-		return r.Near
+	if size <= r.FullMesh {
+		return r.MeshPeriod
 	}
-	return r.Far
+	return r.SparsePeriod
 }
 
 // SeedPeriod returns the time between two contacts of the seeds in a group of size members.
-func (r Rules) Greet(size int) clock.Milli {
-	if size <= r.Full {
-		return r.Seeds
+func (r Rules) SeedPeriod(size int) clock.Milli {
+	if size <= r.FullMesh {
+		return r.MeshSeedPeriod
 	}
-	return r.Sparse
+	return r.SparseSeedPeriod
 }
--- a/daemon/member/table.go
+++ b/daemon/member/table.go
@@ -56,7 +56,7 @@
 
 // NewTable returns a table that contains only self.
 func NewTable(self peer.Member, r Rules) *Table {
-	return &Table{rules: r, self: self, entries: map[peer.VM]*entry{}, selfSends: r.Tell}
+	return &Table{rules: r, self: self, entries: map[peer.VM]*entry{}, selfSends: r.UpdateSends}
 }
 
 // Self returns the description of this member.
@@ -84,7 +84,7 @@
 func (t *Table) raiseSeq(above uint64) {
 	t.cache = nil
 	t.self.Seq = above + 1
-	t.selfSends = t.rules.Tell
+	t.selfSends = t.rules.UpdateSends
 }
 
 // newer reports whether description a of a VM replaces description b.
@@ -113,20 +113,20 @@
 			return false
 		}
 		t.cache = nil
-		t.entries[m.VM] = &entry{member: m, heard: now, since: now, sends: t.rules.Tell}
+		t.entries[m.VM] = &entry{member: m, heard: now, since: now, sends: t.rules.UpdateSends}
 		return true
 	}
 	if m.Health == peer.Gone && e.member.Health != peer.Gone {
 		// Another member gave it up, perhaps because of a network partition that has ended
 		// since. So it gets time to refute the suspicion here as well.
-		m.Health = peer.Doubted
+		m.Health = peer.Suspected
 	}
 	if newer(e.member, m) && e.member.Seq == m.Seq && e.member.Incarnation == m.Incarnation {
 		// The sender considers it healthier than this table, at the same Seq, and only the
 		// member itself can refute the suspicion, by a larger Seq. So the suspicion is sent
 		// until the member receives it. Otherwise the two sides of a partition that has
 		// healed would disagree permanently.
-		e.sends = t.rules.Tell
+		e.sends = t.rules.UpdateSends
 	}
 	if !newer(m, e.member) {
 		return false
@@ -134,7 +134,7 @@
 	if m.Health != e.member.Health || m.Incarnation != e.member.Incarnation {
 		e.since = now
 	}
-	e.member, e.missed, e.sends = m, 0, t.rules.Tell
+	e.member, e.missed, e.sends = m, 0, t.rules.UpdateSends
 	t.cache = nil
 	return true
 }
@@ -178,10 +178,10 @@
 		return false
 	}
 	e.missed++
-	if e.missed < t.rules.Misses {
+	if e.missed < t.rules.MaxMisses {
 		return false
 	}
-	t.setHealth(e, peer.Doubted, now)
+	t.setHealth(e, peer.Suspected, now)
 	return true
 }
 
@@ -189,13 +189,13 @@
 // members that have been gone for long. It reports whether a member was marked as gone.
 func (t *Table) Tick(now clock.Milli) bool {
 	changed := false
-	limit := t.rules.Doubt * t.rules.Period(t.size())
+	limit := t.rules.RefutePeriods * t.rules.Period(t.size())
 	for v, e := range t.entries {
 		switch {
-		case e.member.Health == peer.Doubted && now-e.since >= limit && now-e.heard >= limit:
+		case e.member.Health == peer.Suspected && now-e.since >= limit && now-e.heard >= limit:
 			t.setHealth(e, peer.Gone, now)
 			changed = true
-		case e.member.Health == peer.Gone && now-e.since >= t.rules.Forget:
+		case e.member.Health == peer.Gone && now-e.since >= t.rules.ForgetAfter:
 			delete(t.entries, v)
 			t.cache = nil
 		}
@@ -205,7 +205,7 @@
 
 // setHealth sets the health of a member and schedules the change to be sent.
 func (t *Table) setHealth(e *entry, h peer.Health, now clock.Milli) {
-	e.member.Health, e.since, e.sends = h, now, t.rules.Tell
+	e.member.Health, e.since, e.sends = h, now, t.rules.UpdateSends
 	t.cache = nil
 }
 
@@ -269,7 +269,7 @@
 
 // RingSuccessors returns the members that get heartbeats as long as they are live. The slice is shared
 // and must not be modified.
-func (t *Table) Neighbours() []peer.Member {
+func (t *Table) RingSuccessors() []peer.Member {
 	if t.derive().rotation < 0 {
 		t.Targets(0)
 	}
@@ -287,15 +287,15 @@
 	selfScore := score("ring", t.self.VM)
 	sortBy(others, func(m peer.Member) uint64 { return score("ring", m.VM) - selfScore })
 	t.putOtherDomainSecond(others)
-	fixed := min(t.rules.Fixed, len(others))
+	fixed := min(t.rules.RingTargets, len(others))
 	successors = others[:fixed:fixed]
-	if len(others) < t.rules.Full {
+	if len(others) < t.rules.FullMesh {
 		return successors, others
 	}
 	rest := others[fixed:]
 	salt := string(t.self.VM) + strconv.FormatInt(int64(rotation), 10)
 	sortBy(rest, func(m peer.Member) uint64 { return score(salt, m.VM) })
-	return successors, append(successors, rest[:min(t.rules.Random, len(rest))]...)
+	return successors, append(successors, rest[:min(t.rules.RandomTargets, len(rest))]...)
 }
 
 // putOtherDomainSecond moves the first member of another failure domain to the second position of ring, unless it
@@ -323,7 +323,7 @@
 
 // Updates returns the descriptions to send in a heartbeat to a member: that of the receiver itself if
 // its health is not Live, recent changes, and with all set the next part of the list of live members.
-func (t *Table) News(to peer.VM, all bool) []peer.Member {
+func (t *Table) Updates(to peer.VM, all bool) []peer.Member {
 	var ms []peer.Member
 	if e := t.entries[to]; e != nil && e.member.Health != peer.Live {
 		ms = append(ms, e.member)
@@ -334,7 +334,7 @@
 	ms = t.appendChanges(ms, to, true)
 	ms = t.appendChanges(ms, to, false)
 	if all {
-		ms = append(ms, t.nextLive(t.rules.Most-len(ms))...)
+		ms = append(ms, t.nextLive(t.rules.MaxUpdates-len(ms))...)
 	}
 	return ms
 }
@@ -346,7 +346,7 @@
 func (t *Table) appendChanges(ms []peer.Member, to peer.VM, highCapacity bool) []peer.Member {
 	maxCores := t.derive().maxCores
 	for v, e := range t.entries {
-		if e.sends == 0 || v == to || len(ms) >= t.rules.Most || highCapacity != (e.member.Cores*capacityDivisor >= maxCores) {
+		if e.sends == 0 || v == to || len(ms) >= t.rules.MaxUpdates || highCapacity != (e.member.Cores*capacityDivisor >= maxCores) {
 			continue
 		}
 		e.sends--
@@ -356,7 +356,7 @@
 }
 
 // HasUpdates reports whether there are changes to send.
-func (t *Table) Fresh() bool {
+func (t *Table) HasUpdates() bool {
 	if t.selfSends > 0 {
 		return true
 	}
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -116,7 +116,7 @@
 	o.ring.Receive(args.Stamp)
 	p, ok := o.open(args.Pool)
 	if !ok {
-		reply.Fault = peer.Wire(handingOverFault())
+		reply.Fault = peer.NewFault(handingOverFault())
 		return nil
 	}
 	*reply = p.acquire(args)
--- a/daemon/usage/usage_test.go
+++ b/daemon/usage/usage_test.go
@@ -30,7 +30,7 @@
 func (p *peers) Self() peer.Member   { return p.self }
 func (p *peers) Live() []peer.Member { p.mu.Lock(); defer p.mu.Unlock(); return p.live }
 
-func (p *peers) Neighbours() []peer.Member {
+func (p *peers) RingSuccessors() []peer.Member {
 	var ns []peer.Member
 	for _, m := range p.Live() {
 		if m.VM != p.self.VM {
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -38,7 +38,7 @@
 type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
-	Neighbours() []peer.Member
+	RingSuccessors() []peer.Member
 }
 
 // storedCounter is the stored form of one workspace's counter.
--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -12,7 +12,7 @@
 
 // HedgeDelay is the time that an attempt gets before a parallel one is started. A connect between VMs
 // and upstreams of a region takes a few milliseconds, a small part of it.
-const Again = 60 * time.Millisecond
+const HedgeDelay = 60 * time.Millisecond
 
 // Hedged returns a Dial that starts a further attempt by d, in parallel with the earlier ones, after each delay
 // without a result. The first connection or error is returned; connections of the other attempts are closed.
--- a/lib/expect/expect.go
+++ b/lib/expect/expect.go
@@ -19,13 +19,13 @@
 const TokenBytes = 4
 
 // DefaultTokens is the number of output tokens for a request without a limit.
-const Default = 16
+const DefaultTokens = 16
 
 // Seed is the hash of a prompt, from which its answer is generated.
 type Seed uint64
 
 // SeedOf returns the seed of a prompt.
-func Of(prompt string) Seed { return Seed(xxhash.Sum64String(prompt)) }
+func SeedOf(prompt string) Seed { return Seed(xxhash.Sum64String(prompt)) }
 
 // Append appends token i to b.
 func (s Seed) Append(b []byte, i int) []byte {
@@ -52,7 +52,7 @@
 // Check returns an error unless answer consists of the n tokens expected for prompt. The error
 // distinguishes a truncated answer from one that belongs to another prompt.
 func Check(prompt, answer string, n int) error {
-	want := Of(prompt).Answer(n)
+	want := SeedOf(prompt).Answer(n)
 	if answer == want {
 		return nil
 	}
--- a/lib/fault/fault.go
+++ b/lib/fault/fault.go
@@ -64,7 +64,7 @@
 	// it reports more only by an explicit WithRan.
 	Ran Ran
 	// Retryable reports whether the same request may succeed later; such responses carry Retry-After.
-	Again bool
+	Retryable bool
 }
 
 var answers = map[Kind]Answer{
--- a/lib/peer/dialer.go
+++ b/lib/peer/dialer.go
@@ -81,7 +81,7 @@
 // WithOpenTimeout sets the time limit for opening a connection and returns d. It must be called before any Call.
 // The kernel retransmits a lost first packet only after a second. VMs that start together send
 // such packets before the others listen, and with a long limit they would find no peer for that time.
-func (d *Dialer) Within(timeout time.Duration) *Dialer {
+func (d *Dialer) WithOpenTimeout(timeout time.Duration) *Dialer {
 	d.openTimeout = timeout
 	return d
 }
@@ -110,7 +110,7 @@
 
 // Probe checks over a new connection whether the peer at address responds before ctx ends. This distinguishes an
 // unreachable peer from an existing connection that waits for the retransmission of a lost packet.
-func (d *Dialer) Prove(ctx context.Context, address string) error {
+func (d *Dialer) Probe(ctx context.Context, address string) error {
 	conn, err := d.dial(ctx, address)
 	if err != nil {
 		return ErrUnreachable.Wrap(err)
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -143,9 +143,9 @@
 
 // The states of a member, from best to worst.
 const (
-	Live    Health = iota // the member responds, or no failure has been reported
-	Doubted               // the member did not answer the heartbeats of some peer; it still counts as live
-	Gone                  // the member left, or did not refute the suspicion within the time limit
+	Live      Health = iota // the member responds, or no failure has been reported
+	Suspected               // the member did not answer the heartbeats of some peer; it still counts as live
+	Gone                    // the member left, or did not refute the suspicion within the time limit
 )
 
 // BeatArgs is one heartbeat. The reply has the same shape.
@@ -166,7 +166,7 @@
 	// Usage lists those of the sender's cumulative counters that changed since its last answered heartbeat.
 	Usage []WorkspaceUsage
 	// Registry is the version summary of the sender's registry.
-	Registry RegistryWord
+	Registry RegistrySummary
 	// Holders lists the holder of each service, as far as known to the sender.
 	Holders []Holder
 }
@@ -187,7 +187,7 @@
 
 // RegistrySummary is the version summary of a daemon's registry, its copy of the store. Ages count back
 // from the time of sending. Zero revisions and digests mean that the daemon has no copy.
-type RegistryWord struct {
+type RegistrySummary struct {
 	Revision    route.Revision
 	RevisionAge clock.Milli
 	// Digest is a hash of the set of upstreams, Mark the store's revision at which this set
@@ -207,7 +207,9 @@
 }
 
 // Position returns the era and revision of the store at which the set of upstreams was current.
-func (w *RegistryWord) Position() route.Position { return route.Position{Era: w.MarkEra, Mark: w.Mark} }
+func (w *RegistrySummary) Position() route.Position {
+	return route.Position{Era: w.MarkEra, Mark: w.Mark}
+}
 
 // RegistryReply transfers a daemon's copy of the store to the requester, without the parts that it already has.
 type RegistryReply struct {
@@ -235,7 +237,7 @@
 	// which does not mean that they were removed.
 	Doubted []route.Upstream
 	// Word is the version summary of the copy from which the reply was made.
-	Word RegistryWord
+	Word RegistrySummary
 }
 
 // Suspect is the fingerprint of a request with the number of upstreams that crashed while running it.
--- a/lib/peer/request.go
+++ b/lib/peer/request.go
@@ -57,7 +57,7 @@
 }
 
 // NewFault converts an error for transfer in a message; nil stays nil.
-func Wire(e *fault.Error) *Fault {
+func NewFault(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
 	}
