--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -1,84 +1,87 @@
-// Package logline is the closed table of events in the log of a relaying daemon. Each
-// line on standard output is one JSON object with the event under Key, the VM, what was
-// decided or believed, the inputs and their age. Ages and spans are milliseconds.
+// Package logline defines the events in the log of a relaying daemon. Each line on standard output
+// is a JSON object with the event under Key, the VM, the decision or observation, its inputs and
+// their age. Ages and durations are in milliseconds.
 package logline
 
-// Key is the field that names the event.
+// Key is the name of the field that contains the event.
 const Key = "event"
 
-// The closed list of events.
+// All events. No daemon writes any other.
 const (
-	// Request tells the whole story of one request at its end.
+	// Request summarizes a request when it ends.
 	Request = "request"
-	// Started, Stopping and Stopped are the life of a process, Failed the end of one of its parts.
+	// Started, Stopping and Stopped are the start and the planned stop of a process; Failed is the
+	// failure of one of its components.
 	Started  = "started"
 	Stopping = "stopping"
 	Stopped  = "stopped"
 	Failed   = "failed"
-	// Applied and Rejected are about documents.
+	// Applied and Rejected are the result of validating a new configuration document.
 	Applied  = "applied"
 	Rejected = "rejected"
-	// Engine tells the data of a service's engines.
+	// Engine reports the performance data of a service's engines.
 	Engine = "engine"
-	// Upstreams is the first list, Upstream a change of one.
+	// Upstreams is the first list of upstreams received, Upstream a change of one upstream.
 	Upstreams = "upstreams"
 	Upstream  = "upstream"
-	// Unusable is an entry of the store that names no upstream to use.
+	// Unusable is an entry of the store from which no upstream can be derived.
 	Unusable = "unusable"
-	// Unreachable and Reached are about dependencies: the store, an owner, a peer.
+	// Unreachable is the loss of a dependency (the store, an owner, a peer), Reached its recovery.
 	Unreachable = "unreachable"
 	Reached     = "reached"
-	// Reader is a change of a VM's part in reading the store.
+	// Reader is a change of a VM's role in reading the store for the other VMs.
 	Reader = "reader"
-	// Holder tells that another VM holds a service, and how this VM knows.
+	// Holder is a change of the VM that owns a service, with the source of the information.
 	Holder = "holder"
-	// Report is an upstream's word on work that no grant explains.
+	// Report is an upstream's report of work that no grant accounts for, or the lack of a report.
 	Report = "report"
-	// Silent tells that an upstream neither answers nor takes connections.
+	// Silent is an upstream that neither responds nor accepts connections.
 	Silent = "silent"
-	// Reserve and Release are orders about memory that failed.
+	// Reserve and Release are failed orders to reserve or free memory of an engine.
 	Reserve = "reserve"
 	Release = "release"
-	// Limit is a change of the requests a second that an upstream takes from all VMs together.
+	// Limit is a change of the rate limit, in requests per second, that an upstream declares for all
+	// VMs together.
 	Limit = "limit"
-	// Rest is a time in which an upstream wants nothing from this VM, Leaving its word that it ends soon.
+	// Rest is an upstream's request for a back-off of a VM; Leaving is its drain notice.
 	Rest    = "rest"
 	Leaving = "leaving"
-	// Withheld is a send that what its upstream says of itself forbids.
+	// Withheld is a send that was skipped because of a statement of the upstream.
 	Withheld = "withheld"
-	// Unreadable is something that an upstream says of itself in a form that cannot be read, Unknown a header field that nobody reads.
+	// Unreadable is a malformed statement of an upstream, Unknown a response header field that no
+	// adapter interprets.
 	Unreadable = "unreadable"
 	Unknown    = "unknown"
-	// Era is a return of the store from an older copy of itself.
+	// Era is a restart of the store from an older copy.
 	Era = "era"
 )
 
-// Meanings has one line for each event.
+// Meanings describes each event in one line. The operations manual repeats these lines.
 var Meanings = map[string]string{
-	Request:     "the end of a request: route, workspace, document with its age, place with the queue at the decision, each send, outcome",
-	Started:     "a process takes callers",
-	Stopping:    "a planned stop has begun, or an answer is cut off at its end",
-	Stopped:     "a planned stop is over",
-	Failed:      "a part of the process failed; it stops",
-	Applied:     "a document is in force, with the age and source of the word",
-	Rejected:    "a document is not taken, and why",
-	Engine:      "the data of a service's engines, by which its decisions go, are new or changed",
-	Upstreams:   "the first list of upstreams is known",
-	Upstream:    "an upstream is new, changed, leaving or gone",
-	Unusable:    "an entry of the store names no upstream to use, and why; once for each reason",
-	Unreachable: "a dependency does not answer: the store, an owner, a peer",
-	Reached:     "a lost dependency answers again",
-	Reader:      "a VM has another part in reading the store: its rank, how many before it have an open way, the age of its document",
-	Holder:      "another VM holds a service: its epoch, and how this VM knows",
-	Report:      "an upstream's word on work that no grant explains, or its silence",
-	Silent:      "an upstream neither answers nor takes connections; the send is given up",
+	Request:     "a request has ended: route, workspace, document with its age, placement with the queue at the decision, each send, outcome",
+	Started:     "a process accepts requests of clients",
+	Stopping:    "a planned stop has begun, or a response is cut off at the end of the stop",
+	Stopped:     "a planned stop is complete",
+	Failed:      "a component of the process has failed; the process stops",
+	Applied:     "a document has been applied, with the age and source of the information",
+	Rejected:    "a document has been rejected, with the reason",
+	Engine:      "the performance data of a service's engines, on which placement is based, are new or have changed",
+	Upstreams:   "the first list of upstreams has been received",
+	Upstream:    "an upstream is new, changed, leaving or removed",
+	Unusable:    "an entry of the store does not describe a usable upstream, with the reason; logged once for each reason",
+	Unreachable: "a dependency does not respond: the store, an owner, a peer",
+	Reached:     "a dependency that was unreachable responds again",
+	Reader:      "the role of a VM in reading the store has changed: its rank, how many VMs of lower rank can reach the store, the age of its document",
+	Holder:      "another VM now owns a service: its epoch and the source of the information",
+	Report:      "an upstream reports work that no grant accounts for, or does not report",
+	Silent:      "an upstream neither responds nor accepts connections; the send is abandoned",
 	Reserve:     "memory for a part of a prompt could not be reserved",
-	Release:     "reserved memory could not be freed; it lapses by itself",
-	Limit:       "an upstream names how many requests a second it takes from all VMs together, changes that or names it no more; and how this VM knows",
-	Rest:        "an upstream wants nothing from a VM for a time: which VM, how much is left, and how this VM knows",
-	Leaving:     "an upstream says in an answer that it ends soon: to which VM, and how this VM knows",
-	Withheld:    "a send does not happen, by what its upstream says of itself: which statement, and its age",
-	Unreadable:  "an upstream says something of itself in a form that cannot be read; nothing changes",
-	Unknown:     "answers have a header field that nobody reads; once for each name",
-	Era:         "the store came back from an older copy: its era and the one before, the position and age of what was known, and how this VM knows",
+	Release:     "reserved memory could not be freed; the reservation expires by itself",
+	Limit:       "an upstream declares, changes or withdraws its rate limit, in requests per second from all VMs together; with the source of the information",
+	Rest:        "an upstream asks a VM for a back-off: the VM, the remaining time and the source of the information",
+	Leaving:     "an upstream announces in a response that it will shut down soon: the VM that received the response and the source of the information",
+	Withheld:    "a send is skipped because of a statement of its upstream: the statement and its age",
+	Unreadable:  "a statement of an upstream is malformed and is ignored",
+	Unknown:     "responses have a header field that no adapter interprets; logged once for each name",
+	Era:         "the store was restored from an older copy: its new and previous era, the position and age of the data known before, and the source of the information",
 }
--- a/lib/logline/logline_test.go
+++ b/lib/logline/logline_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An event that the page of operations leaves out is a line that nobody on call understands.
+// The operations manual must describe every event, or on-call engineers can't interpret its log lines.
 func TestThePageNamesEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -19,10 +19,11 @@
 	}
 }
 
-// A daemon that writes an event of its own making is out of the reach of the command that explains.
+// snipeshift explain can't interpret events that are not in the table, so daemons must not write the
+// name of an event as a literal.
 func TestNoEventIsWrittenOutsideTheTable(t *testing.T) {
 	out, err := exec.Command("grep", "-rnE", `Str\("event"`, "--include=*.go", "../../daemon").Output()
-	require.Error(t, err, "grep finds nothing: %s", out)
+	require.Error(t, err, "grep must find nothing: %s", out)
 	source, err := os.ReadFile("logline.go")
 	require.NoError(t, err)
 	for _, m := range regexp.MustCompile(`(?m)^\t(\w+) +=? +"(\w+)"$`).FindAllStringSubmatch(string(source), -1) {
--- a/lib/logline/writer.go
+++ b/lib/logline/writer.go
@@ -8,15 +8,15 @@
 	"github.com/phuslu/log"
 )
 
-// Writer passes lines on without ever holding up who writes them.
-// A reader that stands still would fill the pipe and hold up each request. So a bounded queue stands between, and a line that finds it full is
-// dropped and counted.
+// Writer writes log lines without ever blocking the caller. If the reader of the output stalls, the
+// pipe fills up and direct writes would block every request. Lines therefore pass through a bounded
+// queue; when the queue is full, they are dropped and counted.
 type Writer struct {
 	queue   *log.AsyncWriter
 	dropped atomic.Uint64
 }
 
-// NewWriter returns a writer with room for some lines before out.
+// NewWriter returns a writer to out with a queue for the given number of lines.
 func NewWriter(out io.Writer, lines uint) *Writer {
 	return &Writer{queue: &log.AsyncWriter{Writer: &log.IOWriter{Writer: out}, ChannelSize: lines, DiscardOnFull: true}}
 }
@@ -31,8 +31,8 @@
 	return n, err
 }
 
-// Dropped is how many lines were dropped.
+// Dropped returns the number of lines dropped.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued.
+// Close writes the queued lines and closes the queue.
 func (w *Writer) Close() error { return w.queue.Close() }
--- a/lib/logline/writer_test.go
+++ b/lib/logline/writer_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The collector of logs stands still and its pipe is full. Requests must go on, and
-// the count must say that lines are missing.
+// The log collector stalls and its pipe is full. Writing a line must not block, and the dropped lines
+// must be counted.
 func TestAStuckReaderHoldsNobodyUp(t *testing.T) {
 	r, out := io.Pipe() // nobody reads
 	w := NewWriter(out, 8)
@@ -40,7 +40,7 @@
 	require.Zero(t, w.Dropped())
 }
 
-// BenchmarkLine is the cost of one line for who writes it.
+// BenchmarkLine measures the cost of a log line for its caller.
 func BenchmarkLine(b *testing.B) {
 	l := &log.Logger{Level: log.InfoLevel, Writer: NewWriter(io.Discard, 4096)}
 	b.ReportAllocs()
