--- a/lib/document/check.go
+++ b/lib/document/check.go
@@ -8,14 +8,14 @@
 	"snipeshift.example/lib/strict"
 )
 
-// checker finds what no single field shows: dangling references, duplicates
-// and contradictions. It goes on after a problem, so that all are reported at once.
+// checker checks a document for faults that involve several fields: dangling references,
+// duplicates and contradictions. It continues after a problem, so that all are reported in one run.
 type checker struct {
 	source   *strict.Source
 	document *Document
 }
 
-// names maps each name of a table to the path where it stands first.
+// names maps each value, such as the name of an entry, to the path of its first occurrence.
 type names map[string]string
 
 func (c *checker) run() {
@@ -34,7 +34,8 @@
 	}
 }
 
-// table checks the names of a table and returns them.
+// table checks that the n entries of a table have valid and unique names and returns these names.
+// extra lists the characters that are allowed in addition to those of every name.
 func (c *checker) table(path string, n int, name func(int) string, extra string) names {
 	seen := names{}
 	for i := range n {
@@ -54,7 +55,8 @@
 	c.source.Add(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extra)
 }
 
-// valid tells whether a name is safe in paths, headers, metrics and pool ids.
+// valid reports whether a name can be used in paths, headers, metrics and pool ids without escaping.
+// extra lists further characters that are allowed after the first one.
 func valid(name, extra string) bool {
 	for i, r := range name {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
@@ -65,7 +67,7 @@
 	return true
 }
 
-// once reports a value that stands elsewhere already.
+// once reports a value that an earlier field has already, and records it otherwise.
 func (c *checker) once(seen names, value, path, text string) {
 	first, ok := seen[value]
 	if !ok {
@@ -75,7 +77,7 @@
 	c.source.Add(path, "%s, at line %d: use it once", text, c.source.Line(first))
 }
 
-// refer reports a name that no entry of a table has.
+// refer reports a reference to a name that no entry of the table has.
 func (c *checker) refer(known names, name, path, table string) {
 	if _, ok := known[name]; ok || c.source.Faulty(path) {
 		return
@@ -110,11 +112,12 @@
 	for i, name := range list {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		c.refer(known, name, at, table)
-		c.once(seen, name, at, "stands in this list already")
+		c.once(seen, name, at, "is in this list already")
 	}
 }
 
-// key checks a key's hash and never repeats it: by mistake it may be the key itself.
+// key checks the hash of an API key. No problem repeats the value, since it may be the key itself,
+// entered by mistake.
 func (c *checker) key(seen names, key, path string) {
 	if c.source.Faulty(path) {
 		return
@@ -169,8 +172,8 @@
 	c.once(seen, a.String(), path, "is the address of an earlier upstream")
 }
 
-// engine checks that the figures are there by which engines are chosen; with
-// one missing, work would go to it without end or never.
+// engine checks that an engine has the figures on which placement is based. If one is missing,
+// the engine would receive an unlimited number of requests or none.
 func (c *checker) engine(u *Upstream, at string) {
 	c.positive(float64(u.Memory), at+".memory", "tokens of KV memory")
 	c.positive(float64(u.Prefill), at+".prefill", "prompt tokens per second")
@@ -183,13 +186,13 @@
 	}
 }
 
-// plain checks that a plain service has no figure that only engines have.
+// plain checks that the upstream of a plain service sets no field that applies only to engines.
 func (c *checker) plain(u *Upstream, at string) {
 	c.zero(float64(u.Memory), at+".memory")
 	c.zero(float64(u.Prefill), at+".prefill")
 	c.zero(float64(u.Decode), at+".decode")
 	if u.Fenced {
-		c.source.Add(at+".fenced", "contradicts service: a plain service takes no orders, remove it")
+		c.source.Add(at+".fenced", "contradicts service: a plain service receives no orders, remove it")
 	}
 }
 
--- a/lib/document/diff.go
+++ b/lib/document/diff.go
@@ -10,9 +10,9 @@
 
 // Change is one difference between two documents.
 type Change struct {
-	// Path names the field by the names of the entries: "kinds.draft.allowed".
+	// Path is the path of the field, with entries of lists by name: "kinds.draft.allowed".
 	Path string `json:"path"`
-	// Before and After are JSON values; empty where the field is absent.
+	// Before and After are the field's JSON values; empty if the document lacks the field.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -29,8 +29,8 @@
 	}
 }
 
-// Compare lists what differs in effect, by path. Comments, layout and the order
-// of entries do not count, but for the first kind, which is the default.
+// Compare returns the differences in effect between two documents, sorted by path. It ignores
+// comments, layout and the order of entries, except for the first kind, which is the default.
 func Compare(before, after *Document) ([]Change, error) {
 	a, err := flatten(before)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return changes, nil
 }
 
-// flatten maps each path to its value in JSON.
+// flatten returns the JSON value of each field of a document by path.
 func flatten(d *Document) (map[string]string, error) {
 	text, err := json.Marshal(d)
 	if err != nil {
@@ -86,12 +86,12 @@
 		}
 	case nil:
 	default:
-		text, _ := json.Marshal(v) // a value that came from JSON
+		text, _ := json.Marshal(v) // can't fail: the value was decoded from JSON
 		flat[path] = string(text)
 	}
 }
 
-// walkEntry walks an entry of a list under its name; strings stand for themselves.
+// walkEntry adds an entry of a list under its name. A string is its own name.
 func walkEntry(flat map[string]string, path string, entry any) {
 	switch e := entry.(type) {
 	case map[string]any:
--- a/lib/document/document_test.go
+++ b/lib/document/document_test.go
@@ -18,14 +18,13 @@
 	"snipeshift.example/lib/peer"
 )
 
-// examples are documents without a fault.
+// examples is the folder of the valid documents.
 const examples = "testdata/good"
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// An operator mends a document by what check prints. Were only the first
-// problem printed, each run would show one more, and a wrong line or path
-// would send the operator to the wrong place.
+// Operators correct a document by the problems that snipeshift check prints. If it printed only the
+// first, they would need a run for each problem; a wrong line or path would point to the wrong field.
 func TestBadDocumentsAreRefusedWithAllTheirLines(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.hujson")
 	require.NoError(t, err)
@@ -133,8 +132,8 @@
 	require.Equal(t, "sha256:9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08", Hash("test"))
 }
 
-// A document comes from a person's editor or, after a fault of the store, cut
-// or mixed up. Whatever the bytes, a daemon must refuse it rather than crash.
+// A document may contain errors of its author or be truncated or corrupted by the store. A daemon
+// must refuse any such bytes rather than crash.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob("testdata/*/*.hujson")
 	require.NoError(f, err)
@@ -180,8 +179,8 @@
 	}
 }
 
-// The table of fields and the structs are written apart. A field that stood in
-// one alone would be read without its bounds, or have bounds that never apply.
+// The table of fields and the structs are maintained separately. A field missing from the table
+// would be read without bounds; a row without a field would have no effect.
 func TestEveryFieldHasItsRow(t *testing.T) {
 	var found []string
 	var walk func(reflect.Type, string)
--- a/lib/document/edit.go
+++ b/lib/document/edit.go
@@ -11,15 +11,15 @@
 // Class is the error class of this package.
 var Class = errs.Class("document")
 
-// operation is one step of a JSON patch (RFC 6902).
+// operation is an operation of a JSON patch (RFC 6902).
 type operation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
 	Value bool   `json:"value"`
 }
 
-// SetDrain returns the text with drain set for one upstream. Comments and
-// layout stay: the text is what operators keep their notes in.
+// SetDrain returns the text with the field drain of one upstream set. Comments and layout are
+// preserved, since operators keep notes in the text.
 func SetDrain(text []byte, upstream string, drain bool) ([]byte, error) {
 	d, ps := Parse(text, "document")
 	if err := ps.Err(); err != nil {
@@ -30,10 +30,10 @@
 			return patch(text, fmt.Sprintf("/upstreams/%d", i), "drain", drain)
 		}
 	}
-	return nil, Class.New("no upstream %q: see snipeshift upstreams for the names", upstream)
+	return nil, Class.New("no upstream %q in the document: snipeshift upstreams lists the names", upstream)
 }
 
-// patch sets one field of the object at a JSON pointer.
+// patch sets a field of the object at a JSON pointer.
 func patch(text []byte, object, field string, value bool) ([]byte, error) {
 	tree, err := hujson.Parse(text)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return tree.Pack(), nil
 }
 
-// space puts a space before name and value of a member that was added without.
+// space inserts the missing spaces before the name and value of a member that a patch has added.
 func space(m *hujson.ObjectMember) {
 	if len(m.Name.BeforeExtra) == 0 {
 		m.Name.BeforeExtra = hujson.Extra(" ")
--- a/lib/document/fields.go
+++ b/lib/document/fields.go
@@ -4,7 +4,8 @@
 
 // Bounds of the document.
 const (
-	// MaxSize is the largest text in bytes: the platform's store holds no larger value.
+	// MaxSize is the largest text of a document in bytes, which is the largest value that the
+	// platform's store accepts.
 	MaxSize = 1 << 20
 	maxName = 128
 
@@ -12,8 +13,8 @@
 	million = 1_000_000
 )
 
-// fields is the one table of what each field means: the reader takes its
-// checks from it, the schema its bounds, and a test holds the page of fields to it.
+// fields describes each field of the document. Parse takes its checks from this table, Schema its
+// bounds and descriptions; a test compares the list of fields in the documentation with it.
 var fields = strict.Table{
 	"domains":        {Text: "failure domains; without any, upstreams may name any domain"},
 	"domains.name":   {Need: true, Min: 1, Max: maxName, Text: "name of the failure domain"},
--- a/lib/document/index.go
+++ b/lib/document/index.go
@@ -10,10 +10,11 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Index looks things up in a document that Parse accepted. It is read-only and
-// may be used by any number of goroutines; what it returns must not be changed.
+// Index looks up entries of a document that Parse accepted. It is read-only and safe for concurrent
+// use; callers must not modify the entries that it returns.
 type Index struct {
-	document   *Document
+	document *Document
+	// keys holds the API keys by the first 8 bytes of their digests.
 	keys       map[uint64][]keyEntry
 	workspaces map[string]*Workspace
 	kinds      map[string]*Kind
@@ -21,7 +22,7 @@
 	services   map[string]*Service
 	upstreams  map[string]*Upstream
 	pools      map[peer.PoolID][]*Upstream
-	// domains lists, by model or service, where it has a pool.
+	// domains lists the failure domains in which a model or service has a pool.
 	domains map[string][]peer.Domain
 }
 
@@ -85,16 +86,15 @@
 	}
 }
 
-// bucket is the head of a digest, by which keys are found.
+// bucket returns the first 8 bytes of a digest as the key of Index.keys.
 func bucket(d digest) uint64 { return binary.BigEndian.Uint64(d[:8]) }
 
 // Document returns the document the index was built from.
 func (x *Index) Document() *Document { return x.document }
 
-// Key returns the workspace that holds an API key. The time it takes tells
-// nothing of how much of a guessed key is right: the map is keyed by a hash of
-// the guess, of which a guesser chooses no part, and within a bucket the whole
-// digests are compared in constant time.
+// Key returns the workspace that an API key belongs to. Its duration does not reveal how many
+// characters of a guessed key are right: the map is looked up by a hash of the guess, no part of
+// which an attacker can choose, and the digests in a bucket are compared in constant time.
 func (x *Index) Key(key string) (*Workspace, bool) {
 	d := digest(sha256.Sum256([]byte(key)))
 	var found *Workspace
@@ -106,7 +106,7 @@
 	return found, found != nil
 }
 
-// Kind returns a kind by name; the empty name is the first kind.
+// Kind returns a kind by name; the empty name selects the first kind, which is the default.
 func (x *Index) Kind(name string) (*Kind, bool) {
 	if name == "" && len(x.document.Kinds) > 0 {
 		return &x.document.Kinds[0], true
@@ -127,10 +127,10 @@
 // Upstream returns an upstream by name.
 func (x *Index) Upstream(name string) (*Upstream, bool) { u, ok := x.upstreams[name]; return u, ok }
 
-// Upstreams returns the upstreams of a pool by name.
+// Upstreams returns the upstreams of a pool, sorted by name.
 func (x *Index) Upstreams(pool peer.PoolID) []*Upstream { return x.pools[pool] }
 
-// Pools returns the ids of all pools in order.
+// Pools returns the ids of all pools, sorted.
 func (x *Index) Pools() []peer.PoolID {
 	ids := make([]peer.PoolID, 0, len(x.pools))
 	for id := range x.pools {
@@ -140,7 +140,7 @@
 	return ids
 }
 
-// Domains returns the failure domains where a model or service has a pool, in order.
+// Domains returns the failure domains in which a model or service has a pool, sorted.
 func (x *Index) Domains(served string) []peer.Domain { return x.domains[served] }
 
 const poolSeparator = "@"
@@ -155,12 +155,12 @@
 	return PoolOf(u.Model+u.Service, peer.Domain(u.Domain))
 }
 
-// Allows tells whether the workspace may send a kind.
+// Allows reports whether the workspace may send requests of a kind.
 func (w *Workspace) Allows(kind string) bool {
 	return len(w.Kinds) == 0 || slices.Contains(w.Kinds, kind)
 }
 
-// Reaches tells whether the workspace may use a model.
+// Reaches reports whether the workspace may use a model.
 func (w *Workspace) Reaches(model string) bool {
 	return len(w.Models) == 0 || slices.Contains(w.Models, model)
 }
--- a/lib/document/live_test.go
+++ b/lib/document/live_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkHeldPlanned prints the memory that a parsed document of the planned size holds.
+// BenchmarkHeldPlanned reports the heap memory that a parsed document of the planned size and its
+// index retain.
 func BenchmarkHeldPlanned(b *testing.B) {
 	text := []byte(planned(1))
 	for b.Loop() {
--- a/lib/document/page_test.go
+++ b/lib/document/page_test.go
@@ -18,8 +18,8 @@
 	pageEnd   = "<!-- end of the fields -->\n"
 )
 
-// The page of fields is what operators go by. It is held to the table that the
-// reader checks by, so that a bound cannot change without its page.
+// Operators rely on the list of fields in the documentation. The test compares it with the table
+// that Parse uses, so that no bound changes without the documentation.
 func TestConfigurationPageListsEveryField(t *testing.T) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	require.Equal(t, want, string(text))
 }
 
-// tables are the document's tables in the order of the page.
+// tables are the top-level fields of the document in the order of the documentation.
 var tables = []string{"domains", "models", "services", "kinds", "workspaces", "upstreams", "limits"}
 
 func rows() string {
--- a/lib/document/parse.go
+++ b/lib/document/parse.go
@@ -6,22 +6,22 @@
 	"snipeshift.example/lib/strict"
 )
 
-// Problem and Problems are what Parse reports.
+// Names of the types in which Parse reports problems.
 type (
-	// Problem is one thing to mend in a document.
+	// Problem is one fault of a document.
 	Problem = strict.Problem
-	// Problems are all of them, by line.
+	// Problems are all faults of a document, sorted by line.
 	Problems = strict.Problems
 )
 
-// Parse reads a document and checks all of it. Name is the file's name for the
-// problems. The document is nil unless there is no problem at all: a document
-// is in force whole or not.
+// Parse decodes and validates a document and returns all problems found. name is the file name that
+// the problems contain. If there is any problem, the document is nil: a document is never applied
+// in part.
 func Parse(text []byte, name string) (*Document, Problems) {
 	if len(text) > MaxSize {
 		return nil, Problems{{
 			File: name, Line: 1,
-			Text: fmt.Sprintf("has %d bytes, the store holds at most %d: remove what is not in use", len(text), MaxSize),
+			Text: fmt.Sprintf("has %d bytes, the store accepts at most %d: remove entries that are not in use", len(text), MaxSize),
 		}}
 	}
 	d := &Document{}
--- a/lib/document/schema.go
+++ b/lib/document/schema.go
@@ -6,7 +6,7 @@
 	"snipeshift.example/lib/strict"
 )
 
-// Schema returns the document's JSON Schema, from which a console can build its forms.
+// Schema returns the JSON Schema of the document, from which a web console can generate its forms.
 func Schema() (*jsonschema.Schema, error) {
 	s, err := strict.Schema[Document](fields)
 	if err != nil {
--- a/lib/document/size_test.go
+++ b/lib/document/size_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planned writes a document of the size that is planned for: 21 models, 8
-// failure domains, 1,300 upstreams and 3,500 workspaces, an entry a line.
+// planned returns the text of a document of the largest size that the system is designed for:
+// 21 models, 8 failure domains, 1,300 upstreams and 3,500 workspaces with the given number of keys
+// each, one entry a line.
 func planned(keys int) string {
 	var b strings.Builder
 	b.WriteString("{\n\"kinds\": [{\"name\": \"draft\", \"urgency\": 1, \"allowed\": 600000, \"repeat\": true}],\n\"models\": [\n")
@@ -35,8 +36,8 @@
 	return b.String()
 }
 
-// The store holds values of up to a mebibyte, and the whole configuration is
-// one value. At the planned size it must fit, or no change could be applied.
+// The whole configuration is one value of the store, which accepts up to 1 MiB. If a document of
+// the planned size did not fit, no change to it could be applied.
 func TestThePlannedSizeFitsTheStore(t *testing.T) {
 	text := planned(1)
 	_, ps := Parse([]byte(text), "planned")
--- a/lib/strict/field.go
+++ b/lib/strict/field.go
@@ -1,22 +1,23 @@
 package strict
 
-// Field tells what is expected of one field of a format.
+// Field describes the valid values of a field in a file format.
 type Field struct {
-	// Unit is what a number counts, such as "milliseconds"; empty for a bare number.
+	// Unit is the unit of a number, such as "milliseconds"; empty if it has none.
 	Unit string
-	// Min and Max bound a number, or the length of a string or list; both zero for no bound.
+	// Min and Max are the bounds of a number, or of the length of a string in bytes; both zero for
+	// no bound.
 	Min, Max float64
-	// Need is set when the field may not be left out.
+	// Need is set if the field must be present.
 	Need bool
-	// Default is what a field that was left out reads as; nil for the zero value.
+	// Default is the value of an absent field; nil for the zero value.
 	Default any
-	// Ref is the table whose entries' names the field refers to; empty if none.
+	// Ref is the name of the list whose entries the field refers to by name; empty if none.
 	Ref string
-	// Only lists the strings that are allowed; empty for any.
+	// Only lists the allowed strings; empty for any.
 	Only []string
-	// Text is one line that says what the field is for.
+	// Text describes the purpose of the field in one line.
 	Text string
 }
 
-// Table gives the Field of each path, without list positions: "upstreams.memory".
+// Table maps the path of each field, without list positions, to its Field: "upstreams.memory".
 type Table map[string]Field
--- a/lib/strict/problem.go
+++ b/lib/strict/problem.go
@@ -1,6 +1,5 @@
-// Package strict reads JSON with comments into typed structs and reports
-// everything that is wrong with it at once: unknown and missing fields,
-// duplicates, wrong types, units and bounds, each with file, line and path.
+// Package strict decodes JSON with comments into structs and reports all problems at once: unknown,
+// missing and duplicate fields, wrong types and values out of bounds, each with file, line and path.
 package strict
 
 import (
@@ -10,18 +9,18 @@
 	"strings"
 )
 
-// Problem is one thing to mend in a file.
+// Problem is a fault of a file.
 type Problem struct {
 	File string `json:"file"`
 	// Line counts from 1.
 	Line int `json:"line"`
-	// Path names the field, such as "upstreams[2].memory"; empty for the whole file.
+	// Path is the path of the field, such as "upstreams[2].memory"; empty for the whole file.
 	Path string `json:"path"`
-	// Text is one line that says what to do.
+	// Text describes the fault and its correction in one line.
 	Text string `json:"text"`
 }
 
-// String returns the problem as one line.
+// String returns the problem as one line: file, line, path and text.
 func (p Problem) String() string {
 	if p.Path == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Text)
@@ -29,10 +28,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Text)
 }
 
-// Problems are all problems of a file in the order of its lines.
+// Problems are the problems of a file, sorted by line.
 type Problems []Problem
 
-// Error implements error, with a line for each problem.
+// Error implements error. The text has one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -41,7 +40,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns nil when there is no problem.
+// Err returns ps as an error, or nil if ps is empty.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -12,25 +12,26 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxDepth bounds how deep a file may nest, and with it the reader's stack.
+// MaxDepth is the deepest allowed nesting of objects and lists. It bounds the recursion of Read.
 const MaxDepth = 64
 
-// Source is a file that was read. Checks that come after reading add their
-// problems to it by path.
+// Source maps the paths of a decoded file to lines and collects its problems. Checks of the decoded
+// values report theirs with Add.
 type Source struct {
 	name  string
 	table Table
-	// breaks are the offsets of line breaks, rising.
+	// breaks are the offsets of the line breaks in ascending order.
 	breaks []int
-	// offsets gives the place of each path that the file contains.
+	// offsets maps each path in the file to its offset.
 	offsets map[string]int
-	// faulty holds the paths of all problems.
+	// faulty is the set of paths that have a problem.
 	faulty   map[string]bool
 	problems Problems
 }
 
-// Read reads text into the struct that into points to. It always returns a
-// Source; ask it for Problems after all further checks.
+// Read decodes text into the struct that into points to and checks the fields against table. It
+// always returns a Source; its Problems are complete only after all further checks of the caller.
+// name is the file name that the problems contain.
 func Read(text []byte, name string, into any, table Table) *Source {
 	s := &Source{name: name, table: table, offsets: map[string]int{}, faulty: map[string]bool{}}
 	for i, b := range text {
@@ -51,8 +52,8 @@
 	return s
 }
 
-// deep tells whether brackets nest deeper than MaxDepth. It also counts those
-// within strings and comments, which a configuration has no use for in such number.
+// deep reports whether brackets nest deeper than MaxDepth. It also counts brackets in strings and
+// comments, where no configuration needs that many unclosed ones.
 func deep(text []byte) bool {
 	depth := 0
 	for _, b := range text {
@@ -69,35 +70,35 @@
 	return false
 }
 
-// syntax reports text that is no JSON with comments; the reader of the syntax stops at the first.
+// syntax reports an error of the JSON parser, which stops at the first one.
 func (s *Source) syntax(err error) {
 	line, column, text := 1, 1, err.Error()
 	if n, _ := fmt.Sscanf(text, "hujson: line %d, column %d:", &line, &column); n == 2 {
 		text = text[strings.Index(text, ": ")+2:]
 		text = text[strings.Index(text, ": ")+2:]
 	}
-	// What follows is a piece of the file, which may be a key that lacks its quotes.
+	// The rest of the error quotes the file and may contain an API key that lacks its quotes.
 	text, _, _ = strings.Cut(text, "invalid literal:")
 	if text == "" {
-		text = "a value that is no string, number, true, false or null"
+		text = "value is not a string, number, true, false or null"
 	}
 	text = strings.ReplaceAll(text, "\n", " ")
-	s.report(line, "", "no JSON with comments at column %d: %s", column, text)
+	s.report(line, "", "invalid JSON with comments at column %d: %s", column, text)
 }
 
-// Problems returns all problems found so far, by line.
+// Problems returns all problems found so far, sorted by line.
 func (s *Source) Problems() Problems {
 	s.problems.sort()
 	return s.problems
 }
 
-// Add reports a problem with a field. A path that the file does not contain is
-// reported at the line of its nearest parent.
+// Add records a problem with the field at path. If the file does not contain the field, the problem
+// is reported at the line of its nearest parent.
 func (s *Source) Add(path, format string, args ...any) {
 	s.report(s.Line(path), path, format, args...)
 }
 
-// Line returns the line of a path, or of its nearest parent in the file.
+// Line returns the line of the field at path, or of its nearest parent if the file lacks the field.
 func (s *Source) Line(path string) int {
 	for {
 		offset, ok := s.offsets[path]
@@ -112,7 +113,8 @@
 	return 1 + sort.SearchInts(s.breaks, offset)
 }
 
-// value reads one value. Path has list positions and generic has none.
+// value decodes one value. path contains list positions; generic is the same path without them, as
+// in Table.
 func (s *Source) value(v *hujson.Value, into reflect.Value, path, generic string) {
 	if _, ok := s.offsets[path]; !ok {
 		s.offsets[path] = v.StartOffset
@@ -140,7 +142,7 @@
 		name := literal(&m.Name).String()
 		sub := join(path, name)
 		if first, ok := seen[name]; ok {
-			s.at(m.Name.StartOffset, sub, "stands twice in this object, first at line %d: remove one", s.line(first))
+			s.at(m.Name.StartOffset, sub, "appears twice in this object, first at line %d: remove one", s.line(first))
 			continue
 		}
 		seen[name] = m.Name.StartOffset
@@ -155,7 +157,8 @@
 	s.absent(into, fields, seen, path, generic)
 }
 
-// absent fills in defaults and reports needed fields that were left out.
+// absent sets the defaults of absent fields and reports absent fields that are required. seen
+// contains the fields that are present.
 func (s *Source) absent(into reflect.Value, fields map[string]int, seen map[string]int, path, generic string) {
 	for _, name := range sorted(fields) {
 		if _, ok := seen[name]; ok {
@@ -170,7 +173,7 @@
 			into.Set(reflect.ValueOf(f.Default).Convert(into.Type()))
 		}
 		if into.Kind() == reflect.Struct {
-			// An object that was left out still has its fields' defaults.
+			// The fields of an absent object also receive their defaults.
 			s.absent(into, fieldsOf(into.Type()), nil, join(path, name), join(generic, name))
 		}
 	}
@@ -245,13 +248,13 @@
 	}
 }
 
-// set stores a number unless the field's type cannot hold it.
+// set stores a number and reports whether the field's type can represent it.
 func set(into reflect.Value, n float64) bool {
 	switch {
 	case into.CanFloat():
 		into.SetFloat(n)
 	case into.CanInt():
-		// Above 2^53 a float no longer holds every whole number, and no unit of ours comes near it.
+		// Above 2^53 a float64 can't represent every integer; no field needs values that large.
 		if n < -(1<<53) || n > 1<<53 || into.OverflowInt(int64(n)) {
 			return false
 		}
@@ -274,6 +277,6 @@
 	s.problems = append(s.problems, Problem{s.name, line, path, fmt.Sprintf(format, args...)})
 }
 
-// Faulty tells whether a problem with this very field was reported already, so
-// that a later check does not report what follows from it.
+// Faulty reports whether the field at path itself has a problem already, so that later checks do
+// not report the consequences of that problem.
 func (s *Source) Faulty(path string) bool { return s.faulty[path] }
--- a/lib/strict/schema.go
+++ b/lib/strict/schema.go
@@ -7,17 +7,17 @@
 	"github.com/google/jsonschema-go/jsonschema"
 )
 
-// Keywords that the schema adds to those of the standard, for a console of forms.
+// Keywords in addition to those of JSON Schema, for a web console that generates forms.
 const (
-	// KeywordUnit names what a number counts.
+	// KeywordUnit is the unit of a number.
 	KeywordUnit = "x-unit"
-	// KeywordTable names the table whose entries' names a field refers to.
+	// KeywordTable is the list whose entries a field refers to by name.
 	KeywordTable = "x-table"
 )
 
-// Schema returns the JSON Schema of the format that T and table describe. It
-// has the bounds of single fields; what only several fields together show
-// (references, duplicates) a reader checks on top.
+// Schema returns the JSON Schema of the format that T and table describe. It has the bounds of
+// single fields. Constraints that involve several fields, such as references and unique names, are
+// checked only in code, after Read.
 func Schema[T any](table Table) (*jsonschema.Schema, error) {
 	s, err := jsonschema.For[T](nil)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return s, decorate(s, table, "")
 }
 
-// decorate adds to a schema and all below it what the table tells.
+// decorate adds the descriptions, bounds and defaults of the table to a schema and its subschemas.
 func decorate(s *jsonschema.Schema, table Table, path string) error {
 	s.Required = nil
 	for name, sub := range s.Properties {
@@ -54,7 +54,7 @@
 func describeField(s *jsonschema.Schema, f Field) error {
 	s.Description = f.Text
 	if len(s.Types) > 0 {
-		// The package lets a list be null; the reader does not.
+		// The jsonschema package allows null for a list; Read does not.
 		s.Type, s.Types = "array", nil
 	}
 	s.Extra = extra(f)
--- a/lib/strict/strict_test.go
+++ b/lib/strict/strict_test.go
@@ -38,7 +38,7 @@
 		`{"inner": {"count": 1e17}}`:        `f:1: inner.count: is 1e17: use a smaller number`,
 		`{"inner": {"count": {}}}`:          `f:1: inner.count: must be a whole number of things, not an object`,
 		"{/* [[ */ \"a\\nb\": true}":        `f:1: "a\nb": unknown field: use one of inner, level, ratio, small`,
-		`{"inner": 1, "inner": 2}`:          "f:1: inner: must be an object {...}, not a number\nf:1: inner: stands twice in this object, first at line 1: remove one",
+		`{"inner": 1, "inner": 2}`:          "f:1: inner: must be an object {...}, not a number\nf:1: inner: appears twice in this object, first at line 1: remove one",
 		`{"level": "high", "ratio": "0.5"}`: `f:1: ratio: must be a number, not a string`,
 	} {
 		var f file
--- a/lib/strict/words.go
+++ b/lib/strict/words.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// fieldsOf gives the position of each field of a struct by its name in JSON.
+// fieldsOf returns the index of each field of a struct by its JSON name.
 func fieldsOf(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 	for i := range t.NumField() {
@@ -32,7 +32,8 @@
 
 func names(fields map[string]int) string { return strings.Join(sorted(fields), ", ") }
 
-// join extends a path; a name that no format of ours would use is quoted, so that a path stays on one line.
+// join appends a name to a path. An unusual name, for example with a line break, is quoted, so that
+// the path fits on one line.
 func join(path, name string) string {
 	if len(name) > maxQuote || strings.ContainsFunc(name, odd) {
 		name = quote(name)
@@ -45,7 +46,7 @@
 
 func odd(r rune) bool { return r <= ' ' || r > '~' || r == '.' || r == '[' }
 
-// literal returns a value's literal, or null where it is an object or a list.
+// literal returns a value as a literal, or the literal null if it is an object or a list.
 func literal(v *hujson.Value) hujson.Literal {
 	l, ok := v.Value.(hujson.Literal)
 	if !ok {
@@ -54,7 +55,8 @@
 	return l
 }
 
-// describe tells what a value is without repeating it whole: it may be a key in the wrong place.
+// describe returns the type of a value. It never repeats the value, which may be an API key in the
+// wrong field.
 func describe(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
@@ -74,7 +76,7 @@
 
 const maxQuote = 60
 
-// quote repeats a text on one line, cut where it is long.
+// quote returns text as a quoted string on one line, truncated to maxQuote bytes.
 func quote(text string) string {
 	if len(text) > maxQuote {
 		text = text[:maxQuote] + "..."
