--- a/lib/timeline/event.go
+++ b/lib/timeline/event.go
@@ -1,10 +1,9 @@
-// Package timeline keeps a process's recent events in bounded memory and
-// merges those of many processes into one causal order.
+// Package timeline records the recent events of a process in bounded memory and merges the events of
+// several processes into one causal order.
 //
-// Every process has one Ring. Messages between processes carry a Stamp: the
-// sender puts Ring.Send into it, the receiver hands it to Ring.Receive before
-// it acts on the message. Merge then orders the events of all processes so
-// that no effect stands before its cause, although their clocks differ.
+// Every process has one Ring. Messages between processes carry a Stamp: the sender obtains it from
+// Ring.Send, the receiver passes it to Ring.Receive before it acts on the message. Merge then orders
+// the events of all processes so that no effect precedes its cause, although their clocks differ.
 package timeline
 
 import (
@@ -12,27 +11,27 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Event is one thing that happened in one process. It never holds a prompt, an
-// answer or a key.
+// Event is an event in one process. It never contains text of a prompt or response, nor an API key.
 type Event struct {
-	// Process is the program, VM and Incarnation tell which life of it.
+	// Process is the name of the program. VM and Incarnation identify the run of the program.
 	Process     string `json:"process"`
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
-	// Seq counts the events of the process from 1; a gap at the start means that older ones were overwritten.
+	// Seq counts the events of the process from 1. If the first event returned has a higher number,
+	// older ones were overwritten.
 	Seq uint64 `json:"seq"`
-	// Stamp orders events over processes.
+	// Stamp orders events across processes.
 	Stamp Stamp `json:"stamp"`
-	// At is the instant on the process's own clock, in milliseconds since the Unix epoch.
+	// At is the wall-clock time of the process, in milliseconds since the Unix epoch.
 	At   clock.Milli `json:"at"`
 	Kind Kind        `json:"kind"`
 
 	Request   decide.RequestID   `json:"request,omitempty"`
 	Workspace decide.WorkspaceID `json:"workspace,omitempty"`
 	Upstream  decide.UpstreamID  `json:"upstream,omitempty"`
-	// Peer is the VM or pool at the other end.
+	// Peer is the other VM or the pool that the event concerns.
 	Peer string `json:"peer,omitempty"`
-	// Text is one line for a person.
+	// Text is a description for operators, in one line.
 	Text string `json:"text,omitempty"`
 }
 
@@ -41,11 +40,11 @@
 	Request   decide.RequestID
 	Workspace decide.WorkspaceID
 	Upstream  decide.UpstreamID
-	// Since and Until bound the stamp's millisecond, both inclusive; zero for no bound.
+	// Since and Until are inclusive bounds on the millisecond part of the stamp; zero for no bound.
 	Since, Until clock.Milli
 }
 
-// Match tells whether an event is selected.
+// Match reports whether an event is selected.
 func (f Filter) Match(e *Event) bool {
 	if f.Request != "" && f.Request != e.Request {
 		return false
--- a/lib/timeline/kind.go
+++ b/lib/timeline/kind.go
@@ -5,37 +5,37 @@
 // Class is the error class of this package.
 var Class = errs.Class("timeline")
 
-// Kind is what an event tells, out of a closed list.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The closed list of event kinds, by what they are about.
+// All event kinds, grouped by subject.
 const (
 	KindNone Kind = iota
 
-	// A request, on the VM that holds the caller's connection.
+	// A request, on its gate: the VM that holds the client's connection.
 	Arrived
 	Refused
 	Sent
-	Streaming // the first token came
+	Streaming // the first token arrived
 	Finished
 	Failed
 	Retried
 	Canceled
 	Expired
 
-	// A request in its pool, on the VM that owns it.
+	// A request in its pool, on the owner: the VM that queues and places the requests of the pool.
 	Queued
 	Granted
 	Withdrawn
 	Returned
-	Lapsed
-	Presented // a live grant was shown to a new owner
-	Quarantined
+	Lapsed      // the lease of a grant expired
+	Presented   // a gate reported a live grant to a new owner
+	Quarantined // the request was refused since it is suspected of crashing upstreams
 
-	// The claim of a request that must not be repeated.
+	// The claim of a request that must not be repeated: the stored record that one attempt may run it.
 	Claimed
-	Taken
-	Settled
+	Taken   // the request was refused as a duplicate of another attempt
+	Settled // the request of the claim is complete; its outcome is being stored
 
 	// Membership and ownership.
 	Started
@@ -43,26 +43,26 @@
 	Joined
 	Silent // heartbeats are missing
 	Left
-	Owned
-	Disowned
-	Paused // the process noticed that it had stood still
+	Owned    // this VM became the owner of a pool
+	Disowned // this VM stopped being the owner of a pool
+	Paused   // the process detected that it had been suspended
 
 	// Configuration.
 	Applied
 	Rejected
 	Drained
-	Leveled
+	Leveled // an operator changed the log level
 
 	// Orders to engines.
 	Ordered
-	Obeyed
-	Outdated // the engine refused an old fencing number
+	Obeyed   // the engine confirmed the order
+	Outdated // the order failed, for example because its fencing number is outdated
 
 	// Calls to the platform's store.
 	Read
 	Wrote
 	Conflicted
-	Ambiguous // a write whose outcome is not known
+	Ambiguous // the outcome of a write is unknown
 	Unreachable
 
 	kinds // the number of kinds
@@ -122,8 +122,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. A name that a newer
-// daemon added is an error, so that it is not drawn as something else.
+// UnmarshalText implements encoding.TextUnmarshaler. A name unknown to this program, for example
+// one that a newer daemon added, is an error rather than an event of another kind.
 func (k *Kind) UnmarshalText(text []byte) error {
 	for i, n := range kindNames {
 		if n == string(text) {
@@ -131,5 +131,5 @@
 			return nil
 		}
 	}
-	return Class.New("no event kind %q: use a command as new as the daemon", text)
+	return Class.New("unknown event kind %q: use a command of the same version as the daemon", text)
 }
--- a/lib/timeline/merge.go
+++ b/lib/timeline/merge.go
@@ -5,9 +5,8 @@
 	"slices"
 )
 
-// Merge puts the events of several processes into one order in which no effect
-// stands before its cause. Events that no message connects are ordered by
-// their wall clocks. An event that came twice is kept once.
+// Merge merges the events of several processes into one order in which no effect precedes its
+// cause. Events without a causal relation are ordered roughly by wall clock. Duplicates are removed.
 func Merge(parts [][]Event) []Event {
 	all := slices.Concat(parts...)
 	slices.SortStableFunc(all, compare)
--- a/lib/timeline/ring.go
+++ b/lib/timeline/ring.go
@@ -5,32 +5,32 @@
 	"sync"
 )
 
-// Bounds on the memory of a ring: its number of events times its longest texts.
+// Bounds on the memory of a ring, which is at most its number of events times the longest event.
 const (
-	// DefaultSize holds the last minute and a half of a VM with 30 requests a
-	// second of a dozen events each, in 5 MB, or 30 MB if every text is as long as allowed.
+	// DefaultSize is sufficient for the last 90 seconds of a VM with 30 requests per second and a
+	// dozen events each. It takes 5 MB, or 30 MB if every text has the maximum length.
 	DefaultSize = 1 << 15
-	// MaxID and MaxText are the longest id and text kept, in bytes. A caller
-	// may choose an id; without the bound one caller could fill the memory.
+	// MaxID and MaxText are the largest recorded lengths of an id and a text, in bytes. Clients may
+	// choose ids; without the bound a single client could exhaust the memory.
 	MaxID   = 128
 	MaxText = 256
 )
 
-// Ring keeps the last events of a process and overwrites the oldest. All
-// methods may be called at once, and on a nil Ring, which keeps nothing.
+// Ring is a ring buffer of the last events of a process; new events overwrite the oldest. It is safe
+// for concurrent use. A nil Ring records nothing.
 type Ring struct {
-	// origin is copied into every event.
+	// origin has the fields that are the same in every event of this process.
 	origin Event
 	clock  hybrid
 
 	mu sync.Mutex
-	// events is a circle; event number n stands at (n-1) modulo its length.
+	// events is the ring buffer; the event with Seq n is at index (n-1) modulo its length.
 	events []Event
-	// seq is the number of events ever added.
+	// seq is the total number of events added.
 	seq uint64
 }
 
-// New makes a ring of size events for one life of a process.
+// New returns a ring of size events for one incarnation of a process.
 func New(process, vm string, incarnation uint64, size int, w Wall) *Ring {
 	return &Ring{
 		origin: Event{Process: process, VM: vm, Incarnation: incarnation},
@@ -39,8 +39,8 @@
 	}
 }
 
-// Add records an event; the ring fills in process, VM, incarnation, number,
-// stamp and instant. It does not allocate, but for an id or text over its bound.
+// Add records an event and sets its Process, VM, Incarnation, Seq, Stamp and At. It allocates only to
+// truncate an id or text that is too long.
 func (r *Ring) Add(e Event) {
 	if r == nil {
 		return
@@ -53,14 +53,14 @@
 	e.Text = clip(e.Text, MaxText)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// The stamp is taken under the same lock as the number, so both rise together.
+	// Stamp and Seq are assigned under the same lock, so that they order events alike.
 	e.Stamp, e.At = r.clock.tick()
 	r.seq++
 	e.Seq = r.seq
 	r.events[(r.seq-1)%uint64(len(r.events))] = e
 }
 
-// clip copies the head of a long string, so that the rest can be freed.
+// clip truncates a string to most bytes. It copies the result, so that the original can be freed.
 func clip[S ~string](s S, most int) S {
 	if len(s) <= most {
 		return s
@@ -68,7 +68,7 @@
 	return S(strings.ToValidUTF8(strings.Clone(string(s[:most])), ""))
 }
 
-// Send returns the stamp to put into a message to another process.
+// Send returns the stamp for an outgoing message to another process.
 func (r *Ring) Send() Stamp {
 	if r == nil {
 		return 0
@@ -77,7 +77,7 @@
 	return s
 }
 
-// Receive takes the stamp of a message; events added later stand after it.
+// Receive processes the stamp of an incoming message. Events added later are ordered after it.
 func (r *Ring) Receive(s Stamp) {
 	if r == nil {
 		return
@@ -85,12 +85,12 @@
 	r.clock.receive(s)
 }
 
-// batch is how many events are copied while holding the lock. The whole ring
-// takes several milliseconds, for which every request on this VM would stall.
+// batch is the number of events copied while holding the lock. Copying the whole ring takes several
+// milliseconds, during which every request on this VM would be blocked.
 const batch = 1024
 
-// Events returns a copy of the selected events, oldest first. Events that are
-// overwritten while it copies are left out.
+// Events returns copies of the selected events, oldest first, without those that are overwritten
+// during the call.
 func (r *Ring) Events(f Filter) []Event {
 	if r == nil {
 		return nil
@@ -105,8 +105,8 @@
 	return found
 }
 
-// copy adds the selected ones of the next events up to number last, and returns
-// the number after the last one it looked at.
+// copy appends the selected events among the next batch to found. next and last are numbers of
+// events, counted from 0; last is exclusive. It returns the number to continue at.
 func (r *Ring) copy(found []Event, f Filter, next, last uint64) ([]Event, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/timeline/stamp.go
+++ b/lib/timeline/stamp.go
@@ -8,11 +8,10 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Stamp is an instant of a hybrid logical clock: the upper 48 bits are
-// milliseconds since the Unix epoch, the lower 16 count events within one.
-// If one event could have caused another, its stamp is the smaller one, however
-// far apart the clocks of their VMs are. It is safe to send: receivers never
-// compare it with their own wall clock, they only move their own stamps past it.
+// Stamp is a timestamp of a hybrid logical clock: the upper 48 bits are milliseconds since the Unix
+// epoch, the lower 16 a counter within one millisecond. If an event could have caused another, it has
+// the smaller stamp, even if the wall clocks of their VMs differ. A receiver only advances its own
+// stamps past a received one; it never adjusts its wall clock by it.
 type Stamp uint64
 
 const (
@@ -20,16 +19,16 @@
 	countMask = 1<<stampBits - 1
 )
 
-// maxLead is how far ahead of the own clock a received stamp may be. A stamp
-// further ahead comes from a broken clock or message; taking it over would put
-// every later event of all VMs into that future. It is ignored, and events of
-// that one sender may then be drawn out of order.
+// maxLead is the largest accepted lead of a received stamp over the local wall clock, in
+// milliseconds. A stamp further ahead results from a wrong clock or a corrupt message. If it were
+// accepted, all later events of all VMs would be dated in that future. It is ignored instead, and
+// the events of its sender may be ordered wrongly.
 const maxLead = 24 * 60 * clock.Minute
 
 // Milli returns the millisecond part.
 func (s Stamp) Milli() clock.Milli { return clock.Milli(s >> stampBits) }
 
-// StampOf returns the first stamp of a millisecond; instants before 1970 read as zero.
+// StampOf returns the first stamp of a millisecond, or zero if it is before 1970.
 func StampOf(m clock.Milli) Stamp {
 	if m < 0 {
 		return 0
@@ -37,42 +36,42 @@
 	return Stamp(m) << stampBits
 }
 
-// MarshalText writes milliseconds, a dot and the count: as one number it would
-// be too large for readers that hold numbers as floats.
+// MarshalText implements encoding.TextMarshaler: milliseconds, a dot and the counter. As a single
+// number a stamp would exceed the precision of JSON decoders that use floats.
 func (s Stamp) MarshalText() ([]byte, error) {
 	text := strconv.AppendUint(nil, uint64(s.Milli()), 10)
 	return strconv.AppendUint(append(text, '.'), uint64(s&countMask), 10), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler for the format of MarshalText.
 func (s *Stamp) UnmarshalText(text []byte) error {
 	head, tail, _ := strings.Cut(string(text), ".")
 	milli, err := strconv.ParseUint(head, 10, 64-stampBits)
 	if err != nil {
-		return Class.New("no stamp %q: use milliseconds, a dot and a count", text)
+		return Class.New("invalid stamp %q: want milliseconds, a dot and a counter", text)
 	}
 	count, err := strconv.ParseUint(tail, 10, stampBits)
 	if err != nil {
-		return Class.New("no stamp %q: use milliseconds, a dot and a count", text)
+		return Class.New("invalid stamp %q: want milliseconds, a dot and a counter", text)
 	}
 	*s = StampOf(clock.Milli(milli)) | Stamp(count)
 	return nil
 }
 
-// Wall reads the time of this process.
+// Wall is the wall clock of the process.
 type Wall interface {
 	Now() clock.Milli
 }
 
-// hybrid hands out stamps that rise strictly.
+// hybrid is a hybrid logical clock. Its stamps increase strictly.
 type hybrid struct {
 	wall Wall
 	mu   sync.Mutex
-	// last is the largest stamp given out or received.
+	// last is the largest stamp issued or received.
 	last Stamp
 }
 
-// tick returns the next stamp and the wall time it was taken at.
+// tick returns the next stamp and the wall-clock time at which it was issued.
 func (h *hybrid) tick() (Stamp, clock.Milli) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,7 +80,7 @@
 	return h.last, now
 }
 
-// receive moves past a stamp that came from another process.
+// receive advances the clock past a stamp of another process, unless it is too far ahead.
 func (h *hybrid) receive(s Stamp) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -18,9 +18,8 @@
 
 func (c *handClock) Now() clock.Milli { return c.now }
 
-// The clock of one VM is an hour behind that of another. Ordered by wall time,
-// the answer to a message would be drawn before the message, and an operator
-// would look for the cause on the wrong VM.
+// The clock of one VM is an hour behind that of another. Ordered by wall clock, the reply to a message
+// would precede the message, and an operator would look for the cause on the wrong VM.
 func TestMergeOrdersCausesFirstDespiteClocks(t *testing.T) {
 	fast := New("daemon", "fast", 1, 8, &handClock{now: 2 * 3600 * clock.Second})
 	slow := New("daemon", "slow", 1, 8, &handClock{now: 3600 * clock.Second})
@@ -38,8 +37,8 @@
 	require.Equal(t, []Kind{Arrived, Granted, Sent}, got)
 }
 
-// A message arrives with a stamp from a broken clock, years ahead. If it were
-// taken over, every event of every VM would carry that year from then on.
+// A message arrives with a stamp that is years ahead because of a wrong clock. If it were accepted,
+// all later events of all VMs would be dated in that year.
 func TestReceiveIgnoresAStampFarAhead(t *testing.T) {
 	r := New("daemon", "a", 1, 8, &handClock{now: 1000})
 	r.Receive(Stamp(1<<64 - 1))
@@ -55,7 +54,7 @@
 			clocks[i] = &handClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
 			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
-		// before[i] lists events that process i knows of: each must be drawn before its next one.
+		// before[i] lists the events that causally precede the next event of process i.
 		var before [processes][]string
 		causes := map[string][]string{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
@@ -197,9 +196,8 @@
 	require.LessOrEqual(t, unsafe.Sizeof(Event{})*DefaultSize, uintptr(6<<20))
 }
 
-// While an operator collects the ring, requests go on adding to it and
-// overwrite its oldest events. What is collected must still be whole events in
-// order, each once.
+// While Events copies the ring, requests add events to it and overwrite the oldest. The result must
+// still be in order and without duplicates.
 func TestEventsWhileOthersAdd(t *testing.T) {
 	r := New("daemon", "a", 1, 2*batch, clock.New())
 	var adders sync.WaitGroup
