--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -18,19 +18,19 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Client calls the store at one address. It is safe for concurrent use.
+// Client is a client of the store at one address. It is safe for concurrent use.
 type Client struct {
 	base     string
 	timeouts Timeouts
-	// reads keeps connections open between calls.
+	// reads reuses connections between calls.
 	reads *http.Transport
-	// writes opens a connection for each call. http.Transport repeats some
-	// requests by itself when a kept connection turns out dead, and then
-	// nobody could tell whether the first one took effect. It never does so
-	// on a connection that carries its first request, and a write through a
-	// connection of its own can't meet one that went silent earlier.
+	// writes opens a connection for each call. http.Transport retries some requests by itself when a
+	// reused connection turns out to be broken; whether the first attempt took effect would then be
+	// unknown. It never retries the first request on a connection. In addition, a write on a new
+	// connection can't hang on one that has stopped responding earlier.
 	writes *http.Transport
 
+	// Counters of calls and of calls that ended with ErrUnavailable or ErrUnknown.
 	reading, watching, writing atomic.Uint64
 	unavailable, unknown       atomic.Uint64
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (c *Client) Counts() Counts {
 	return Counts{
 		Reads: c.reading.Load(), Watches: c.watching.Load(), Writes: c.writing.Load(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// Get reads one object. The answer may be older than the newest write.
+// Get reads an object. The result may be older than the last write.
 func (c *Client) Get(ctx context.Context, k Kind, n Name) (Object, error) {
 	c.reading.Add(1)
 	a, err := c.read(ctx, c.object(k, n), c.timeouts.Read)
@@ -64,8 +64,8 @@
 	return a.object(n)
 }
 
-// Watch waits until the object's version is above after, at most for wait.
-// It returns false when the wait ended without news.
+// Watch waits until the version of an object is above after, for at most wait. It returns false if
+// no newer version appeared within that time.
 func (c *Client) Watch(ctx context.Context, k Kind, n Name, after Version, wait clock.Milli) (Object, bool, error) {
 	c.watching.Add(1)
 	u := fmt.Sprintf("%s?after=%d&wait=%d", c.object(k, n), after, wait)
@@ -91,7 +91,7 @@
 	return os, c.decode(a, &os)
 }
 
-// VMs reads the platform's list of VMs. It lags.
+// VMs reads the platform's list of VMs, which may be outdated.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	c.reading.Add(1)
 	a, err := c.read(ctx, c.base+"/vms", c.timeouts.Read)
@@ -102,7 +102,7 @@
 	return vs, c.decode(a, &vs)
 }
 
-// Put writes one object if the condition holds, and returns its new version.
+// Put writes an object if the condition holds, and returns its new version.
 func (c *Client) Put(ctx context.Context, k Kind, n Name, value []byte, cond Condition) (Version, error) {
 	if len(value) > Limit {
 		return 0, Class.Wrap(fmt.Errorf("%w: %s/%s has %d bytes", ErrRefused, k, n, len(value)))
@@ -113,30 +113,32 @@
 	}
 	v, err := parseVersion(a.etag)
 	if err != nil {
-		// The write was confirmed, but nobody knows under which version.
+		// The write took effect, but its version is unknown.
 		c.unknown.Add(1)
 		return 0, Class.Wrap(fmt.Errorf("%w: %w", ErrUnknown, err))
 	}
 	return v, nil
 }
 
-// Delete removes one object if the condition holds.
+// Delete deletes an object if the condition holds.
 func (c *Client) Delete(ctx context.Context, k Kind, n Name, cond Condition) error {
 	_, err := c.write(ctx, http.MethodDelete, c.object(k, n), nil, cond)
 	return err
 }
 
+// object returns the URL of an object.
 func (c *Client) object(k Kind, n Name) string {
 	return c.base + "/objects/" + url.PathEscape(string(k)) + "/" + url.PathEscape(string(n))
 }
 
-// answer is a whole answer of the store.
+// answer is a response of the store with its whole body.
 type answer struct {
 	status int
 	etag   string
 	body   []byte
 }
 
+// object returns the object that a response contains.
 func (a answer) object(n Name) (Object, error) {
 	v, err := parseVersion(a.etag)
 	if err != nil {
@@ -162,8 +164,8 @@
 	}
 	a, err := roundTrip(c.reads, req)
 	if err != nil {
-		// A kept connection can go silent for good while new ones work. Which
-		// of the idle ones did is not known, so all go and the next call dials.
+		// A reused connection can stop responding for good while new ones work. Which of the idle
+		// connections are affected is unknown, so all are closed and the next call opens a new one.
 		c.reads.CloseIdleConnections()
 		c.unavailable.Add(1)
 		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
@@ -185,6 +187,7 @@
 	c.writing.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, c.timeouts.Write.Duration())
 	defer cancel()
+	// Once a connection was established, the store may have received the write.
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -193,7 +196,7 @@
 	if err != nil {
 		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
 	}
-	// Without GetBody a transport can't send the body twice.
+	// Without GetBody, http.Transport can't send the body again and therefore does not retry.
 	req.GetBody = nil
 	switch {
 	case cond.Absent:
@@ -213,7 +216,7 @@
 	return c.judge(a, cond)
 }
 
-// judge turns the status of a write into an error.
+// judge maps the status of a write to an error.
 func (c *Client) judge(a answer, cond Condition) (answer, error) {
 	switch {
 	case a.status >= 200 && a.status < 300:
@@ -228,7 +231,7 @@
 		c.unavailable.Add(1)
 		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
 	case a.status >= 500:
-		// A gateway before the store answers so as well, after it passed the write on.
+		// A proxy in front of the store may also respond so after it has forwarded the write.
 		c.unknown.Add(1)
 		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnknown, a.status))
 	default:
@@ -236,10 +239,11 @@
 	}
 }
 
-// listLimit bounds what one answer may make this process hold.
+// listLimit is the largest accepted response body in bytes, which bounds the memory of a call.
 const listLimit = 64 << 20
 
-// roundTrip goes past http.Client, which would follow redirects.
+// roundTrip sends a request and reads the response. It does not use http.Client, which would follow
+// redirects.
 func roundTrip(t *http.Transport, req *http.Request) (answer, error) {
 	res, err := t.RoundTrip(req)
 	if err != nil {
@@ -251,7 +255,7 @@
 		return answer{}, err
 	}
 	if len(body) > listLimit {
-		return answer{}, errors.New("answer too large")
+		return answer{}, errors.New("response larger than 64 MiB")
 	}
 	return answer{status: res.StatusCode, etag: res.Header.Get("ETag"), body: body}, nil
 }
--- a/lib/platform/client_test.go
+++ b/lib/platform/client_test.go
@@ -59,8 +59,8 @@
 	require.ErrorIs(t, err, ErrRefused)
 }
 
-// The store's VM is gone and its port refuses connections. A claim must be
-// able to tell its caller that nothing was written.
+// The store's port refuses connections. The error must show that the write had no effect, so that the
+// caller may safely repeat it.
 func TestRefusedDialProvesThatNothingWasWritten(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
@@ -70,9 +70,9 @@
 	require.NotErrorIs(t, err, ErrUnknown)
 }
 
-// The store applies a write and the connection breaks before the answer. If
-// the transport sent it again by itself, the store would see it twice and the
-// caller would never know; so the write must arrive once and end as unknown.
+// The store applies a write and the connection breaks before the response. If the transport retried
+// the write by itself, the store would receive it twice without the caller's knowledge. The write must
+// arrive once and return ErrUnknown.
 func TestLostAnswerIsReportedAndNotRepeated(t *testing.T) {
 	var writes atomic.Int32
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -85,7 +85,7 @@
 		panic(http.ErrAbortHandler)
 	})
 	for i := range 20 {
-		_, err := cl.Get(t.Context(), "claims", "a") // leaves a kept connection
+		_, err := cl.Get(t.Context(), "claims", "a") // leaves an idle connection for reuse
 		require.NoError(t, err)
 		_, err = cl.Put(t.Context(), "claims", "a", []byte("x"), Absent)
 		require.ErrorIs(t, err, ErrUnknown)
@@ -94,9 +94,8 @@
 	}
 }
 
-// A kept connection goes silent: it stays open and nothing arrives, while new
-// connections work. The call that meets it fails within its timeout, and the
-// next one must not wait on the same connection.
+// A reused connection stops responding: it stays open but no data arrives, while new connections
+// work. The call on it fails after its timeout; the next call must not use the same connection.
 func TestSilentConnectionIsThrownAway(t *testing.T) {
 	var first atomic.Pointer[string]
 	var silent atomic.Bool
--- a/lib/platform/doc.go
+++ b/lib/platform/doc.go
@@ -1,6 +1,6 @@
-// Package platform speaks to the platform's object store and VM list.
+// Package platform is a client of the platform's object store and VM list.
 //
-// It never repeats a write on its own: an answer that was lost is reported as
-// ErrUnknown, and the caller decides by reading back or by repeating a
-// conditional write, which the store applies at most once.
+// It never retries a write by itself. If the response to a write is lost, the call returns
+// ErrUnknown. The caller can then read the object back, or repeat a conditional write, which the
+// store applies at most once.
 package platform
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -1,5 +1,5 @@
-// Package platformtest is an in-memory stand-in of the platform's store for
-// tests, with the store's faults at hand.
+// Package platformtest is an in-memory fake of the platform's store for tests, which can inject the
+// faults of the real store.
 package platformtest
 
 import (
@@ -17,26 +17,28 @@
 	name platform.Name
 }
 
-// Store keeps objects in memory. Conditions are always judged on the newest
-// state, as the platform's store does; reads may be made stale.
+// Store is an in-memory store. As in the platform's store, conditions of writes are always checked
+// against the latest state, while reads may return an older one.
 type Store struct {
 	mu      sync.Mutex
 	version platform.Version
 	objects map[key]platform.Object
 	vms     []platform.VM
-	// changed is closed and replaced with every write.
+	// changed is closed and replaced at every write.
 	changed chan struct{}
 
-	// stale, if not nil, is what reads are answered from.
+	// stale, if not nil, is the state that reads return.
 	stale  map[key]platform.Object
 	outage bool
-	deaf   bool
-	// held, if not nil, is what every call waits for.
+	// deaf makes watches miss all changes.
+	deaf bool
+	// held, if not nil, is the channel that every call waits on.
 	held chan struct{}
-	// lostAnswers, lostWrites and late count writes yet to be met by that fault.
+	// lostAnswers, lostWrites and late are the numbers of coming writes to which each fault applies.
 	lostAnswers, lostWrites, late int
-	delayed                       []func()
-	counts                        platform.Counts
+	// delayed are the writes that Deliver applies.
+	delayed []func()
+	counts  platform.Counts
 }
 
 // New returns an empty store.
@@ -47,19 +49,19 @@
 // Outage makes every call fail with ErrUnavailable while on.
 func (s *Store) Outage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
 
-// DeadWatch makes watches wait in silence, whatever is written, while on.
+// DeadWatch makes watches miss all changes and wait for their whole time while on.
 func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.deaf = on }
 
-// LoseAnswers makes the next n writes take effect and answer ErrUnknown.
+// LoseAnswers makes the next n writes take effect but return ErrUnknown.
 func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostAnswers = n }
 
-// LoseWrites makes the next n writes vanish and answer ErrUnknown.
+// LoseWrites makes the next n writes return ErrUnknown without taking effect.
 func (s *Store) LoseWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostWrites = n }
 
-// DelayWrites makes the next n writes answer ErrUnknown and wait for Deliver.
+// DelayWrites makes the next n writes return ErrUnknown and take effect only at Deliver.
 func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.late = n }
 
-// Deliver applies the writes held back by DelayWrites, each under its condition.
+// Deliver applies the writes delayed by DelayWrites whose conditions hold.
 func (s *Store) Deliver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 	s.delayed = nil
 }
 
-// Stale answers reads from the present state while on, whatever is written later.
+// Stale makes reads return the state at the time of this call while on, without later writes.
 func (s *Store) Stale(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	}
 }
 
-// Hold makes every call wait until release is called or its context ends.
+// Hold blocks every call until release is called or the context of the call ends.
 func (s *Store) Hold() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,10 +102,11 @@
 // SetVMs sets the VM list.
 func (s *Store) SetVMs(vs ...platform.VM) { s.mu.Lock(); defer s.mu.Unlock(); s.vms = vs }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() platform.Counts { s.mu.Lock(); defer s.mu.Unlock(); return s.counts }
 
-// enter waits while calls are held, and returns with the lock taken.
+// enter waits while calls are blocked by Hold and fails during an outage. Without an error it
+// returns with the lock held.
 func (s *Store) enter(ctx context.Context) error {
 	s.mu.Lock()
 	for s.held != nil {
@@ -130,7 +133,7 @@
 	return s.objects
 }
 
-// Get reads one object.
+// Get reads an object.
 func (s *Store) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
 	if err := s.enter(ctx); err != nil {
 		return platform.Object{}, err
@@ -144,7 +147,7 @@
 	return o, nil
 }
 
-// List reads the objects of a kind in the order of their names.
+// List reads the objects of a kind, sorted by name.
 func (s *Store) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
 	if err := s.enter(ctx); err != nil {
 		return nil, err
@@ -171,7 +174,7 @@
 	return append([]platform.VM(nil), s.vms...), nil
 }
 
-// Watch waits for a version above after.
+// Watch waits until the version of an object is above after, for at most wait.
 func (s *Store) Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
@@ -197,7 +200,7 @@
 	}
 }
 
-// Put writes one object under a condition.
+// Put writes an object if the condition holds.
 func (s *Store) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
 	if len(value) > platform.Limit {
 		return 0, platform.ErrRefused
@@ -215,7 +218,7 @@
 	return v, nil
 }
 
-// Delete removes one object under a condition.
+// Delete deletes an object if the condition holds.
 func (s *Store) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
 	at := key{k, n}
 	found := true
@@ -229,7 +232,7 @@
 	return err
 }
 
-// write applies a change under its condition and the faults that are set.
+// write applies a change if its condition holds, subject to the faults that are set.
 func (s *Store) write(ctx context.Context, at key, cond platform.Condition, change func()) error {
 	if err := s.enter(ctx); err != nil {
 		return err
--- a/lib/platform/types.go
+++ b/lib/platform/types.go
@@ -6,41 +6,42 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Names of what the store keeps.
+// Types that identify objects of the store and their versions.
 type (
 	// Kind is a collection of objects, such as "config".
 	Kind string
-	// Name is an object's name within its kind. It holds no slash.
+	// Name is an object's name within its kind. It contains no slash.
 	Name string
-	// Version is the store's one rising number over all objects; zero means absent.
+	// Version is the version of an object: a counter of the store that rises with each write of any
+	// object. Zero means that the object is absent.
 	Version uint64
 )
 
-// Limit is the largest value in bytes that the store takes.
+// Limit is the largest value in bytes that the store accepts.
 const Limit = 1 << 20
 
-// Object is one value of the store.
+// Object is an object of the store.
 type Object struct {
 	Name    Name    `json:"name"`
 	Version Version `json:"version"`
 	Value   []byte  `json:"value"`
 }
 
-// Condition guards a write. The zero Condition always holds.
+// Condition is the precondition of a write. The zero Condition always holds.
 type Condition struct {
-	// Absent holds while there is no object of that name.
+	// Absent requires that the object does not exist.
 	Absent bool
-	// Version, if not zero, holds while the object has that version.
+	// Version, if not zero, is the version that the object must have.
 	Version Version
 }
 
 // Always is the condition of an unconditional write.
 var Always = Condition{}
 
-// Absent is the condition of a write that only creates.
+// Absent is the condition that the object does not exist yet.
 var Absent = Condition{Absent: true}
 
-// At is the condition of a write that only replaces version v.
+// At is the condition that the object has version v; for zero, that it does not exist.
 func At(v Version) Condition {
 	if v == 0 {
 		return Absent
@@ -48,7 +49,7 @@
 	return Condition{Version: v}
 }
 
-// Holds tells whether the condition holds for the present version, zero if absent.
+// Holds reports whether the condition holds for an object of the given version, zero if absent.
 func (c Condition) Holds(present Version) bool {
 	if c.Absent {
 		return present == 0
@@ -56,7 +57,7 @@
 	return c.Version == 0 || c.Version == present
 }
 
-// VM is one row of the platform's VM list, which lags behind the truth.
+// VM is an entry of the platform's VM list, which may be outdated.
 type VM struct {
 	Name    string `json:"name"`
 	Role    Role   `json:"role"`
@@ -65,10 +66,10 @@
 	State   State  `json:"state"`
 }
 
-// Role tells what a VM is for.
+// Role is the purpose of a VM.
 type Role string
 
-// State tells whether a VM is about to go.
+// State is the state of a VM: in service or about to be removed.
 type State string
 
 // The values of Role and State.
@@ -79,40 +80,41 @@
 	Leaving  State = "leaving"
 )
 
-// Class marks every error of this package.
+// Class is the error class of this package.
 var Class = errs.Class("platform")
 
-// The closed set of errors. Every error of a call wraps exactly one of them.
+// All errors of calls. Every error of a call wraps exactly one of them.
 var (
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = Class.New("not found")
-	// ErrConflict means that the condition of a write did not hold; it had no effect.
+	// ErrConflict means that the condition of a write did not hold. The write had no effect.
 	ErrConflict = Class.New("conflict")
-	// ErrUnavailable means that the store could not be asked. A write had no effect.
+	// ErrUnavailable means that the store could not be reached or could not process the call. A
+	// write had no effect.
 	ErrUnavailable = Class.New("unavailable")
-	// ErrUnknown means that the answer to a write was lost: it may have taken
-	// effect, or may still do so later.
+	// ErrUnknown means that the response to a write was lost. The write may have taken effect or may
+	// still do so later.
 	ErrUnknown = Class.New("outcome unknown")
-	// ErrRefused means that the store takes no such call, for example a value
-	// over Limit; repeating does not help. A write had no effect.
+	// ErrRefused means that the call is invalid, for example because a value is larger than Limit.
+	// Repeating it does not help. A write had no effect.
 	ErrRefused = Class.New("refused")
 )
 
-// Timeouts bound each call, whatever time its context allows.
+// Timeouts are the time limits of calls, in addition to those of their contexts.
 type Timeouts struct {
 	Dial  clock.Milli
 	Read  clock.Milli
 	Write clock.Milli
 }
 
-// DefaultTimeouts are made for a store that answers in milliseconds: a call
-// that takes a hundred times as long has met a dead connection or an outage,
-// and waiting longer only spends the caller's allowed time.
+// DefaultTimeouts suit a store that responds within milliseconds. A call that takes a hundred times
+// as long is on a broken connection or in an outage, and waiting longer only uses up the time limit
+// of the client's request.
 var DefaultTimeouts = Timeouts{Dial: 500, Read: clock.Second, Write: clock.Second}
 
-// Counts are the calls since the start of the process, for metrics.
+// Counts are the numbers of calls of a client, for metrics.
 type Counts struct {
 	Reads, Watches, Writes uint64
-	// Unavailable and Unknown count calls that ended so.
+	// Unavailable and Unknown are the numbers of calls that ended with ErrUnavailable and ErrUnknown.
 	Unavailable, Unknown uint64
 }
