--- a/lib/document/check.go
+++ b/lib/document/check.go
@@ -15,152 +15,152 @@
 	document *Document
 }
 
-// names maps each value, such as the name of an entry, to the path of its first occurrence.
-type names map[string]string
+// firstPaths maps each value, such as the name of an entry, to the path of its first occurrence.
+type firstPaths map[string]string
 
 func (c *checker) run() {
 	d := c.document
-	domains := c.table("domains", len(d.Domains), func(i int) string { return d.Domains[i].Name }, "")
-	models := c.table("models", len(d.Models), func(i int) string { return d.Models[i].Name }, "/:")
-	services := c.table("services", len(d.Services), func(i int) string { return d.Services[i].Name }, "")
-	kinds := c.table("kinds", len(d.Kinds), func(i int) string { return d.Kinds[i].Name }, "")
-	c.table("workspaces", len(d.Workspaces), func(i int) string { return d.Workspaces[i].Name }, "")
-	c.table("upstreams", len(d.Upstreams), func(i int) string { return d.Upstreams[i].Name }, "")
-	c.services(models, kinds)
-	c.workspaces(models, kinds)
-	c.upstreams(domains, models, services)
+	domains := c.checkNames("domains", len(d.Domains), func(i int) string { return d.Domains[i].Name }, "")
+	models := c.checkNames("models", len(d.Models), func(i int) string { return d.Models[i].Name }, "/:")
+	services := c.checkNames("services", len(d.Services), func(i int) string { return d.Services[i].Name }, "")
+	kinds := c.checkNames("kinds", len(d.Kinds), func(i int) string { return d.Kinds[i].Name }, "")
+	c.checkNames("workspaces", len(d.Workspaces), func(i int) string { return d.Workspaces[i].Name }, "")
+	c.checkNames("upstreams", len(d.Upstreams), func(i int) string { return d.Upstreams[i].Name }, "")
+	c.checkServices(models, kinds)
+	c.checkWorkspaces(models, kinds)
+	c.checkUpstreams(domains, models, services)
 	if len(kinds) == 0 && (len(models) > 0 || len(services) > 0) {
 		c.source.Add("kinds", "has no entry, so no request could be served: add one")
 	}
 }
 
-// table checks that the n entries of a table have valid and unique names and returns these names.
-// extra lists the characters that are allowed in addition to those of every name.
-func (c *checker) table(path string, n int, name func(int) string, extra string) names {
-	seen := names{}
+// checkNames checks that the n entries of a table have valid and unique names and returns these
+// names. extraChars lists the characters that are allowed in addition to those of every name.
+func (c *checker) checkNames(path string, n int, name func(int) string, extraChars string) firstPaths {
+	seen := firstPaths{}
 	for i := range n {
-		at := fmt.Sprintf("%s[%d].name", path, i)
-		if c.source.Faulty(at) {
+		namePath := fmt.Sprintf("%s[%d].name", path, i)
+		if c.source.Faulty(namePath) {
 			continue
 		}
-		if !valid(name(i), extra) {
-			c.invalid(at, extra)
+		if !validName(name(i), extraChars) {
+			c.reportInvalidName(namePath, extraChars)
 		}
-		c.once(seen, name(i), at, "is the name of an earlier entry")
+		c.checkUnique(seen, name(i), namePath, "is the name of an earlier entry")
 	}
 	return seen
 }
 
-func (c *checker) invalid(path, extra string) {
-	c.source.Add(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extra)
+func (c *checker) reportInvalidName(path, extraChars string) {
+	c.source.Add(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extraChars)
 }
 
-// valid reports whether a name can be used in paths, headers, metrics and pool ids without escaping.
-// extra lists further characters that are allowed after the first one.
-func valid(name, extra string) bool {
+// validName reports whether a name can be used in paths, headers, metrics and pool ids without escaping.
+// extraChars lists further characters that are allowed after the first one.
+func validName(name, extraChars string) bool {
 	for i, r := range name {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		if !letter && (i == 0 || !strings.ContainsRune("._-"+extra, r)) {
+		if !letter && (i == 0 || !strings.ContainsRune("._-"+extraChars, r)) {
 			return false
 		}
 	}
 	return true
 }
 
-// once reports a value that an earlier field has already, and records it otherwise.
-func (c *checker) once(seen names, value, path, text string) {
+// checkUnique reports a value that an earlier field has already, and records it otherwise.
+func (c *checker) checkUnique(seen firstPaths, value, path, problem string) {
 	first, ok := seen[value]
 	if !ok {
 		seen[value] = path
 		return
 	}
-	c.source.Add(path, "%s, at line %d: use it once", text, c.source.Line(first))
+	c.source.Add(path, "%s, at line %d: use it once", problem, c.source.Line(first))
 }
 
-// refer reports a reference to a name that no entry of the table has.
-func (c *checker) refer(known names, name, path, table string) {
+// checkReference reports a reference to a name that no entry of the table has.
+func (c *checker) checkReference(known firstPaths, name, path, table string) {
 	if _, ok := known[name]; ok || c.source.Faulty(path) {
 		return
 	}
 	c.source.Add(path, "names %q, which is not in %s: add it there or correct the name", name, table)
 }
 
-func (c *checker) services(models, kinds names) {
+func (c *checker) checkServices(models, kinds firstPaths) {
 	for i, s := range c.document.Services {
-		at := fmt.Sprintf("services[%d]", i)
-		c.refer(kinds, s.Kind, at+".kind", "kinds")
+		path := fmt.Sprintf("services[%d]", i)
+		c.checkReference(kinds, s.Kind, path+".kind", "kinds")
 		if first, ok := models[s.Name]; ok {
-			c.source.Add(at+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
+			c.source.Add(path+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
 		}
 	}
 }
 
-func (c *checker) workspaces(models, kinds names) {
-	keys := names{}
+func (c *checker) checkWorkspaces(models, kinds firstPaths) {
+	keys := firstPaths{}
 	for i, w := range c.document.Workspaces {
-		at := fmt.Sprintf("workspaces[%d]", i)
+		path := fmt.Sprintf("workspaces[%d]", i)
 		for j, k := range w.Keys {
-			c.key(keys, k, fmt.Sprintf("%s.keys[%d]", at, j))
+			c.checkKeyHash(keys, k, fmt.Sprintf("%s.keys[%d]", path, j))
 		}
-		c.list(kinds, w.Kinds, at+".kinds", "kinds")
-		c.list(models, w.Models, at+".models", "models")
+		c.checkReferences(kinds, w.Kinds, path+".kinds", "kinds")
+		c.checkReferences(models, w.Models, path+".models", "models")
 	}
 }
 
-func (c *checker) list(known names, list []string, path, table string) {
-	seen := names{}
+func (c *checker) checkReferences(known firstPaths, list []string, path, table string) {
+	seen := firstPaths{}
 	for i, name := range list {
-		at := fmt.Sprintf("%s[%d]", path, i)
-		c.refer(known, name, at, table)
-		c.once(seen, name, at, "is in this list already")
+		itemPath := fmt.Sprintf("%s[%d]", path, i)
+		c.checkReference(known, name, itemPath, table)
+		c.checkUnique(seen, name, itemPath, "is in this list already")
 	}
 }
 
-// key checks the hash of an API key. No problem repeats the value, since it may be the key itself,
-// entered by mistake.
-func (c *checker) key(seen names, key, path string) {
+// checkKeyHash checks the hash of an API key. No problem repeats the value, since it may be the key
+// itself, entered by mistake.
+func (c *checker) checkKeyHash(seen firstPaths, key, path string) {
 	if c.source.Faulty(path) {
 		return
 	}
-	if !hashed(key) {
+	if !isKeyHash(key) {
 		c.source.Add(path, `must be "sha256:" and 64 lower-case hex digits: print it with snipeshift hash; if this is a key itself, replace the key`)
 		return
 	}
-	c.once(seen, key, path, "is a key in use already")
+	c.checkUnique(seen, key, path, "is a key in use already")
 }
 
-func (c *checker) upstreams(domains, models, services names) {
-	addresses := names{}
+func (c *checker) checkUpstreams(domains, models, services firstPaths) {
+	addresses := firstPaths{}
 	for i := range c.document.Upstreams {
 		u := &c.document.Upstreams[i]
-		at := fmt.Sprintf("upstreams[%d]", i)
-		c.domain(domains, u.Domain, at+".domain")
-		c.address(addresses, u.Address, at+".address")
+		path := fmt.Sprintf("upstreams[%d]", i)
+		c.checkDomain(domains, u.Domain, path+".domain")
+		c.checkAddress(addresses, u.Address, path+".address")
 		switch {
 		case u.Model != "" && u.Service != "":
-			c.source.Add(at+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
+			c.source.Add(path+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
 		case u.Model != "":
-			c.refer(models, u.Model, at+".model", "models")
-			c.engine(u, at)
+			c.checkReference(models, u.Model, path+".model", "models")
+			c.checkEngine(u, path)
 		case u.Service != "":
-			c.refer(services, u.Service, at+".service", "services")
-			c.plain(u, at)
-		case !c.source.Faulty(at) && !c.source.Faulty(at+".model") && !c.source.Faulty(at+".service"):
-			c.source.Add(at, "serves nothing: add a model or a service")
+			c.checkReference(services, u.Service, path+".service", "services")
+			c.checkPlainService(u, path)
+		case !c.source.Faulty(path) && !c.source.Faulty(path+".model") && !c.source.Faulty(path+".service"):
+			c.source.Add(path, "serves nothing: add a model or a service")
 		}
 	}
 }
 
-func (c *checker) domain(domains names, name, path string) {
+func (c *checker) checkDomain(domains firstPaths, name, path string) {
 	switch {
 	case len(domains) > 0:
-		c.refer(domains, name, path, "domains")
-	case !valid(name, ""):
-		c.invalid(path, "")
+		c.checkReference(domains, name, path, "domains")
+	case !validName(name, ""):
+		c.reportInvalidName(path, "")
 	}
 }
 
-func (c *checker) address(seen names, address, path string) {
+func (c *checker) checkAddress(seen firstPaths, address, path string) {
 	if c.source.Faulty(path) {
 		return
 	}
@@ -169,34 +169,34 @@
 		c.source.Add(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
 		return
 	}
-	c.once(seen, a.String(), path, "is the address of an earlier upstream")
+	c.checkUnique(seen, a.String(), path, "is the address of an earlier upstream")
 }
 
-// engine checks that an engine has the figures on which placement is based. If one is missing,
+// checkEngine checks that an engine has the figures on which placement is based. If one is missing,
 // the engine would receive an unlimited number of requests or none.
-func (c *checker) engine(u *Upstream, at string) {
-	c.positive(float64(u.Memory), at+".memory", "tokens of KV memory")
-	c.positive(float64(u.Prefill), at+".prefill", "prompt tokens per second")
-	c.positive(float64(u.Decode), at+".decode", "output tokens per second")
+func (c *checker) checkEngine(u *Upstream, path string) {
+	c.checkPositive(float64(u.Memory), path+".memory", "tokens of KV memory")
+	c.checkPositive(float64(u.Prefill), path+".prefill", "prompt tokens per second")
+	c.checkPositive(float64(u.Decode), path+".decode", "output tokens per second")
 }
 
-func (c *checker) positive(n float64, path, unit string) {
+func (c *checker) checkPositive(n float64, path, unit string) {
 	if n <= 0 && !c.source.Faulty(path) {
 		c.source.Add(path, "must be above 0 for an engine: give its %s", unit)
 	}
 }
 
-// plain checks that the upstream of a plain service sets no field that applies only to engines.
-func (c *checker) plain(u *Upstream, at string) {
-	c.zero(float64(u.Memory), at+".memory")
-	c.zero(float64(u.Prefill), at+".prefill")
-	c.zero(float64(u.Decode), at+".decode")
+// checkPlainService checks that the upstream of a plain service sets no field that applies only to engines.
+func (c *checker) checkPlainService(u *Upstream, path string) {
+	c.checkZero(float64(u.Memory), path+".memory")
+	c.checkZero(float64(u.Prefill), path+".prefill")
+	c.checkZero(float64(u.Decode), path+".decode")
 	if u.Fenced {
-		c.source.Add(at+".fenced", "contradicts service: a plain service receives no orders, remove it")
+		c.source.Add(path+".fenced", "contradicts service: a plain service receives no orders, remove it")
 	}
 }
 
-func (c *checker) zero(n float64, path string) {
+func (c *checker) checkZero(n float64, path string) {
 	if n != 0 {
 		c.source.Add(path, "contradicts service: a plain service has none, remove it")
 	}
--- a/lib/document/diff.go
+++ b/lib/document/diff.go
@@ -67,22 +67,22 @@
 		return nil, err
 	}
 	flat := map[string]string{}
-	walk(flat, "", tree)
+	flattenValue(flat, "", tree)
 	if len(d.Kinds) > 0 {
 		flat["kinds (default)"] = strconv.Quote(d.Kinds[0].Name)
 	}
 	return flat, nil
 }
 
-func walk(flat map[string]string, path string, value any) {
+func flattenValue(flat map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, sub := range v {
-			walk(flat, dot(path, name), sub)
+			flattenValue(flat, joinPath(path, name), sub)
 		}
 	case []any:
 		for _, sub := range v {
-			walkEntry(flat, path, sub)
+			flattenEntry(flat, path, sub)
 		}
 	case nil:
 	default:
@@ -91,18 +91,18 @@
 	}
 }
 
-// walkEntry adds an entry of a list under its name. A string is its own name.
-func walkEntry(flat map[string]string, path string, entry any) {
+// flattenEntry adds an entry of a list under its name. A string is its own name.
+func flattenEntry(flat map[string]string, path string, entry any) {
 	switch e := entry.(type) {
 	case map[string]any:
 		name, _ := e["name"].(string)
-		walk(flat, dot(path, name), e)
+		flattenValue(flat, joinPath(path, name), e)
 	case string:
-		flat[dot(path, e)] = "true"
+		flat[joinPath(path, e)] = "true"
 	}
 }
 
-func dot(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/lib/document/document_test.go
+++ b/lib/document/document_test.go
@@ -18,14 +18,14 @@
 	"snipeshift.example/lib/peer"
 )
 
-// examples is the folder of the valid documents.
-const examples = "testdata/good"
+// validDocuments is the folder of the valid documents.
+const validDocuments = "testdata/good"
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Operators correct a document by the problems that snipeshift check prints. If it printed only the
 // first, they would need a run for each problem; a wrong line or path would point to the wrong field.
-func TestBadDocumentsAreRefusedWithAllTheirLines(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.hujson")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestProblemsNeverRepeatAKey(t *testing.T) {
+func TestProblemsNeverContainKeys(t *testing.T) {
 	for _, name := range []string{"keys.hujson", "unquoted.hujson"} {
 		text, err := os.ReadFile(filepath.Join("testdata/bad", name))
 		require.NoError(t, err)
@@ -54,17 +54,17 @@
 	}
 }
 
-func good(t *testing.T, name string) *Document {
+func parseValid(t *testing.T, name string) *Document {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(examples, name))
+	text, err := os.ReadFile(filepath.Join(validDocuments, name))
 	require.NoError(t, err)
 	d, ps := Parse(text, name)
 	require.NoError(t, ps.Err())
 	return d
 }
 
-func TestGoodDocuments(t *testing.T) {
-	d := good(t, "directorate.hujson")
+func TestParseValidDocument(t *testing.T) {
+	d := parseValid(t, "directorate.hujson")
 	require.Len(t, d.Upstreams, 3)
 	require.Equal(t, clock.Milli(20000), d.Limits.Idle)
 	require.Equal(t, decide.Rate(40000), d.Workspaces[0].Rate)
@@ -72,7 +72,7 @@
 }
 
 func TestDefaults(t *testing.T) {
-	d := good(t, "lifts.hujson")
+	d := parseValid(t, "lifts.hujson")
 	require.Equal(t, clock.Milli(30000), d.Limits.Idle)
 	require.Equal(t, int64(32<<20), d.Limits.Body)
 	require.Equal(t, decide.Tokens(512), d.Kinds[2].Output)
@@ -82,14 +82,14 @@
 	require.Equal(t, 1.0, d.Workspaces[0].Weight)
 }
 
-func TestParseRefusesWhatTheStoreCannotHold(t *testing.T) {
+func TestParseRefusesOversizedDocument(t *testing.T) {
 	_, ps := Parse([]byte(`{}`+strings.Repeat(" ", MaxSize)), "big")
 	require.Len(t, ps, 1)
 	require.Contains(t, ps[0].Text, "1048576")
 }
 
 func TestIndex(t *testing.T) {
-	x := NewIndex(good(t, "directorate.hujson"))
+	x := NewIndex(parseValid(t, "directorate.hujson"))
 	w, ok := x.Key("test")
 	require.True(t, ok)
 	require.Equal(t, "ward-inspectors", w.Name)
@@ -168,7 +168,7 @@
 		return r.Validate(value)
 	}
 	for _, name := range []string{"directorate", "lifts"} {
-		text, err := os.ReadFile(filepath.Join(examples, name+".hujson"))
+		text, err := os.ReadFile(filepath.Join(validDocuments, name+".hujson"))
 		require.NoError(t, err)
 		require.NoError(t, verdict(text), name)
 	}
@@ -181,14 +181,14 @@
 
 // The table of fields and the structs are maintained separately. A field missing from the table
 // would be read without bounds; a row without a field would have no effect.
-func TestEveryFieldHasItsRow(t *testing.T) {
+func TestFieldTableMatchesStructs(t *testing.T) {
 	var found []string
 	var walk func(reflect.Type, string)
 	walk = func(s reflect.Type, path string) {
 		for i := range s.NumField() {
 			f := s.Field(i)
 			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-			at := dot(path, name)
+			at := joinPath(path, name)
 			found = append(found, at)
 			elem := f.Type
 			if elem.Kind() == reflect.Slice {
@@ -201,15 +201,15 @@
 	}
 	walk(reflect.TypeFor[Document](), "")
 	var rows []string
-	for at := range fields {
+	for at := range fieldTable {
 		rows = append(rows, at)
 	}
 	require.ElementsMatch(t, found, rows)
 }
 
 func TestCompare(t *testing.T) {
-	a := good(t, "directorate.hujson")
-	b := good(t, "directorate.hujson")
+	a := parseValid(t, "directorate.hujson")
+	b := parseValid(t, "directorate.hujson")
 	changes, err := Compare(a, b)
 	require.NoError(t, err)
 	require.Empty(t, changes)
@@ -231,9 +231,9 @@
 }
 
 func TestSetDrainChangesNothingElse(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join(examples, "directorate.hujson"))
+	text, err := os.ReadFile(filepath.Join(validDocuments, "directorate.hujson"))
 	require.NoError(t, err)
-	before := good(t, "directorate.hujson")
+	before := parseValid(t, "directorate.hujson")
 	for _, name := range []string{"runner-01", "desk-01"} {
 		drained, err := SetDrain(text, name, true)
 		require.NoError(t, err)
--- a/lib/document/edit.go
+++ b/lib/document/edit.go
@@ -11,8 +11,8 @@
 // Class is the error class of this package.
 var Class = errs.Class("document")
 
-// operation is an operation of a JSON patch (RFC 6902).
-type operation struct {
+// patchOperation is an operation of a JSON patch (RFC 6902).
+type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
 	Value bool   `json:"value"`
@@ -27,19 +27,19 @@
 	}
 	for i, u := range d.Upstreams {
 		if u.Name == upstream {
-			return patch(text, fmt.Sprintf("/upstreams/%d", i), "drain", drain)
+			return setField(text, fmt.Sprintf("/upstreams/%d", i), "drain", drain)
 		}
 	}
 	return nil, Class.New("no upstream %q in the document: snipeshift upstreams lists the names", upstream)
 }
 
-// patch sets a field of the object at a JSON pointer.
-func patch(text []byte, object, field string, value bool) ([]byte, error) {
+// setField sets a field of the object at a JSON pointer.
+func setField(text []byte, object, field string, value bool) ([]byte, error) {
 	tree, err := hujson.Parse(text)
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	steps, err := json.Marshal([]operation{{Op: "add", Path: object + "/" + field, Value: value}})
+	steps, err := json.Marshal([]patchOperation{{Op: "add", Path: object + "/" + field, Value: value}})
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
@@ -47,13 +47,13 @@
 		return nil, Class.Wrap(err)
 	}
 	if o, ok := tree.Find(object).Value.(*hujson.Object); ok {
-		space(&o.Members[len(o.Members)-1])
+		addSpaces(&o.Members[len(o.Members)-1])
 	}
 	return tree.Pack(), nil
 }
 
-// space inserts the missing spaces before the name and value of a member that a patch has added.
-func space(m *hujson.ObjectMember) {
+// addSpaces inserts the missing spaces before the name and value of a member that a patch has added.
+func addSpaces(m *hujson.ObjectMember) {
 	if len(m.Name.BeforeExtra) == 0 {
 		m.Name.BeforeExtra = hujson.Extra(" ")
 	}
--- a/lib/document/index.go
+++ b/lib/document/index.go
@@ -27,7 +27,7 @@
 }
 
 type keyEntry struct {
-	digest    digest
+	digest    keyDigest
 	workspace *Workspace
 }
 
@@ -61,7 +61,7 @@
 	for i := range x.document.Workspaces {
 		w := &x.document.Workspaces[i]
 		for _, k := range w.Keys {
-			d, ok := parseHash(k)
+			d, ok := parseKeyHash(k)
 			if !ok {
 				continue
 			}
@@ -87,7 +87,7 @@
 }
 
 // bucket returns the first 8 bytes of a digest as the key of Index.keys.
-func bucket(d digest) uint64 { return binary.BigEndian.Uint64(d[:8]) }
+func bucket(d keyDigest) uint64 { return binary.BigEndian.Uint64(d[:8]) }
 
 // Document returns the document the index was built from.
 func (x *Index) Document() *Document { return x.document }
@@ -96,7 +96,7 @@
 // characters of a guessed key are right: the map is looked up by a hash of the guess, no part of
 // which an attacker can choose, and the digests in a bucket are compared in constant time.
 func (x *Index) Key(key string) (*Workspace, bool) {
-	d := digest(sha256.Sum256([]byte(key)))
+	d := keyDigest(sha256.Sum256([]byte(key)))
 	var found *Workspace
 	for _, e := range x.keys[bucket(d)] {
 		if subtle.ConstantTimeCompare(e.digest[:], d[:]) == 1 {
--- a/lib/document/key.go
+++ b/lib/document/key.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-const hashPrefix = "sha256:"
+const keyHashPrefix = "sha256:"
 
-// digest is the SHA-256 of an API key.
-type digest [sha256.Size]byte
+// keyDigest is the SHA-256 of an API key.
+type keyDigest [sha256.Size]byte
 
 // Hash returns the hash of an API key that the document contains: "sha256:" and 64 hex digits.
 // Keys must be long and random, since the hash is neither slow nor salted.
 func Hash(key string) string {
-	d := digest(sha256.Sum256([]byte(key)))
-	return hashPrefix + hex.EncodeToString(d[:])
+	d := keyDigest(sha256.Sum256([]byte(key)))
+	return keyHashPrefix + hex.EncodeToString(d[:])
 }
 
-// hashed reports whether text is a hash in the format of Hash.
-func hashed(text string) bool {
-	_, ok := parseHash(text)
+// isKeyHash reports whether text is a hash in the format of Hash.
+func isKeyHash(text string) bool {
+	_, ok := parseKeyHash(text)
 	return ok
 }
 
-// parseHash decodes a hash in the format of Hash.
-func parseHash(text string) (digest, bool) {
-	var d digest
-	digits, ok := strings.CutPrefix(text, hashPrefix)
+// parseKeyHash decodes a hash in the format of Hash.
+func parseKeyHash(text string) (keyDigest, bool) {
+	var d keyDigest
+	digits, ok := strings.CutPrefix(text, keyHashPrefix)
 	if !ok || len(digits) != hex.EncodedLen(len(d)) || strings.ToLower(digits) != digits {
 		return d, false
 	}
--- a/lib/document/live_test.go
+++ b/lib/document/live_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// BenchmarkHeldPlanned reports the heap memory that a parsed document of the planned size and its
+// BenchmarkHeapOfPlannedSize reports the heap memory that a parsed document of the planned size and its
 // index retain.
-func BenchmarkHeldPlanned(b *testing.B) {
-	text := []byte(planned(1))
+func BenchmarkHeapOfPlannedSize(b *testing.B) {
+	text := []byte(plannedDocument(1))
 	for b.Loop() {
-		before := live()
+		before := liveHeap()
 		d, _ := Parse(text, "planned")
 		x := NewIndex(d)
-		b.ReportMetric(float64(live()-before), "B/document")
+		b.ReportMetric(float64(liveHeap()-before), "B/document")
 		runtime.KeepAlive(x)
 	}
 }
 
-func live() uint64 {
+func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/lib/document/parse.go
+++ b/lib/document/parse.go
@@ -25,7 +25,7 @@
 		}}
 	}
 	d := &Document{}
-	s := strict.Read(text, name, d, fields)
+	s := strict.Read(text, name, d, fieldTable)
 	if !s.Faulty("") {
 		c := checker{source: s, document: d}
 		c.run()
--- a/lib/document/size_test.go
+++ b/lib/document/size_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planned returns the text of a document of the largest size that the system is designed for:
+// plannedDocument returns the text of a document of the largest size that the system is designed for:
 // 21 models, 8 failure domains, 1,300 upstreams and 3,500 workspaces with the given number of keys
 // each, one entry a line.
-func planned(keys int) string {
+func plannedDocument(keys int) string {
 	var b strings.Builder
 	b.WriteString("{\n\"kinds\": [{\"name\": \"draft\", \"urgency\": 1, \"allowed\": 600000, \"repeat\": true}],\n\"models\": [\n")
 	for i := range 21 {
@@ -38,15 +38,15 @@
 
 // The whole configuration is one value of the store, which accepts up to 1 MiB. If a document of
 // the planned size did not fit, no change to it could be applied.
-func TestThePlannedSizeFitsTheStore(t *testing.T) {
-	text := planned(1)
+func TestPlannedSizeFitsStore(t *testing.T) {
+	text := plannedDocument(1)
 	_, ps := Parse([]byte(text), "planned")
 	require.NoError(t, ps.Err())
-	t.Logf("%d bytes with one key a workspace, %d with two, of %d", len(text), len(planned(2)), MaxSize)
-	t.Logf("%d bytes compressed, %d with two keys", compressed(t, text), compressed(t, planned(2)))
+	t.Logf("%d bytes with one key a workspace, %d with two, of %d", len(text), len(plannedDocument(2)), MaxSize)
+	t.Logf("%d bytes compressed, %d with two keys", compressedSize(t, text), compressedSize(t, plannedDocument(2)))
 }
 
-func compressed(t *testing.T, text string) int {
+func compressedSize(t *testing.T, text string) int {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	_, err := w.Write([]byte(text))
@@ -55,8 +55,8 @@
 	return b.Len()
 }
 
-func BenchmarkParsePlanned(b *testing.B) {
-	text := []byte(planned(1))
+func BenchmarkParsePlannedSize(b *testing.B) {
+	text := []byte(plannedDocument(1))
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		d, _ := Parse(text, "planned")
@@ -64,8 +64,8 @@
 	}
 }
 
-func BenchmarkKeyPlanned(b *testing.B) {
-	d, _ := Parse([]byte(planned(1)), "planned")
+func BenchmarkKeyPlannedSize(b *testing.B) {
+	d, _ := Parse([]byte(plannedDocument(1)), "planned")
 	x := NewIndex(d)
 	for b.Loop() {
 		x.Key("key-3000-0")
--- a/lib/logline/logline_test.go
+++ b/lib/logline/logline_test.go
@@ -11,7 +11,7 @@
 )
 
 // The operations manual must describe every event, or on-call engineers can't interpret its log lines.
-func TestThePageNamesEveryEvent(t *testing.T) {
+func TestOperationsManualDescribesEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	for event, meaning := range Meanings {
@@ -21,7 +21,7 @@
 
 // snipeshift explain can't interpret events that are not in the table, so daemons must not write the
 // name of an event as a literal.
-func TestNoEventIsWrittenOutsideTheTable(t *testing.T) {
+func TestDaemonWritesOnlyEventsOfTable(t *testing.T) {
 	out, err := exec.Command("grep", "-rnE", `Str\("event"`, "--include=*.go", "../../daemon").Output()
 	require.Error(t, err, "grep must find nothing: %s", out)
 	source, err := os.ReadFile("logline.go")
--- a/lib/logline/writer_test.go
+++ b/lib/logline/writer_test.go
@@ -13,7 +13,7 @@
 
 // The log collector stalls and its pipe is full. Writing a line must not block, and the dropped lines
 // must be counted.
-func TestAStuckReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledReaderDoesNotBlockWriter(t *testing.T) {
 	r, out := io.Pipe() // nobody reads
 	w := NewWriter(out, 8)
 	l := &log.Logger{Level: log.InfoLevel, Writer: w}
@@ -26,7 +26,7 @@
 	require.NoError(t, r.Close())
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestWriterKeepsOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out, 100)
 	l := &log.Logger{Level: log.InfoLevel, Writer: w}
--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -20,7 +20,7 @@
 
 // Client is a client of the store at one address. It is safe for concurrent use.
 type Client struct {
-	base     string
+	baseURL  string
 	timeouts Timeouts
 	// reads reuses connections between calls.
 	reads *http.Transport
@@ -31,15 +31,15 @@
 	writes *http.Transport
 
 	// Counters of calls and of calls that ended with ErrUnavailable or ErrUnknown.
-	reading, watching, writing atomic.Uint64
-	unavailable, unknown       atomic.Uint64
+	readCalls, watchCalls, writeCalls atomic.Uint64
+	unavailableCalls, unknownOutcomes atomic.Uint64
 }
 
 // New returns a client of the store at address (host:port).
 func New(address string, t Timeouts) *Client {
 	dial := (&net.Dialer{Timeout: t.Dial.Duration()}).DialContext
 	return &Client{
-		base:     "http://" + address,
+		baseURL:  "http://" + address,
 		timeouts: t,
 		reads:    &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: (30 * clock.Second).Duration()},
 		writes:   &http.Transport{DialContext: dial, DisableKeepAlives: true},
@@ -49,15 +49,15 @@
 // Counts returns the numbers of calls so far.
 func (c *Client) Counts() Counts {
 	return Counts{
-		Reads: c.reading.Load(), Watches: c.watching.Load(), Writes: c.writing.Load(),
-		Unavailable: c.unavailable.Load(), Unknown: c.unknown.Load(),
+		Reads: c.readCalls.Load(), Watches: c.watchCalls.Load(), Writes: c.writeCalls.Load(),
+		Unavailable: c.unavailableCalls.Load(), Unknown: c.unknownOutcomes.Load(),
 	}
 }
 
 // Get reads an object. The result may be older than the last write.
 func (c *Client) Get(ctx context.Context, k Kind, n Name) (Object, error) {
-	c.reading.Add(1)
-	a, err := c.read(ctx, c.object(k, n), c.timeouts.Read)
+	c.readCalls.Add(1)
+	a, err := c.read(ctx, c.objectURL(k, n), c.timeouts.Read)
 	if err != nil {
 		return Object{}, err
 	}
@@ -67,8 +67,8 @@
 // Watch waits until the version of an object is above after, for at most wait. It returns false if
 // no newer version appeared within that time.
 func (c *Client) Watch(ctx context.Context, k Kind, n Name, after Version, wait clock.Milli) (Object, bool, error) {
-	c.watching.Add(1)
-	u := fmt.Sprintf("%s?after=%d&wait=%d", c.object(k, n), after, wait)
+	c.watchCalls.Add(1)
+	u := fmt.Sprintf("%s?after=%d&wait=%d", c.objectURL(k, n), after, wait)
 	a, err := c.read(ctx, u, wait+c.timeouts.Read)
 	if err != nil {
 		return Object{}, false, err
@@ -82,8 +82,8 @@
 
 // List reads all objects of a kind whose names start with prefix.
 func (c *Client) List(ctx context.Context, k Kind, prefix string) ([]Object, error) {
-	c.reading.Add(1)
-	a, err := c.read(ctx, c.base+"/objects/"+url.PathEscape(string(k))+"?prefix="+url.QueryEscape(prefix), c.timeouts.Read)
+	c.readCalls.Add(1)
+	a, err := c.read(ctx, c.baseURL+"/objects/"+url.PathEscape(string(k))+"?prefix="+url.QueryEscape(prefix), c.timeouts.Read)
 	if err != nil {
 		return nil, err
 	}
@@ -93,8 +93,8 @@
 
 // VMs reads the platform's list of VMs, which may be outdated.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
-	c.reading.Add(1)
-	a, err := c.read(ctx, c.base+"/vms", c.timeouts.Read)
+	c.readCalls.Add(1)
+	a, err := c.read(ctx, c.baseURL+"/vms", c.timeouts.Read)
 	if err != nil {
 		return nil, err
 	}
@@ -107,14 +107,14 @@
 	if len(value) > Limit {
 		return 0, Class.Wrap(fmt.Errorf("%w: %s/%s has %d bytes", ErrRefused, k, n, len(value)))
 	}
-	a, err := c.write(ctx, http.MethodPut, c.object(k, n), value, cond)
+	a, err := c.write(ctx, http.MethodPut, c.objectURL(k, n), value, cond)
 	if err != nil {
 		return 0, err
 	}
 	v, err := parseVersion(a.etag)
 	if err != nil {
 		// The write took effect, but its version is unknown.
-		c.unknown.Add(1)
+		c.unknownOutcomes.Add(1)
 		return 0, Class.Wrap(fmt.Errorf("%w: %w", ErrUnknown, err))
 	}
 	return v, nil
@@ -122,24 +122,24 @@
 
 // Delete deletes an object if the condition holds.
 func (c *Client) Delete(ctx context.Context, k Kind, n Name, cond Condition) error {
-	_, err := c.write(ctx, http.MethodDelete, c.object(k, n), nil, cond)
+	_, err := c.write(ctx, http.MethodDelete, c.objectURL(k, n), nil, cond)
 	return err
 }
 
-// object returns the URL of an object.
-func (c *Client) object(k Kind, n Name) string {
-	return c.base + "/objects/" + url.PathEscape(string(k)) + "/" + url.PathEscape(string(n))
+// objectURL returns the URL of an object.
+func (c *Client) objectURL(k Kind, n Name) string {
+	return c.baseURL + "/objects/" + url.PathEscape(string(k)) + "/" + url.PathEscape(string(n))
 }
 
-// answer is a response of the store with its whole body.
-type answer struct {
+// response is a response of the store with its whole body.
+type response struct {
 	status int
 	etag   string
 	body   []byte
 }
 
 // object returns the object that a response contains.
-func (a answer) object(n Name) (Object, error) {
+func (a response) object(n Name) (Object, error) {
 	v, err := parseVersion(a.etag)
 	if err != nil {
 		return Object{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
@@ -147,44 +147,44 @@
 	return Object{Name: n, Version: v, Value: a.body}, nil
 }
 
-func (c *Client) decode(a answer, into any) error {
+func (c *Client) decode(a response, into any) error {
 	if err := json.Unmarshal(a.body, into); err != nil {
-		c.unavailable.Add(1)
+		c.unavailableCalls.Add(1)
 		return Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	return nil
 }
 
-func (c *Client) read(ctx context.Context, u string, limit clock.Milli) (answer, error) {
+func (c *Client) read(ctx context.Context, u string, limit clock.Milli) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit.Duration())
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
 	if err != nil {
-		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
+		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
 	}
 	a, err := roundTrip(c.reads, req)
 	if err != nil {
 		// A reused connection can stop responding for good while new ones work. Which of the idle
 		// connections are affected is unknown, so all are closed and the next call opens a new one.
 		c.reads.CloseIdleConnections()
-		c.unavailable.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
+		c.unavailableCalls.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	switch {
 	case a.status == http.StatusOK, a.status == http.StatusNotModified:
 		return a, nil
 	case a.status == http.StatusNotFound:
-		return answer{}, ErrNotFound
+		return response{}, ErrNotFound
 	case a.status >= 500, a.status == http.StatusTooManyRequests:
-		c.unavailable.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
+		c.unavailableCalls.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
 	default:
-		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
 	}
 }
 
-func (c *Client) write(ctx context.Context, method, u string, value []byte, cond Condition) (answer, error) {
-	c.writing.Add(1)
+func (c *Client) write(ctx context.Context, method, u string, value []byte, cond Condition) (response, error) {
+	c.writeCalls.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, c.timeouts.Write.Duration())
 	defer cancel()
 	// Once a connection was established, the store may have received the write.
@@ -194,7 +194,7 @@
 	})
 	req, err := http.NewRequestWithContext(ctx, method, u, bytes.NewReader(value))
 	if err != nil {
-		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
+		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
 	}
 	// Without GetBody, http.Transport can't send the body again and therefore does not retry.
 	req.GetBody = nil
@@ -206,58 +206,58 @@
 	}
 	a, err := roundTrip(c.writes, req)
 	if err != nil && !sent.Load() {
-		c.unavailable.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
+		c.unavailableCalls.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	if err != nil {
-		c.unknown.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnknown, err))
+		c.unknownOutcomes.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnknown, err))
 	}
-	return c.judge(a, cond)
+	return c.checkWriteStatus(a, cond)
 }
 
-// judge maps the status of a write to an error.
-func (c *Client) judge(a answer, cond Condition) (answer, error) {
+// checkWriteStatus maps the status of a write to an error.
+func (c *Client) checkWriteStatus(a response, cond Condition) (response, error) {
 	switch {
 	case a.status >= 200 && a.status < 300:
 		return a, nil
 	case a.status == http.StatusPreconditionFailed:
-		return answer{}, ErrConflict
+		return response{}, ErrConflict
 	case a.status == http.StatusNotFound && cond.Version != 0:
-		return answer{}, ErrConflict
+		return response{}, ErrConflict
 	case a.status == http.StatusNotFound:
-		return answer{}, ErrNotFound
+		return response{}, ErrNotFound
 	case a.status == http.StatusTooManyRequests:
-		c.unavailable.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
+		c.unavailableCalls.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
 	case a.status >= 500:
 		// A proxy in front of the store may also respond so after it has forwarded the write.
-		c.unknown.Add(1)
-		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnknown, a.status))
+		c.unknownOutcomes.Add(1)
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnknown, a.status))
 	default:
-		return answer{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
 	}
 }
 
-// listLimit is the largest accepted response body in bytes, which bounds the memory of a call.
-const listLimit = 64 << 20
+// maxResponseSize is the largest accepted response body in bytes, which bounds the memory of a call.
+const maxResponseSize = 64 << 20
 
 // roundTrip sends a request and reads the response. It does not use http.Client, which would follow
 // redirects.
-func roundTrip(t *http.Transport, req *http.Request) (answer, error) {
+func roundTrip(t *http.Transport, req *http.Request) (response, error) {
 	res, err := t.RoundTrip(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, listLimit+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseSize+1))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	if len(body) > listLimit {
-		return answer{}, errors.New("response larger than 64 MiB")
+	if len(body) > maxResponseSize {
+		return response{}, errors.New("response larger than 64 MiB")
 	}
-	return answer{status: res.StatusCode, etag: res.Header.Get("ETag"), body: body}, nil
+	return response{status: res.StatusCode, etag: res.Header.Get("ETag"), body: body}, nil
 }
 
 func quote(v Version) string { return `"` + strconv.FormatUint(uint64(v), 10) + `"` }
--- a/lib/platform/client_test.go
+++ b/lib/platform/client_test.go
@@ -20,7 +20,7 @@
 	return New(strings.TrimPrefix(s.URL, "http://"), Timeouts{Dial: 200, Read: 200, Write: 200})
 }
 
-func TestEachStatusHasItsError(t *testing.T) {
+func TestStatusToError(t *testing.T) {
 	cases := []struct {
 		status      int
 		read, write error
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestConditionsAndVersionsTravel(t *testing.T) {
+func TestConditionsAndVersionsAreTransmitted(t *testing.T) {
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("ETag", `"7"`)
@@ -61,7 +61,7 @@
 
 // The store's port refuses connections. The error must show that the write had no effect, so that the
 // caller may safely repeat it.
-func TestRefusedDialProvesThatNothingWasWritten(t *testing.T) {
+func TestRefusedConnectionMeansNoWrite(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
 	cl := New(s.Listener.Addr().String(), DefaultTimeouts)
@@ -73,7 +73,7 @@
 // The store applies a write and the connection breaks before the response. If the transport retried
 // the write by itself, the store would receive it twice without the caller's knowledge. The write must
 // arrive once and return ErrUnknown.
-func TestLostAnswerIsReportedAndNotRepeated(t *testing.T) {
+func TestLostResponseIsReportedAndNotRetried(t *testing.T) {
 	var writes atomic.Int32
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -96,7 +96,7 @@
 
 // A reused connection stops responding: it stays open but no data arrives, while new connections
 // work. The call on it fails after its timeout; the next call must not use the same connection.
-func TestSilentConnectionIsThrownAway(t *testing.T) {
+func TestUnresponsiveConnectionIsDiscarded(t *testing.T) {
 	var first atomic.Pointer[string]
 	var silent atomic.Bool
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +117,7 @@
 	require.NoError(t, err)
 }
 
-func TestWatchEndsWithoutNews(t *testing.T) {
+func TestWatchEndsWithoutChange(t *testing.T) {
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") == "4" {
 			w.WriteHeader(http.StatusNotModified)
@@ -126,16 +126,16 @@
 		w.Header().Set("ETag", `"4"`)
 		_, _ = io.WriteString(w, r.URL.RawQuery)
 	})
-	o, news, err := cl.Watch(t.Context(), "config", "document", 3, clock.Second)
+	o, changed, err := cl.Watch(t.Context(), "config", "document", 3, clock.Second)
 	require.NoError(t, err)
-	require.True(t, news)
+	require.True(t, changed)
 	require.Equal(t, "after=3&wait=1000", string(o.Value))
-	_, news, err = cl.Watch(t.Context(), "config", "document", 4, clock.Second)
+	_, changed, err = cl.Watch(t.Context(), "config", "document", 4, clock.Second)
 	require.NoError(t, err)
-	require.False(t, news)
+	require.False(t, changed)
 }
 
-func TestListsAreRead(t *testing.T) {
+func TestListAndVMs(t *testing.T) {
 	cl := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/vms" {
 			_, _ = io.WriteString(w, `[{"name":"a","role":"entry","domain":"d","address":"127.0.0.1:1","state":"leaving"}]`)
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -12,7 +12,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-type key struct {
+type objectKey struct {
 	kind platform.Kind
 	name platform.Name
 }
@@ -22,53 +22,53 @@
 type Store struct {
 	mu      sync.Mutex
 	version platform.Version
-	objects map[key]platform.Object
+	objects map[objectKey]platform.Object
 	vms     []platform.VM
 	// changed is closed and replaced at every write.
 	changed chan struct{}
 
 	// stale, if not nil, is the state that reads return.
-	stale  map[key]platform.Object
+	stale  map[objectKey]platform.Object
 	outage bool
-	// deaf makes watches miss all changes.
-	deaf bool
-	// held, if not nil, is the channel that every call waits on.
-	held chan struct{}
-	// lostAnswers, lostWrites and late are the numbers of coming writes to which each fault applies.
-	lostAnswers, lostWrites, late int
-	// delayed are the writes that Deliver applies.
-	delayed []func()
-	counts  platform.Counts
+	// watchesHang makes watches miss all changes.
+	watchesHang bool
+	// blocked, if not nil, is the channel that every call waits on.
+	blocked chan struct{}
+	// lostResponses, lostWrites and delayedWrites are the numbers of coming writes to which each fault applies.
+	lostResponses, lostWrites, delayedWrites int
+	// undelivered are the writes that Deliver applies.
+	undelivered []func()
+	counts      platform.Counts
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{objects: map[key]platform.Object{}, changed: make(chan struct{})}
+	return &Store{objects: map[objectKey]platform.Object{}, changed: make(chan struct{})}
 }
 
 // Outage makes every call fail with ErrUnavailable while on.
 func (s *Store) Outage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
 
 // DeadWatch makes watches miss all changes and wait for their whole time while on.
-func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.deaf = on }
+func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.watchesHang = on }
 
 // LoseAnswers makes the next n writes take effect but return ErrUnknown.
-func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostAnswers = n }
+func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostResponses = n }
 
 // LoseWrites makes the next n writes return ErrUnknown without taking effect.
 func (s *Store) LoseWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostWrites = n }
 
 // DelayWrites makes the next n writes return ErrUnknown and take effect only at Deliver.
-func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.late = n }
+func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.delayedWrites = n }
 
 // Deliver applies the writes delayed by DelayWrites whose conditions hold.
 func (s *Store) Deliver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, apply := range s.delayed {
+	for _, apply := range s.undelivered {
 		apply()
 	}
-	s.delayed = nil
+	s.undelivered = nil
 }
 
 // Stale makes reads return the state at the time of this call while on, without later writes.
@@ -79,7 +79,7 @@
 	if !on {
 		return
 	}
-	s.stale = map[key]platform.Object{}
+	s.stale = map[objectKey]platform.Object{}
 	for k, o := range s.objects {
 		s.stale[k] = o
 	}
@@ -90,11 +90,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := make(chan struct{})
-	s.held = c
+	s.blocked = c
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.held = nil
+		s.blocked = nil
 		close(c)
 	}
 }
@@ -105,12 +105,12 @@
 // Counts returns the numbers of calls so far.
 func (s *Store) Counts() platform.Counts { s.mu.Lock(); defer s.mu.Unlock(); return s.counts }
 
-// enter waits while calls are blocked by Hold and fails during an outage. Without an error it
+// lockForCall waits while calls are blocked by Hold and fails during an outage. Without an error it
 // returns with the lock held.
-func (s *Store) enter(ctx context.Context) error {
+func (s *Store) lockForCall(ctx context.Context) error {
 	s.mu.Lock()
-	for s.held != nil {
-		c := s.held
+	for s.blocked != nil {
+		c := s.blocked
 		s.mu.Unlock()
 		select {
 		case <-c:
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *Store) view() map[key]platform.Object {
+func (s *Store) readView() map[objectKey]platform.Object {
 	if s.stale != nil {
 		return s.stale
 	}
@@ -135,12 +135,12 @@
 
 // Get reads an object.
 func (s *Store) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	o, ok := s.view()[key{k, n}]
+	o, ok := s.readView()[objectKey{k, n}]
 	if !ok {
 		return platform.Object{}, platform.ErrNotFound
 	}
@@ -149,13 +149,13 @@
 
 // List reads the objects of a kind, sorted by name.
 func (s *Store) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Reads++
 	var os []platform.Object
-	for at, o := range s.view() {
+	for at, o := range s.readView() {
 		if at.kind == k && strings.HasPrefix(string(at.name), prefix) {
 			os = append(os, o)
 		}
@@ -166,7 +166,7 @@
 
 // VMs reads the VM list.
 func (s *Store) VMs(ctx context.Context) ([]platform.VM, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
@@ -179,13 +179,13 @@
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
 	for {
-		if err := s.enter(ctx); err != nil {
+		if err := s.lockForCall(ctx); err != nil {
 			return platform.Object{}, false, err
 		}
 		s.counts.Watches++
-		o, ok := s.view()[key{k, n}]
+		o, ok := s.readView()[objectKey{k, n}]
 		changed := s.changed
-		if s.deaf {
+		if s.watchesHang {
 			changed, ok = nil, false
 		}
 		s.mu.Unlock()
@@ -205,7 +205,7 @@
 	if len(value) > platform.Limit {
 		return 0, platform.ErrRefused
 	}
-	at := key{k, n}
+	at := objectKey{k, n}
 	var v platform.Version
 	err := s.write(ctx, at, cond, func() {
 		s.version++
@@ -220,7 +220,7 @@
 
 // Delete deletes an object if the condition holds.
 func (s *Store) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
-	at := key{k, n}
+	at := objectKey{k, n}
 	found := true
 	err := s.write(ctx, at, cond, func() {
 		_, found = s.objects[at]
@@ -233,8 +233,8 @@
 }
 
 // write applies a change if its condition holds, subject to the faults that are set.
-func (s *Store) write(ctx context.Context, at key, cond platform.Condition, change func()) error {
-	if err := s.enter(ctx); err != nil {
+func (s *Store) write(ctx context.Context, at objectKey, cond platform.Condition, change func()) error {
+	if err := s.lockForCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -252,12 +252,12 @@
 	case s.lostWrites > 0:
 		s.lostWrites--
 		return platform.ErrUnknown
-	case s.late > 0:
-		s.late--
-		s.delayed = append(s.delayed, func() { apply() })
+	case s.delayedWrites > 0:
+		s.delayedWrites--
+		s.undelivered = append(s.undelivered, func() { apply() })
 		return platform.ErrUnknown
-	case s.lostAnswers > 0:
-		s.lostAnswers--
+	case s.lostResponses > 0:
+		s.lostResponses--
 		apply()
 		return platform.ErrUnknown
 	case !apply():
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -20,8 +20,8 @@
 type Source struct {
 	name  string
 	table Table
-	// breaks are the offsets of the line breaks in ascending order.
-	breaks []int
+	// lineBreaks are the offsets of the line breaks in ascending order.
+	lineBreaks []int
 	// offsets maps each path in the file to its offset.
 	offsets map[string]int
 	// faulty is the set of paths that have a problem.
@@ -36,25 +36,25 @@
 	s := &Source{name: name, table: table, offsets: map[string]int{}, faulty: map[string]bool{}}
 	for i, b := range text {
 		if b == '\n' {
-			s.breaks = append(s.breaks, i)
+			s.lineBreaks = append(s.lineBreaks, i)
 		}
 	}
-	if deep(text) {
+	if nestsTooDeep(text) {
 		s.report(1, "", "nests deeper than %d levels: flatten it", MaxDepth)
 		return s
 	}
 	tree, err := hujson.Parse(text)
 	if err != nil {
-		s.syntax(err)
+		s.reportSyntaxError(err)
 		return s
 	}
-	s.value(&tree, reflect.ValueOf(into).Elem(), "", "")
+	s.readValue(&tree, reflect.ValueOf(into).Elem(), "", "")
 	return s
 }
 
-// deep reports whether brackets nest deeper than MaxDepth. It also counts brackets in strings and
+// nestsTooDeep reports whether brackets nest deeper than MaxDepth. It also counts brackets in strings and
 // comments, where no configuration needs that many unclosed ones.
-func deep(text []byte) bool {
+func nestsTooDeep(text []byte) bool {
 	depth := 0
 	for _, b := range text {
 		switch b {
@@ -70,8 +70,8 @@
 	return false
 }
 
-// syntax reports an error of the JSON parser, which stops at the first one.
-func (s *Source) syntax(err error) {
+// reportSyntaxError reports an error of the JSON parser, which stops at the first one.
+func (s *Source) reportSyntaxError(err error) {
 	line, column, text := 1, 1, err.Error()
 	if n, _ := fmt.Sscanf(text, "hujson: line %d, column %d:", &line, &column); n == 2 {
 		text = text[strings.Index(text, ": ")+2:]
@@ -103,153 +103,153 @@
 	for {
 		offset, ok := s.offsets[path]
 		if ok || path == "" {
-			return s.line(offset)
+			return s.lineOf(offset)
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
 }
 
-func (s *Source) line(offset int) int {
-	return 1 + sort.SearchInts(s.breaks, offset)
+func (s *Source) lineOf(offset int) int {
+	return 1 + sort.SearchInts(s.lineBreaks, offset)
 }
 
-// value decodes one value. path contains list positions; generic is the same path without them, as
-// in Table.
-func (s *Source) value(v *hujson.Value, into reflect.Value, path, generic string) {
+// readValue decodes one value. path contains list positions; tablePath is the same path without them,
+// as in Table.
+func (s *Source) readValue(v *hujson.Value, into reflect.Value, path, tablePath string) {
 	if _, ok := s.offsets[path]; !ok {
 		s.offsets[path] = v.StartOffset
 	}
 	switch into.Kind() {
 	case reflect.Struct:
-		s.object(v, into, path, generic)
+		s.readObject(v, into, path, tablePath)
 	case reflect.Slice:
-		s.list(v, into, path, generic)
+		s.readList(v, into, path, tablePath)
 	default:
-		s.literal(v, into, path, generic)
+		s.readLiteral(v, into, path, tablePath)
 	}
 }
 
-func (s *Source) object(v *hujson.Value, into reflect.Value, path, generic string) {
+func (s *Source) readObject(v *hujson.Value, into reflect.Value, path, tablePath string) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
-		s.Add(path, "must be an object {...}, not %s", describe(v))
+		s.Add(path, "must be an object {...}, not %s", typeName(v))
 		return
 	}
 	fields := fieldsOf(into.Type())
 	seen := map[string]int{}
 	for i := range o.Members {
 		m := &o.Members[i]
-		name := literal(&m.Name).String()
-		sub := join(path, name)
+		name := toLiteral(&m.Name).String()
+		sub := joinPath(path, name)
 		if first, ok := seen[name]; ok {
-			s.at(m.Name.StartOffset, sub, "appears twice in this object, first at line %d: remove one", s.line(first))
+			s.reportAt(m.Name.StartOffset, sub, "appears twice in this object, first at line %d: remove one", s.lineOf(first))
 			continue
 		}
 		seen[name] = m.Name.StartOffset
 		s.offsets[sub] = m.Name.StartOffset
 		f, ok := fields[name]
 		if !ok {
-			s.at(m.Name.StartOffset, sub, "unknown field: use one of %s", names(fields))
+			s.reportAt(m.Name.StartOffset, sub, "unknown field: use one of %s", nameList(fields))
 			continue
 		}
-		s.value(&m.Value, into.Field(f), sub, join(generic, name))
+		s.readValue(&m.Value, into.Field(f), sub, joinPath(tablePath, name))
 	}
-	s.absent(into, fields, seen, path, generic)
+	s.fillAbsent(into, fields, seen, path, tablePath)
 }
 
-// absent sets the defaults of absent fields and reports absent fields that are required. seen
+// fillAbsent sets the defaults of absent fields and reports absent fields that are required. seen
 // contains the fields that are present.
-func (s *Source) absent(into reflect.Value, fields map[string]int, seen map[string]int, path, generic string) {
-	for _, name := range sorted(fields) {
+func (s *Source) fillAbsent(into reflect.Value, fields map[string]int, seen map[string]int, path, tablePath string) {
+	for _, name := range sortedNames(fields) {
 		if _, ok := seen[name]; ok {
 			continue
 		}
 		into := into.Field(fields[name])
-		f := s.table[join(generic, name)]
+		f := s.table[joinPath(tablePath, name)]
 		if f.Need {
-			s.Add(join(path, name), "is missing: add it (%s)", f.Text)
+			s.Add(joinPath(path, name), "is missing: add it (%s)", f.Text)
 		}
 		if f.Default != nil {
 			into.Set(reflect.ValueOf(f.Default).Convert(into.Type()))
 		}
 		if into.Kind() == reflect.Struct {
 			// The fields of an absent object also receive their defaults.
-			s.absent(into, fieldsOf(into.Type()), nil, join(path, name), join(generic, name))
+			s.fillAbsent(into, fieldsOf(into.Type()), nil, joinPath(path, name), joinPath(tablePath, name))
 		}
 	}
 }
 
-func (s *Source) list(v *hujson.Value, into reflect.Value, path, generic string) {
+func (s *Source) readList(v *hujson.Value, into reflect.Value, path, tablePath string) {
 	a, ok := v.Value.(*hujson.Array)
 	if !ok {
-		s.Add(path, "must be a list [...], not %s", describe(v))
+		s.Add(path, "must be a list [...], not %s", typeName(v))
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(a.Elements), len(a.Elements)))
 	for i := range a.Elements {
-		s.value(&a.Elements[i], into.Index(i), fmt.Sprintf("%s[%d]", path, i), generic)
+		s.readValue(&a.Elements[i], into.Index(i), fmt.Sprintf("%s[%d]", path, i), tablePath)
 	}
 }
 
-func (s *Source) literal(v *hujson.Value, into reflect.Value, path, generic string) {
-	f := s.table[generic]
-	l := literal(v)
+func (s *Source) readLiteral(v *hujson.Value, into reflect.Value, path, tablePath string) {
+	f := s.table[tablePath]
+	l := toLiteral(v)
 	switch into.Kind() {
 	case reflect.String:
 		if l.Kind() != '"' {
-			s.Add(path, "must be a string, not %s", describe(v))
+			s.Add(path, "must be a string, not %s", typeName(v))
 			return
 		}
 		into.SetString(l.String())
-		s.text(l.String(), f, path)
+		s.checkString(l.String(), f, path)
 	case reflect.Bool:
 		if l.Kind() != 't' && l.Kind() != 'f' {
-			s.Add(path, "must be true or false, not %s", describe(v))
+			s.Add(path, "must be true or false, not %s", typeName(v))
 			return
 		}
 		into.SetBool(l.Bool())
 	default:
-		s.number(v, into, path, f)
+		s.readNumber(v, into, path, f)
 	}
 }
 
-func (s *Source) text(text string, f Field, path string) {
+func (s *Source) checkString(text string, f Field, path string) {
 	if len(f.Only) > 0 && !slices.Contains(f.Only, text) {
 		s.Add(path, "is %s: use one of %s", quote(text), strings.Join(f.Only, ", "))
 		return
 	}
 	if f.Max > 0 && (float64(len(text)) < f.Min || float64(len(text)) > f.Max) {
-		s.Add(path, "has %d bytes: use %s to %s", len(text), format(f.Min), format(f.Max))
+		s.Add(path, "has %d bytes: use %s to %s", len(text), formatNumber(f.Min), formatNumber(f.Max))
 	}
 }
 
-func (s *Source) number(v *hujson.Value, into reflect.Value, path string, f Field) {
+func (s *Source) readNumber(v *hujson.Value, into reflect.Value, path string, f Field) {
 	whole := into.Kind() != reflect.Float64
-	l := literal(v)
+	l := toLiteral(v)
 	if l.Kind() != '0' {
-		s.Add(path, "must be a %s, not %s", wanted(whole, f.Unit), describe(v))
+		s.Add(path, "must be a %s, not %s", numberText(whole, f.Unit), typeName(v))
 		return
 	}
 	n, err := strconv.ParseFloat(string(l), 64)
 	if err != nil {
-		s.Add(path, "is too large: use %s", bounds(f))
+		s.Add(path, "is too large: use %s", boundsText(f))
 		return
 	}
 	if f.Max > f.Min && (n < f.Min || n > f.Max) {
-		s.Add(path, "is %s: use %s", l, bounds(f))
+		s.Add(path, "is %s: use %s", l, boundsText(f))
 		return
 	}
 	if whole && n != math.Trunc(n) {
-		s.Add(path, "is %s: must be a %s", l, wanted(whole, f.Unit))
+		s.Add(path, "is %s: must be a %s", l, numberText(whole, f.Unit))
 		return
 	}
-	if !set(into, n) {
+	if !setNumber(into, n) {
 		s.Add(path, "is %s: use a smaller number", l)
 	}
 }
 
-// set stores a number and reports whether the field's type can represent it.
-func set(into reflect.Value, n float64) bool {
+// setNumber stores a number and reports whether the field's type can represent it.
+func setNumber(into reflect.Value, n float64) bool {
 	switch {
 	case into.CanFloat():
 		into.SetFloat(n)
@@ -268,8 +268,8 @@
 	return true
 }
 
-func (s *Source) at(offset int, path, format string, args ...any) {
-	s.report(s.line(offset), path, format, args...)
+func (s *Source) reportAt(offset int, path, format string, args ...any) {
+	s.report(s.lineOf(offset), path, format, args...)
 }
 
 func (s *Source) report(line int, path, format string, args ...any) {
--- a/lib/strict/schema.go
+++ b/lib/strict/schema.go
@@ -24,22 +24,22 @@
 		return nil, err
 	}
 	s.Schema = "https://json-schema.org/draft/2020-12/schema"
-	return s, decorate(s, table, "")
+	return s, annotate(s, table, "")
 }
 
-// decorate adds the descriptions, bounds and defaults of the table to a schema and its subschemas.
-func decorate(s *jsonschema.Schema, table Table, path string) error {
+// annotate adds the descriptions, bounds and defaults of the table to a schema and its subschemas.
+func annotate(s *jsonschema.Schema, table Table, path string) error {
 	s.Required = nil
 	for name, sub := range s.Properties {
-		at := join(path, name)
+		at := joinPath(path, name)
 		f := table[at]
 		if f.Need {
 			s.Required = append(s.Required, name)
 		}
-		if err := describeField(sub, f); err != nil {
+		if err := annotateField(sub, f); err != nil {
 			return err
 		}
-		if err := decorate(sub, table, at); err != nil {
+		if err := annotate(sub, table, at); err != nil {
 			return err
 		}
 	}
@@ -47,18 +47,18 @@
 	if s.Items == nil {
 		return nil
 	}
-	bound(s.Items, table[path])
-	return decorate(s.Items, table, path)
+	setBounds(s.Items, table[path])
+	return annotate(s.Items, table, path)
 }
 
-func describeField(s *jsonschema.Schema, f Field) error {
+func annotateField(s *jsonschema.Schema, f Field) error {
 	s.Description = f.Text
 	if len(s.Types) > 0 {
 		// The jsonschema package allows null for a list; Read does not.
 		s.Type, s.Types = "array", nil
 	}
-	s.Extra = extra(f)
-	bound(s, f)
+	s.Extra = extraKeywords(f)
+	setBounds(s, f)
 	if f.Default == nil {
 		return nil
 	}
@@ -67,18 +67,18 @@
 	return err
 }
 
-func extra(f Field) map[string]any {
-	words := map[string]any{}
+func extraKeywords(f Field) map[string]any {
+	keywords := map[string]any{}
 	if f.Unit != "" {
-		words[KeywordUnit] = f.Unit
+		keywords[KeywordUnit] = f.Unit
 	}
 	if f.Ref != "" {
-		words[KeywordTable] = f.Ref
+		keywords[KeywordTable] = f.Ref
 	}
-	return words
+	return keywords
 }
 
-func bound(s *jsonschema.Schema, f Field) {
+func setBounds(s *jsonschema.Schema, f Field) {
 	for _, o := range f.Only {
 		s.Enum = append(s.Enum, o)
 	}
--- a/lib/strict/strict_test.go
+++ b/lib/strict/strict_test.go
@@ -21,7 +21,7 @@
 	"inner.count": {Default: 7, Unit: "things"},
 }
 
-func TestDefaultsReachObjectsThatWereLeftOut(t *testing.T) {
+func TestDefaultsInAbsentObject(t *testing.T) {
 	var f file
 	require.NoError(t, Read([]byte(`{}`), "f", &f, table).Problems().Err())
 	require.Equal(t, "low", f.Level)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestLineOfAnAbsentFieldIsItsParents(t *testing.T) {
+func TestAbsentFieldIsReportedAtParent(t *testing.T) {
 	var f file
 	s := Read([]byte("{\n\"inner\": {\n}}"), "f", &f, table)
 	s.Add("inner.count", "is missing")
--- a/lib/strict/words.go
+++ b/lib/strict/words.go
@@ -21,7 +21,7 @@
 	return fields
 }
 
-func sorted(fields map[string]int) []string {
+func sortedNames(fields map[string]int) []string {
 	list := make([]string, 0, len(fields))
 	for name := range fields {
 		list = append(list, name)
@@ -30,12 +30,12 @@
 	return list
 }
 
-func names(fields map[string]int) string { return strings.Join(sorted(fields), ", ") }
+func nameList(fields map[string]int) string { return strings.Join(sortedNames(fields), ", ") }
 
-// join appends a name to a path. An unusual name, for example with a line break, is quoted, so that
+// joinPath appends a name to a path. An unusual name, for example with a line break, is quoted, so that
 // the path fits on one line.
-func join(path, name string) string {
-	if len(name) > maxQuote || strings.ContainsFunc(name, odd) {
+func joinPath(path, name string) string {
+	if len(name) > maxQuoted || strings.ContainsFunc(name, needsQuoting) {
 		name = quote(name)
 	}
 	if path == "" {
@@ -44,10 +44,10 @@
 	return path + "." + name
 }
 
-func odd(r rune) bool { return r <= ' ' || r > '~' || r == '.' || r == '[' }
+func needsQuoting(r rune) bool { return r <= ' ' || r > '~' || r == '.' || r == '[' }
 
-// literal returns a value as a literal, or the literal null if it is an object or a list.
-func literal(v *hujson.Value) hujson.Literal {
+// toLiteral returns a value as a literal, or the literal null if it is an object or a list.
+func toLiteral(v *hujson.Value) hujson.Literal {
 	l, ok := v.Value.(hujson.Literal)
 	if !ok {
 		return hujson.Literal("null")
@@ -55,9 +55,9 @@
 	return l
 }
 
-// describe returns the type of a value. It never repeats the value, which may be an API key in the
+// typeName returns the type of a value. It never repeats the value, which may be an API key in the
 // wrong field.
-func describe(v *hujson.Value) string {
+func typeName(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case '{':
 		return "an object"
@@ -74,17 +74,17 @@
 	}
 }
 
-const maxQuote = 60
+const maxQuoted = 60
 
-// quote returns text as a quoted string on one line, truncated to maxQuote bytes.
+// quote returns text as a quoted string on one line, truncated to maxQuoted bytes.
 func quote(text string) string {
-	if len(text) > maxQuote {
-		text = text[:maxQuote] + "..."
+	if len(text) > maxQuoted {
+		text = text[:maxQuoted] + "..."
 	}
 	return strconv.Quote(text)
 }
 
-func wanted(whole bool, unit string) string {
+func numberText(whole bool, unit string) string {
 	text := "number"
 	if whole {
 		text = "whole number"
@@ -95,11 +95,11 @@
 	return text
 }
 
-func bounds(f Field) string {
+func boundsText(f Field) string {
 	if f.Max <= f.Min {
 		return strings.TrimSpace("a smaller number " + f.Unit)
 	}
-	return strings.TrimSpace(format(f.Min) + " to " + format(f.Max) + " " + f.Unit)
+	return strings.TrimSpace(formatNumber(f.Min) + " to " + formatNumber(f.Max) + " " + f.Unit)
 }
 
-func format(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
+func formatNumber(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
--- a/lib/timeline/kind.go
+++ b/lib/timeline/kind.go
@@ -65,10 +65,10 @@
 	Ambiguous // the outcome of a write is unknown
 	Unreachable
 
-	kinds // the number of kinds
+	kindCount // the number of kinds
 )
 
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	KindNone:    "none",
 	Arrived:     "arrived",
 	Refused:     "refused",
@@ -113,7 +113,7 @@
 
 // String returns the kind's name.
 func (k Kind) String() string {
-	if k >= kinds {
+	if k >= kindCount {
 		return "unknown"
 	}
 	return kindNames[k]
--- a/lib/timeline/ring.go
+++ b/lib/timeline/ring.go
@@ -21,7 +21,7 @@
 type Ring struct {
 	// origin has the fields that are the same in every event of this process.
 	origin Event
-	clock  hybrid
+	clock  hybridClock
 
 	mu sync.Mutex
 	// events is the ring buffer; the event with Seq n is at index (n-1) modulo its length.
@@ -34,7 +34,7 @@
 func New(process, vm string, incarnation uint64, size int, w Wall) *Ring {
 	return &Ring{
 		origin: Event{Process: process, VM: vm, Incarnation: incarnation},
-		clock:  hybrid{wall: w},
+		clock:  hybridClock{wall: w},
 		events: make([]Event, max(size, 1)),
 	}
 }
@@ -46,11 +46,11 @@
 		return
 	}
 	e.Process, e.VM, e.Incarnation = r.origin.Process, r.origin.VM, r.origin.Incarnation
-	e.Request = clip(e.Request, MaxID)
-	e.Workspace = clip(e.Workspace, MaxID)
-	e.Upstream = clip(e.Upstream, MaxID)
-	e.Peer = clip(e.Peer, MaxID)
-	e.Text = clip(e.Text, MaxText)
+	e.Request = truncate(e.Request, MaxID)
+	e.Workspace = truncate(e.Workspace, MaxID)
+	e.Upstream = truncate(e.Upstream, MaxID)
+	e.Peer = truncate(e.Peer, MaxID)
+	e.Text = truncate(e.Text, MaxText)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// Stamp and Seq are assigned under the same lock, so that they order events alike.
@@ -60,12 +60,12 @@
 	r.events[(r.seq-1)%uint64(len(r.events))] = e
 }
 
-// clip truncates a string to most bytes. It copies the result, so that the original can be freed.
-func clip[S ~string](s S, most int) S {
-	if len(s) <= most {
+// truncate truncates a string to maxLen bytes. It copies the result, so that the original can be freed.
+func truncate[S ~string](s S, maxLen int) S {
+	if len(s) <= maxLen {
 		return s
 	}
-	return S(strings.ToValidUTF8(strings.Clone(string(s[:most])), ""))
+	return S(strings.ToValidUTF8(strings.Clone(string(s[:maxLen])), ""))
 }
 
 // Send returns the stamp for an outgoing message to another process.
@@ -85,9 +85,9 @@
 	r.clock.receive(s)
 }
 
-// batch is the number of events copied while holding the lock. Copying the whole ring takes several
+// copyBatch is the number of events copied while holding the lock. Copying the whole ring takes several
 // milliseconds, during which every request on this VM would be blocked.
-const batch = 1024
+const copyBatch = 1024
 
 // Events returns copies of the selected events, oldest first, without those that are overwritten
 // during the call.
@@ -100,20 +100,20 @@
 	r.mu.Unlock()
 	var found []Event
 	for next := uint64(0); next < last; {
-		found, next = r.copy(found, f, next, last)
+		found, next = r.copyMatching(found, f, next, last)
 	}
 	return found
 }
 
-// copy appends the selected events among the next batch to found. next and last are numbers of
+// copyMatching appends the selected events among the next batch to found. next and last are numbers of
 // events, counted from 0; last is exclusive. It returns the number to continue at.
-func (r *Ring) copy(found []Event, f Filter, next, last uint64) ([]Event, uint64) {
+func (r *Ring) copyMatching(found []Event, f Filter, next, last uint64) ([]Event, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	size := uint64(len(r.events))
 	first := r.seq - min(r.seq, size)
 	next = max(next, first)
-	end := min(next+batch, last)
+	end := min(next+copyBatch, last)
 	for n := next; n < end; n++ {
 		if e := &r.events[n%size]; f.Match(e) {
 			found = append(found, *e)
--- a/lib/timeline/stamp.go
+++ b/lib/timeline/stamp.go
@@ -15,8 +15,8 @@
 type Stamp uint64
 
 const (
-	stampBits = 16
-	countMask = 1<<stampBits - 1
+	counterBits = 16
+	counterMask = 1<<counterBits - 1
 )
 
 // maxLead is the largest accepted lead of a received stamp over the local wall clock, in
@@ -26,31 +26,31 @@
 const maxLead = 24 * 60 * clock.Minute
 
 // Milli returns the millisecond part.
-func (s Stamp) Milli() clock.Milli { return clock.Milli(s >> stampBits) }
+func (s Stamp) Milli() clock.Milli { return clock.Milli(s >> counterBits) }
 
 // StampOf returns the first stamp of a millisecond, or zero if it is before 1970.
 func StampOf(m clock.Milli) Stamp {
 	if m < 0 {
 		return 0
 	}
-	return Stamp(m) << stampBits
+	return Stamp(m) << counterBits
 }
 
 // MarshalText implements encoding.TextMarshaler: milliseconds, a dot and the counter. As a single
 // number a stamp would exceed the precision of JSON decoders that use floats.
 func (s Stamp) MarshalText() ([]byte, error) {
 	text := strconv.AppendUint(nil, uint64(s.Milli()), 10)
-	return strconv.AppendUint(append(text, '.'), uint64(s&countMask), 10), nil
+	return strconv.AppendUint(append(text, '.'), uint64(s&counterMask), 10), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler for the format of MarshalText.
 func (s *Stamp) UnmarshalText(text []byte) error {
 	head, tail, _ := strings.Cut(string(text), ".")
-	milli, err := strconv.ParseUint(head, 10, 64-stampBits)
+	milli, err := strconv.ParseUint(head, 10, 64-counterBits)
 	if err != nil {
 		return Class.New("invalid stamp %q: want milliseconds, a dot and a counter", text)
 	}
-	count, err := strconv.ParseUint(tail, 10, stampBits)
+	count, err := strconv.ParseUint(tail, 10, counterBits)
 	if err != nil {
 		return Class.New("invalid stamp %q: want milliseconds, a dot and a counter", text)
 	}
@@ -63,8 +63,8 @@
 	Now() clock.Milli
 }
 
-// hybrid is a hybrid logical clock. Its stamps increase strictly.
-type hybrid struct {
+// hybridClock is a hybrid logical clock. Its stamps increase strictly.
+type hybridClock struct {
 	wall Wall
 	mu   sync.Mutex
 	// last is the largest stamp issued or received.
@@ -72,7 +72,7 @@
 }
 
 // tick returns the next stamp and the wall-clock time at which it was issued.
-func (h *hybrid) tick() (Stamp, clock.Milli) {
+func (h *hybridClock) tick() (Stamp, clock.Milli) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.wall.Now()
@@ -81,7 +81,7 @@
 }
 
 // receive advances the clock past a stamp of another process, unless it is too far ahead.
-func (h *hybrid) receive(s Stamp) {
+func (h *hybridClock) receive(s Stamp) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.Milli() > h.wall.Now()+maxLead {
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -14,15 +14,15 @@
 	"snipeshift.example/lib/decide"
 )
 
-type handClock struct{ now clock.Milli }
+type manualClock struct{ now clock.Milli }
 
-func (c *handClock) Now() clock.Milli { return c.now }
+func (c *manualClock) Now() clock.Milli { return c.now }
 
 // The clock of one VM is an hour behind that of another. Ordered by wall clock, the reply to a message
 // would precede the message, and an operator would look for the cause on the wrong VM.
-func TestMergeOrdersCausesFirstDespiteClocks(t *testing.T) {
-	fast := New("daemon", "fast", 1, 8, &handClock{now: 2 * 3600 * clock.Second})
-	slow := New("daemon", "slow", 1, 8, &handClock{now: 3600 * clock.Second})
+func TestMergeIsCausalDespiteClockSkew(t *testing.T) {
+	fast := New("daemon", "fast", 1, 8, &manualClock{now: 2 * 3600 * clock.Second})
+	slow := New("daemon", "slow", 1, 8, &manualClock{now: 3600 * clock.Second})
 
 	fast.Add(Event{Kind: Arrived, Request: "r"})
 	slow.Receive(fast.Send())
@@ -39,8 +39,8 @@
 
 // A message arrives with a stamp that is years ahead because of a wrong clock. If it were accepted,
 // all later events of all VMs would be dated in that year.
-func TestReceiveIgnoresAStampFarAhead(t *testing.T) {
-	r := New("daemon", "a", 1, 8, &handClock{now: 1000})
+func TestReceiveIgnoresStampFarAhead(t *testing.T) {
+	r := New("daemon", "a", 1, 8, &manualClock{now: 1000})
 	r.Receive(Stamp(1<<64 - 1))
 	require.Less(t, r.Send(), StampOf(2000))
 }
@@ -48,10 +48,10 @@
 func TestMergeIsCausalForAnyExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 3
-		var clocks [processes]*handClock
+		var clocks [processes]*manualClock
 		var rings [processes]*Ring
 		for i := range rings {
-			clocks[i] = &handClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
+			clocks[i] = &manualClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
 			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
 		// before[i] lists the events that causally precede the next event of process i.
@@ -89,7 +89,7 @@
 }
 
 func TestRingOverwritesTheOldest(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{now: 5})
+	r := New("daemon", "a", 1, 3, &manualClock{now: 5})
 	for range 5 {
 		r.Add(Event{Kind: Arrived})
 	}
@@ -99,8 +99,8 @@
 	require.Equal(t, uint64(5), got[2].Seq)
 }
 
-func TestRingBoundsTexts(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{})
+func TestAddTruncatesTexts(t *testing.T) {
+	r := New("daemon", "a", 1, 3, &manualClock{})
 	long := strings.Repeat("é", 500)
 	r.Add(Event{Request: decide.RequestID(long), Text: long})
 	e := r.Events(Filter{})[0]
@@ -109,7 +109,7 @@
 }
 
 func TestFilter(t *testing.T) {
-	c := &handClock{now: 100}
+	c := &manualClock{now: 100}
 	r := New("daemon", "a", 1, 8, c)
 	r.Add(Event{Kind: Arrived, Request: "r1", Workspace: "w1"})
 	c.now = 200
@@ -128,16 +128,16 @@
 	require.Zero(t, testing.AllocsPerRun(200, func() { r.Add(e) }))
 }
 
-func TestNilRingKeepsNothing(t *testing.T) {
+func TestNilRingRecordsNothing(t *testing.T) {
 	var r *Ring
 	r.Add(Event{Kind: Arrived})
 	r.Receive(r.Send())
 	require.Empty(t, r.Events(Filter{}))
 }
 
-func TestEveryKindHasItsOwnName(t *testing.T) {
+func TestKindNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for k := KindNone; k < kinds; k++ {
+	for k := KindNone; k < kindCount; k++ {
 		name := k.String()
 		require.NotEmpty(t, name)
 		require.False(t, seen[name], name)
@@ -198,12 +198,12 @@
 
 // While Events copies the ring, requests add events to it and overwrite the oldest. The result must
 // still be in order and without duplicates.
-func TestEventsWhileOthersAdd(t *testing.T) {
-	r := New("daemon", "a", 1, 2*batch, clock.New())
+func TestEventsDuringConcurrentAdds(t *testing.T) {
+	r := New("daemon", "a", 1, 2*copyBatch, clock.New())
 	var adders sync.WaitGroup
 	for range 2 {
 		adders.Go(func() {
-			for range 20 * batch {
+			for range 20 * copyBatch {
 				r.Add(Event{Kind: Granted})
 			}
 		})
@@ -216,5 +216,5 @@
 		}
 	}
 	adders.Wait()
-	require.Len(t, r.Events(Filter{}), 2*batch)
+	require.Len(t, r.Events(Filter{}), 2*copyBatch)
 }
