--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -71,7 +71,7 @@
 	Unusable:    "an entry of the store does not describe a usable upstream, with the reason; logged once for each reason",
 	Unreachable: "a dependency does not respond: the store, an owner, a peer",
 	Reached:     "a dependency that was unreachable responds again",
-	Reader:      "the role of a VM in reading the store has changed: its rank, how many VMs of lower rank can reach the store, the age of its document",
+	Reader:      "the role of a VM in reading the store has changed: its rank, how many VMs that rank before it can reach the store, the age of its document",
 	Holder:      "another VM now owns a service: its epoch and the source of the information",
 	Report:      "an upstream reports work that no grant accounts for, or does not report",
 	Silent:      "an upstream neither responds nor accepts connections; the send is abandoned",
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -140,19 +140,19 @@
 	for i := range o.Members {
 		m := &o.Members[i]
 		name := toLiteral(&m.Name).String()
-		sub := joinPath(path, name)
+		fieldPath := joinPath(path, name)
 		if first, ok := seen[name]; ok {
-			s.reportAt(m.Name.StartOffset, sub, "appears twice in this object, first at line %d: remove one", s.lineOf(first))
+			s.reportAt(m.Name.StartOffset, fieldPath, "appears twice in this object, first at line %d: remove one", s.lineOf(first))
 			continue
 		}
 		seen[name] = m.Name.StartOffset
-		s.offsets[sub] = m.Name.StartOffset
+		s.offsets[fieldPath] = m.Name.StartOffset
 		f, ok := fields[name]
 		if !ok {
-			s.reportAt(m.Name.StartOffset, sub, "unknown field: use one of %s", nameList(fields))
+			s.reportAt(m.Name.StartOffset, fieldPath, "unknown field: use one of %s", nameList(fields))
 			continue
 		}
-		s.readValue(&m.Value, into.Field(f), sub, joinPath(tablePath, name))
+		s.readValue(&m.Value, into.Field(f), fieldPath, joinPath(tablePath, name))
 	}
 	s.fillAbsent(into, fields, seen, path, tablePath)
 }
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -54,8 +54,8 @@
 			clocks[i] = &manualClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
 			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
-		// before[i] lists the events that causally precede the next event of process i.
-		var before [processes][]string
+		// preceding[i] lists the events that causally precede the next event of process i.
+		var preceding [processes][]string
 		causes := map[string][]string{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for n := range steps {
@@ -64,31 +64,31 @@
 			if rapid.Bool().Draw(t, "message") {
 				to := rapid.IntRange(0, processes-1).Draw(t, "to")
 				rings[to].Receive(rings[i].Send())
-				before[to] = append(before[to], before[i]...)
+				preceding[to] = append(preceding[to], preceding[i]...)
 				continue
 			}
 			id := string(rune('A' + n))
 			rings[i].Add(Event{Kind: Arrived, Text: id})
-			causes[id] = append([]string(nil), before[i]...)
-			before[i] = append(before[i], id)
+			causes[id] = append([]string(nil), preceding[i]...)
+			preceding[i] = append(preceding[i], id)
 		}
 		var parts [][]Event
 		for _, r := range rings {
 			parts = append(parts, r.Events(Filter{}))
 		}
-		place := map[string]int{}
+		position := map[string]int{}
 		for i, e := range Merge(parts) {
-			place[e.Text] = i
+			position[e.Text] = i
 		}
 		for id, cs := range causes {
 			for _, c := range cs {
-				require.Less(t, place[c], place[id])
+				require.Less(t, position[c], position[id])
 			}
 		}
 	})
 }
 
-func TestRingOverwritesTheOldest(t *testing.T) {
+func TestRingOverwritesOldest(t *testing.T) {
 	r := New("daemon", "a", 1, 3, &manualClock{now: 5})
 	for range 5 {
 		r.Add(Event{Kind: Arrived})
