--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -32,7 +32,7 @@
 
 // generate serves chat completions and completions.
 func (g *Gate) generate(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
@@ -128,7 +128,7 @@
 	}
 	call := engine.Call{
 		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeat, Request: x.q.id,
-		Priority: gr.grant.Priority, Reserve: gr.grant.Reserved, Grant: gr.grant.ID, Group: gr.grant.Upstreams, Key: x.q.key,
+		Priority: gr.grant.Priority, Reserve: gr.grant.Reserved, Grant: gr.grant.ID, Group: gr.grant.Upstreams, IdempotencyKey: x.q.key,
 	}
 	// A long prompt may be silent for as long as its prefill takes, so a kept connection
 	// that has gone silent would show only at its deadline; a dial costs it nothing.
@@ -240,7 +240,7 @@
 func (x *generation) failed(ctx context.Context, gr granted, u document.Upstream, err error, usage peer.Usage) result {
 	if engine.ErrNotSent.Has(err) {
 		x.cancel(gr)
-		return result{unsent: true, outcome: decide.Died, usage: usage, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
+		return result{unsent: true, outcome: decide.Lost, usage: usage, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
 	var status *engine.StatusError
 	if errors.As(err, &status) {
@@ -259,9 +259,9 @@
 		r.outcome = decide.Canceled
 		r.fault = fault.New(fault.Canceled, "the caller went away")
 	case x.gate.died(u.Address):
-		r.outcome = decide.Died
+		r.outcome = decide.Lost
 		r.fault = fault.New(fault.Upstream, "upstream %s died", u.Name)
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		x.gate.Engines.CloseIdle()
 		r.fault = fault.New(fault.Upstream, "upstream %s went silent", u.Name)
 	default:
@@ -281,9 +281,9 @@
 // reason tells a caller why a stream stopped, without the upstream's address.
 func reason(err error) string {
 	switch {
-	case engine.ErrForeign.Has(err):
+	case engine.ErrMismatch.Has(err):
 		return "it was mixed up with another"
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		return "it went silent"
 	}
 	return "the connection broke"
--- a/daemon/caller/models.go
+++ b/daemon/caller/models.go
@@ -22,7 +22,7 @@
 
 // models lists the models of the configuration in force.
 func (g *Gate) models(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -167,7 +167,7 @@
 
 // parse reads a generation request and makes the body that goes to the engine.
 func (q *request) parse(b []byte, c *document.Index) *fault.Error {
-	x, e := openai.Read(b, q.chat)
+	x, e := openai.ParseRequest(b, q.chat)
 	if e != nil {
 		return e
 	}
@@ -178,18 +178,18 @@
 	if !q.workspace.Reaches(m.Name) {
 		return fault.New(fault.Forbidden, "workspace %s may not use model %s", q.workspace.Name, m.Name)
 	}
-	q.target, q.stream, q.usage = m.Name, x.Stream, x.Usage
-	q.prompt = decide.Tokens((len(x.Text) + bytesPerToken - 1) / bytesPerToken)
+	q.target, q.stream, q.usage = m.Name, x.Stream, x.IncludeUsage
+	q.prompt = decide.Tokens((len(x.Prompt) + bytesPerToken - 1) / bytesPerToken)
 	q.output = q.kind.Output
-	if x.Limit > 0 {
-		q.output = x.Limit
+	if x.MaxTokens > 0 {
+		q.output = x.MaxTokens
 	}
 	if m.Context > 0 && q.prompt+q.output > m.Context {
 		return fault.New(fault.Oversize, "prompt and output need %d tokens, model %s takes %d", q.prompt+q.output, m.Name, m.Context)
 	}
-	q.prefixes = prefixes(x.Text)
+	q.prefixes = prefixes(x.Prompt)
 	q.fingerprint = xxhash.Sum64(b)
-	q.body = x.ForEngine(q.output)
+	q.body = x.EngineBody(q.output)
 	return nil
 }
 
--- a/daemon/caller/rest.go
+++ b/daemon/caller/rest.go
@@ -19,23 +19,23 @@
 // It binds this VM alone: others may have sent less.
 func (g *Gate) hear(target string, u decide.UpstreamID, err error) bool {
 	var status *engine.StatusError
-	if !errors.As(err, &status) || status.Rest <= 0 {
+	if !errors.As(err, &status) || status.RetryAfter <= 0 {
 		return false
 	}
-	g.wantsRest(target, u, status.Rest)
+	g.wantsRest(target, u, status.RetryAfter)
 	return true
 }
 
 func (g *Gate) wantsRest(target string, u decide.UpstreamID, span clock.Milli) {
 	now := g.Clock.Now()
-	st := statement.Statement{Kind: statement.Rest, Named: true, Gate: g.ID(), At: now, Until: now + span}
-	g.heard.Learn(route.ServiceID(target), u, st, statements.FromAnswer)
+	st := statement.Statement{Kind: statement.BackOff, Named: true, Gate: g.ID(), At: now, Until: now + span}
+	g.heard.Learn(route.ServiceID(target), u, st, statements.FromResponse)
 }
 
 // resting lists the upstreams of a model or service that want nothing from this VM now, and when the first of them does again.
 func (g *Gate) resting(target string) (us []decide.UpstreamID, until clock.Milli) {
 	g.heard.Each(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
-		if string(s) != target || st.Kind != statement.Rest {
+		if string(s) != target || st.Kind != statement.BackOff {
 			return
 		}
 		if len(us) == 0 || st.Until < until {
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -107,7 +107,7 @@
 		r.first = clock.Milli(h.first.Load())
 		g.giveBack(gr, q, r)
 		if r.fault == nil {
-			g.Retries.Succeeded(gr.pool)
+			g.Retries.RecordSuccess(gr.pool)
 			whole, spent = true, max(spent, used(q, r.usage))
 			return nil
 		}
@@ -232,8 +232,8 @@
 	g.mu.Lock()
 	h.granted = false
 	g.mu.Unlock()
-	if r.outcome == decide.Died && !r.unsent {
-		g.Suspects.Died(q.fingerprint, gr.grant.Upstreams[0], 0)
+	if r.outcome == decide.Lost && !r.unsent {
+		g.Suspects.RecordCrash(q.fingerprint, gr.grant.Upstreams[0], 0)
 	}
 	rest := r.usage
 	rest.Output = max(0, rest.Output-r.counted)
@@ -280,7 +280,7 @@
 // A prompt that only the engines of one pool can take is not too long because those
 // of the others are small.
 func hopeful(e, than *fault.Error) bool {
-	a, b := fault.Lookup(e.Kind).Again, fault.Lookup(than.Kind).Again
+	a, b := fault.Lookup(e.Kind).Retryable, fault.Lookup(than.Kind).Retryable
 	if a != b {
 		return a
 	}
@@ -318,7 +318,7 @@
 			continue
 		}
 		g.Events.Receive(reply.Stamp)
-		g.Members.Heard(id, reply.Summary)
+		g.Members.RecordSummary(id, reply.Summary)
 		if reply.Fault == nil {
 			return granted{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
 		}
@@ -374,7 +374,7 @@
 // queue in the nearest pool, which looks idle, while others have memory free.
 func expected(x decide.Summary, q *request) clock.Milli {
 	waits := x.Wait
-	if q.prompt >= decide.DefaultLong {
+	if q.prompt >= decide.DefaultLongPrompt {
 		waits = x.Long
 	}
 	return waits[min(int(q.kind.Urgency), len(waits)-1)]
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -26,7 +26,7 @@
 
 // service serves requests to plain services, any method, the body passed through.
 func (g *Gate) service(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
@@ -196,7 +196,7 @@
 // failed classifies an attempt without an answer.
 func (x *passage) failed(ctx context.Context, u document.Upstream, err error) result {
 	if engine.ErrNotSent.Has(err) && ctx.Err() == nil {
-		return result{unsent: true, outcome: decide.Died, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
+		return result{unsent: true, outcome: decide.Lost, fault: fault.New(fault.Unavailable, "upstream %s cannot be reached", u.Name).WithRan(fault.RanNo).WithRetry(clock.Second)}
 	}
 	// Nothing proves that it ran, so nothing is charged: over a link that carries
 	// nothing, a team would pay for calls that no upstream ever saw.
@@ -207,7 +207,7 @@
 		r.fault = ended(ctx)
 	default:
 		if x.gate.died(u.Address) {
-			r.outcome = decide.Died
+			r.outcome = decide.Lost
 		}
 		r.fault = fault.New(fault.Upstream, "upstream %s gave no answer", u.Name)
 	}
@@ -224,7 +224,7 @@
 type keeper struct{ b []byte }
 
 func (k *keeper) add(p []byte) {
-	if room := claim.Kept + 1 - len(k.b); room > 0 {
+	if room := claim.MaxStoredAnswer + 1 - len(k.b); room > 0 {
 		k.b = append(k.b, p[:min(room, len(p))]...)
 	}
 }
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -22,7 +22,7 @@
 // quick are the rules of tests: the same decisions without waiting.
 func quick() Rules {
 	r := DefaultRules
-	r.Pace, r.Retry, r.Rest = 0, 1, 0
+	r.WriteInterval, r.RetryInterval, r.ProbeInterval = 0, 1, 0
 	return r
 }
 
@@ -153,7 +153,7 @@
 	x := newFixture()
 	c := x.start("a")
 	ticket, _ := c.Claim(t.Context(), "w", "key", "n1")
-	require.NoError(t, c.Settle(t.Context(), ticket, 200, make([]byte, Kept+1)))
+	require.NoError(t, c.Settle(t.Context(), ticket, 200, make([]byte, MaxStoredAnswer+1)))
 	_, r := c.Claim(t.Context(), "w", "key", "n2")
 	require.Equal(t, peer.ClaimDone, r.State)
 	require.Equal(t, fault.RanYes, r.Fault.Ran)
@@ -225,7 +225,7 @@
 func TestClaimThatNobodyActsOnIsWithdrawn(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.DelayWrites(x.rules.Attempts)
+	x.store.DelayWrites(x.rules.MaxAttempts)
 	_, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimUnknown, r.State)
 	require.Equal(t, fault.RanNo, r.Fault.Ran)
@@ -271,12 +271,12 @@
 func TestSilentStoreHoldsOneCallerAtATime(t *testing.T) {
 	x := newFixture()
 	hand := &handClock{}
-	x.rules.Rest, x.rules.Commit, x.rules.Brief = 1000, 300, 5
+	x.rules.ProbeInterval, x.rules.CommitTimeout, x.rules.BriefTimeout = 1000, 300, 5
 	p := &peers{self: peer.Member{VM: "a", Address: "a"}}
 	p.believe("a")
 	s := &timedStore{Store: x.store}
 	c := New(s, x.wire, hand, x.rules, p)
-	brief := x.rules.Brief.Duration()
+	brief := x.rules.BriefTimeout.Duration()
 	release := x.store.Hold()
 	refused := func(key string) time.Duration {
 		_, r := c.Claim(t.Context(), "w", key, "n0")
@@ -288,7 +288,7 @@
 	for i := range 10 {
 		require.LessOrEqual(t, refused(fmt.Sprintf("key-%d", i)), brief)
 	}
-	hand.now.Add(int64(x.rules.Rest))
+	hand.now.Add(int64(x.rules.ProbeInterval))
 	require.Greater(t, refused("key-0"), brief, "a slow store would answer this one")
 	require.LessOrEqual(t, refused("key-0"), brief)
 	release()
@@ -406,7 +406,7 @@
 	x := newFixture()
 	hand := &handClock{}
 	hand.now.Store(1)
-	x.clock, x.rules.Page = hand, 4*recordSize
+	x.clock, x.rules.MaxPageSize = hand, 4*recordSize
 	c := x.start("a")
 	_, id := digestOf("w", "key-0")
 	keys := sameShard(id, 30)
@@ -458,14 +458,14 @@
 }
 
 func TestFullBatchStaysUnderTheStoresLimit(t *testing.T) {
-	answer := strings.Repeat("x", Kept)
+	answer := strings.Repeat("x", MaxStoredAnswer)
 	p := page{}
-	for i := range DefaultRules.Batch {
+	for i := range DefaultRules.MaxBatch {
 		p.Records = append(p.Records, record{
 			Key: digest(strings.Repeat("k", 22)), Nonce: strings.Repeat("n", 36), State: claimed,
 			At: 1 << 41, Status: 200, Answer: []byte(answer),
 		})
 		require.Less(t, len((&page{Records: p.Records[i:]}).encode()), recordSize+len(answer)*4/3+40)
 	}
-	require.Less(t, len(p.encode())+DefaultRules.Page+64<<10, platform.Limit)
+	require.Less(t, len(p.encode())+DefaultRules.MaxPageSize+64<<10, platform.Limit)
 }
--- a/daemon/claim/schedule_test.go
+++ b/daemon/claim/schedule_test.go
@@ -34,8 +34,8 @@
 func TestAtMostOneWinnerInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newFixture()
-		x.rules.Page = 6 * recordSize
-		x.rules.Commit = 200
+		x.rules.MaxPageSize = 6 * recordSize
+		x.rules.CommitTimeout = 200
 		s := &schedule{
 			fixture: x, rt: rt, vms: []string{"a", "b", "c"},
 			lives: map[string]*Claims{}, winners: map[string][]Ticket{},
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -114,8 +114,8 @@
 	return h.summary, true
 }
 
-// Heard implements caller.Members.
-func (d *directory) Heard(id peer.PoolID, s decide.Summary) {
+// RecordSummary implements caller.Members.
+func (d *directory) RecordSummary(id peer.PoolID, s decide.Summary) {
 	d.learn([]peer.PoolSummary{{Pool: id, Summary: s}})
 }
 
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -46,10 +46,10 @@
 	reached clock.Milli
 }
 
-func (p *fakePeers) Self() peer.Member    { return p.self }
-func (p *fakePeers) Live() []peer.Member  { return p.live }
-func (p *fakePeers) Kick()                {}
-func (p *fakePeers) Reached() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
+func (p *fakePeers) Self() peer.Member        { return p.self }
+func (p *fakePeers) Live() []peer.Member      { return p.live }
+func (p *fakePeers) BeatNow()                 {}
+func (p *fakePeers) LastContact() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
 
 var errParse = errors.New("does not parse")
 
--- a/daemon/hedge/hedge.go
+++ b/daemon/hedge/hedge.go
@@ -22,8 +22,8 @@
 	wayDecay = 0.98
 )
 
-// Questions decides when another VM is asked beside. The zero Questions has seen no answer yet. It is safe for concurrent use.
-type Questions struct {
+// Policy decides when another VM is asked beside. The zero Questions has seen no answer yet. It is safe for concurrent use.
+type Policy struct {
 	mu sync.Mutex
 	// longest is the longest way to an owner and back seen lately, in milliseconds.
 	longest float64
@@ -33,23 +33,23 @@
 	asked uint64
 }
 
-// Way takes the time of one call without what the question waited.
-func (q *Questions) Way(d clock.Milli) {
+// ObserveRoundTrip takes the time of one call without what the question waited.
+func (q *Policy) ObserveRoundTrip(d clock.Milli) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.longest = max(float64(d), wayDecay*q.longest)
 	q.used = max(0, q.used-share)
 }
 
-// After is how much later than it should an answer is waited for alone.
-func (q *Questions) After() clock.Milli {
+// Delay is how much later than it should an answer is waited for alone.
+func (q *Policy) Delay() clock.Milli {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return min(max(clock.Milli(2*q.longest), least), longest)
 }
 
 // Allow reports whether another VM may be asked beside, and counts it if so.
-func (q *Questions) Allow() bool {
+func (q *Policy) Allow() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.used+1 > burst {
@@ -60,5 +60,5 @@
 	return true
 }
 
-// Asked counts the questions that were put to another VM beside.
-func (q *Questions) Asked() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.asked }
+// Hedged counts the questions that were put to another VM beside.
+func (q *Policy) Hedged() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.asked }
--- a/daemon/holder/table.go
+++ b/daemon/holder/table.go
@@ -78,21 +78,21 @@
 
 // Take makes this VM the holder at the next epoch, unless the holder is another one than before by now.
 func (t *Table) Take(s route.ServiceID, before uint64) (peer.Holder, bool) {
-	return t.Name(s, before, t.self)
+	return t.Assign(s, before, t.self)
 }
 
-// Name makes a member the holder at the next epoch, unless the holder changed since the epoch before.
-func (t *Table) Name(s route.ServiceID, before uint64, m peer.Member) (peer.Holder, bool) {
+// Assign makes a member the holder at the next epoch, unless the holder changed since the epoch before.
+func (t *Table) Assign(s route.ServiceID, before uint64, m peer.Member) (peer.Holder, bool) {
 	if t.rows[s].Epoch != before {
 		return t.rows[s], false
 	}
-	h := Of(s, m, before+1)
+	h := NewHolder(s, m, before+1)
 	t.rows[s] = h
 	return h, true
 }
 
-// Of is the word that a member holds a service.
-func Of(s route.ServiceID, m peer.Member, epoch uint64) peer.Holder {
+// NewHolder is the word that a member holds a service.
+func NewHolder(s route.ServiceID, m peer.Member, epoch uint64) peer.Holder {
 	return peer.Holder{Service: s, VM: m.VM, Incarnation: m.Incarnation, Address: m.Address, Epoch: epoch, Cores: m.Cores}
 }
 
--- a/daemon/insight/insight.go
+++ b/daemon/insight/insight.go
@@ -34,16 +34,16 @@
 
 // Sources are the parts of the daemon that are asked. All are needed.
 type Sources struct {
-	VM       peer.VM
-	Clock    Clock
-	Gate     *relay.Gate
-	Registry *registry.Registry
-	Members  Members
-	Holders  *placer.Holders
-	Placer   *placer.Client
-	Owner    *placer.Owner
-	Store    Store
-	Lines    *logline.Writer
+	VM        peer.VM
+	Clock     Clock
+	Gate      *relay.Gate
+	Registry  *registry.Registry
+	Members   Members
+	Holders   *placer.Holders
+	Placer    *placer.Client
+	Owner     *placer.Owner
+	Store     Store
+	LogWriter *logline.Writer
 }
 
 // Page answers on the metrics address.
@@ -65,13 +65,13 @@
 
 func (p *Page) services(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(p.Relay()) // an error means that the operator went away
+	_ = json.NewEncoder(w).Encode(p.Status()) // an error means that the operator went away
 }
 
-// Relay is what this VM knows of services now.
-func (p *Page) Relay() answers.Relay {
+// Status is what this VM knows of services now.
+func (p *Page) Status() answers.RelayStatus {
 	now, v := p.Clock.Now(), p.Registry.View()
-	r := answers.Relay{VM: p.VM, Era: p.Registry.Era(), Services: []answers.Service{}, Statements: []answers.Statement{}}
+	r := answers.RelayStatus{VM: p.VM, Era: p.Registry.Era(), Services: []answers.Service{}, Statements: []answers.Statement{}}
 	known := map[route.ServiceID]bool{}
 	for s := range v.Upstreams {
 		known[s] = true
@@ -81,15 +81,15 @@
 	}
 	for _, s := range slices.Sorted(maps.Keys(known)) {
 		row := answers.Service{Service: s, Upstreams: len(v.Upstreams[s])}
-		if x, since, ok := p.Holders.Followed(s); ok {
+		if x, since, ok := p.Holders.HolderSince(s); ok {
 			row.Holder, row.Epoch, row.Since = x.VM, x.Epoch, now-since
 		}
-		row.Successor = p.Holders.Next(s)
+		row.Successor = p.Holders.Fallback(s)
 		r.Services = append(r.Services, row)
 	}
 	p.Placer.Statements(func(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 		row := answers.Statement{Service: s, Upstream: u, Kind: st.Kind.String(), Gate: st.Gate, Rate: float64(st.Rate), Age: now - st.At}
-		if st.Kind == statement.Rest {
+		if st.Kind == statement.BackOff {
 			row.Left = st.Until - now
 		}
 		r.Statements = append(r.Statements, row)
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -43,8 +43,8 @@
 	Now() clock.Milli
 }
 
-// Guard notices that this process stood still; its callback calls Drop.
-type Guard interface {
+// PauseDetector notices that this process stood still; its callback calls Drop.
+type PauseDetector interface {
 	Check() bool
 }
 
@@ -120,7 +120,7 @@
 	store Store
 	clock Clock
 	rules Rules
-	guard Guard
+	guard PauseDetector
 	self  owner
 
 	mu    sync.Mutex
@@ -130,15 +130,15 @@
 }
 
 // New returns leases for one life of a VM.
-func New(s Store, k Clock, r Rules, g Guard, self peer.Member) *Leases {
+func New(s Store, k Clock, r Rules, g PauseDetector, self peer.Member) *Leases {
 	return &Leases{
 		store: s, clock: k, rules: r, guard: g, self: owner{self.VM, self.Incarnation},
 		holds: map[platform.Name]*hold{}, wanted: map[platform.Name]bool{},
 	}
 }
 
-// Want makes Run try to hold exactly these leases.
-func (l *Leases) Want(names ...platform.Name) {
+// SetWanted makes Run try to hold exactly these leases.
+func (l *Leases) SetWanted(names ...platform.Name) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wanted = map[platform.Name]bool{}
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -45,7 +45,7 @@
 func (w *world) start(name peer.VM, offset clock.Milli) *vm {
 	v := &vm{world: w, offset: offset}
 	v.Leases = New(w.store, v, DefaultRules, v, peer.Member{VM: name, Incarnation: 1})
-	v.Want(engine)
+	v.SetWanted(engine)
 	return v
 }
 
@@ -72,7 +72,7 @@
 		require.False(t, b.holds())
 		w.now += DefaultRules.Renew
 	}
-	a.Want()
+	a.SetWanted()
 	require.False(t, a.holds())
 }
 
--- a/daemon/limit/limit.go
+++ b/daemon/limit/limit.go
@@ -181,7 +181,7 @@
 			continue
 		}
 		if b, ok := l.buckets[args.Demands[i].Workspace]; ok {
-			b.limit.Deal(now, r)
+			b.limit.SetShare(now, r)
 		}
 	}
 }
--- a/daemon/member/list_test.go
+++ b/daemon/member/list_test.go
@@ -18,7 +18,7 @@
 		platform.VM{Name: "b", Role: platform.Entry, Address: "127.0.0.1:2", State: platform.Leaving},
 		platform.VM{Name: "c", Role: platform.Upstream, Address: "127.0.0.1:3", State: platform.Live},
 	)
-	l := NewList([]string{"127.0.0.1:9"}, s)
+	l := NewSeedList([]string{"127.0.0.1:9"}, s)
 	s.Outage(true)
 	require.Equal(t, []string{"127.0.0.1:9"}, l.Seeds(t.Context()))
 	s.Outage(false)
--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -29,8 +29,8 @@
 // Peers calls methods of other daemons.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
-	// Prove finds out over a connection of its own whether a daemon answers.
-	Prove(ctx context.Context, address string) error
+	// Probe finds out over a connection of its own whether a daemon answers.
+	Probe(ctx context.Context, address string) error
 }
 
 // Times of a gate's side.
@@ -60,8 +60,8 @@
 	own     *Owner
 	holders *Holders
 	silent  *silent.VMs
-	heard   *statements.Heard
-	hedges  hedge.Questions
+	heard   *statements.Cache
+	hedges  hedge.Policy
 	gate    decide.GateID
 
 	mu sync.Mutex
@@ -84,7 +84,7 @@
 		silent: silent.New(l, m, p), asked: map[route.ServiceID]bool{}, live: map[decide.RequestID]*use{},
 		heard: own.heard,
 	}
-	c.holders.Follow(c.followed)
+	c.holders.OnChange(c.followed)
 	return c
 }
 
@@ -134,14 +134,14 @@
 		if owner, remote := c.owner(s); !remote {
 			_ = c.own.Present(args, &reply) // it returns no errors
 		} else if err := c.peers.Call(ctx, owner.Address, Name+".Present", args, &reply); err != nil {
-			c.silent.Note(owner, err)
+			c.silent.MarkUnresponsive(owner, err)
 			return
 		}
 		if reply.Holder == nil {
 			c.heard.Acknowledge(s, unsaid)
 			return
 		}
-		c.holders.Hear(*reply.Holder, "answer")
+		c.holders.Update(*reply.Holder, "answer")
 	}
 }
 
@@ -155,7 +155,7 @@
 }
 
 func (c *Client) candidates(s route.ServiceID) []peer.Member {
-	return c.holders.candidates(s, c.silent.Has)
+	return c.holders.candidates(s, c.silent.IsUnresponsive)
 }
 
 // Ask waits for a place until ctx ends. Aim and Deadline of a are instants of this VM's clock.
@@ -225,8 +225,8 @@
 	return &AskArgs{Service: s, Ask: a, Wait: wait, Epoch: x.Epoch}
 }
 
-// First tells that the first byte of an answer came.
-func (c *Client) First(id decide.RequestID) {
+// FirstByte tells that the first byte of an answer came.
+func (c *Client) FirstByte(id decide.RequestID) {
 	c.mu.Lock()
 	u := c.live[id]
 	if u != nil {
@@ -234,7 +234,7 @@
 	}
 	c.mu.Unlock()
 	if u != nil {
-		c.note(NoteArgs{Service: u.service, Request: id, Event: First, Statements: c.about(u)})
+		c.note(NoteArgs{Service: u.service, Request: id, Event: FirstByte, Statements: c.about(u)})
 	}
 }
 
@@ -265,7 +265,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), (askWait + answerSlack).Duration())
 		defer cancel()
 		if err := c.peers.Call(ctx, owner.Address, Name+".Note", &n, &peer.Empty{}); err != nil {
-			c.silent.Note(owner, err)
+			c.silent.MarkUnresponsive(owner, err)
 		}
 	}()
 }
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -51,7 +51,7 @@
 func (o *Owner) Ask(args *AskArgs, reply *AskReply) error {
 	defer o.inform(args, reply)
 	if args.Known != nil {
-		o.Holders.Hear(*args.Known, "asked")
+		o.Holders.Update(*args.Known, "asked")
 	}
 	if args.Local || o.Alone() {
 		o.decide(args, reply, nil)
@@ -61,7 +61,7 @@
 		step, to, epoch := o.Holders.route(args.Service, args.Forwarded)
 		switch step {
 		case holder.Decide:
-			o.decide(args, reply, o.Holders.Moved(args.Service))
+			o.decide(args, reply, o.Holders.Changed(args.Service))
 			return nil
 		case holder.Take:
 			o.take(args.Service, epoch, "asked")
@@ -137,7 +137,7 @@
 			return err
 		}
 		if r.Holder != nil {
-			o.Holders.Hear(*r.Holder, "answer")
+			o.Holders.Update(*r.Holder, "answer")
 		}
 		r.Waited, r.Holder = o.Clock.Now()-began, nil
 		*reply = r
@@ -154,7 +154,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), verifyWait.Duration())
 	defer cancel()
 	proof := make(chan error, 1)
-	prove := func() { proof <- o.Peers.Prove(ctx, to.Address) }
+	prove := func() { proof <- o.Peers.Probe(ctx, to.Address) }
 	t := time.AfterFunc(proveAfter.Duration(), prove)
 	var reply AskReply
 	err := o.Peers.Call(ctx, to.Address, Name+".Ask", args, &reply)
@@ -241,12 +241,12 @@
 		o.Log.Debug().Str(logline.Key, logline.Unreachable).Str("dependency", "peer").Str("peer", string(m.VM)).Err(err).Msg("a VM does not know of a new holder")
 		return
 	}
-	o.Holders.Hear(known, "answer")
+	o.Holders.Update(known, "answer")
 }
 
 // Follow implements Placer.Follow: it tells this VM of a holder, and answers with the one that is known then.
 func (o *Owner) Follow(args, reply *peer.Holder) error {
-	o.Holders.Hear(*args, "announced")
+	o.Holders.Update(*args, "announced")
 	*reply, _ = o.Holders.Of(args.Service)
 	return nil
 }
@@ -287,14 +287,14 @@
 	h := o.host(s)
 	books := h.pool.Snapshot(o.Clock.Now())
 	h.mu.Unlock()
-	args := &TakeArgs{Holder: holder.Of(s, to, epoch+1), Books: books}
+	args := &TakeArgs{Holder: holder.NewHolder(s, to, epoch+1), Books: books}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
 	defer cancel()
 	if err := o.Peers.Call(ctx, to.Address, Name+".Take", args, &peer.Empty{}); err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "successor").Str("peer", string(to.VM)).Err(err).Msg("a service could not be handed over")
 		return
 	}
-	o.Holders.Hear(args.Holder, "handed over")
+	o.Holders.Update(args.Holder, "handed over")
 }
 
 // Take implements Placer.Take: this VM becomes the holder, and knows all that the one before did.
@@ -305,7 +305,7 @@
 	h := o.host(args.Holder.Service)
 	h.pool.Restore(o.Clock.Now(), args.Books)
 	h.mu.Unlock()
-	o.Holders.Hear(args.Holder, "handed over")
+	o.Holders.Update(args.Holder, "handed over")
 	o.announce(args.Holder)
 	return nil
 }
--- a/daemon/placer/hold_test.go
+++ b/daemon/placer/hold_test.go
@@ -21,13 +21,13 @@
 	return ctx.Err()
 }
 
-func (halfAnswered) Prove(context.Context, string) error { return nil }
+func (halfAnswered) Probe(context.Context, string) error { return nil }
 
 // A forwarded question's answer comes after it was given up, and its caller would be granted a place that nobody granted.
 func TestAnAnswerThatComesTooLateIsNotRead(t *testing.T) {
 	self, far := peer.Member{VM: "self", Address: "self"}, peer.Member{VM: "far", Address: "far"}
 	o := ownerAt(t, at{members{far, self}, self}, halfAnswered{}, "e0")
-	o.Holders.Hear(holder.Of("s", far, 1), "test")
+	o.Holders.Update(holder.NewHolder("s", far, 1), "test")
 	var reply AskReply
 	require.NoError(t, o.Ask(&AskArgs{Service: "s", Ask: ask("1"), Epoch: 1}, &reply))
 	require.False(t, reply.Decided)
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Follow has f called with each new holder. It is called before anything is learnt.
-func (h *Holders) Follow(f func(peer.Holder)) { h.follow = append(h.follow, f) }
+// OnChange has f called with each new holder. It is called before anything is learnt.
+func (h *Holders) OnChange(f func(peer.Holder)) { h.follow = append(h.follow, f) }
 
 // Fill implements member.Part.
 func (h *Holders) Fill(_ peer.VM, b *peer.BeatArgs) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Hear takes another VM's word on who holds a service, and returns once this VM follows it.
-func (h *Holders) Hear(x peer.Holder, cause string) {
+// Update takes another VM's word on who holds a service, and returns once this VM follows it.
+func (h *Holders) Update(x peer.Holder, cause string) {
 	if x.VM != "" && h.learn(x) {
 		h.changed(x, cause)
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Moved is closed when the holder of a service changes.
-func (h *Holders) Moved(s route.ServiceID) <-chan struct{} {
+// Changed is closed when the holder of a service changes.
+func (h *Holders) Changed(s route.ServiceID) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.moved[s]
@@ -106,16 +106,16 @@
 	return h.table.Of(s)
 }
 
-// Followed names the holder of a service, with the instant since which this VM follows it.
-func (h *Holders) Followed(s route.ServiceID) (x peer.Holder, since clock.Milli, ok bool) {
+// HolderSince names the holder of a service, with the instant since which this VM follows it.
+func (h *Holders) HolderSince(s route.ServiceID) (x peer.Holder, since clock.Milli, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x, ok = h.table.Of(s)
 	return x, h.since[s], ok
 }
 
-// Next names the VM that gates ask if the holder of a service is lost; empty for none.
-func (h *Holders) Next(s route.ServiceID) peer.VM {
+// Fallback names the VM that gates ask if the holder of a service is lost; empty for none.
+func (h *Holders) Fallback(s route.ServiceID) peer.VM {
 	for i, m := range h.candidates(s, func(peer.Member) bool { return false }) {
 		if i == 1 {
 			return m.VM
@@ -158,7 +158,7 @@
 // successor is the member to which this VM is to hand a service over.
 func (h *Holders) successor(s route.ServiceID) (peer.Member, uint64, bool) {
 	live := h.members.Live()
-	strong := len(member.Strong(live))
+	strong := len(member.HighCapacity(live))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m, ok := h.table.Successor(s, h.ranks.of(s, live), strong)
@@ -191,7 +191,7 @@
 	}
 	ranked, ok := r.byService[s]
 	if !ok {
-		ranked = member.RankStrong(string(s), live)
+		ranked = member.RankByCapacity(string(s), live)
 		r.byService[s] = ranked
 	}
 	return ranked
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// Prove implements Peers.
-func (s stranger) Prove(ctx context.Context, address string) error {
+// Probe implements Peers.
+func (s stranger) Probe(ctx context.Context, address string) error {
 	time.Sleep(2 * linkDelay)
 	s.fleet.mu.Lock()
 	off := !s.fleet.reaches(s.self.VM, peer.VM(address))
@@ -275,7 +275,7 @@
 	}
 	f.send(v, reply.Grant.Leader.Upstream)
 	time.Sleep(20 * time.Millisecond)
-	v.client.First(a.ID)
+	v.client.FirstByte(a.ID)
 	time.Sleep(answerTime)
 	v.client.End(a.ID, span.Done, "")
 }
@@ -449,7 +449,7 @@
 func (f *lossFleet) next(owner peer.VM) peer.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range member.RankStrong("s", f.live) {
+	for _, m := range member.RankByCapacity("s", f.live) {
 		if m.VM != owner {
 			return m.VM
 		}
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -37,7 +37,7 @@
 	// Local is set if the gate reaches nobody and its own VM is to decide, whoever holds the service.
 	Local bool
 	// Statements of upstreams are those that this owner has not acknowledged yet.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // AskReply is the answer to a question.
@@ -58,7 +58,7 @@
 	// Holder is set if another VM holds the service than the one whose epoch the gate gave.
 	Holder *peer.Holder
 	// Limit is what the owner knows of the limit of the upstream that leads the grant; nil for nothing.
-	Limit *statement.Aged
+	Limit *statement.Message
 }
 
 // Event tells what became of a grant.
@@ -66,9 +66,9 @@
 
 // The events of a grant.
 const (
-	First    Event = iota // the first byte came
-	Ended                 // the send is over
-	Withdraw              // nothing was sent, and nothing will be
+	FirstByte Event = iota // the first byte came
+	Ended                  // the send is over
+	Withdraw               // nothing was sent, and nothing will be
 )
 
 // NoteArgs tells of one grant.
@@ -82,7 +82,7 @@
 	// Forwarded is set if another VM passes the message on.
 	Forwarded bool
 	// Statements are those of the grant's upstreams.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // PresentArgs names all live grants of a gate at one service.
@@ -91,7 +91,7 @@
 	Gate    decide.GateID
 	Live    []span.LiveGrant
 	// Statements of upstreams are those that this owner has not acknowledged yet.
-	Statements []statement.Aged
+	Statements []statement.Message
 }
 
 // PresentReply answers a list of grants.
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -78,7 +78,7 @@
 type Owner struct {
 	OwnerNeeds
 	budget Budget
-	heard  *statements.Heard
+	heard  *statements.Cache
 
 	mu    sync.Mutex
 	pools map[route.ServiceID]*ownedPool
@@ -113,7 +113,7 @@
 // NewOwner returns an owner without pools.
 func NewOwner(n OwnerNeeds, b Budget) *Owner {
 	o := &Owner{OwnerNeeds: n, budget: b, heard: statements.New(n.Clock, n.Log), pools: map[route.ServiceID]*ownedPool{}, passing: make(chan struct{}, passedOnAtOnce)}
-	n.Holders.Follow(o.followed)
+	n.Holders.OnChange(o.followed)
 	return o
 }
 
@@ -278,7 +278,7 @@
 	defer o.pollReports(args.Service, h)
 	o.learn(args.Service, h, now, args.Statements)
 	switch args.Event {
-	case First:
+	case FirstByte:
 		h.pool.First(now, args.Request)
 	case Ended:
 		h.pool.End(now, args.Request, args.Outcome, args.Culprit)
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -102,8 +102,8 @@
 	return dispatch(o, method, args, reply)
 }
 
-// Prove implements Peers.
-func (n *network) Prove(ctx context.Context, address string) error {
+// Probe implements Peers.
+func (n *network) Probe(ctx context.Context, address string) error {
 	n.mu.Lock()
 	silent, refusing := n.silent[address], n.refusing[address]
 	n.mu.Unlock()
@@ -219,7 +219,7 @@
 	for _, id := range []decide.RequestID{"1", "2", "3"} {
 		_, err := d.client.Ask(context.Background(), "s", ask(id))
 		require.NoError(t, err)
-		d.client.First(id)
+		d.client.FirstByte(id)
 	}
 	d.fail(d.refusing, d.ranked[0].Address)
 	_, err := d.client.Ask(context.Background(), "s", ask("4"))
@@ -409,7 +409,7 @@
 	require.NoError(t, err)
 	holder, _ := d.owners[d.ranked[0].Address].Holders.Of("s")
 	other := d.owners[d.ranked[1].Address]
-	other.Holders.Hear(holder, "test")
+	other.Holders.Update(holder, "test")
 	d.fail(d.silent, holder.Address)
 	const flood = 1000
 	for range flood {
--- a/daemon/placer/poll.go
+++ b/daemon/placer/poll.go
@@ -27,9 +27,9 @@
 func (c *Client) poll(ctx context.Context, s route.ServiceID, a span.Ask, wait clock.Milli) (AskReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	moved := c.holders.Moved(s)
+	moved := c.holders.Changed(s)
 	vms := c.candidates(s)
-	if c.silent.CutOff() {
+	if c.silent.SelfCutOff() {
 		vms = nil
 	}
 	ends := make(chan reached, len(vms))
@@ -47,7 +47,7 @@
 		}()
 	}
 	ask()
-	t := time.NewTimer((wait + c.hedges.After()).Duration())
+	t := time.NewTimer((wait + c.hedges.Delay()).Duration())
 	defer t.Stop()
 	for pending > 0 {
 		select {
@@ -59,13 +59,13 @@
 			if ctx.Err() != nil {
 				return AskReply{}, ctx.Err()
 			}
-			c.silent.Note(e.from, e.err)
+			c.silent.MarkUnresponsive(e.from, e.err)
 			ask()
 		case <-t.C:
 			if len(ends) == 0 && c.hedges.Allow() {
 				ask()
 			}
-			t.Reset(c.hedges.After().Duration())
+			t.Reset(c.hedges.Delay().Duration())
 		case <-moved:
 			return AskReply{Moved: true}, nil
 		}
@@ -76,7 +76,7 @@
 // follow takes an answer's word on who holds the service.
 func (c *Client) follow(e reached) AskReply {
 	if e.reply.Holder != nil {
-		go c.holders.Hear(*e.reply.Holder, "answer")
+		go c.holders.Update(*e.reply.Holder, "answer")
 	}
 	return e.reply
 }
@@ -102,10 +102,10 @@
 		return AskReply{}, err
 	}
 	c.delivered(s, unsaid, args, &reply)
-	c.hedges.Way(c.clock.Now() - began - reply.Waited)
-	c.silent.Answered(m)
+	c.hedges.ObserveRoundTrip(c.clock.Now() - began - reply.Waited)
+	c.silent.MarkResponsive(m)
 	return reply, nil
 }
 
 // Hedged counts the questions that were put to another VM beside the owner.
-func (c *Client) Hedged() uint64 { return c.hedges.Asked() }
+func (c *Client) Hedged() uint64 { return c.hedges.Hedged() }
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -96,8 +96,8 @@
 	defer h.mu.Unlock()
 	now := o.Clock.Now()
 	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
-		o.heard.Learn(s, id, st, statements.FromAnswer)
-		o.learn(s, h, now, []statement.Aged{st.Aged(now, id)})
+		o.heard.Learn(s, id, st, statements.FromResponse)
+		o.learn(s, h, now, []statement.Message{st.Message(now, id)})
 	}
 	if err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("an upstream in doubt does not report")
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -13,9 +13,9 @@
 // it follows, before its next question is decided, and all that it knows to the next owner. An owner says with each grant what it
 // knows of the upstream's limit. So a statement outlives whoever knows of it as long as one of them is left.
 
-// Hear takes what an answer says of its upstream.
-func (c *Client) Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
-	c.heard.Learn(s, u, st, statements.FromAnswer)
+// RecordStatement takes what an answer says of its upstream.
+func (c *Client) RecordStatement(s route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+	c.heard.Learn(s, u, st, statements.FromResponse)
 }
 
 // pending lists what the owner that this gate follows has not acknowledged.
@@ -26,18 +26,18 @@
 
 // delivered notes that a question with statements was answered. If the owner is another one than the gate follows, all is sent to that one again.
 func (c *Client) delivered(s route.ServiceID, p statements.Pending, args *AskArgs, reply *AskReply) {
-	if reply.Holder == nil && !reply.Moved && p.Of(args.Epoch) {
+	if reply.Holder == nil && !reply.Moved && p.IsFor(args.Epoch) {
 		c.heard.Acknowledge(s, p)
 	}
 }
 
 // about lists what was heard of the upstreams of a grant.
-func (c *Client) about(u *use) []statement.Aged {
+func (c *Client) about(u *use) []statement.Message {
 	us := []decide.UpstreamID{u.Grant.Leader.Upstream}
 	for _, p := range u.Grant.Helpers {
 		us = append(us, p.Upstream)
 	}
-	return c.heard.About(u.service, us...)
+	return c.heard.OfUpstreams(u.service, us...)
 }
 
 // Binding returns a statement by which this VM must not send to a place now, if there is one.
@@ -59,11 +59,11 @@
 }
 
 // learn takes what gates have heard of upstreams. The pool's lock is held.
-func (o *Owner) learn(s route.ServiceID, h *ownedPool, now clock.Milli, heard []statement.Aged) {
+func (o *Owner) learn(s route.ServiceID, h *ownedPool, now clock.Milli, heard []statement.Message) {
 	for _, a := range heard {
 		st := a.Statement(now)
 		if h.pool.Learn(now, a.Upstream, st) {
-			statements.Write(o.Log, now, s, a.Upstream, st, statements.FromGate)
+			statements.LogChange(o.Log, now, s, a.Upstream, st, statements.FromGate)
 		}
 	}
 }
@@ -80,11 +80,11 @@
 }
 
 // older adds to the age of statements that are passed on.
-func older(heard []statement.Aged, by clock.Milli) []statement.Aged {
+func older(heard []statement.Message, by clock.Milli) []statement.Message {
 	if len(heard) == 0 {
 		return nil
 	}
-	out := make([]statement.Aged, len(heard))
+	out := make([]statement.Message, len(heard))
 	for i, a := range heard {
 		out[i] = a.Older(by)
 	}
--- a/daemon/placer/statements_test.go
+++ b/daemon/placer/statements_test.go
@@ -33,9 +33,9 @@
 	rate, named := f.limits[u]
 	leaving := f.leaving[u]
 	f.mu.Unlock()
-	v.client.Hear("s", u, statement.Statement{Named: named, Rate: rate, At: now})
+	v.client.RecordStatement("s", u, statement.Statement{Named: named, Rate: rate, At: now})
 	if leaving {
-		v.client.Hear("s", u, statement.Statement{Kind: statement.Leaving, Named: true, Gate: decide.GateID(v.member.VM), At: now})
+		v.client.RecordStatement("s", u, statement.Statement{Kind: statement.Leaving, Named: true, Gate: decide.GateID(v.member.VM), At: now})
 	}
 }
 
@@ -144,7 +144,7 @@
 		d.fail(d.refusing, m.Address)
 	}
 	now := clock.Boot{}.Now()
-	d.client.Hear("s", "e0", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "gate", At: now})
+	d.client.RecordStatement("s", "e0", statement.Statement{Kind: statement.Leaving, Named: true, Gate: "gate", At: now})
 	for i := range 5 {
 		id := decide.RequestID(fmt.Sprint(i))
 		reply, err := d.client.Ask(context.Background(), "s", ask(id))
@@ -152,7 +152,7 @@
 		require.EqualValues(t, "e1", reply.Grant.Leader.Upstream)
 		d.client.End(id, span.Done, "")
 	}
-	d.client.Hear("s", "e1", statement.Statement{Kind: statement.Rest, Named: true, Gate: "gate", At: now, Until: now + 20*clock.Second})
+	d.client.RecordStatement("s", "e1", statement.Statement{Kind: statement.BackOff, Named: true, Gate: "gate", At: now, Until: now + 20*clock.Second})
 	began := time.Now()
 	reply, err := d.client.Ask(context.Background(), "s", ask("last"))
 	require.NoError(t, err)
--- a/daemon/placer/strong_test.go
+++ b/daemon/placer/strong_test.go
@@ -71,7 +71,7 @@
 			began := time.Now()
 			reply, err := client.Ask(context.Background(), "s", a)
 			if err == nil && reply.Fault == "" {
-				client.First(a.ID)
+				client.FirstByte(a.ID)
 				client.End(a.ID, span.Done, "")
 			}
 			mu.Lock()
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -28,7 +28,7 @@
 	return nil, errAbsent
 }
 func (absent) Cancel(context.Context, string, decide.RequestID) error { return errAbsent }
-func (absent) Drop(context.Context, string, string) error             { return errAbsent }
+func (absent) DeleteExport(context.Context, string, string) error     { return errAbsent }
 
 type fixedBook struct{ index *document.Index }
 
@@ -84,7 +84,7 @@
 	require.NotEqual(t, first.Upstreams, second.Upstreams)
 
 	// The late return must not take the new grant away.
-	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: first.ID, Request: first.Request, Outcome: decide.Died}, &peer.Empty{}))
+	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: first.ID, Request: first.Request, Outcome: decide.Lost}, &peer.Empty{}))
 	require.Equal(t, second.ID, ask(t, o, first.Upstreams...).ID)
 }
 
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -237,7 +237,7 @@
 // departure is when an upstream was removed, and its incarnation.
 type departure struct {
 	at   clock.Milli
-	born decide.Born
+	born decide.Incarnation
 }
 
 // RosterFunc returns the current roster.
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -43,14 +43,14 @@
 // Placer asks the owners of services for grants and passes the statements of upstreams on to them.
 type Placer interface {
 	Ask(ctx context.Context, s route.ServiceID, a span.Ask) (placer.AskReply, error)
-	// First reports that the first byte of the response has arrived.
-	First(id decide.RequestID)
+	// FirstByte reports that the first byte of the response has arrived.
+	FirstByte(id decide.RequestID)
 	// End reports the end of the send under a grant, and the upstream at fault if it is not the leader.
 	End(id decide.RequestID, o span.Outcome, culprit decide.UpstreamID)
 	// Withdraw cancels an Ask that has not been answered.
 	Withdraw(s route.ServiceID, id decide.RequestID)
-	// Hear records a statement that upstream u has made about itself in a response.
-	Hear(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
+	// RecordStatement records a statement that upstream u has made about itself in a response.
+	RecordStatement(s route.ServiceID, u decide.UpstreamID, st statement.Statement)
 	// Binding returns a statement of an upstream that forbids this VM to send to it now, if there
 	// is one.
 	Binding(s route.ServiceID, p span.Placement) (statement.Statement, bool)
@@ -71,8 +71,8 @@
 	Begin(fingerprint uint64) bool
 	// End reports the end of a send; whole is set if the client received a complete response.
 	End(fingerprint uint64, whole bool)
-	// Died reports that an upstream crashed while it ran the request.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Born)
+	// RecordCrash reports that an upstream crashed while it ran the request.
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Memory reserves and releases KV memory on engines.
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -121,7 +121,7 @@
 	return placer.AskReply{Decided: true, Fault: fault.Unavailable, Reason: "none"}, nil
 }
 
-func (p *testPlacer) First(decide.RequestID) {}
+func (p *testPlacer) FirstByte(decide.RequestID) {}
 
 func (p *testPlacer) End(_ decide.RequestID, o span.Outcome, _ decide.UpstreamID) {
 	p.mu.Lock()
@@ -131,7 +131,7 @@
 
 func (p *testPlacer) Withdraw(route.ServiceID, decide.RequestID) {}
 
-func (p *testPlacer) Hear(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
+func (p *testPlacer) RecordStatement(_ route.ServiceID, u decide.UpstreamID, st statement.Statement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.statements.Learn(u, st)
@@ -140,7 +140,7 @@
 func (p *testPlacer) Binding(_ route.ServiceID, l span.Placement) (statement.Statement, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.statements.Binding(clock.Boot{}.Now(), l.Upstream, l.Born)
+	return p.statements.Blocking(clock.Boot{}.Now(), l.Upstream, l.Born)
 }
 
 // testRegistry is a Registry whose view a test sets.
@@ -182,7 +182,7 @@
 		*n.whole = append(*n.whole, whole)
 	}
 }
-func (testSuspects) Died(uint64, decide.UpstreamID, decide.Born) {}
+func (testSuspects) RecordCrash(uint64, decide.UpstreamID, decide.Incarnation) {}
 
 // fixture is a gate with upstreams whose responses a test defines.
 type fixture struct {
--- a/daemon/relay/incarnation.go
+++ b/daemon/relay/incarnation.go
@@ -18,7 +18,7 @@
 const incarnationPrefix = "life-"
 
 // poolHost returns the host under which connections to one incarnation of an upstream are pooled.
-func poolHost(address string, born decide.Born) string {
+func poolHost(address string, born decide.Incarnation) string {
 	if born == 0 || strings.HasPrefix(address, "[") { // a host with an IPv6 address must begin with the bracket
 		return address
 	}
--- a/daemon/relay/incarnation_test.go
+++ b/daemon/relay/incarnation_test.go
@@ -23,7 +23,7 @@
 		dialed = append(dialed, address)
 		return nil, errors.New("test")
 	})
-	for _, born := range []decide.Born{0, 7, 1_796_245_335_600} {
+	for _, born := range []decide.Incarnation{0, 7, 1_796_245_335_600} {
 		_, err := d(context.Background(), "tcp", poolHost("10.0.0.1:80", born))
 		require.Error(t, err)
 	}
@@ -38,7 +38,7 @@
 		from = append(from, r.RemoteAddr)
 		respond("answer")(w, r)
 	})
-	for _, born := range []decide.Born{5, 5, 6, 6} {
+	for _, born := range []decide.Incarnation{5, 5, 6, 6} {
 		w.placer.upstreams[0].Born = born
 		w.setDocument(2000, "key")
 		_, _, err := w.call(http.MethodGet, "/again/x", "")
--- a/daemon/relay/statements.go
+++ b/daemon/relay/statements.go
@@ -23,7 +23,7 @@
 	x.gate.reportStatements(x.service, leader, &head.Declared)
 	limit := head.Declared.Limit
 	if !limit.Named && limit.Unreadable == "" && head.Matches && head.Signed && !head.NotRun {
-		x.gate.Placer.Hear(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
+		x.gate.Placer.RecordStatement(x.service, leader.Upstream, statement.Statement{Kind: statement.Limit, Born: leader.Born, At: sent})
 	}
 }
 
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, st := range declared.Statements(g.Clock.Now(), g.id, p.Born) {
-		g.Placer.Hear(s, p.Upstream, st)
+		g.Placer.RecordStatement(s, p.Upstream, st)
 	}
 }
 
@@ -60,7 +60,7 @@
 	g := x.gate
 	for i, p := range append([]span.Placement{grant.Leader}, grant.Helpers...) {
 		st, bound := g.Placer.Binding(x.service, p)
-		if helps := i > 0; !bound || helps && st.Kind == statement.Rest && p.Reserve == 0 {
+		if helps := i > 0; !bound || helps && st.Kind == statement.BackOff && p.Reserve == 0 {
 			continue
 		}
 		g.Log.Info().Str(logline.Key, logline.Withheld).Str("id", x.head.ID).Str("service", string(x.service)).Str("upstream", string(p.Upstream)).
--- a/daemon/relay/statements_test.go
+++ b/daemon/relay/statements_test.go
@@ -114,7 +114,7 @@
 	}
 	reserved, _ := m.counts()
 	require.Equal(t, 1, reserved)
-	s, ok := w.placer.statements.Of("h", statement.Rest)
+	s, ok := w.placer.statements.Of("h", statement.BackOff)
 	require.True(t, ok)
 	require.EqualValues(t, w.gate.id, s.Gate)
 }
--- a/daemon/relay/stream.go
+++ b/daemon/relay/stream.go
@@ -72,7 +72,7 @@
 		w.reset(x.pauseLimits())
 		if first {
 			first = false
-			x.gate.Placer.First(grant.Request)
+			x.gate.Placer.FirstByte(grant.Request)
 		}
 		if !x.started {
 			header := resp.Header.Clone()
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -27,7 +27,7 @@
 
 // Prover finds out over a connection of its own whether a daemon answers.
 type Prover interface {
-	Prove(ctx context.Context, address string) error
+	Probe(ctx context.Context, address string) error
 }
 
 // VMs holds the VMs that did not answer this gate. They are passed over until they answer a probe, are no members any more, or
@@ -50,16 +50,16 @@
 	return &VMs{log: l, members: m, prover: p, vms: map[peer.VM]peer.Incarnation{}}
 }
 
-// Has reports whether a VM is passed over.
-func (s *VMs) Has(m peer.Member) bool {
+// IsUnresponsive reports whether a VM is passed over.
+func (s *VMs) IsUnresponsive(m peer.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	life, ok := s.vms[m.VM]
 	return ok && life == m.Incarnation
 }
 
-// Note passes a VM over.
-func (s *VMs) Note(m peer.Member, err error) {
+// MarkUnresponsive passes a VM over.
+func (s *VMs) MarkUnresponsive(m peer.Member, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if life, ok := s.vms[m.VM]; ok && life == m.Incarnation {
@@ -73,8 +73,8 @@
 	go s.prove(m)
 }
 
-// Answered notes that a VM answered.
-func (s *VMs) Answered(m peer.Member) {
+// MarkResponsive notes that a VM answered.
+func (s *VMs) MarkResponsive(m peer.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = time.Now()
@@ -84,8 +84,8 @@
 	}
 }
 
-// CutOff reports whether several VMs are silent and none has answered since: asking yet others would make callers late.
-func (s *VMs) CutOff() bool {
+// SelfCutOff reports whether several VMs are silent and none has answered since: asking yet others would make callers late.
+func (s *VMs) SelfCutOff() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.vms) >= cutOffFrom && s.last.Before(s.since)
@@ -95,7 +95,7 @@
 func (s *VMs) prove(m peer.Member) {
 	for wait := proveFirst; ; wait = min(2*wait, proveLongest) {
 		time.Sleep(wait)
-		if !s.Has(m) {
+		if !s.IsUnresponsive(m) {
 			return
 		}
 		if !s.member(m) {
@@ -103,10 +103,10 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), proveTimeout)
-		err := s.prover.Prove(ctx, m.Address)
+		err := s.prover.Probe(ctx, m.Address)
 		cancel()
 		if err == nil {
-			s.Answered(m)
+			s.MarkResponsive(m)
 			return
 		}
 	}
--- a/daemon/silent/silent_test.go
+++ b/daemon/silent/silent_test.go
@@ -25,7 +25,7 @@
 
 func (f *fleet) Live() []peer.Member { return f.live }
 
-func (f *fleet) Prove(context.Context, string) error {
+func (f *fleet) Probe(context.Context, string) error {
 	f.probes.Add(1)
 	if f.up.Load() {
 		return nil
@@ -43,14 +43,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
 		a := f.live[0]
-		s.Note(a, errDown)
-		s.Note(a, errDown)
+		s.MarkUnresponsive(a, errDown)
+		s.MarkUnresponsive(a, errDown)
 		time.Sleep(10 * time.Second)
-		require.True(t, s.Has(a))
+		require.True(t, s.IsUnresponsive(a))
 		require.LessOrEqual(t, f.probes.Load(), int64(8), "probes become rare")
 		f.up.Store(true)
 		time.Sleep(proveLongest)
-		require.False(t, s.Has(a))
+		require.False(t, s.IsUnresponsive(a))
 	})
 }
 
@@ -60,13 +60,13 @@
 		f, s := newFleet()
 		a := f.live[0]
 		f.live = nil
-		s.Note(a, errDown)
-		require.True(t, s.Has(a))
+		s.MarkUnresponsive(a, errDown)
+		require.True(t, s.IsUnresponsive(a))
 		next := a
 		next.Incarnation++
-		require.False(t, s.Has(next))
+		require.False(t, s.IsUnresponsive(next))
 		time.Sleep(proveLongest)
-		require.False(t, s.Has(a), "who is no member any more is not probed for good")
+		require.False(t, s.IsUnresponsive(a), "who is no member any more is not probed for good")
 	})
 }
 
@@ -74,13 +74,13 @@
 func TestSeveralSilentVMsAreACutOfThisOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
-		s.Note(f.live[0], errDown)
-		require.False(t, s.CutOff(), "one may be lost")
+		s.MarkUnresponsive(f.live[0], errDown)
+		require.False(t, s.SelfCutOff(), "one may be lost")
 		time.Sleep(time.Millisecond)
-		s.Note(f.live[1], errDown)
-		require.True(t, s.CutOff())
-		s.Answered(f.live[1])
-		require.False(t, s.CutOff())
+		s.MarkUnresponsive(f.live[1], errDown)
+		require.True(t, s.SelfCutOff())
+		s.MarkResponsive(f.live[1])
+		require.False(t, s.SelfCutOff())
 		f.up.Store(true)
 		time.Sleep(proveLongest)
 	})
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -18,14 +18,14 @@
 
 // The ways in which a VM learns of a statement.
 const (
-	// FromAnswer is an answer that this VM got itself, FromOwner the word of the owner with a grant, FromGate that of a gate.
-	FromAnswer = "answer"
-	FromOwner  = "owner"
-	FromGate   = "gate"
+	// FromResponse is an answer that this VM got itself, FromOwner the word of the owner with a grant, FromGate that of a gate.
+	FromResponse = "answer"
+	FromOwner    = "owner"
+	FromGate     = "gate"
 )
 
-// Heard is what one VM has heard of upstreams, as a gate and as an owner that polls them. It is safe for concurrent use.
-type Heard struct {
+// Cache is what one VM has heard of upstreams, as a gate and as an owner that polls them. It is safe for concurrent use.
+type Cache struct {
 	clock Clock
 	log   *log.Logger
 
@@ -41,12 +41,12 @@
 }
 
 // New returns what a VM has heard that has just started: nothing.
-func New(k Clock, l *log.Logger) *Heard {
-	return &Heard{clock: k, log: l, services: map[route.ServiceID]*service{}}
+func New(k Clock, l *log.Logger) *Cache {
+	return &Cache{clock: k, log: l, services: map[route.ServiceID]*service{}}
 }
 
 // of returns what was heard of a service's upstreams. The lock is held.
-func (h *Heard) of(s route.ServiceID) *service {
+func (h *Cache) of(s route.ServiceID) *service {
 	x := h.services[s]
 	if x == nil {
 		x = &service{Table: statement.NewTable()}
@@ -56,23 +56,23 @@
 }
 
 // Learn takes a statement.
-func (h *Heard) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
+func (h *Cache) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	h.mu.Lock()
 	changed := h.of(s).Learn(u, st)
 	h.mu.Unlock()
 	if changed {
-		Write(h.log, h.clock.Now(), s, u, st, cause)
+		LogChange(h.log, h.clock.Now(), s, u, st, cause)
 	}
 }
 
 // Pending is what an owner has not acknowledged yet.
 type Pending struct {
-	Statements     []statement.Aged
+	Statements     []statement.Message
 	epoch, version uint64
 }
 
 // Pending lists what the owner of an epoch has not acknowledged.
-func (h *Heard) Pending(s route.ServiceID, epoch uint64) Pending {
+func (h *Cache) Pending(s route.ServiceID, epoch uint64) Pending {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x := h.of(s)
@@ -86,7 +86,7 @@
 }
 
 // Acknowledge notes that an owner knows what was not sent before.
-func (h *Heard) Acknowledge(s route.ServiceID, p Pending) {
+func (h *Cache) Acknowledge(s route.ServiceID, p Pending) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	x := h.of(s)
@@ -97,18 +97,18 @@
 }
 
 // All lists everything that was heard of a service's upstreams.
-func (h *Heard) All(s route.ServiceID) []statement.Aged {
+func (h *Cache) All(s route.ServiceID) []statement.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	all, _ := h.of(s).Since(h.clock.Now(), 0)
 	return all
 }
 
-// About lists what was heard of some upstreams.
-func (h *Heard) About(s route.ServiceID, us ...decide.UpstreamID) []statement.Aged {
+// OfUpstreams lists what was heard of some upstreams.
+func (h *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Message {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []statement.Aged
+	var out []statement.Message
 	for _, u := range us {
 		out = append(out, h.of(s).About(h.clock.Now(), u)...)
 	}
@@ -116,7 +116,7 @@
 }
 
 // Forget drops what nobody needs any more.
-func (h *Heard) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
+func (h *Cache) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, x := range h.services {
@@ -124,18 +124,18 @@
 	}
 }
 
-// Of tells whether a pending list was made for the owner of an epoch.
-func (p *Pending) Of(epoch uint64) bool { return p.epoch == epoch }
+// IsFor tells whether a pending list was made for the owner of an epoch.
+func (p *Pending) IsFor(epoch uint64) bool { return p.epoch == epoch }
 
 // Binding returns a statement by which this VM must not send to a life of an upstream now, if there is one.
-func (h *Heard) Binding(s route.ServiceID, u decide.UpstreamID, born decide.Born) (statement.Statement, bool) {
+func (h *Cache) Binding(s route.ServiceID, u decide.UpstreamID, born decide.Incarnation) (statement.Statement, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.of(s).Binding(h.clock.Now(), u, born)
+	return h.of(s).Blocking(h.clock.Now(), u, born)
 }
 
 // Each calls f for each statement in force.
-func (h *Heard) Each(f func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
+func (h *Cache) Each(f func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for s, x := range h.services {
@@ -143,13 +143,13 @@
 	}
 }
 
-// Write logs that an upstream says something else of itself than before.
-func Write(l *log.Logger, now clock.Milli, s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
+// LogChange logs that an upstream says something else of itself than before.
+func LogChange(l *log.Logger, now clock.Milli, s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
 	e := l.Info().Str("service", string(s)).Str("upstream", string(u)).Int64("age", int64(now-st.At)).Str("cause", cause)
 	switch st.Kind {
 	case statement.Limit:
 		e.Str(logline.Key, logline.Limit).Bool("named", st.Named).Float64("rate", float64(st.Rate)).Msg("an upstream has another limit")
-	case statement.Rest:
+	case statement.BackOff:
 		e.Str(logline.Key, logline.Rest).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("an upstream wants a rest")
 	case statement.Leaving:
 		e.Str(logline.Key, logline.Leaving).Str("gate", string(st.Gate)).Msg("an upstream says that it leaves")
--- a/lib/decide/api.go
+++ b/lib/decide/api.go
@@ -21,9 +21,9 @@
 	WorkspaceID string
 	// UpstreamID names an upstream of the document.
 	UpstreamID string
-	// Born is the Unix millisecond, by the upstream's own clock, at which one of its lives began; zero
+	// Incarnation is the Unix millisecond, by the upstream's own clock, at which one of its lives began; zero
 	// where it is not told. Lives of one upstream are told apart and ordered by it.
-	Born int64
+	Incarnation int64
 	// GateID names the VM and incarnation that holds the caller's connection.
 	GateID string
 	// GrantID is unique over owners: its upper bits come from Config.Epoch.
@@ -132,7 +132,7 @@
 const (
 	Done     Outcome = iota // whole answer
 	Failed                  // the upstream answered with an error or cut the stream
-	Died                    // the upstream is gone
+	Lost                    // the upstream is gone
 	Unused                  // returned before any byte was sent
 	Canceled                // the caller went away; the engine was notified
 )
@@ -180,21 +180,21 @@
 	Epoch Epoch
 	// Lease is how long a grant lives without renewal.
 	Lease clock.Milli
-	// Rebuild is how long a new owner waits for gates to present grants of the
+	// Recovery is how long a new owner waits for gates to present grants of the
 	// earlier owner; meanwhile it grants only what reports also show free.
-	Rebuild clock.Milli
+	Recovery clock.Milli
 	// Seed is for tie-breaks, so that two runs agree.
 	Seed uint64
-	// Long is the prompt length from which a request counts as long; zero means DefaultLong.
-	Long Tokens
-	// Floor is how many upstreams each role keeps while orders move them; zero means one.
-	Floor int
-	// Lag is the oldest that an engine's report may be; zero means DefaultLag.
+	// LongPrompt is the prompt length from which a request counts as long; zero means DefaultLongPrompt.
+	LongPrompt Tokens
+	// MinPerRole is how many upstreams each role keeps while orders move them; zero means one.
+	MinPerRole int
+	// ReportLag is the oldest that an engine's report may be; zero means DefaultReportLag.
 	// A report proves nothing about what happened less than Lag before it.
-	Lag clock.Milli
-	// Delay is how late the word of a first token may be. Its absence says
+	ReportLag clock.Milli
+	// ProgressDelay is how late the word of a first token may be. Its absence says
 	// nothing of an upstream's speed before that.
-	Delay clock.Milli
+	ProgressDelay clock.Milli
 }
 
 // Summary is what a pool tells other VMs in heartbeats.
--- a/lib/decide/fault_test.go
+++ b/lib/decide/fault_test.go
@@ -28,7 +28,7 @@
 	require.NotContains(t, b.granted, RequestID("next"))
 	b.pool.Report(b.now, name(0), Report{At: b.now, Running: []RequestID{"r"}, Used: 390_100})
 	b.wait(1000)
-	require.Equal(t, 1, b.view(0).Ghosts)
+	require.Equal(t, 1, b.view(0).Orphans)
 	b.pool.Report(b.now, name(0), Report{At: b.now})
 	b.wait(1000)
 	require.Contains(t, b.granted, RequestID("next"))
@@ -40,12 +40,12 @@
 	b.submit(b.request("r"))
 	b.finish("r", Failed)
 	require.Contains(t, b.lapsed, RequestID("r"))
-	require.Equal(t, Tokens(20_100), b.view(0).Taken)
+	require.Equal(t, Tokens(20_100), b.view(0).Reserved)
 	b.lapsed = map[RequestID]Grant{}
 	b.wait(10 * clock.Second)
 	require.Empty(t, b.lapsed, "told once")
 	b.pool.Report(b.now, name(0), Report{At: b.now})
-	require.Zero(t, b.view(0).Taken)
+	require.Zero(t, b.view(0).Reserved)
 }
 
 // A request failed on the only engine of its failure domain that takes work and
@@ -68,7 +68,7 @@
 // once, the same memory would be given out twice.
 func TestNewOwnerGrantsOnlyWhatReportsShowFree(t *testing.T) {
 	b := newBed(t, 2)
-	b.pool = New(Config{Epoch: 3, Lease: 5000, Rebuild: 3000})
+	b.pool = New(Config{Epoch: 3, Lease: 5000, Recovery: 3000})
 	b.set(0, false)
 	b.set(1, false)
 	r := b.request("r")
@@ -86,11 +86,11 @@
 	}
 	require.True(t, b.pool.Adopt(b.now, old))
 	require.True(t, b.pool.Adopt(b.now, old), "presented again it is renewed")
-	require.Equal(t, Tokens(380_000), b.view(0).Taken)
+	require.Equal(t, Tokens(380_000), b.view(0).Reserved)
 	b.wait(3000)
 	b.pool.Finish(b.now, old.ID, Done)
 	b.tick()
-	require.Zero(t, b.view(0).Taken)
+	require.Zero(t, b.view(0).Reserved)
 	old.Epoch = 3
 	require.False(t, b.pool.Adopt(b.now, old), "one of ours that ended does not come back")
 }
@@ -173,13 +173,13 @@
 		return r
 	}
 	b.submit(copyOf("first"))
-	b.finish("first", Died)
+	b.finish("first", Lost)
 	for i := range 3 {
 		b.submit(copyOf(fmt.Sprint("again", i)))
 	}
 	require.Len(t, b.granted, 2, "one copy at a time, though the gates do not call it a suspect")
 	require.True(t, b.grant("again0").Suspect)
-	b.finish("again0", Died)
+	b.finish("again0", Lost)
 	b.submit(copyOf("late"))
 	for _, id := range []RequestID{"again1", "again2", "late"} {
 		require.Equal(t, fault.Quarantined, b.refused[id].Fault, id)
--- a/lib/decide/fixture_test.go
+++ b/lib/decide/fixture_test.go
@@ -104,7 +104,7 @@
 	return g
 }
 
-func (b *bed) view(i int) View { return b.pool.Upstreams(b.now)[i] }
+func (b *bed) view(i int) UpstreamView { return b.pool.Upstreams(b.now)[i] }
 
 // serve plays engines that keep the rated speed, slowed by the factor given for some,
 // until all that is queued and running has ended.
--- a/lib/decide/gate/gate_test.go
+++ b/lib/decide/gate/gate_test.go
@@ -32,14 +32,14 @@
 func TestQuarantineStopsAtTheSecondDeath(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	require.True(t, a.Begin(0, 7))
-	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
+	require.Equal(t, Suspected, a.RecordCrash(10, 7, "engine-1", 0))
 	a.End(7)
 
 	b.Merge(20, a.Digest(20, 10))
 	require.Equal(t, Suspected, b.Check(20, 7))
 	require.True(t, b.Begin(20, 7))
 	require.False(t, b.Begin(21, 7), "a second copy would start before the first one's fate is known")
-	require.Equal(t, Quarantined, b.Died(30, 7, "engine-2", 0))
+	require.Equal(t, Quarantined, b.RecordCrash(30, 7, "engine-2", 0))
 	b.End(7)
 	require.False(t, b.Begin(40, 7))
 
@@ -55,7 +55,7 @@
 // added up, an innocent request would be quarantined by gossip alone.
 func TestMergeDoesNotCountADeathTwice(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
-	a.Died(0, 7, "engine-1", 0)
+	a.RecordCrash(0, 7, "engine-1", 0)
 	for i := range clock.Milli(10) {
 		b.Merge(i, a.Digest(i, 10))
 		a.Merge(i, b.Digest(i, 10))
@@ -70,32 +70,32 @@
 // VMs. That is one death: refused as a killer, the lookup would fail for everybody.
 func TestOneDeathUnderTwoCopiesCountsOnce(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
-	a.Died(0, 7, "engine-1", 0)
-	require.Equal(t, Suspected, a.Died(10, 7, "engine-1", 0))
+	a.RecordCrash(0, 7, "engine-1", 0)
+	require.Equal(t, Suspected, a.RecordCrash(10, 7, "engine-1", 0))
 	b.Merge(20, a.Digest(20, 10))
-	require.Equal(t, Suspected, b.Died(30, 7, "engine-1", 0))
+	require.Equal(t, Suspected, b.RecordCrash(30, 7, "engine-1", 0))
 	a.Merge(40, b.Digest(40, 10))
 	require.Equal(t, Suspected, a.Check(40, 7))
-	require.Equal(t, Quarantined, a.Died(sameDeath, 7, "engine-1", 0), "it came back and died again")
+	require.Equal(t, Quarantined, a.RecordCrash(sameDeath, 7, "engine-1", 0), "it came back and died again")
 }
 
 // A request crashes an engine that starts again under its id within a second, and its caller sends it again at
 // once. Those are two deaths, of two lives; two gates that each tell of one life's death count it once.
 func TestLivesOfOneEngineDieApart(t *testing.T) {
 	a := NewQuarantine(0)
-	require.Equal(t, Suspected, a.Died(0, 7, "engine-1", 100))
-	require.Equal(t, Suspected, a.Died(sameDeath+1, 7, "engine-1", 100))
-	require.Equal(t, Quarantined, a.Died(sameDeath+2, 7, "engine-1", 200))
+	require.Equal(t, Suspected, a.RecordCrash(0, 7, "engine-1", 100))
+	require.Equal(t, Suspected, a.RecordCrash(sameDeath+1, 7, "engine-1", 100))
+	require.Equal(t, Quarantined, a.RecordCrash(sameDeath+2, 7, "engine-1", 200))
 }
 
 // An engine dies under many requests, many times over: the table must stay
 // bounded and must not forget a proven killer for the sake of bystanders.
 func TestQuarantineStaysBounded(t *testing.T) {
 	q := NewQuarantine(0)
-	q.Died(0, 1, "engine-1", 0)
-	q.Died(0, 1, "engine-2", 0)
+	q.RecordCrash(0, 1, "engine-1", 0)
+	q.RecordCrash(0, 1, "engine-2", 0)
 	for i := range uint64(3 * suspectsKept) {
-		q.Died(clock.Milli(i+1), i+2, "engine-1", 0)
+		q.RecordCrash(clock.Milli(i+1), i+2, "engine-1", 0)
 	}
 	require.LessOrEqual(t, len(q.entries), suspectsKept)
 	require.Equal(t, Quarantined, q.Check(4*suspectsKept, 1))
@@ -139,7 +139,7 @@
 func TestLastShareHoldsWithoutTheHome(t *testing.T) {
 	l := NewLimit(0, 0)
 	require.Zero(t, l.Take(0, 1_000_000), "no limit")
-	l.Deal(0, 100)
+	l.SetShare(0, 100)
 	l.Take(1000, 100)
 	require.InDelta(t, 500_050, float64(l.Demand(2000)), 1)
 	require.Zero(t, l.Take(10*clock.Minute, 200))
--- a/lib/decide/gate/limit.go
+++ b/lib/decide/gate/limit.go
@@ -44,8 +44,8 @@
 
 func (l *Limit) size() float64 { return l.rate * burst * float64(clock.Second) }
 
-// Deal takes a new share from the home VM.
-func (l *Limit) Deal(now clock.Milli, share decide.Rate) {
+// SetShare takes a new share from the home VM.
+func (l *Limit) SetShare(now clock.Milli, share decide.Rate) {
 	l.fill(now)
 	l.rate = perMilli(share)
 	l.level = min(l.level, l.size())
--- a/lib/decide/gate/quarantine.go
+++ b/lib/decide/gate/quarantine.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// DeathsAllowed is how many upstreams a request may cost: one death may be a
+	// MaxCrashes is how many upstreams a request may cost: one death may be a
 	// coincidence, a second while it ran alone is not.
-	DeathsAllowed = 2
+	MaxCrashes = 2
 	// DefaultHold is how long an entry lasts after its last death: longer than
 	// callers go on repeating a failed request, short enough that a fixed engine
 	// gets another chance within a shift.
@@ -41,7 +41,7 @@
 	Left clock.Milli
 	// Last is the upstream of the newest death counted, Born its life, Ago the time since.
 	Last decide.UpstreamID
-	Born decide.Born
+	Born decide.Incarnation
 	Ago  clock.Milli
 }
 
@@ -63,7 +63,7 @@
 	until  clock.Milli
 	// last is the upstream of the newest death counted, born its life, at when that was.
 	last decide.UpstreamID
-	born decide.Born
+	born decide.Incarnation
 	at   clock.Milli
 }
 
@@ -81,7 +81,7 @@
 	if !ok || e.until <= now {
 		return Clean
 	}
-	if e.deaths >= DeathsAllowed {
+	if e.deaths >= MaxCrashes {
 		return Quarantined
 	}
 	return Suspected
@@ -106,14 +106,14 @@
 	}
 }
 
-// Died records that an upstream died while it ran the request, and returns the
+// RecordCrash records that an upstream died while it ran the request, and returns the
 // verdict on it from now on.
 //
 // An engine that dies under several copies of one request dies once. Counted by copy,
 // an alert lookup that many callers send in the same words would be refused to all of
 // them for half an hour because one engine lost power.
 // Lives that are told apart die apart, however soon one follows another.
-func (q *Quarantine) Died(now clock.Milli, fingerprint uint64, u decide.UpstreamID, born decide.Born) Verdict {
+func (q *Quarantine) RecordCrash(now clock.Milli, fingerprint uint64, u decide.UpstreamID, born decide.Incarnation) Verdict {
 	e := q.entries[fingerprint]
 	if e.until <= now {
 		e = entry{}
--- a/lib/decide/ledger.go
+++ b/lib/decide/ledger.go
@@ -277,10 +277,10 @@
 	if o == Done {
 		p.usual += learn * (float64(now-g.made) - p.usual)
 	}
-	if o == Died {
+	if o == Lost {
 		p.mourn(now, g)
 	}
-	if o == Done || o == Died || o == Unused {
+	if o == Done || o == Lost || o == Unused {
 		p.unbook(now, g)
 		return
 	}
--- a/lib/decide/outcome_test.go
+++ b/lib/decide/outcome_test.go
@@ -178,7 +178,7 @@
 	for range 1200 {
 		b.serve(nil, 1000)
 		for _, v := range b.pool.Upstreams(b.now) {
-			require.LessOrEqual(t, v.Taken, v.Memory)
+			require.LessOrEqual(t, v.Reserved, v.Memory)
 		}
 	}
 	require.Len(t, b.granted, 24)
@@ -203,8 +203,8 @@
 		b.submit(b.request(fmt.Sprint("r", i)))
 		b.serve(slow, 300)
 	}
-	require.Greater(t, b.view(2).Slow, 3.0)
-	require.Less(t, b.view(1).Slow, 1.5)
+	require.Greater(t, b.view(2).Slowdown, 3.0)
+	require.Less(t, b.view(1).Slowdown, 1.5)
 	late := 0
 	for _, id := range b.order[150:] {
 		if b.granted[id].Upstreams[0] == name(2) {
--- a/lib/decide/pool.go
+++ b/lib/decide/pool.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// DefaultLong is the prompt length from which a request counts as long: about
+	// DefaultLongPrompt is the prompt length from which a request counts as long: about
 	// a second and a half of prefill on today's engines, the slowdown that an
 	// alert lookup would notice.
-	DefaultLong Tokens = 32 * 1024
-	// DefaultLag is how old an engine's report may be.
-	DefaultLag = 2 * clock.Second
+	DefaultLongPrompt Tokens = 32 * 1024
+	// DefaultReportLag is how old an engine's report may be.
+	DefaultReportLag = 2 * clock.Second
 	// poll is how soon the next tick is due while requests are queued. It is below
 	// lookahead, so that an engine's next prompt arrives before it runs dry.
 	poll clock.Milli = 20
@@ -85,14 +85,14 @@
 
 // New returns an empty pool. Its rebuild begins with the first tick.
 func New(c Config) *Pool {
-	if c.Long <= 0 {
-		c.Long = DefaultLong
+	if c.LongPrompt <= 0 {
+		c.LongPrompt = DefaultLongPrompt
 	}
-	if c.Floor <= 0 {
-		c.Floor = 1
+	if c.MinPerRole <= 0 {
+		c.MinPerRole = 1
 	}
-	if c.Lag <= 0 {
-		c.Lag = DefaultLag
+	if c.ReportLag <= 0 {
+		c.ReportLag = DefaultReportLag
 	}
 	p := &Pool{
 		config:     c,
@@ -104,7 +104,7 @@
 		live:       make(map[RequestID]*grant),
 		ghosts:     make(map[RequestID]*grant),
 		killers:    killers{live: make(map[uint64]int), deaths: make(map[uint64]deaths)},
-		rebuilding: c.Rebuild > 0,
+		rebuilding: c.Recovery > 0,
 		shared:     true,
 	}
 	p.tree.resize(1)
@@ -228,7 +228,7 @@
 func (p *Pool) settle(now clock.Milli) {
 	p.out = append(p.out, p.ended...)
 	p.ended = p.ended[:0]
-	if p.rebuilding && now-p.start >= p.config.Rebuild {
+	if p.rebuilding && now-p.start >= p.config.Recovery {
 		p.rebuilding = false
 		p.stale = true
 	}
@@ -309,7 +309,7 @@
 
 // isLong tells whether a prompt belongs to the long side. A plain service has no
 // prefill, so a large body is no reason to hold it back.
-func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.Long && !p.plain }
+func (p *Pool) isLong(prompt Tokens) bool { return prompt >= p.config.LongPrompt && !p.plain }
 
 // drop takes a request out of the queue and frees its row.
 func (p *Pool) drop(w *waiting) {
--- a/lib/decide/property_test.go
+++ b/lib/decide/property_test.go
@@ -41,7 +41,7 @@
 		ghosts:  map[GrantID]Grant{},
 		due:     map[GrantID]bool{},
 	}
-	m.pool = New(Config{Epoch: 7, Lease: 3000, Rebuild: clock.Milli(rapid.IntRange(0, 1).Draw(t, "rebuild")) * 500})
+	m.pool = New(Config{Epoch: 7, Lease: 3000, Recovery: clock.Milli(rapid.IntRange(0, 1).Draw(t, "rebuild")) * 500})
 	for range rapid.IntRange(1, 9).Draw(t, "upstreams") {
 		m.set(t)
 	}
@@ -221,7 +221,7 @@
 			continue
 		}
 		v := m.ghostSince(g, id)
-		if m.now-v >= DefaultLag {
+		if m.now-v >= DefaultReportLag {
 			m.drop(&g, id)
 			m.ghosts[gid] = g
 			if len(g.Upstreams) == 0 {
@@ -239,8 +239,8 @@
 
 func (m *model) check() {
 	for _, v := range m.pool.Upstreams(m.now) {
-		require.Equal(m.t, m.taken[v.ID], v.Taken, "books of %s differ", v.ID)
-		require.LessOrEqual(m.t, v.Taken, v.Memory)
+		require.Equal(m.t, m.taken[v.ID], v.Reserved, "books of %s differ", v.ID)
+		require.LessOrEqual(m.t, v.Reserved, v.Memory)
 	}
 	require.Len(m.t, m.pool.Grants(), len(m.live))
 }
--- a/lib/decide/ratelimit/pace.go
+++ b/lib/decide/ratelimit/pace.go
@@ -24,8 +24,8 @@
 	whole = 1 - 1e-9
 )
 
-// Pace grants requests at one upstream within the limit that it names. The zero Pace knows of no limit and grants all.
-type Pace struct {
+// Limiter grants requests at one upstream within the limit that it names. The zero Pace knows of no limit and grants all.
+type Limiter struct {
 	known     bool
 	statement statement.Statement
 	// rate is the limit that was named last, lifted when that ended.
@@ -42,12 +42,12 @@
 
 // Learn takes a statement and reports whether the limit is another one now. A limit that was not known before is
 // kept from now on: nothing is saved up from the time before.
-func (p *Pace) Learn(now clock.Milli, s statement.Statement) bool {
+func (p *Limiter) Learn(now clock.Milli, s statement.Statement) bool {
 	if !p.known && !s.Named || p.known && !s.Supersedes(p.statement) {
 		return false
 	}
 	before := p.statement
-	changed := !p.known || !s.Same(before)
+	changed := !p.known || !s.Equivalent(before)
 	p.fill(now)
 	switch {
 	case s.Named:
@@ -60,23 +60,23 @@
 	return changed
 }
 
-// Divide has a part of the limit granted here: others, which cannot be asked, grant the rest.
-func (p *Pace) Divide(now clock.Milli, part float64) {
+// SetFraction has a part of the limit granted here: others, which cannot be asked, grant the rest.
+func (p *Limiter) SetFraction(now clock.Milli, part float64) {
 	p.fill(now)
 	p.part = part
 	p.level = min(p.level, p.burst(now))
 }
 
-// Named reports whether the upstream names a limit.
-func (p *Pace) Named() bool { return p.known && p.statement.Named }
+// HasLimit reports whether the upstream names a limit.
+func (p *Limiter) HasLimit() bool { return p.known && p.statement.Named }
 
-// Bounds reports whether the upstream's requests are bounded at all.
-func (p *Pace) Bounds(now clock.Milli) bool {
-	return p.Named() || p.known && now-p.lifted < returning
+// Limited reports whether the upstream's requests are bounded at all.
+func (p *Limiter) Limited(now clock.Milli) bool {
+	return p.HasLimit() || p.known && now-p.lifted < returning
 }
 
 // Rate is how many requests a second are granted, where they are bounded.
-func (p *Pace) Rate(now clock.Milli) statement.PerSecond {
+func (p *Limiter) Rate(now clock.Milli) statement.PerSecond {
 	rate := max(p.rate, leastRate)
 	if !p.statement.Named {
 		rate = max(p.rate, leastReturn) * statement.PerSecond(math.Exp2(float64(now-p.lifted)/float64(doubling)))
@@ -88,8 +88,8 @@
 }
 
 // Allows reports whether a request may be granted now.
-func (p *Pace) Allows(now clock.Milli) bool {
-	if !p.Bounds(now) {
+func (p *Limiter) Allows(now clock.Milli) bool {
+	if !p.Limited(now) {
 		return true
 	}
 	p.fill(now)
@@ -97,45 +97,45 @@
 }
 
 // Level is how many requests may be granted now, where they are bounded.
-func (p *Pace) Level(now clock.Milli) float64 {
+func (p *Limiter) Level(now clock.Milli) float64 {
 	p.fill(now)
 	return p.level
 }
 
 // Take notes a request that is granted.
-func (p *Pace) Take(now clock.Milli) {
+func (p *Limiter) Take(now clock.Milli) {
 	p.taken = now
-	if p.Bounds(now) {
+	if p.Limited(now) {
 		p.fill(now)
 		p.level--
 	}
 }
 
-// Stale reports whether the limit was named so long ago, and nothing granted since, that a request should find out whether
+// ProbeDue reports whether the limit was named so long ago, and nothing granted since, that a request should find out whether
 // it still holds.
-func (p *Pace) Stale(now clock.Milli) bool {
-	return p.Named() && now-max(p.statement.At, p.taken) >= renewal
+func (p *Limiter) ProbeDue(now clock.Milli) bool {
+	return p.HasLimit() && now-max(p.statement.At, p.taken) >= renewal
 }
 
 // Statement returns what is known of the limit, if anything is.
-func (p *Pace) Statement() (statement.Statement, bool) { return p.statement, p.known }
+func (p *Limiter) Statement() (statement.Statement, bool) { return p.statement, p.known }
 
 // Restore takes the level over from who granted before.
-func (p *Pace) Restore(now clock.Milli, level float64) {
+func (p *Limiter) Restore(now clock.Milli, level float64) {
 	p.fill(now)
 	p.level = min(level, p.burst(now))
 }
 
 // Reset forgets all: another life of the upstream begins.
-func (p *Pace) Reset() { *p = Pace{part: p.part} }
+func (p *Limiter) Reset() { *p = Limiter{part: p.part} }
 
 // burst is the most that may be granted at once.
-func (p *Pace) burst(now clock.Milli) float64 {
+func (p *Limiter) burst(now clock.Milli) float64 {
 	return max(1, float64(p.Rate(now))*burstSpan.Duration().Seconds())
 }
 
 // fill lets the level rise for the time that has passed.
-func (p *Pace) fill(now clock.Milli) {
+func (p *Limiter) fill(now clock.Milli) {
 	if p.known && now > p.at {
 		p.level = min(p.burst(now), p.level+float64(p.Rate(now))*(now-p.at).Duration().Seconds())
 	}
--- a/lib/decide/ratelimit/pace_test.go
+++ b/lib/decide/ratelimit/pace_test.go
@@ -14,7 +14,7 @@
 const window = 4 * clock.Second
 
 // flood asks for a request each millisecond and returns when they were granted.
-func flood(p *Pace, from, to clock.Milli) []clock.Milli {
+func flood(p *Limiter, from, to clock.Milli) []clock.Milli {
 	var granted []clock.Milli
 	for now := from; now < to; now++ {
 		if p.Allows(now) {
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 60).Draw(t, "rate")
 		renew := rapid.Int64Range(1, 3000).Draw(t, "renew")
-		var p Pace
+		var p Limiter
 		var granted []clock.Milli
 		const end = 20 * clock.Second
 		for at := clock.Milli(0); at < end; at += clock.Milli(renew) {
@@ -57,7 +57,7 @@
 
 // An upstream that takes nothing for now is asked now and then, or nobody would hear that it takes something again.
 func TestAnUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
-	var p Pace
+	var p Limiter
 	p.Learn(0, statement.Statement{Named: true})
 	granted := flood(&p, 0, 20*clock.Second)
 	require.InDelta(t, 5, len(granted), 1)
@@ -65,13 +65,13 @@
 
 // The limit ends while much is waiting. All at once it would put the upstream in need again.
 func TestWorkComesBackByAndByAfterALimit(t *testing.T) {
-	var p Pace
+	var p Limiter
 	p.Learn(0, statement.Statement{Named: true, Rate: 2})
 	flood(&p, 0, clock.Second)
 	p.Learn(clock.Second, statement.Statement{At: clock.Second})
 	require.LessOrEqual(t, len(flood(&p, clock.Second, 1500)), 2)
 	require.LessOrEqual(t, len(flood(&p, 1500, 2000)), 4)
-	require.False(t, p.Bounds(clock.Second+returning))
+	require.False(t, p.Limited(clock.Second+returning))
 	require.True(t, p.Learn(2*clock.Second, statement.Statement{Named: true, Rate: 2, At: 2 * clock.Second}))
 	require.LessOrEqual(t, len(flood(&p, 2*clock.Second, 3*clock.Second)), 3)
 }
@@ -80,8 +80,8 @@
 func TestVMsThatDecideForThemselvesDivideTheLimit(t *testing.T) {
 	all := 0
 	for range 5 {
-		var p Pace
-		p.Divide(0, 1.0/5)
+		var p Limiter
+		p.SetFraction(0, 1.0/5)
 		p.Learn(0, statement.Statement{Named: true, Rate: 5})
 		all += most(flood(&p, 0, 10*clock.Second))
 	}
--- a/lib/decide/report.go
+++ b/lib/decide/report.go
@@ -38,7 +38,7 @@
 	ours := p.listed(u)
 	for i := len(u.grants) - 1; i >= 0; i-- {
 		g := u.grants[i]
-		if g.ghost > 0 && g.seen != p.reports && r.At-p.config.Lag >= g.ghost {
+		if g.ghost > 0 && g.seen != p.reports && r.At-p.config.ReportLag >= g.ghost {
 			p.detach(g, u)
 		}
 	}
@@ -106,7 +106,7 @@
 	if g.first || g.expect < notable {
 		return
 	}
-	waited := float64(now-g.made-p.config.Delay) / g.expect
+	waited := float64(now-g.made-p.config.ProgressDelay) / g.expect
 	if waited < patience || len(g.on) == 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 	if g.first || g.expect < notable {
 		return at
 	}
-	late := g.made + clock.Milli(patience*g.expect) + p.config.Delay
+	late := g.made + clock.Milli(patience*g.expect) + p.config.ProgressDelay
 	if late <= now {
 		late = now + clock.Milli(g.expect)
 	}
--- a/lib/decide/shift.go
+++ b/lib/decide/shift.go
@@ -249,7 +249,7 @@
 	}
 	memory := p.demand.holds / (packing * float64(p.whole) / float64(n))
 	want := max(rest*share, min(memory, rest*share*memoryMost))
-	long = min(max(int(math.Round(want)), p.config.Floor), n-clear-p.config.Floor)
+	long = min(max(int(math.Round(want)), p.config.MinPerRole), n-clear-p.config.MinPerRole)
 	return max(long, 1), clear
 }
 
@@ -284,7 +284,7 @@
 			return false
 		}
 		s.long += min(p.step(), target-s.long)
-	case target < s.long-1 || target < s.long && s.long > s.taking-s.clear-p.config.Floor:
+	case target < s.long-1 || target < s.long && s.long > s.taking-s.clear-p.config.MinPerRole:
 		// One too many is left alone, or every change of the mix would move it.
 		s.long -= min(p.step(), s.long-target)
 	default:
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -14,7 +14,7 @@
 // declared holds what one upstream declared about itself in its responses.
 type declared struct {
 	// limit is the rate limit of the upstream, which applies to the requests of all VMs together.
-	limit ratelimit.Pace
+	limit ratelimit.Limiter
 	// leaving is its drain notice; leaving.Named is false if there is none.
 	leaving statement.Statement
 	// backOffs maps each gate to the last back-off that the upstream asked it for.
@@ -61,7 +61,7 @@
 // learn records a statement and reports whether it changes what is known of the upstream.
 func (d *declared) learn(now clock.Milli, s statement.Statement) bool {
 	switch s.Kind {
-	case statement.Rest:
+	case statement.BackOff:
 		if !d.learnBackOff(now, s) {
 			return false
 		}
@@ -82,8 +82,8 @@
 
 // restart removes statements of incarnations before the one that started at born. A statement
 // without a start time counts as earlier only if before is set.
-func (d *declared) restart(born decide.Born, before bool) {
-	earlier := func(b decide.Born) bool { return b < born && (b > 0 || before) }
+func (d *declared) restart(born decide.Incarnation, before bool) {
+	earlier := func(b decide.Incarnation) bool { return b < born && (b > 0 || before) }
 	if s, known := d.limit.Statement(); known && earlier(s.Born) {
 		d.limit.Reset()
 	}
@@ -98,20 +98,20 @@
 // listed.
 func (d *declared) outdated(now clock.Milli) bool {
 	s, known := d.limit.Statement()
-	return (!known || now-s.At > statement.AbsentLives) && now-d.heardAt > statement.AbsentLives
+	return (!known || now-s.At > statement.AbsentRetention) && now-d.heardAt > statement.AbsentRetention
 }
 
 // statements lists all known statements, for the next owner.
-func (d *declared) statements(now clock.Milli, u decide.UpstreamID) []statement.Aged {
-	var out []statement.Aged
+func (d *declared) statements(now clock.Milli, u decide.UpstreamID) []statement.Message {
+	var out []statement.Message
 	if s, known := d.limit.Statement(); known {
-		out = append(out, s.Aged(now, u))
+		out = append(out, s.Message(now, u))
 	}
 	if d.leaving.Named {
-		out = append(out, d.leaving.Aged(now, u))
+		out = append(out, d.leaving.Message(now, u))
 	}
 	for _, r := range d.backOffs {
-		out = append(out, r.Aged(now, u))
+		out = append(out, r.Message(now, u))
 	}
 	return out
 }
@@ -129,7 +129,7 @@
 	d := l.byUpstream[u]
 	if d == nil {
 		d = &declared{}
-		d.limit.Divide(0, l.share)
+		d.limit.SetFraction(0, l.share)
 		l.byUpstream[u] = d
 	}
 	return d
@@ -156,7 +156,7 @@
 	}
 	d := p.declared.get(u)
 	changed := d.learn(now, s)
-	if changed && s.Kind == statement.Rest && d.shedding && r != nil {
+	if changed && s.Kind == statement.BackOff && d.shedding && r != nil {
 		// An upstream that is overloaded by one gate is probably overloaded in general, until a
 		// request of another gate shows otherwise.
 		r.health.exclude(now)
@@ -172,7 +172,7 @@
 	}
 	p.declared.share = share
 	for _, d := range p.declared.byUpstream {
-		d.limit.Divide(now, share)
+		d.limit.SetFraction(now, share)
 	}
 }
 
@@ -230,7 +230,7 @@
 		if r.draining() || !r.health.available(now) {
 			continue
 		}
-		if !r.declared.limit.Bounds(now) {
+		if !r.declared.limit.Limited(now) {
 			return supply{}
 		}
 		s.bounded = true
--- a/lib/decide/span/declared_test.go
+++ b/lib/decide/span/declared_test.go
@@ -177,7 +177,7 @@
 
 // learnBackOff records that an upstream asks a gate for a back-off.
 func (b *bench) learnBackOff(at clock.Milli, u decide.UpstreamID, g decide.GateID, span clock.Milli) {
-	b.Learn(at, u, statement.Statement{Kind: statement.Rest, Named: true, Gate: g, At: at, Until: at + span})
+	b.Learn(at, u, statement.Statement{Kind: statement.BackOff, Named: true, Gate: g, At: at, Until: at + span})
 }
 
 // learnLeaving records that an upstream declares to a gate that it is leaving.
@@ -330,7 +330,7 @@
 func TestIncarnationAfterAbsenceStartsFresh(t *testing.T) {
 	b := newBench(t, 0)
 	s := &route.Service{ID: "s", Engine: &engine}
-	list := func(born decide.Born) []route.Upstream {
+	list := func(born decide.Incarnation) []route.Upstream {
 		return []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: born}}
 	}
 	b.SetUpstreams(s, list(5))
@@ -398,9 +398,9 @@
 // counted as a new back-off, the engine would be excluded longer and longer.
 func TestTransitTimeIsNotANewBackOff(t *testing.T) {
 	b := newBench(t, 1)
-	s := statement.Statement{Kind: statement.Rest, Named: true, Gate: "g", At: now, Until: now + clock.Second}
+	s := statement.Statement{Kind: statement.BackOff, Named: true, Gate: "g", At: now, Until: now + clock.Second}
 	require.True(t, b.Learn(now, "e00", s))
-	require.False(t, b.Learn(now+5, "e00", s.Aged(now, "e00").Statement(now+5)))
+	require.False(t, b.Learn(now+5, "e00", s.Message(now, "e00").Statement(now+5)))
 	s.Until += clock.Second
 	require.True(t, b.Learn(now+10, "e00", s))
 }
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -161,7 +161,7 @@
 // leads. Nothing is reserved on an upstream that limits its request rate: it may count reservation
 // orders as requests.
 func (r *upstreamState) reservableMemory(now clock.Milli) decide.Tokens {
-	if r.declared.limit.Bounds(now) {
+	if r.declared.limit.Limited(now) {
 		return 0
 	}
 	return r.freeMemory()
--- a/lib/decide/span/external.go
+++ b/lib/decide/span/external.go
@@ -91,7 +91,7 @@
 // pollable reports whether the upstream may be polled again.
 func (r *upstreamState) pollable(now clock.Milli) bool {
 	least := pollInterval
-	if r.declared.limit.Bounds(now) {
+	if r.declared.limit.Limited(now) {
 		least = limitedPollInterval
 	}
 	return r.polledAt == 0 || now-r.polledAt >= least
--- a/lib/decide/span/incarnation.go
+++ b/lib/decide/span/incarnation.go
@@ -12,15 +12,19 @@
 
 // newIncarnation reports whether born is later than the known start time. An upstream that had not
 // reported a start time has not restarted when it first reports one.
-func (r *upstreamState) newIncarnation(born decide.Born) bool { return r.Born > 0 && born > r.Born }
+func (r *upstreamState) newIncarnation(born decide.Incarnation) bool {
+	return r.Born > 0 && born > r.Born
+}
 
 // pastIncarnation reports whether born belongs to an incarnation that has ended.
-func (r *upstreamState) pastIncarnation(born decide.Born) bool { return born > 0 && born < r.Born }
+func (r *upstreamState) pastIncarnation(born decide.Incarnation) bool {
+	return born > 0 && born < r.Born
+}
 
 // restart clears what was known of the previous incarnation. Its grants stay in the pool's table
 // until their gates have reported their outcomes, but no longer count toward the load of the
 // upstream.
-func (r *upstreamState) restart(born decide.Born) {
+func (r *upstreamState) restart(born decide.Incarnation) {
 	for _, g := range r.grants {
 		g.upstreams = slices.DeleteFunc(g.upstreams, func(x *upstreamState) bool { return x == r })
 	}
@@ -33,7 +37,7 @@
 
 // incarnation returns the start time, as known when the grant was made, of an upstream of the
 // grant; zero if unknown.
-func (g *Grant) incarnation(id decide.UpstreamID) decide.Born {
+func (g *Grant) incarnation(id decide.UpstreamID) decide.Incarnation {
 	if g.Leader.Upstream == id {
 		return g.Leader.Born
 	}
--- a/lib/decide/span/incarnation_test.go
+++ b/lib/decide/span/incarnation_test.go
@@ -11,7 +11,7 @@
 )
 
 // serveIncarnation serves one engine in the incarnation that started at born.
-func (b *bench) serveIncarnation(born decide.Born) {
+func (b *bench) serveIncarnation(born decide.Incarnation) {
 	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
 }
 
--- a/lib/decide/span/place.go
+++ b/lib/decide/span/place.go
@@ -61,7 +61,7 @@
 // each other would all choose the first of several equal ones.
 func (p *Pool) placePlain(now clock.Milli, a *Ask) (plan, bool) {
 	for _, r := range p.packOrder {
-		if r.declared.limit.Stale(now) && r.accepts(now, a) && len(r.grants)+r.external < max(r.Slots, 1) {
+		if r.declared.limit.ProbeDue(now) && r.accepts(now, a) && len(r.grants)+r.external < max(r.Slots, 1) {
 			return plan{leader: r, reason: "renewal"}, true
 		}
 	}
@@ -86,7 +86,7 @@
 // within the shortest pause tolerated by the streams there.
 func (p *Pool) placeShort(now clock.Milli, a *Ask, readTime float64) (plan, bool) {
 	for _, r := range p.packOrder {
-		if !r.declared.limit.Stale(now) {
+		if !r.declared.limit.ProbeDue(now) {
 			continue
 		}
 		if first, ok := p.fitsShort(now, a, r, readTime, math.MaxInt); ok {
@@ -254,7 +254,7 @@
 		if r.hasShortStreams() {
 			score = -1 - r.streams
 		}
-		if r.declared.limit.Stale(now) {
+		if r.declared.limit.ProbeDue(now) {
 			score = math.MaxInt
 		}
 		if (r.streams == 0 || canLead) && r.streams < r.engine.Slots && score > bestScore && r.freeMemory() >= min(a.Prompt+a.Output, r.usableMemory()) {
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -258,7 +258,7 @@
 	}
 	d.Grant = p.grant(now, a, pl)
 	if s, known := pl.leader.declared.limit.Statement(); known {
-		limit := s.Aged(now, pl.leader.ID)
+		limit := s.Message(now, pl.leader.ID)
 		d.Limit = &limit
 	}
 	if w.long {
--- a/lib/decide/span/snapshot.go
+++ b/lib/decide/span/snapshot.go
@@ -36,7 +36,7 @@
 // statements.
 type UpstreamSnapshot struct {
 	Upstream decide.UpstreamID
-	Born     decide.Born
+	Born     decide.Incarnation
 	// Debt is the backlog of prefill time in milliseconds.
 	Debt float64
 	// Strikes counts failures since the last success. Shut is how long the upstream is still
@@ -53,7 +53,7 @@
 	Doubtful, Suspected bool
 	// Statements are what the upstream declared about itself. Allowed is how many requests its rate
 	// limit admits now.
-	Statements []statement.Aged
+	Statements []statement.Message
 	Allowed    float64
 	// Shed is set if a probe request has to show whether the upstream accepts requests again.
 	Shed bool
--- a/lib/decide/span/span.go
+++ b/lib/decide/span/span.go
@@ -80,7 +80,7 @@
 	Upstream decide.UpstreamID
 	// Born is the start time of the upstream's incarnation that was known when the grant was made;
 	// zero if unknown.
-	Born    decide.Born
+	Born    decide.Incarnation
 	Address string
 	// Reserve is the KV memory in tokens that must be reserved on the upstream before the request
 	// is sent; zero for none.
@@ -111,7 +111,7 @@
 	// Reason names the rule that decided, for the log.
 	Reason string
 	// Limit is the last known rate limit of the leader; nil if it declared none.
-	Limit *statement.Aged
+	Limit *statement.Message
 }
 
 // Outcome is the way a send ended, as far as it bears on the health of the upstream.
--- a/lib/decide/statement/statement.go
+++ b/lib/decide/statement/statement.go
@@ -20,16 +20,16 @@
 const (
 	// Limit is how many requests a second the upstream takes. It binds all VMs together.
 	Limit Kind = iota
-	// Rest is a time in which the upstream wants nothing from the VM that it answered. It binds that VM.
-	Rest
+	// BackOff is a time in which the upstream wants nothing from the VM that it answered. It binds that VM.
+	BackOff
 	// Leaving tells that the upstream ends soon. It binds each VM that it answered, until a later life.
 	Leaving
 )
 
 // kinds lists all of them.
-var kinds = [...]Kind{Limit, Rest, Leaving}
+var kinds = [...]Kind{Limit, BackOff, Leaving}
 
-var kindNames = [...]string{Limit: "limit", Rest: "rest", Leaving: "leaving"}
+var kindNames = [...]string{Limit: "limit", BackOff: "rest", Leaving: "leaving"}
 
 // String returns the kind's name.
 func (k Kind) String() string {
@@ -51,7 +51,7 @@
 	// Gate is the VM, in one life of its, that the upstream answered; empty for a Limit.
 	Gate decide.GateID
 	// Born is the upstream's life that answered; zero if it is not known.
-	Born decide.Born
+	Born decide.Incarnation
 	// At is an instant at which the statement certainly held: the arrival of an answer that says it; of an answer that
 	// names no limit the sending of its request, since other answers may have overtaken it.
 	At clock.Milli
@@ -67,7 +67,7 @@
 		return s.Born > before.Born
 	}
 	switch s.Kind {
-	case Rest:
+	case BackOff:
 		return s.Until > before.Until
 	case Leaving:
 		return false
@@ -79,17 +79,17 @@
 	}
 }
 
-// Same reports whether two statements of a kind mean the same to who acts on them.
-func (s Statement) Same(o Statement) bool {
+// Equivalent reports whether two statements of a kind mean the same to who acts on them.
+func (s Statement) Equivalent(o Statement) bool {
 	return s.Named == o.Named && s.Rate == o.Rate && s.Until == o.Until && s.Born == o.Born
 }
 
-// Binds reports whether the VM that was answered must send nothing to a life of the upstream now; born is zero if that is not known.
-func (s Statement) Binds(now clock.Milli, born decide.Born) bool {
+// Blocks reports whether the VM that was answered must send nothing to a life of the upstream now; born is zero if that is not known.
+func (s Statement) Blocks(now clock.Milli, born decide.Incarnation) bool {
 	if s.Born > 0 && born > s.Born {
 		return false
 	}
-	return s.Kind == Leaving || s.Kind == Rest && now < s.Until
+	return s.Kind == Leaving || s.Kind == BackOff && now < s.Until
 }
 
 // subject is what a statement is about.
@@ -124,7 +124,7 @@
 	case known && !s.Supersedes(before.Statement):
 		return false
 	}
-	changed := !known || !s.Same(before.Statement)
+	changed := !known || !s.Equivalent(before.Statement)
 	if changed {
 		t.version++
 		before.version = t.version
@@ -139,10 +139,10 @@
 	return e.Statement, ok
 }
 
-// Binding returns a statement by which nothing must be sent to a life of an upstream now, if there is one.
-func (t *Table) Binding(now clock.Milli, u decide.UpstreamID, born decide.Born) (Statement, bool) {
+// Blocking returns a statement by which nothing must be sent to a life of an upstream now, if there is one.
+func (t *Table) Blocking(now clock.Milli, u decide.UpstreamID, born decide.Incarnation) (Statement, bool) {
 	for _, k := range kinds {
-		if s, ok := t.Of(u, k); ok && s.Binds(now, born) {
+		if s, ok := t.Of(u, k); ok && s.Blocks(now, born) {
 			return s, true
 		}
 	}
@@ -150,25 +150,25 @@
 }
 
 // About lists what is known of an upstream.
-func (t *Table) About(now clock.Milli, u decide.UpstreamID) []Aged {
-	var out []Aged
+func (t *Table) About(now clock.Milli, u decide.UpstreamID) []Message {
+	var out []Message
 	for _, k := range kinds {
 		if s, ok := t.Of(u, k); ok {
-			out = append(out, s.Aged(now, u))
+			out = append(out, s.Message(now, u))
 		}
 	}
 	return out
 }
 
 // Since lists the statements that changed after a version, with the version up to which they are listed.
-func (t *Table) Since(now clock.Milli, version uint64) ([]Aged, uint64) {
+func (t *Table) Since(now clock.Milli, version uint64) ([]Message, uint64) {
 	if version == t.version {
 		return nil, version
 	}
-	var out []Aged
+	var out []Message
 	for key, e := range t.rows {
 		if e.version > version {
-			out = append(out, e.Aged(now, key.upstream))
+			out = append(out, e.Message(now, key.upstream))
 		}
 	}
 	return out, t.version
@@ -177,7 +177,7 @@
 // Each calls f for each statement that is in force.
 func (t *Table) Each(now clock.Milli, f func(decide.UpstreamID, Statement)) {
 	for key, s := range t.rows {
-		if s.Named && (s.Kind != Rest || now < s.Until) {
+		if s.Named && (s.Kind != BackOff || now < s.Until) {
 			f(key.upstream, s.Statement)
 		}
 	}
@@ -186,16 +186,16 @@
 const (
 	// overLives is how long a table keeps that a limit or a rest is over: as long as an older statement may still be on its way.
 	overLives = 10 * clock.Second
-	// AbsentLives is how long the statements of an upstream that is not listed are kept: lists lose upstreams that live for seconds.
-	AbsentLives = clock.Minute
+	// AbsentRetention is how long the statements of an upstream that is not listed are kept: lists lose upstreams that live for seconds.
+	AbsentRetention = clock.Minute
 )
 
 // Forget drops what nobody needs any more.
 func (t *Table) Forget(now clock.Milli, listed func(decide.UpstreamID) bool) {
 	for key, s := range t.rows {
 		age := now - max(s.At, s.Until)
-		over := !s.Named || s.Kind == Rest
-		if over && age > overLives || age > AbsentLives && !listed(key.upstream) {
+		over := !s.Named || s.Kind == BackOff
+		if over && age > overLives || age > AbsentRetention && !listed(key.upstream) {
 			delete(t.rows, key)
 		}
 	}
--- a/lib/decide/statement/statement_test.go
+++ b/lib/decide/statement/statement_test.go
@@ -58,10 +58,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		said := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Statement {
 			s := Statement{
-				Kind: rapid.SampledFrom([]Kind{Rest, Leaving}).Draw(t, "kind"), Named: true,
-				Born: decide.Born(rapid.IntRange(1, 3).Draw(t, "born")), At: clock.Milli(rapid.IntRange(0, 1000).Draw(t, "at")),
+				Kind: rapid.SampledFrom([]Kind{BackOff, Leaving}).Draw(t, "kind"), Named: true,
+				Born: decide.Incarnation(rapid.IntRange(1, 3).Draw(t, "born")), At: clock.Milli(rapid.IntRange(0, 1000).Draw(t, "at")),
 			}
-			if s.Kind == Rest {
+			if s.Kind == BackOff {
 				s.Until = s.At + clock.Milli(rapid.IntRange(1, 1000).Draw(t, "rest"))
 			}
 			return s
@@ -74,9 +74,9 @@
 			y.Learn("u", s)
 		}
 		for now := clock.Milli(0); now < 2100; now += 100 {
-			for born := range decide.Born(4) {
-				_, one := x.Binding(now, "u", born)
-				_, other := y.Binding(now, "u", born)
+			for born := range decide.Incarnation(4) {
+				_, one := x.Blocking(now, "u", born)
+				_, other := y.Blocking(now, "u", born)
 				require.Equal(t, one, other, "at %v of life %d", now, born)
 			}
 		}
@@ -85,8 +85,8 @@
 
 // A message is passed on by a VM that holds it for a while. The rest that it tells of must not grow by that.
 func TestAPassedOnRestEndsWhenItDid(t *testing.T) {
-	s := Statement{Kind: Rest, Named: true, Gate: "g", Born: 3, At: 1000, Until: 4000}
-	a := s.Aged(1500, "u").Older(200)
+	s := Statement{Kind: BackOff, Named: true, Gate: "g", Born: 3, At: 1000, Until: 4000}
+	a := s.Message(1500, "u").Older(200)
 	got := a.Statement(7_700) // the receiver's clock is 6,000 ahead
-	require.Equal(t, Statement{Kind: Rest, Named: true, Gate: "g", Born: 3, At: 7000, Until: 10_000}, got)
+	require.Equal(t, Statement{Kind: BackOff, Named: true, Gate: "g", Born: 3, At: 7000, Until: 10_000}, got)
 }
--- a/lib/decide/view.go
+++ b/lib/decide/view.go
@@ -6,8 +6,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Waiting is a queued request as an operator sees it.
-type Waiting struct {
+// QueuedRequest is a queued request as an operator sees it.
+type QueuedRequest struct {
 	Request RequestID
 	// Workspace, Urgency and Long name the queue it is in.
 	Workspace WorkspaceID
@@ -17,21 +17,21 @@
 	Since, Latest clock.Milli
 }
 
-// View is an upstream as an operator sees it.
-type View struct {
+// UpstreamView is an upstream as an operator sees it.
+type UpstreamView struct {
 	Upstream
 	// Side is "long", "short" or "any", as in Order.Role.
 	Side string
 	// Running counts grants; Ghosts of these lapsed and are not yet gone.
-	Running, Ghosts int
-	// Taken is memory of grants, Foreign what others hold by the engine's report.
-	Taken, Foreign Tokens
-	// Ahead is the estimated time until all granted prompts are prefilled.
-	Ahead clock.Milli
-	// Slow is how many times slower than rated it prefills.
-	Slow float64
-	// Claimed is memory kept free for a request that needs much at once.
-	Claimed Tokens
+	Running, Orphans int
+	// Reserved is memory of grants, Foreign what others hold by the engine's report.
+	Reserved, External Tokens
+	// Backlog is the estimated time until all granted prompts are prefilled.
+	Backlog clock.Milli
+	// Slowdown is how many times slower than rated it prefills.
+	Slowdown float64
+	// Earmarked is memory kept free for a request that needs much at once.
+	Earmarked Tokens
 }
 
 // Grants lists all live grants by id.
@@ -49,37 +49,37 @@
 }
 
 // Queue lists all queued requests, the one that must start first ahead.
-func (p *Pool) Queue() []Waiting {
-	list := make([]Waiting, 0, len(p.queued))
+func (p *Pool) Queue() []QueuedRequest {
+	list := make([]QueuedRequest, 0, len(p.queued))
 	for _, w := range p.queued {
-		list = append(list, Waiting{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.since, w.latest})
+		list = append(list, QueuedRequest{w.ID, w.Workspace, w.Urgency, w.flow.lane.long, w.since, w.latest})
 	}
-	slices.SortFunc(list, func(a, b Waiting) int { return int(a.Latest - b.Latest) })
+	slices.SortFunc(list, func(a, b QueuedRequest) int { return int(a.Latest - b.Latest) })
 	return list
 }
 
 // Upstreams lists all upstreams in ascending order.
-func (p *Pool) Upstreams(now clock.Milli) []View {
+func (p *Pool) Upstreams(now clock.Milli) []UpstreamView {
 	if p.stale {
 		p.rebuild(now)
 	}
-	list := make([]View, 0, len(p.upstreams))
+	list := make([]UpstreamView, 0, len(p.upstreams))
 	for _, u := range p.upstreams {
 		u.drain(now)
-		v := View{
-			Upstream: u.spec,
-			Side:     u.side.role(),
-			Running:  u.running,
-			Taken:    u.taken,
-			Foreign:  u.foreign,
-			Ahead:    clock.Milli(u.ahead / u.rate()),
-			Slow:     u.slow,
-			Claimed:  u.claimed,
+		v := UpstreamView{
+			Upstream:  u.spec,
+			Side:      u.side.role(),
+			Running:   u.running,
+			Reserved:  u.taken,
+			External:  u.foreign,
+			Backlog:   clock.Milli(u.ahead / u.rate()),
+			Slowdown:  u.slow,
+			Earmarked: u.claimed,
 		}
 		v.Leaving = u.leaving()
 		for _, g := range u.grants {
 			if g.ghost > 0 {
-				v.Ghosts++
+				v.Orphans++
 			}
 		}
 		list = append(list, v)
--- a/lib/decide/word_test.go
+++ b/lib/decide/word_test.go
@@ -14,7 +14,7 @@
 // gets next to no work, and ward officers wait seconds before idle engines.
 func TestLateWordOfAFirstTokenDoesNotMakeAnEngineSlow(t *testing.T) {
 	b := newBed(t, 1)
-	b.pool.config.Delay = 1300
+	b.pool.config.ProgressDelay = 1300
 	for i := range 20 {
 		r := b.request(string(rune('a' + i)))
 		r.Prompt = 2000 // 100 ms of prefill
@@ -24,7 +24,7 @@
 		b.pool.Progress(made+100, b.grant(string(r.ID)).ID, true, 5)
 		b.finish(string(r.ID), Done)
 	}
-	require.InDelta(t, 1, b.view(0).Slow, 0.05)
+	require.InDelta(t, 1, b.view(0).Slowdown, 0.05)
 }
 
 // A dossier of half a million tokens takes both engines of a small failure
--- a/lib/exchange/exchange.go
+++ b/lib/exchange/exchange.go
@@ -58,7 +58,7 @@
 	// as fast); zero if not reported.
 	Pace float64
 	// Born is the start time of the upstream's incarnation that reports; zero if not reported.
-	Born     decide.Born
+	Born     decide.Incarnation
 	Declared Declared
 }
 
--- a/lib/route/doc.go
+++ b/lib/route/doc.go
@@ -146,7 +146,7 @@
 	ID decide.UpstreamID
 	// Born is the start time of the incarnation: an upstream that crashed may restart under the
 	// same ID.
-	Born    decide.Born
+	Born    decide.Incarnation
 	Service ServiceID
 	// Address may be reused by another upstream after this one has ended.
 	Address string
--- a/operator/stand_test.go
+++ b/operator/stand_test.go
@@ -135,11 +135,11 @@
 		[]answers.Grant{{Grant: 77, Pool: "notice-writer@tvm-hall", Owner: "vm-1", Request: "r-1", Workspace: "ward-inspectors", Gate: "vm-1/1", Upstreams: []decide.UpstreamID{"runner-01", "runner-02"}, Urgency: 1, Prompt: 600000, Output: 800, Reserved: 300400, Lease: 4200, Left: 533000}},
 		[]answers.Grant{})
 	page(answers.PathUsage,
-		[]answers.Counter{
+		[]answers.UsageCounter{
 			{VM: "vm-1", Incarnation: 1, Workspace: "ward-inspectors", Usage: answers.Usage{Requests: 10, Prompt: 50000, Cached: 20000, Output: 4000}},
 			{VM: "vm-2", Incarnation: 4, Workspace: "ward-inspectors", Usage: answers.Usage{Requests: 1, Prompt: 100, Output: 10}},
 		},
-		[]answers.Counter{
+		[]answers.UsageCounter{
 			{VM: "vm-2", Incarnation: 4, Workspace: "ward-inspectors", Usage: answers.Usage{Requests: 2, Prompt: 300, Output: 20}},
 			{VM: "vm-2", Incarnation: 4, Workspace: "sms-desk", Usage: answers.Usage{Requests: 5, Prompt: 900}},
 		})
@@ -151,7 +151,7 @@
 		}
 	})
 	page(answers.PathServices,
-		answers.Relay{
+		answers.RelayStatus{
 			VM: "vm-1", Era: 2,
 			Services: []answers.Service{
 				{Service: "notice-writer", Holder: "vm-2", Epoch: 3, Since: 242_000, Successor: "vm-1", Upstreams: 18},
@@ -163,7 +163,7 @@
 				{Service: "notice-writer", Upstream: "u-2", Kind: "rest", Gate: "vm-1/7", Left: 2500, Age: 500},
 			},
 		},
-		answers.Relay{
+		answers.RelayStatus{
 			VM: "vm-2", Era: 2,
 			Services:   []answers.Service{{Service: "notice-writer", Holder: "vm-2", Epoch: 4, Since: 1500, Successor: "vm-1", Upstreams: 18}},
 			Statements: []answers.Statement{},
