--- a/lib/document/diff.go
+++ b/lib/document/diff.go
@@ -10,9 +10,9 @@
 
 // Change is one difference between two documents.
 type Change struct {
-	// Path names the field by the names of the entries: "kinds.draft.allowed".
+	// Path is the path of the field, with entries of lists by name: "kinds.draft.allowed".
 	Path string `json:"path"`
-	// Before and After are JSON values; empty where the field is absent.
+	// Before and After are the field's JSON values; empty if the document lacks the field.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -29,8 +29,8 @@
 	}
 }
 
-// Compare lists what differs in effect, by path. Comments, layout and the order
-// of entries do not count, but for the first kind, which is the default.
+// Compare returns the differences in effect between two documents, sorted by path. It ignores
+// comments, layout and the order of entries, except for the first kind, which is the default.
 func Compare(before, after *Document) ([]Change, error) {
 	a, err := flatten(before)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return changes, nil
 }
 
-// flatten maps each path to its value in JSON.
+// flatten returns the JSON value of each field of a document by path.
 func flatten(d *Document) (map[string]string, error) {
 	text, err := json.Marshal(d)
 	if err != nil {
@@ -67,42 +67,42 @@
 		return nil, err
 	}
 	flat := map[string]string{}
-	walk(flat, "", tree)
+	flattenValue(flat, "", tree)
 	if len(d.Kinds) > 0 {
 		flat["kinds (default)"] = strconv.Quote(d.Kinds[0].Name)
 	}
 	return flat, nil
 }
 
-func walk(flat map[string]string, path string, value any) {
+func flattenValue(flat map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, sub := range v {
-			walk(flat, dot(path, name), sub)
+			flattenValue(flat, joinPath(path, name), sub)
 		}
 	case []any:
 		for _, sub := range v {
-			walkEntry(flat, path, sub)
+			flattenEntry(flat, path, sub)
 		}
 	case nil:
 	default:
-		text, _ := json.Marshal(v) // a value that came from JSON
+		text, _ := json.Marshal(v) // can't fail: the value was decoded from JSON
 		flat[path] = string(text)
 	}
 }
 
-// walkEntry walks an entry of a list under its name; strings stand for themselves.
-func walkEntry(flat map[string]string, path string, entry any) {
+// flattenEntry adds an entry of a list under its name. A string is its own name.
+func flattenEntry(flat map[string]string, path string, entry any) {
 	switch e := entry.(type) {
 	case map[string]any:
 		name, _ := e["name"].(string)
-		walk(flat, dot(path, name), e)
+		flattenValue(flat, joinPath(path, name), e)
 	case string:
-		flat[dot(path, e)] = "true"
+		flat[joinPath(path, e)] = "true"
 	}
 }
 
-func dot(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -1,5 +1,5 @@
-// Package platformtest is an in-memory stand-in of the platform's store for
-// tests, with the store's faults at hand.
+// Package platformtest is an in-memory fake of the platform's store for tests, which can inject the
+// faults of the real store.
 package platformtest
 
 import (
@@ -12,64 +12,66 @@
 	"snipeshift.example/lib/platform"
 )
 
-type key struct {
+type objectKey struct {
 	kind platform.Kind
 	name platform.Name
 }
 
-// Store keeps objects in memory. Conditions are always judged on the newest
-// state, as the platform's store does; reads may be made stale.
+// Store is an in-memory store. As in the platform's store, conditions of writes are always checked
+// against the latest state, while reads may return an older one.
 type Store struct {
 	mu      sync.Mutex
 	version platform.Version
-	objects map[key]platform.Object
+	objects map[objectKey]platform.Object
 	vms     []platform.VM
-	// changed is closed and replaced with every write.
+	// changed is closed and replaced at every write.
 	changed chan struct{}
 
-	// stale, if not nil, is what reads are answered from.
-	stale  map[key]platform.Object
+	// stale, if not nil, is the state that reads return.
+	stale  map[objectKey]platform.Object
 	outage bool
-	deaf   bool
-	// held, if not nil, is what every call waits for.
-	held chan struct{}
-	// lostAnswers, lostWrites and late count writes yet to be met by that fault.
-	lostAnswers, lostWrites, late int
-	delayed                       []func()
-	counts                        platform.Counts
+	// watchesHang makes watches miss all changes.
+	watchesHang bool
+	// blocked, if not nil, is the channel that every call waits on.
+	blocked chan struct{}
+	// lostResponses, lostWrites and delayedWrites are the numbers of coming writes to which each fault applies.
+	lostResponses, lostWrites, delayedWrites int
+	// undelivered are the writes that Deliver applies.
+	undelivered []func()
+	counts      platform.Counts
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{objects: map[key]platform.Object{}, changed: make(chan struct{})}
+	return &Store{objects: map[objectKey]platform.Object{}, changed: make(chan struct{})}
 }
 
 // Outage makes every call fail with ErrUnavailable while on.
 func (s *Store) Outage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
 
-// DeadWatch makes watches wait in silence, whatever is written, while on.
-func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.deaf = on }
+// DeadWatch makes watches miss all changes and wait for their whole time while on.
+func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.watchesHang = on }
 
-// LoseAnswers makes the next n writes take effect and answer ErrUnknown.
-func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostAnswers = n }
+// LoseAnswers makes the next n writes take effect but return ErrUnknown.
+func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostResponses = n }
 
-// LoseWrites makes the next n writes vanish and answer ErrUnknown.
+// LoseWrites makes the next n writes return ErrUnknown without taking effect.
 func (s *Store) LoseWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostWrites = n }
 
-// DelayWrites makes the next n writes answer ErrUnknown and wait for Deliver.
-func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.late = n }
+// DelayWrites makes the next n writes return ErrUnknown and take effect only at Deliver.
+func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.delayedWrites = n }
 
-// Deliver applies the writes held back by DelayWrites, each under its condition.
+// Deliver applies the writes delayed by DelayWrites whose conditions hold.
 func (s *Store) Deliver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, apply := range s.delayed {
+	for _, apply := range s.undelivered {
 		apply()
 	}
-	s.delayed = nil
+	s.undelivered = nil
 }
 
-// Stale answers reads from the present state while on, whatever is written later.
+// Stale makes reads return the state at the time of this call while on, without later writes.
 func (s *Store) Stale(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,22 +79,22 @@
 	if !on {
 		return
 	}
-	s.stale = map[key]platform.Object{}
+	s.stale = map[objectKey]platform.Object{}
 	for k, o := range s.objects {
 		s.stale[k] = o
 	}
 }
 
-// Hold makes every call wait until release is called or its context ends.
+// Hold blocks every call until release is called or the context of the call ends.
 func (s *Store) Hold() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := make(chan struct{})
-	s.held = c
+	s.blocked = c
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.held = nil
+		s.blocked = nil
 		close(c)
 	}
 }
@@ -100,14 +102,15 @@
 // SetVMs sets the VM list.
 func (s *Store) SetVMs(vs ...platform.VM) { s.mu.Lock(); defer s.mu.Unlock(); s.vms = vs }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (s *Store) Counts() platform.Counts { s.mu.Lock(); defer s.mu.Unlock(); return s.counts }
 
-// enter waits while calls are held, and returns with the lock taken.
-func (s *Store) enter(ctx context.Context) error {
+// lockForCall waits while calls are blocked by Hold and fails during an outage. Without an error it
+// returns with the lock held.
+func (s *Store) lockForCall(ctx context.Context) error {
 	s.mu.Lock()
-	for s.held != nil {
-		c := s.held
+	for s.blocked != nil {
+		c := s.blocked
 		s.mu.Unlock()
 		select {
 		case <-c:
@@ -123,36 +126,36 @@
 	return nil
 }
 
-func (s *Store) view() map[key]platform.Object {
+func (s *Store) readView() map[objectKey]platform.Object {
 	if s.stale != nil {
 		return s.stale
 	}
 	return s.objects
 }
 
-// Get reads one object.
+// Get reads an object.
 func (s *Store) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Reads++
-	o, ok := s.view()[key{k, n}]
+	o, ok := s.readView()[objectKey{k, n}]
 	if !ok {
 		return platform.Object{}, platform.ErrNotFound
 	}
 	return o, nil
 }
 
-// List reads the objects of a kind in the order of their names.
+// List reads the objects of a kind, sorted by name.
 func (s *Store) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
 	s.counts.Reads++
 	var os []platform.Object
-	for at, o := range s.view() {
+	for at, o := range s.readView() {
 		if at.kind == k && strings.HasPrefix(string(at.name), prefix) {
 			os = append(os, o)
 		}
@@ -163,7 +166,7 @@
 
 // VMs reads the VM list.
 func (s *Store) VMs(ctx context.Context) ([]platform.VM, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.lockForCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
@@ -171,18 +174,18 @@
 	return append([]platform.VM(nil), s.vms...), nil
 }
 
-// Watch waits for a version above after.
+// Watch waits until the version of an object is above after, for at most wait.
 func (s *Store) Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait.Duration())
 	defer cancel()
 	for {
-		if err := s.enter(ctx); err != nil {
+		if err := s.lockForCall(ctx); err != nil {
 			return platform.Object{}, false, err
 		}
 		s.counts.Watches++
-		o, ok := s.view()[key{k, n}]
+		o, ok := s.readView()[objectKey{k, n}]
 		changed := s.changed
-		if s.deaf {
+		if s.watchesHang {
 			changed, ok = nil, false
 		}
 		s.mu.Unlock()
@@ -197,12 +200,12 @@
 	}
 }
 
-// Put writes one object under a condition.
+// Put writes an object if the condition holds.
 func (s *Store) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
 	if len(value) > platform.Limit {
 		return 0, platform.ErrRefused
 	}
-	at := key{k, n}
+	at := objectKey{k, n}
 	var v platform.Version
 	err := s.write(ctx, at, cond, func() {
 		s.version++
@@ -215,9 +218,9 @@
 	return v, nil
 }
 
-// Delete removes one object under a condition.
+// Delete deletes an object if the condition holds.
 func (s *Store) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
-	at := key{k, n}
+	at := objectKey{k, n}
 	found := true
 	err := s.write(ctx, at, cond, func() {
 		_, found = s.objects[at]
@@ -229,9 +232,9 @@
 	return err
 }
 
-// write applies a change under its condition and the faults that are set.
-func (s *Store) write(ctx context.Context, at key, cond platform.Condition, change func()) error {
-	if err := s.enter(ctx); err != nil {
+// write applies a change if its condition holds, subject to the faults that are set.
+func (s *Store) write(ctx context.Context, at objectKey, cond platform.Condition, change func()) error {
+	if err := s.lockForCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -249,12 +252,12 @@
 	case s.lostWrites > 0:
 		s.lostWrites--
 		return platform.ErrUnknown
-	case s.late > 0:
-		s.late--
-		s.delayed = append(s.delayed, func() { apply() })
+	case s.delayedWrites > 0:
+		s.delayedWrites--
+		s.undelivered = append(s.undelivered, func() { apply() })
 		return platform.ErrUnknown
-	case s.lostAnswers > 0:
-		s.lostAnswers--
+	case s.lostResponses > 0:
+		s.lostResponses--
 		apply()
 		return platform.ErrUnknown
 	case !apply():
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -14,16 +14,15 @@
 	"snipeshift.example/lib/decide"
 )
 
-type handClock struct{ now clock.Milli }
+type manualClock struct{ now clock.Milli }
 
-func (c *handClock) Now() clock.Milli { return c.now }
+func (c *manualClock) Now() clock.Milli { return c.now }
 
-// The clock of one VM is an hour behind that of another. Ordered by wall time,
-// the answer to a message would be drawn before the message, and an operator
-// would look for the cause on the wrong VM.
-func TestMergeOrdersCausesFirstDespiteClocks(t *testing.T) {
-	fast := New("daemon", "fast", 1, 8, &handClock{now: 2 * 3600 * clock.Second})
-	slow := New("daemon", "slow", 1, 8, &handClock{now: 3600 * clock.Second})
+// The clock of one VM is an hour behind that of another. Ordered by wall clock, the reply to a message
+// would precede the message, and an operator would look for the cause on the wrong VM.
+func TestMergeIsCausalDespiteClockSkew(t *testing.T) {
+	fast := New("daemon", "fast", 1, 8, &manualClock{now: 2 * 3600 * clock.Second})
+	slow := New("daemon", "slow", 1, 8, &manualClock{now: 3600 * clock.Second})
 
 	fast.Add(Event{Kind: Arrived, Request: "r"})
 	slow.Receive(fast.Send())
@@ -38,10 +37,10 @@
 	require.Equal(t, []Kind{Arrived, Granted, Sent}, got)
 }
 
-// A message arrives with a stamp from a broken clock, years ahead. If it were
-// taken over, every event of every VM would carry that year from then on.
-func TestReceiveIgnoresAStampFarAhead(t *testing.T) {
-	r := New("daemon", "a", 1, 8, &handClock{now: 1000})
+// A message arrives with a stamp that is years ahead because of a wrong clock. If it were accepted,
+// all later events of all VMs would be dated in that year.
+func TestReceiveIgnoresStampFarAhead(t *testing.T) {
+	r := New("daemon", "a", 1, 8, &manualClock{now: 1000})
 	r.Receive(Stamp(1<<64 - 1))
 	require.Less(t, r.Send(), StampOf(2000))
 }
@@ -49,14 +48,14 @@
 func TestMergeIsCausalForAnyExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const processes = 3
-		var clocks [processes]*handClock
+		var clocks [processes]*manualClock
 		var rings [processes]*Ring
 		for i := range rings {
-			clocks[i] = &handClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
+			clocks[i] = &manualClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
 			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
-		// before[i] lists events that process i knows of: each must be drawn before its next one.
-		var before [processes][]string
+		// preceding[i] lists the events that causally precede the next event of process i.
+		var preceding [processes][]string
 		causes := map[string][]string{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for n := range steps {
@@ -65,32 +64,32 @@
 			if rapid.Bool().Draw(t, "message") {
 				to := rapid.IntRange(0, processes-1).Draw(t, "to")
 				rings[to].Receive(rings[i].Send())
-				before[to] = append(before[to], before[i]...)
+				preceding[to] = append(preceding[to], preceding[i]...)
 				continue
 			}
 			id := string(rune('A' + n))
 			rings[i].Add(Event{Kind: Arrived, Text: id})
-			causes[id] = append([]string(nil), before[i]...)
-			before[i] = append(before[i], id)
+			causes[id] = append([]string(nil), preceding[i]...)
+			preceding[i] = append(preceding[i], id)
 		}
 		var parts [][]Event
 		for _, r := range rings {
 			parts = append(parts, r.Events(Filter{}))
 		}
-		place := map[string]int{}
+		position := map[string]int{}
 		for i, e := range Merge(parts) {
-			place[e.Text] = i
+			position[e.Text] = i
 		}
 		for id, cs := range causes {
 			for _, c := range cs {
-				require.Less(t, place[c], place[id])
+				require.Less(t, position[c], position[id])
 			}
 		}
 	})
 }
 
-func TestRingOverwritesTheOldest(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{now: 5})
+func TestRingOverwritesOldest(t *testing.T) {
+	r := New("daemon", "a", 1, 3, &manualClock{now: 5})
 	for range 5 {
 		r.Add(Event{Kind: Arrived})
 	}
@@ -100,8 +99,8 @@
 	require.Equal(t, uint64(5), got[2].Seq)
 }
 
-func TestRingBoundsTexts(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{})
+func TestAddTruncatesTexts(t *testing.T) {
+	r := New("daemon", "a", 1, 3, &manualClock{})
 	long := strings.Repeat("é", 500)
 	r.Add(Event{Request: decide.RequestID(long), Text: long})
 	e := r.Events(Filter{})[0]
@@ -110,7 +109,7 @@
 }
 
 func TestFilter(t *testing.T) {
-	c := &handClock{now: 100}
+	c := &manualClock{now: 100}
 	r := New("daemon", "a", 1, 8, c)
 	r.Add(Event{Kind: Arrived, Request: "r1", Workspace: "w1"})
 	c.now = 200
@@ -129,16 +128,16 @@
 	require.Zero(t, testing.AllocsPerRun(200, func() { r.Add(e) }))
 }
 
-func TestNilRingKeepsNothing(t *testing.T) {
+func TestNilRingRecordsNothing(t *testing.T) {
 	var r *Ring
 	r.Add(Event{Kind: Arrived})
 	r.Receive(r.Send())
 	require.Empty(t, r.Events(Filter{}))
 }
 
-func TestEveryKindHasItsOwnName(t *testing.T) {
+func TestKindNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for k := KindNone; k < kinds; k++ {
+	for k := KindNone; k < kindCount; k++ {
 		name := k.String()
 		require.NotEmpty(t, name)
 		require.False(t, seen[name], name)
@@ -197,15 +196,14 @@
 	require.LessOrEqual(t, unsafe.Sizeof(Event{})*DefaultSize, uintptr(6<<20))
 }
 
-// While an operator collects the ring, requests go on adding to it and
-// overwrite its oldest events. What is collected must still be whole events in
-// order, each once.
-func TestEventsWhileOthersAdd(t *testing.T) {
-	r := New("daemon", "a", 1, 2*batch, clock.New())
+// While Events copies the ring, requests add events to it and overwrite the oldest. The result must
+// still be in order and without duplicates.
+func TestEventsDuringConcurrentAdds(t *testing.T) {
+	r := New("daemon", "a", 1, 2*copyBatch, clock.New())
 	var adders sync.WaitGroup
 	for range 2 {
 		adders.Go(func() {
-			for range 20 * batch {
+			for range 20 * copyBatch {
 				r.Add(Event{Kind: Granted})
 			}
 		})
@@ -218,5 +216,5 @@
 		}
 	}
 	adders.Wait()
-	require.Len(t, r.Events(Filter{}), 2*batch)
+	require.Len(t, r.Events(Filter{}), 2*copyBatch)
 }
