--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -112,8 +112,8 @@
 		peers:          peer.NewServer(),
 	}
 	d.work, d.endWork = context.WithCancel(context.Background())
-	d.ring = timeline.New("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
-	d.store = &recordedStore{Client: platform.New(s.Platform, platform.DefaultTimeouts), ring: d.ring}
+	d.ring = timeline.NewRing("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
+	d.store = &recordedStore{Client: platform.NewClient(s.Platform, platform.DefaultTimeouts), ring: d.ring}
 	self := peer.Member{VM: s.Name, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Advertise, Operator: s.Contact}
 	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewSeedList(s.Peers, d.store), k)
 	d.directory = newDirectory(d.members, k, d.ring)
--- a/daemon/member/list_test.go
+++ b/daemon/member/list_test.go
@@ -19,11 +19,11 @@
 		platform.VM{Name: "c", Role: platform.Upstream, Address: "127.0.0.1:3", State: platform.Live},
 	)
 	l := NewSeedList([]string{"127.0.0.1:9"}, s)
-	s.Outage(true)
+	s.SetOutage(true)
 	require.Equal(t, []string{"127.0.0.1:9"}, l.Seeds(t.Context()))
-	s.Outage(false)
+	s.SetOutage(false)
 	want := []string{"127.0.0.1:9", "127.0.0.1:1"}
 	require.Equal(t, want, l.Seeds(t.Context()))
-	s.Outage(true)
+	s.SetOutage(true)
 	require.Equal(t, want, l.Seeds(t.Context()))
 }
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -176,7 +176,7 @@
 			s, known = old, o.Version
 		}
 	}
-	return b.store.Put(ctx, Kind, inc.objectName(), s.encode(), platform.At(known))
+	return b.store.Put(ctx, Kind, inc.objectName(), s.encode(), platform.IfVersion(known))
 }
 
 // writeReplicas writes the copies of counters whose incarnation is no longer live.
--- a/lib/document/check.go
+++ b/lib/document/check.go
@@ -30,7 +30,7 @@
 	c.checkWorkspaces(models, kinds)
 	c.checkUpstreams(domains, models, services)
 	if len(kinds) == 0 && (len(models) > 0 || len(services) > 0) {
-		c.source.Add("kinds", "has no entry, so no request could be served: add one")
+		c.source.AddProblem("kinds", "has no entry, so no request could be served: add one")
 	}
 }
 
@@ -40,7 +40,7 @@
 	seen := firstPaths{}
 	for i := range n {
 		namePath := fmt.Sprintf("%s[%d].name", path, i)
-		if c.source.Faulty(namePath) {
+		if c.source.HasProblem(namePath) {
 			continue
 		}
 		if !validName(name(i), extraChars) {
@@ -52,7 +52,7 @@
 }
 
 func (c *checker) reportInvalidName(path, extraChars string) {
-	c.source.Add(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extraChars)
+	c.source.AddProblem(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extraChars)
 }
 
 // validName reports whether a name can be used in paths, headers, metrics and pool ids without escaping.
@@ -74,15 +74,15 @@
 		seen[value] = path
 		return
 	}
-	c.source.Add(path, "%s, at line %d: use it once", problem, c.source.Line(first))
+	c.source.AddProblem(path, "%s, at line %d: use it once", problem, c.source.Line(first))
 }
 
 // checkReference reports a reference to a name that no entry of the table has.
 func (c *checker) checkReference(known firstPaths, name, path, table string) {
-	if _, ok := known[name]; ok || c.source.Faulty(path) {
+	if _, ok := known[name]; ok || c.source.HasProblem(path) {
 		return
 	}
-	c.source.Add(path, "names %q, which is not in %s: add it there or correct the name", name, table)
+	c.source.AddProblem(path, "names %q, which is not in %s: add it there or correct the name", name, table)
 }
 
 func (c *checker) checkServices(models, kinds firstPaths) {
@@ -90,7 +90,7 @@
 		path := fmt.Sprintf("services[%d]", i)
 		c.checkReference(kinds, s.Kind, path+".kind", "kinds")
 		if first, ok := models[s.Name]; ok {
-			c.source.Add(path+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
+			c.source.AddProblem(path+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
 		}
 	}
 }
@@ -119,11 +119,11 @@
 // checkKeyHash checks the hash of an API key. No problem repeats the value, since it may be the key
 // itself, entered by mistake.
 func (c *checker) checkKeyHash(seen firstPaths, key, path string) {
-	if c.source.Faulty(path) {
+	if c.source.HasProblem(path) {
 		return
 	}
 	if !isKeyHash(key) {
-		c.source.Add(path, `must be "sha256:" and 64 lower-case hex digits: print it with snipeshift hash; if this is a key itself, replace the key`)
+		c.source.AddProblem(path, `must be "sha256:" and 64 lower-case hex digits: print it with snipeshift hash; if this is a key itself, replace the key`)
 		return
 	}
 	c.checkUnique(seen, key, path, "is a key in use already")
@@ -138,15 +138,15 @@
 		c.checkAddress(addresses, u.Address, path+".address")
 		switch {
 		case u.Model != "" && u.Service != "":
-			c.source.Add(path+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
+			c.source.AddProblem(path+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
 		case u.Model != "":
 			c.checkReference(models, u.Model, path+".model", "models")
 			c.checkEngine(u, path)
 		case u.Service != "":
 			c.checkReference(services, u.Service, path+".service", "services")
 			c.checkPlainService(u, path)
-		case !c.source.Faulty(path) && !c.source.Faulty(path+".model") && !c.source.Faulty(path+".service"):
-			c.source.Add(path, "serves nothing: add a model or a service")
+		case !c.source.HasProblem(path) && !c.source.HasProblem(path+".model") && !c.source.HasProblem(path+".service"):
+			c.source.AddProblem(path, "serves nothing: add a model or a service")
 		}
 	}
 }
@@ -161,12 +161,12 @@
 }
 
 func (c *checker) checkAddress(seen firstPaths, address, path string) {
-	if c.source.Faulty(path) {
+	if c.source.HasProblem(path) {
 		return
 	}
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		c.source.Add(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
+		c.source.AddProblem(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
 		return
 	}
 	c.checkUnique(seen, a.String(), path, "is the address of an earlier upstream")
@@ -181,8 +181,8 @@
 }
 
 func (c *checker) checkPositive(n float64, path, unit string) {
-	if n <= 0 && !c.source.Faulty(path) {
-		c.source.Add(path, "must be above 0 for an engine: give its %s", unit)
+	if n <= 0 && !c.source.HasProblem(path) {
+		c.source.AddProblem(path, "must be above 0 for an engine: give its %s", unit)
 	}
 }
 
@@ -192,12 +192,12 @@
 	c.checkZero(float64(u.Prefill), path+".prefill")
 	c.checkZero(float64(u.Decode), path+".decode")
 	if u.Fenced {
-		c.source.Add(path+".fenced", "contradicts service: a plain service receives no orders, remove it")
+		c.source.AddProblem(path+".fenced", "contradicts service: a plain service receives no orders, remove it")
 	}
 }
 
 func (c *checker) checkZero(n float64, path string) {
 	if n != 0 {
-		c.source.Add(path, "contradicts service: a plain service has none, remove it")
+		c.source.AddProblem(path, "contradicts service: a plain service has none, remove it")
 	}
 }
--- a/lib/document/document.go
+++ b/lib/document/document.go
@@ -49,13 +49,13 @@
 	Name string `json:"name"`
 	// Urgency is 0 for answers needed immediately, up to 3 for work that can wait.
 	Urgency decide.Urgency `json:"urgency"`
-	// Allowed is the longest time from the arrival of a request to the end of its response, in
+	// TimeLimit is the longest time from the arrival of a request to the end of its response, in
 	// milliseconds.
-	Allowed clock.Milli `json:"allowed"`
+	TimeLimit clock.Milli `json:"allowed"`
 	// Output is the expected output in tokens of requests that set no limit.
 	Output decide.Tokens `json:"output"`
-	// Repeat is false if a request must run at most once.
-	Repeat bool `json:"repeat"`
+	// Repeatable is false if a request must run at most once.
+	Repeatable bool `json:"repeat"`
 }
 
 // Workspace is a customer of the system, to whom usage is charged.
--- a/lib/document/index.go
+++ b/lib/document/index.go
@@ -92,10 +92,10 @@
 // Document returns the document the index was built from.
 func (x *Index) Document() *Document { return x.document }
 
-// Key returns the workspace that an API key belongs to. Its duration does not reveal how many
-// characters of a guessed key are right: the map is looked up by a hash of the guess, no part of
-// which an attacker can choose, and the digests in a bucket are compared in constant time.
-func (x *Index) Key(key string) (*Workspace, bool) {
+// WorkspaceByKey returns the workspace that an API key belongs to. Its duration does not reveal how
+// many characters of a guessed key are right: the map is looked up by a hash of the guess, no part
+// of which an attacker can choose, and the digests in a bucket are compared in constant time.
+func (x *Index) WorkspaceByKey(key string) (*Workspace, bool) {
 	d := keyDigest(sha256.Sum256([]byte(key)))
 	var found *Workspace
 	for _, e := range x.keys[bucket(d)] {
@@ -155,12 +155,12 @@
 	return PoolOf(u.Model+u.Service, peer.Domain(u.Domain))
 }
 
-// Allows reports whether the workspace may send requests of a kind.
-func (w *Workspace) Allows(kind string) bool {
+// AllowsKind reports whether the workspace may send requests of a kind.
+func (w *Workspace) AllowsKind(kind string) bool {
 	return len(w.Kinds) == 0 || slices.Contains(w.Kinds, kind)
 }
 
-// Reaches reports whether the workspace may use a model.
-func (w *Workspace) Reaches(model string) bool {
+// AllowsModel reports whether the workspace may use a model.
+func (w *Workspace) AllowsModel(model string) bool {
 	return len(w.Models) == 0 || slices.Contains(w.Models, model)
 }
--- a/lib/document/key.go
+++ b/lib/document/key.go
@@ -11,9 +11,9 @@
 // keyDigest is the SHA-256 of an API key.
 type keyDigest [sha256.Size]byte
 
-// Hash returns the hash of an API key that the document contains: "sha256:" and 64 hex digits.
+// HashKey returns the hash of an API key that the document contains: "sha256:" and 64 hex digits.
 // Keys must be long and random, since the hash is neither slow nor salted.
-func Hash(key string) string {
+func HashKey(key string) string {
 	d := keyDigest(sha256.Sum256([]byte(key)))
 	return keyHashPrefix + hex.EncodeToString(d[:])
 }
--- a/lib/document/page_test.go
+++ b/lib/document/page_test.go
@@ -41,12 +41,12 @@
 func fieldTables() string {
 	var b strings.Builder
 	for _, table := range tables {
-		fmt.Fprintf(&b, "\n### %s\n\n%s.\n\n", table, capitalize(fieldTable[table].Text))
+		fmt.Fprintf(&b, "\n### %s\n\n%s.\n\n", table, capitalize(fieldTable[table].Description))
 		b.WriteString("| field | unit | default | bounds | meaning |\n| --- | --- | --- | --- | --- |\n")
 		for _, path := range sortedPaths() {
 			f := fieldTable[path]
 			if strings.HasPrefix(path, table+".") {
-				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", path, orDefault(f.Unit, "-"), defaultText(f), boundsText(f), f.Text)
+				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", path, orDefault(f.Unit, "-"), defaultText(f), boundsText(f), f.Description)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 
 func defaultText(f strict.Field) string {
 	switch {
-	case f.Need:
+	case f.Required:
 		return "needed"
 	case f.Default != nil:
 		return fmt.Sprint(f.Default)
--- a/lib/document/size_test.go
+++ b/lib/document/size_test.go
@@ -23,7 +23,7 @@
 	for i := range 3500 {
 		hashes := make([]string, keys)
 		for j := range hashes {
-			hashes[j] = `"` + Hash(fmt.Sprintf("key-%d-%d", i, j)) + `"`
+			hashes[j] = `"` + HashKey(fmt.Sprintf("key-%d-%d", i, j)) + `"`
 		}
 		fmt.Fprintf(&b, "{\"name\": \"workspace-%d\", \"weight\": 2, \"rate\": 40000, \"keys\": [%s]},\n", i, strings.Join(hashes, ", "))
 	}
@@ -68,6 +68,6 @@
 	d, _ := Parse([]byte(plannedDocument(1)), "planned")
 	x := NewIndex(d)
 	for b.Loop() {
-		x.Key("key-3000-0")
+		x.WorkspaceByKey("key-3000-0")
 	}
 }
--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -35,16 +35,16 @@
 	Holder = "holder"
 	// Report is an upstream's report of work that no grant accounts for, or the lack of a report.
 	Report = "report"
-	// Silent is an upstream that neither responds nor accepts connections.
-	Silent = "silent"
+	// Unresponsive is an upstream that neither responds nor accepts connections.
+	Unresponsive = "silent"
 	// Reserve and Release are failed orders to reserve or free memory of an engine.
 	Reserve = "reserve"
 	Release = "release"
 	// Limit is a change of the rate limit, in requests per second, that an upstream declares for all
 	// VMs together.
 	Limit = "limit"
-	// Rest is an upstream's request for a back-off of a VM; Leaving is its drain notice.
-	Rest    = "rest"
+	// BackOff is an upstream's request for a back-off of a VM; Leaving is its drain notice.
+	BackOff = "rest"
 	Leaving = "leaving"
 	// Withheld is a send that was skipped because of a statement of the upstream.
 	Withheld = "withheld"
@@ -56,32 +56,32 @@
 	Era = "era"
 )
 
-// Meanings describes each event in one line. The operations manual repeats these lines.
-var Meanings = map[string]string{
-	Request:     "a request has ended: route, workspace, document with its age, placement with the queue at the decision, each send, outcome",
-	Started:     "a process accepts requests of clients",
-	Stopping:    "a planned stop has begun, or a response is cut off at the end of the stop",
-	Stopped:     "a planned stop is complete",
-	Failed:      "a component of the process has failed; the process stops",
-	Applied:     "a document has been applied, with the age and source of the information",
-	Rejected:    "a document has been rejected, with the reason",
-	Engine:      "the performance data of a service's engines, on which placement is based, are new or have changed",
-	Upstreams:   "the first list of upstreams has been received",
-	Upstream:    "an upstream is new, changed, leaving or removed",
-	Unusable:    "an entry of the store does not describe a usable upstream, with the reason; logged once for each reason",
-	Unreachable: "a dependency does not respond: the store, an owner, a peer",
-	Reached:     "a dependency that was unreachable responds again",
-	Reader:      "the role of a VM in reading the store has changed: its rank, how many VMs that rank before it can reach the store, the age of its document",
-	Holder:      "another VM now owns a service: its epoch and the source of the information",
-	Report:      "an upstream reports work that no grant accounts for, or does not report",
-	Silent:      "an upstream neither responds nor accepts connections; the send is abandoned",
-	Reserve:     "memory for a part of a prompt could not be reserved",
-	Release:     "reserved memory could not be freed; the reservation expires by itself",
-	Limit:       "an upstream declares, changes or withdraws its rate limit, in requests per second from all VMs together; with the source of the information",
-	Rest:        "an upstream asks a VM for a back-off: the VM, the remaining time and the source of the information",
-	Leaving:     "an upstream announces in a response that it will shut down soon: the VM that received the response and the source of the information",
-	Withheld:    "a send is skipped because of a statement of its upstream: the statement and its age",
-	Unreadable:  "a statement of an upstream is malformed and is ignored",
-	Unknown:     "responses have a header field that no adapter interprets; logged once for each name",
-	Era:         "the store was restored from an older copy: its new and previous era, the position and age of the data known before, and the source of the information",
+// Descriptions describes each event in one line. The operations manual repeats these lines.
+var Descriptions = map[string]string{
+	Request:      "a request has ended: route, workspace, document with its age, placement with the queue at the decision, each send, outcome",
+	Started:      "a process accepts requests of clients",
+	Stopping:     "a planned stop has begun, or a response is cut off at the end of the stop",
+	Stopped:      "a planned stop is complete",
+	Failed:       "a component of the process has failed; the process stops",
+	Applied:      "a document has been applied, with the age and source of the information",
+	Rejected:     "a document has been rejected, with the reason",
+	Engine:       "the performance data of a service's engines, on which placement is based, are new or have changed",
+	Upstreams:    "the first list of upstreams has been received",
+	Upstream:     "an upstream is new, changed, leaving or removed",
+	Unusable:     "an entry of the store does not describe a usable upstream, with the reason; logged once for each reason",
+	Unreachable:  "a dependency does not respond: the store, an owner, a peer",
+	Reached:      "a dependency that was unreachable responds again",
+	Reader:       "the role of a VM in reading the store has changed: its rank, how many VMs that rank before it can reach the store, the age of its document",
+	Holder:       "another VM now owns a service: its epoch and the source of the information",
+	Report:       "an upstream reports work that no grant accounts for, or does not report",
+	Unresponsive: "an upstream neither responds nor accepts connections; the send is abandoned",
+	Reserve:      "memory for a part of a prompt could not be reserved",
+	Release:      "reserved memory could not be freed; the reservation expires by itself",
+	Limit:        "an upstream declares, changes or withdraws its rate limit, in requests per second from all VMs together; with the source of the information",
+	BackOff:      "an upstream asks a VM for a back-off: the VM, the remaining time and the source of the information",
+	Leaving:      "an upstream announces in a response that it will shut down soon: the VM that received the response and the source of the information",
+	Withheld:     "a send is skipped because of a statement of its upstream: the statement and its age",
+	Unreadable:   "a statement of an upstream is malformed and is ignored",
+	Unknown:      "responses have a header field that no adapter interprets; logged once for each name",
+	Era:          "the store was restored from an older copy: its new and previous era, the position and age of the data known before, and the source of the information",
 }
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -34,9 +34,10 @@
 	watchesHang bool
 	// blocked, if not nil, is the channel that every call waits on.
 	blocked chan struct{}
-	// lostResponses, lostWrites and delayedWrites are the numbers of coming writes to which each fault applies.
+	// lostResponses, lostWrites and delayedWrites are the numbers of coming writes to which each
+	// fault applies.
 	lostResponses, lostWrites, delayedWrites int
-	// undelivered are the writes that Deliver applies.
+	// undelivered are the writes that DeliverDelayed applies.
 	undelivered []func()
 	counts      platform.Counts
 }
@@ -46,23 +47,23 @@
 	return &Store{objects: map[objectKey]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Outage makes every call fail with ErrUnavailable while on.
-func (s *Store) Outage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
+// SetOutage makes every call fail with ErrUnavailable while on.
+func (s *Store) SetOutage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
 
-// DeadWatch makes watches miss all changes and wait for their whole time while on.
-func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.watchesHang = on }
+// SetWatchesHang makes watches miss all changes and wait for their whole time while on.
+func (s *Store) SetWatchesHang(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.watchesHang = on }
 
-// LoseAnswers makes the next n writes take effect but return ErrUnknown.
-func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostResponses = n }
+// LoseResponses makes the next n writes take effect but return ErrUnknown.
+func (s *Store) LoseResponses(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostResponses = n }
 
 // LoseWrites makes the next n writes return ErrUnknown without taking effect.
 func (s *Store) LoseWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostWrites = n }
 
-// DelayWrites makes the next n writes return ErrUnknown and take effect only at Deliver.
+// DelayWrites makes the next n writes return ErrUnknown and take effect only at DeliverDelayed.
 func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.delayedWrites = n }
 
-// Deliver applies the writes delayed by DelayWrites whose conditions hold.
-func (s *Store) Deliver() {
+// DeliverDelayed applies the writes delayed by DelayWrites whose conditions hold.
+func (s *Store) DeliverDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, apply := range s.undelivered {
@@ -71,8 +72,8 @@
 	s.undelivered = nil
 }
 
-// Stale makes reads return the state at the time of this call while on, without later writes.
-func (s *Store) Stale(on bool) {
+// SetStale makes reads return the state at the time of this call while on, without later writes.
+func (s *Store) SetStale(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = nil
@@ -85,8 +86,8 @@
 	}
 }
 
-// Hold blocks every call until release is called or the context of the call ends.
-func (s *Store) Hold() (release func()) {
+// BlockCalls blocks every call until release is called or the context of the call ends.
+func (s *Store) BlockCalls() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := make(chan struct{})
@@ -105,7 +106,7 @@
 // Counts returns the numbers of calls so far.
 func (s *Store) Counts() platform.Counts { s.mu.Lock(); defer s.mu.Unlock(); return s.counts }
 
-// lockForCall waits while calls are blocked by Hold and fails during an outage. Without an error it
+// lockForCall waits while calls are blocked by BlockCalls and fails during an outage. Without an error it
 // returns with the lock held.
 func (s *Store) lockForCall(ctx context.Context) error {
 	s.mu.Lock()
@@ -202,7 +203,7 @@
 
 // Put writes an object if the condition holds.
 func (s *Store) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
-	if len(value) > platform.Limit {
+	if len(value) > platform.MaxValueSize {
 		return 0, platform.ErrRefused
 	}
 	at := objectKey{k, n}
--- a/lib/platform/types.go
+++ b/lib/platform/types.go
@@ -17,8 +17,8 @@
 	Version uint64
 )
 
-// Limit is the largest value in bytes that the store accepts.
-const Limit = 1 << 20
+// MaxValueSize is the largest value in bytes that the store accepts.
+const MaxValueSize = 1 << 20
 
 // Object is an object of the store.
 type Object struct {
@@ -35,16 +35,16 @@
 	Version Version
 }
 
-// Always is the condition of an unconditional write.
-var Always = Condition{}
+// Unconditional is the condition of an unconditional write.
+var Unconditional = Condition{}
 
-// Absent is the condition that the object does not exist yet.
-var Absent = Condition{Absent: true}
+// IfAbsent is the condition that the object does not exist yet.
+var IfAbsent = Condition{Absent: true}
 
-// At is the condition that the object has version v; for zero, that it does not exist.
-func At(v Version) Condition {
+// IfVersion is the condition that the object has version v; for zero, that it does not exist.
+func IfVersion(v Version) Condition {
 	if v == 0 {
-		return Absent
+		return IfAbsent
 	}
 	return Condition{Version: v}
 }
@@ -95,8 +95,8 @@
 	// ErrUnknown means that the response to a write was lost. The write may have taken effect or may
 	// still do so later.
 	ErrUnknown = Class.New("outcome unknown")
-	// ErrRefused means that the call is invalid, for example because a value is larger than Limit.
-	// Repeating it does not help. A write had no effect.
+	// ErrRefused means that the call is invalid, for example because a value is larger than
+	// MaxValueSize. Repeating it does not help. A write had no effect.
 	ErrRefused = Class.New("refused")
 )
 
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -92,9 +92,9 @@
 	return s.problems
 }
 
-// Add records a problem with the field at path. If the file does not contain the field, the problem
+// AddProblem records a problem with the field at path. If the file does not contain the field, the problem
 // is reported at the line of its nearest parent.
-func (s *Source) Add(path, format string, args ...any) {
+func (s *Source) AddProblem(path, format string, args ...any) {
 	s.report(s.Line(path), path, format, args...)
 }
 
@@ -132,7 +132,7 @@
 func (s *Source) readObject(v *hujson.Value, into reflect.Value, path, tablePath string) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
-		s.Add(path, "must be an object {...}, not %s", typeName(v))
+		s.AddProblem(path, "must be an object {...}, not %s", typeName(v))
 		return
 	}
 	fields := fieldsOf(into.Type())
@@ -166,8 +166,8 @@
 		}
 		into := into.Field(fields[name])
 		f := s.table[joinPath(tablePath, name)]
-		if f.Need {
-			s.Add(joinPath(path, name), "is missing: add it (%s)", f.Text)
+		if f.Required {
+			s.AddProblem(joinPath(path, name), "is missing: add it (%s)", f.Description)
 		}
 		if f.Default != nil {
 			into.Set(reflect.ValueOf(f.Default).Convert(into.Type()))
@@ -182,7 +182,7 @@
 func (s *Source) readList(v *hujson.Value, into reflect.Value, path, tablePath string) {
 	a, ok := v.Value.(*hujson.Array)
 	if !ok {
-		s.Add(path, "must be a list [...], not %s", typeName(v))
+		s.AddProblem(path, "must be a list [...], not %s", typeName(v))
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(a.Elements), len(a.Elements)))
@@ -197,14 +197,14 @@
 	switch into.Kind() {
 	case reflect.String:
 		if l.Kind() != '"' {
-			s.Add(path, "must be a string, not %s", typeName(v))
+			s.AddProblem(path, "must be a string, not %s", typeName(v))
 			return
 		}
 		into.SetString(l.String())
 		s.checkString(l.String(), f, path)
 	case reflect.Bool:
 		if l.Kind() != 't' && l.Kind() != 'f' {
-			s.Add(path, "must be true or false, not %s", typeName(v))
+			s.AddProblem(path, "must be true or false, not %s", typeName(v))
 			return
 		}
 		into.SetBool(l.Bool())
@@ -214,12 +214,12 @@
 }
 
 func (s *Source) checkString(text string, f Field, path string) {
-	if len(f.Only) > 0 && !slices.Contains(f.Only, text) {
-		s.Add(path, "is %s: use one of %s", quote(text), strings.Join(f.Only, ", "))
+	if len(f.Enum) > 0 && !slices.Contains(f.Enum, text) {
+		s.AddProblem(path, "is %s: use one of %s", quote(text), strings.Join(f.Enum, ", "))
 		return
 	}
 	if f.Max > 0 && (float64(len(text)) < f.Min || float64(len(text)) > f.Max) {
-		s.Add(path, "has %d bytes: use %s to %s", len(text), formatNumber(f.Min), formatNumber(f.Max))
+		s.AddProblem(path, "has %d bytes: use %s to %s", len(text), formatNumber(f.Min), formatNumber(f.Max))
 	}
 }
 
@@ -227,24 +227,24 @@
 	whole := into.Kind() != reflect.Float64
 	l := toLiteral(v)
 	if l.Kind() != '0' {
-		s.Add(path, "must be a %s, not %s", numberText(whole, f.Unit), typeName(v))
+		s.AddProblem(path, "must be a %s, not %s", numberText(whole, f.Unit), typeName(v))
 		return
 	}
 	n, err := strconv.ParseFloat(string(l), 64)
 	if err != nil {
-		s.Add(path, "is too large: use %s", boundsText(f))
+		s.AddProblem(path, "is too large: use %s", boundsText(f))
 		return
 	}
 	if f.Max > f.Min && (n < f.Min || n > f.Max) {
-		s.Add(path, "is %s: use %s", l, boundsText(f))
+		s.AddProblem(path, "is %s: use %s", l, boundsText(f))
 		return
 	}
 	if whole && n != math.Trunc(n) {
-		s.Add(path, "is %s: must be a %s", l, numberText(whole, f.Unit))
+		s.AddProblem(path, "is %s: must be a %s", l, numberText(whole, f.Unit))
 		return
 	}
 	if !setNumber(into, n) {
-		s.Add(path, "is %s: use a smaller number", l)
+		s.AddProblem(path, "is %s: use a smaller number", l)
 	}
 }
 
@@ -277,6 +277,6 @@
 	s.problems = append(s.problems, Problem{s.name, line, path, fmt.Sprintf(format, args...)})
 }
 
-// Faulty reports whether the field at path itself has a problem already, so that later checks do
+// HasProblem reports whether the field at path itself has a problem already, so that later checks do
 // not report the consequences of that problem.
-func (s *Source) Faulty(path string) bool { return s.faulty[path] }
+func (s *Source) HasProblem(path string) bool { return s.faulty[path] }
--- a/lib/strict/schema.go
+++ b/lib/strict/schema.go
@@ -33,7 +33,7 @@
 	for name, sub := range s.Properties {
 		at := joinPath(path, name)
 		f := table[at]
-		if f.Need {
+		if f.Required {
 			s.Required = append(s.Required, name)
 		}
 		if err := annotateField(sub, f); err != nil {
@@ -52,7 +52,7 @@
 }
 
 func annotateField(s *jsonschema.Schema, f Field) error {
-	s.Description = f.Text
+	s.Description = f.Description
 	if len(s.Types) > 0 {
 		// The jsonschema package allows null for a list; Read does not.
 		s.Type, s.Types = "array", nil
@@ -72,14 +72,14 @@
 	if f.Unit != "" {
 		keywords[KeywordUnit] = f.Unit
 	}
-	if f.Ref != "" {
-		keywords[KeywordTable] = f.Ref
+	if f.RefersTo != "" {
+		keywords[KeywordTable] = f.RefersTo
 	}
 	return keywords
 }
 
 func setBounds(s *jsonschema.Schema, f Field) {
-	for _, o := range f.Only {
+	for _, o := range f.Enum {
 		s.Enum = append(s.Enum, o)
 	}
 	switch {
--- a/lib/timeline/event.go
+++ b/lib/timeline/event.go
@@ -2,8 +2,9 @@
 // several processes into one causal order.
 //
 // Every process has one Ring. Messages between processes carry a Stamp: the sender obtains it from
-// Ring.Send, the receiver passes it to Ring.Receive before it acts on the message. Merge then orders
-// the events of all processes so that no effect precedes its cause, although their clocks differ.
+// Ring.SendStamp, the receiver passes it to Ring.ReceiveStamp before it acts on the message. Merge
+// then orders the events of all processes so that no effect precedes its cause, although their clocks
+// differ.
 package timeline
 
 import (
--- a/lib/timeline/ring.go
+++ b/lib/timeline/ring.go
@@ -10,10 +10,10 @@
 	// DefaultSize is sufficient for the last 90 seconds of a VM with 30 requests per second and a
 	// dozen events each. It takes 5 MB, or 30 MB if every text has the maximum length.
 	DefaultSize = 1 << 15
-	// MaxID and MaxText are the largest recorded lengths of an id and a text, in bytes. Clients may
+	// MaxIDLen and MaxTextLen are the largest recorded lengths of an id and a text, in bytes. Clients may
 	// choose ids; without the bound a single client could exhaust the memory.
-	MaxID   = 128
-	MaxText = 256
+	MaxIDLen   = 128
+	MaxTextLen = 256
 )
 
 // Ring is a ring buffer of the last events of a process; new events overwrite the oldest. It is safe
@@ -30,8 +30,8 @@
 	seq uint64
 }
 
-// New returns a ring of size events for one incarnation of a process.
-func New(process, vm string, incarnation uint64, size int, w Wall) *Ring {
+// NewRing returns a ring of size events for one incarnation of a process.
+func NewRing(process, vm string, incarnation uint64, size int, w WallClock) *Ring {
 	return &Ring{
 		origin: Event{Process: process, VM: vm, Incarnation: incarnation},
 		clock:  hybridClock{wall: w},
@@ -46,11 +46,11 @@
 		return
 	}
 	e.Process, e.VM, e.Incarnation = r.origin.Process, r.origin.VM, r.origin.Incarnation
-	e.Request = truncate(e.Request, MaxID)
-	e.Workspace = truncate(e.Workspace, MaxID)
-	e.Upstream = truncate(e.Upstream, MaxID)
-	e.Peer = truncate(e.Peer, MaxID)
-	e.Text = truncate(e.Text, MaxText)
+	e.Request = truncate(e.Request, MaxIDLen)
+	e.Workspace = truncate(e.Workspace, MaxIDLen)
+	e.Upstream = truncate(e.Upstream, MaxIDLen)
+	e.Peer = truncate(e.Peer, MaxIDLen)
+	e.Text = truncate(e.Text, MaxTextLen)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// Stamp and Seq are assigned under the same lock, so that they order events alike.
@@ -68,8 +68,8 @@
 	return S(strings.ToValidUTF8(strings.Clone(string(s[:maxLen])), ""))
 }
 
-// Send returns the stamp for an outgoing message to another process.
-func (r *Ring) Send() Stamp {
+// SendStamp returns the stamp for an outgoing message to another process.
+func (r *Ring) SendStamp() Stamp {
 	if r == nil {
 		return 0
 	}
@@ -77,8 +77,8 @@
 	return s
 }
 
-// Receive processes the stamp of an incoming message. Events added later are ordered after it.
-func (r *Ring) Receive(s Stamp) {
+// ReceiveStamp processes the stamp of an incoming message. Events added later are ordered after it.
+func (r *Ring) ReceiveStamp(s Stamp) {
 	if r == nil {
 		return
 	}
--- a/lib/timeline/stamp.go
+++ b/lib/timeline/stamp.go
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// Wall is the wall clock of the process.
-type Wall interface {
+// WallClock is the wall clock of the process.
+type WallClock interface {
 	Now() clock.Milli
 }
 
 // hybridClock is a hybrid logical clock. Its stamps increase strictly.
 type hybridClock struct {
-	wall Wall
+	wall WallClock
 	mu   sync.Mutex
 	// last is the largest stamp issued or received.
 	last Stamp
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -21,13 +21,13 @@
 // The clock of one VM is an hour behind that of another. Ordered by wall clock, the reply to a message
 // would precede the message, and an operator would look for the cause on the wrong VM.
 func TestMergeIsCausalDespiteClockSkew(t *testing.T) {
-	fast := New("daemon", "fast", 1, 8, &manualClock{now: 2 * 3600 * clock.Second})
-	slow := New("daemon", "slow", 1, 8, &manualClock{now: 3600 * clock.Second})
+	fast := NewRing("daemon", "fast", 1, 8, &manualClock{now: 2 * 3600 * clock.Second})
+	slow := NewRing("daemon", "slow", 1, 8, &manualClock{now: 3600 * clock.Second})
 
 	fast.Add(Event{Kind: Arrived, Request: "r"})
-	slow.Receive(fast.Send())
+	slow.ReceiveStamp(fast.SendStamp())
 	slow.Add(Event{Kind: Granted, Request: "r"})
-	fast.Receive(slow.Send())
+	fast.ReceiveStamp(slow.SendStamp())
 	fast.Add(Event{Kind: Sent, Request: "r"})
 
 	var got []Kind
@@ -40,9 +40,9 @@
 // A message arrives with a stamp that is years ahead because of a wrong clock. If it were accepted,
 // all later events of all VMs would be dated in that year.
 func TestReceiveIgnoresStampFarAhead(t *testing.T) {
-	r := New("daemon", "a", 1, 8, &manualClock{now: 1000})
-	r.Receive(Stamp(1<<64 - 1))
-	require.Less(t, r.Send(), StampOf(2000))
+	r := NewRing("daemon", "a", 1, 8, &manualClock{now: 1000})
+	r.ReceiveStamp(Stamp(1<<64 - 1))
+	require.Less(t, r.SendStamp(), StampOf(2000))
 }
 
 func TestMergeIsCausalForAnyExchange(t *testing.T) {
@@ -52,7 +52,7 @@
 		var rings [processes]*Ring
 		for i := range rings {
 			clocks[i] = &manualClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
-			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
+			rings[i] = NewRing("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
 		// preceding[i] lists the events that causally precede the next event of process i.
 		var preceding [processes][]string
@@ -63,7 +63,7 @@
 			clocks[i].now += clock.Milli(rapid.IntRange(0, 3).Draw(t, "pass"))
 			if rapid.Bool().Draw(t, "message") {
 				to := rapid.IntRange(0, processes-1).Draw(t, "to")
-				rings[to].Receive(rings[i].Send())
+				rings[to].ReceiveStamp(rings[i].SendStamp())
 				preceding[to] = append(preceding[to], preceding[i]...)
 				continue
 			}
@@ -89,7 +89,7 @@
 }
 
 func TestRingOverwritesOldest(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &manualClock{now: 5})
+	r := NewRing("daemon", "a", 1, 3, &manualClock{now: 5})
 	for range 5 {
 		r.Add(Event{Kind: Arrived})
 	}
@@ -100,17 +100,17 @@
 }
 
 func TestAddTruncatesTexts(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &manualClock{})
+	r := NewRing("daemon", "a", 1, 3, &manualClock{})
 	long := strings.Repeat("é", 500)
 	r.Add(Event{Request: decide.RequestID(long), Text: long})
 	e := r.Events(Filter{})[0]
-	require.LessOrEqual(t, len(e.Request), MaxID)
-	require.LessOrEqual(t, len(e.Text), MaxText)
+	require.LessOrEqual(t, len(e.Request), MaxIDLen)
+	require.LessOrEqual(t, len(e.Text), MaxTextLen)
 }
 
 func TestFilter(t *testing.T) {
 	c := &manualClock{now: 100}
-	r := New("daemon", "a", 1, 8, c)
+	r := NewRing("daemon", "a", 1, 8, c)
 	r.Add(Event{Kind: Arrived, Request: "r1", Workspace: "w1"})
 	c.now = 200
 	r.Add(Event{Kind: Granted, Request: "r2", Workspace: "w1", Upstream: "u"})
@@ -123,7 +123,7 @@
 }
 
 func TestAddDoesNotAllocate(t *testing.T) {
-	r := New("daemon", "a", 1, 64, clock.New())
+	r := NewRing("daemon", "a", 1, 64, clock.New())
 	e := Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"}
 	require.Zero(t, testing.AllocsPerRun(200, func() { r.Add(e) }))
 }
@@ -131,7 +131,7 @@
 func TestNilRingRecordsNothing(t *testing.T) {
 	var r *Ring
 	r.Add(Event{Kind: Arrived})
-	r.Receive(r.Send())
+	r.ReceiveStamp(r.SendStamp())
 	require.Empty(t, r.Events(Filter{}))
 }
 
@@ -153,7 +153,7 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	r := New("daemon", "a", 1, DefaultSize, clock.New())
+	r := NewRing("daemon", "a", 1, DefaultSize, clock.New())
 	e := Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"}
 	for b.Loop() {
 		r.Add(e)
@@ -176,7 +176,7 @@
 }
 
 func BenchmarkEvents(b *testing.B) {
-	r := New("daemon", "a", 1, DefaultSize, clock.New())
+	r := NewRing("daemon", "a", 1, DefaultSize, clock.New())
 	for range DefaultSize {
 		r.Add(Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"})
 	}
@@ -199,7 +199,7 @@
 // While Events copies the ring, requests add events to it and overwrite the oldest. The result must
 // still be in order and without duplicates.
 func TestEventsDuringConcurrentAdds(t *testing.T) {
-	r := New("daemon", "a", 1, 2*copyBatch, clock.New())
+	r := NewRing("daemon", "a", 1, 2*copyBatch, clock.New())
 	var adders sync.WaitGroup
 	for range 2 {
 		adders.Go(func() {
