--- a/operator/commands/apply.go
+++ b/operator/commands/apply.go
@@ -39,7 +39,7 @@
 		return usageError("name one file: snipeshift apply FILE")
 	}
 	name := c.Args().First()
-	text, _, err := load(c, name)
+	text, _, err := loadDocument(c, name)
 	if err != nil {
 		return err
 	}
@@ -49,9 +49,9 @@
 	}
 	now, err := store.Read(ctx, s)
 	if err != nil {
-		return unread(err)
+		return readError(err)
 	}
-	text, base, marked := unmark(text)
+	text, base, marked := cutRevisionLine(text)
 	switch {
 	case c.IsSet(flagRevision):
 		base = peer.Revision(c.Uint64(flagRevision))
@@ -59,55 +59,57 @@
 		base = now.Revision
 	}
 	if now.Revision > 0 && bytes.Equal(now.Text, text) {
-		return applied(ctx, c, now.Revision, "is already in force as")
+		return reportApplied(ctx, c, now.Revision, "is already in force as")
 	}
 	r, err := store.Write(ctx, s, base, text)
 	if err != nil {
-		return unwritten(err, name, base)
+		return writeError(err, name, base)
 	}
-	return applied(ctx, c, r, "is accepted as")
+	return reportApplied(ctx, c, r, "is accepted as")
 }
 
-// unwritten gives each way that a write can fail its own line.
-func unwritten(err error, what string, base peer.Revision) error {
+// writeError returns the error message for a failed write, with advice for each cause.
+func writeError(err error, what string, base peer.Revision) error {
 	switch {
 	case errors.Is(err, errUsage):
 		return err
 	case errors.Is(err, store.ErrLost):
-		return tell(err, "revision %d is no longer the newest, another change came first and %s is not in force: run snipeshift diff, take the change over and apply again", base, what)
+		return withAdvice(err, "revision %d is no longer the newest, another change came first and %s is not in force: run snipeshift diff, take the change over and apply again", base, what)
 	case errors.Is(err, store.ErrUnknown):
-		return tell(err, "it is not known whether %s took effect or still will: run snipeshift show until the store answers, and compare before applying again", what)
+		return withAdvice(err, "it is not known whether %s took effect or still will: run snipeshift show until the store answers, and compare before applying again", what)
 	default:
-		return tell(err, "the store took no change, %s is not in force: try again when it answers (%v)", what, err)
+		return withAdvice(err, "the store accepted no change, %s is not in force: try again when the store responds (%v)", what, err)
 	}
 }
 
-// accepted is the JSON output of a change.
-type accepted struct {
+// changeOutput is the JSON output of a command that changes the document.
+type changeOutput struct {
 	Revision peer.Revision `json:"revision"`
 }
 
-// applied reports success and waits for the daemons if asked to.
-func applied(ctx context.Context, c *cli.Command, r peer.Revision, how string) error {
+// reportApplied prints that revision r is in the store and, with --wait, waits until it is in force
+// on all daemons.
+func reportApplied(ctx context.Context, c *cli.Command, r peer.Revision, how string) error {
 	var err error
 	if asJSON(c) {
-		err = showJSON(c, accepted{r})
+		err = showJSON(c, changeOutput{r})
 	} else {
-		err = say(c, "the document %s revision %d", how, r)
+		err = printLine(c, "the document %s revision %d", how, r)
 	}
 	if err != nil || c.Duration(flagWait) <= 0 {
 		return err
 	}
-	return await(ctx, c, r, c.Duration(flagWait))
+	return awaitRevision(ctx, c, r, c.Duration(flagWait))
 }
 
-const awaitEvery = 250 * time.Millisecond
+// pollInterval is the interval between polls of the daemons.
+const pollInterval = 250 * time.Millisecond
 
-// await returns when a revision is in force on all members.
-func await(ctx context.Context, c *cli.Command, r peer.Revision, limit time.Duration) error {
+// awaitRevision waits until a revision is in force on all members, for at most limit.
+func awaitRevision(ctx context.Context, c *cli.Command, r peer.Revision, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	t := time.NewTicker(awaitEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	f, err := newFleet(ctx, c)
 	if err != nil {
@@ -119,13 +121,13 @@
 		if len(now) == 0 {
 			return nil
 		}
-		// The last look may have been cut off by the limit; then the one before tells more.
+		// The time limit may have interrupted the last poll; the poll before is more accurate then.
 		if ctx.Err() == nil || behind == nil {
 			behind = now
 		}
 		select {
 		case <-ctx.Done():
-			return tell(errPartial, "revision %d is accepted but not known to be in force on %v; it will be, see snipeshift members", r, behind)
+			return withAdvice(errPartial, "revision %d is accepted but not known to be in force on %v; it will be, see snipeshift members", r, behind)
 		case <-t.C:
 		}
 	}
--- a/operator/commands/check.go
+++ b/operator/commands/check.go
@@ -38,25 +38,27 @@
 		return err
 	}
 	if len(problems) > 0 {
-		return tell(errInvalid, "%d problems: mend them and check again", len(problems))
+		return withAdvice(errInvalid, "%d problems: mend them and check again", len(problems))
 	}
 	return nil
 }
 
+// showProblems prints problems, one on each line or as JSON.
 func showProblems(c *cli.Command, ps document.Problems) error {
 	if asJSON(c) {
 		return showJSON(c, ps)
 	}
 	for _, p := range ps {
-		if err := say(c, "%s", p); err != nil {
+		if err := printLine(c, "%s", p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// load reads a file and checks it; the problems are printed.
-func load(c *cli.Command, name string) ([]byte, *document.Document, error) {
+// loadDocument reads a document from a file and checks it. It prints the problems and returns an
+// error if there are any.
+func loadDocument(c *cli.Command, name string) ([]byte, *document.Document, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, nil, err
@@ -68,5 +70,5 @@
 	if err := showProblems(c, ps); err != nil {
 		return nil, nil, err
 	}
-	return nil, nil, tell(errInvalid, "%d problems in %s, nothing was changed: mend them and try again", len(ps), name)
+	return nil, nil, withAdvice(errInvalid, "%d problems in %s, nothing was changed: mend them and try again", len(ps), name)
 }
--- a/operator/commands/collect.go
+++ b/operator/commands/collect.go
@@ -11,16 +11,16 @@
 	"snipeshift.example/operator/table"
 )
 
-// collect shows a list that each daemon has a part of, in the order of name.
-func collect[R any](ctx context.Context, c *cli.Command, path string, columns []table.Column[R], name func(R) string) error {
+// collectAndShow collects the parts of a list from all daemons and prints it sorted by name.
+func collectAndShow[R any](ctx context.Context, c *cli.Command, path string, columns []table.Column[R], name func(R) string) error {
 	f, err := newFleet(ctx, c)
 	if err != nil {
 		return err
 	}
 	rows, misses := daemon.Collect[R](ctx, f, path)
 	slices.SortStableFunc(rows, func(a, b R) int { return cmp.Compare(name(a), name(b)) })
-	if err := show(c, rows, columns); err != nil {
+	if err := showRows(c, rows, columns); err != nil {
 		return err
 	}
-	return partial(misses, len(f.Members))
+	return partialError(misses, len(f.Members))
 }
--- a/operator/commands/diff.go
+++ b/operator/commands/diff.go
@@ -27,31 +27,31 @@
 	var err error
 	switch c.Args().Len() {
 	case 1:
-		before, err = newest(ctx, c)
+		before, err = newestDocument(ctx, c)
 	case 2:
-		_, before, err = load(c, c.Args().Get(0))
+		_, before, err = loadDocument(c, c.Args().Get(0))
 	default:
 		return usageError("name one file, or two: snipeshift diff FILE [FILE]")
 	}
 	if err != nil {
 		return err
 	}
-	_, after, err = load(c, c.Args().Get(c.Args().Len()-1))
+	_, after, err = loadDocument(c, c.Args().Get(c.Args().Len()-1))
 	if err != nil {
 		return err
 	}
 	return showChanges(c, before, after)
 }
 
-// newest reads the document in the store; with none there, an empty one.
-func newest(ctx context.Context, c *cli.Command) (*document.Document, error) {
+// newestDocument returns the document in the store, an empty one if there is none.
+func newestDocument(ctx context.Context, c *cli.Command) (*document.Document, error) {
 	s, err := newStore(c)
 	if err != nil {
 		return nil, err
 	}
 	now, err := store.Read(ctx, s)
 	if err != nil {
-		return nil, unread(err)
+		return nil, readError(err)
 	}
 	if now.Revision == 0 {
 		return &document.Document{}, nil
@@ -60,6 +60,7 @@
 	return d, ps.Err()
 }
 
+// showChanges prints the differences between two documents. It returns errDifferent if there are any.
 func showChanges(c *cli.Command, before, after *document.Document) error {
 	changes, err := document.Compare(before, after)
 	if err != nil {
@@ -77,7 +78,7 @@
 		if asJSON(c) {
 			break
 		}
-		if err := say(c, "%s", ch); err != nil {
+		if err := printLine(c, "%s", ch); err != nil {
 			return err
 		}
 	}
--- a/operator/commands/drain.go
+++ b/operator/commands/drain.go
@@ -22,7 +22,7 @@
 	return &cli.Command{
 		Name:   "drain",
 		Usage:  "give a VM or an upstream no new work and let it finish what it has",
-		Action: unnamed,
+		Action: runWithoutCommand,
 		Commands: []*cli.Command{
 			{
 				Name: "vm", Usage: "stop the daemon of a VM once its requests are served", ArgsUsage: "NAME",
@@ -65,7 +65,7 @@
 	if asJSON(c) {
 		err = showJSON(c, d)
 	} else {
-		err = say(c, "%s takes no new requests and serves %d to their end", name, d.Requests)
+		err = printLine(c, "%s takes no new requests and serves %d to their end", name, d.Requests)
 	}
 	if err != nil || c.Duration(flagWait) <= 0 {
 		return err
@@ -73,18 +73,18 @@
 	return awaitStop(ctx, k, m, c.Duration(flagWait))
 }
 
-// awaitStop returns when a draining daemon no longer answers.
+// awaitStop waits until a draining daemon no longer responds, for at most limit.
 func awaitStop(ctx context.Context, k *daemon.Client, m answers.Member, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	t := time.NewTicker(awaitEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	left := 0
 	for {
 		d, err := daemon.Get[answers.Drain](ctx, k, m.Operator, answers.PathDrain)
 		switch {
 		case ctx.Err() != nil:
-			return tell(errPartial, "%s still serves %d requests: wait longer, none of them is cut off", m.VM, left)
+			return withAdvice(errPartial, "%s still serves %d requests: wait longer, none of them is cut off", m.VM, left)
 		case errors.Is(err, daemon.ErrUnreachable):
 			return nil
 		case err != nil:
@@ -98,9 +98,8 @@
 	}
 }
 
-// drainTries bounds how often the edit is made anew over other operators'
-// changes. It changes one field and takes all others from them, so unlike
-// apply it may simply be repeated.
+// drainTries bounds how often the edit is repeated after conflicts with changes of other operators. The
+// edit changes only one field of the newest document, so unlike apply it can be repeated safely.
 const drainTries = 5
 
 func runDrainUpstream(ctx context.Context, c *cli.Command) error {
@@ -121,12 +120,12 @@
 		}
 	}
 	if err != nil {
-		return unwritten(err, "the drain of "+name, base)
+		return writeError(err, "the drain of "+name, base)
 	}
-	return applied(ctx, c, r, "is accepted as")
+	return reportApplied(ctx, c, r, "is accepted as")
 }
 
-// drainOnce edits the newest document and writes it back.
+// drainOnce sets drain of one upstream in the newest document and writes the document back.
 func drainOnce(ctx context.Context, s store.Objects, name string, on bool) (base, r peer.Revision, err error) {
 	now, err := store.Read(ctx, s)
 	if err != nil {
--- a/operator/commands/exit.go
+++ b/operator/commands/exit.go
@@ -33,8 +33,8 @@
 	errPartial   = errs.New("partial")
 )
 
-// exits is the one table from errors to exit codes; the first that matches counts.
-var exits = []struct {
+// exitCodes maps errors to exit codes and to their description in the help text. The first match counts.
+var exitCodes = []struct {
 	err  error
 	code int
 	text string
@@ -49,8 +49,9 @@
 	{errPartial, exitPartial, "some daemons gave no answer or are not there yet, the rest is shown"},
 }
 
+// codeOf returns the exit code for an error.
 func codeOf(err error) int {
-	for _, e := range exits {
+	for _, e := range exitCodes {
 		if errors.Is(err, e.err) {
 			return e.code
 		}
@@ -58,10 +59,11 @@
 	return exitFailed
 }
 
+// exitHelp returns the description of the exit codes for the help text.
 func exitHelp() string {
 	var b strings.Builder
 	b.WriteString("Exit codes: 0 success")
-	for _, e := range exits {
+	for _, e := range exitCodes {
 		if e.text != "" {
 			fmt.Fprintf(&b, "; %d %s", e.code, e.text)
 		}
@@ -70,27 +72,28 @@
 	return b.String()
 }
 
-// advice is an error with its line for the operator and its place in the table.
-type advice struct {
+// advisedError is an error with a message for the operator; the wrapped error determines the exit code.
+type advisedError struct {
 	err  error
 	text string
 }
 
 // Error implements error.
-func (a *advice) Error() string { return a.text }
+func (a *advisedError) Error() string { return a.text }
 
-// Unwrap gives the error that the exit code follows from.
-func (a *advice) Unwrap() error { return a.err }
+// Unwrap returns the error that determines the exit code.
+func (a *advisedError) Unwrap() error { return a.err }
 
-// tell gives an error a line that says what to do.
-func tell(err error, format string, args ...any) error {
-	return &advice{err, fmt.Sprintf(format, args...)}
+// withAdvice replaces the message of an error by one that advises the operator what to do.
+func withAdvice(err error, format string, args ...any) error {
+	return &advisedError{err, fmt.Sprintf(format, args...)}
 }
 
-func usageError(format string, args ...any) error { return tell(errUsage, format, args...) }
+func usageError(format string, args ...any) error { return withAdvice(errUsage, format, args...) }
 
-// line is the error on one line; a difference was shown already.
-func line(err error) string {
+// oneLine returns the message of an error on one line. It is empty for errDifferent, since the
+// differences have been printed already.
+func oneLine(err error) string {
 	if errors.Is(err, errDifferent) {
 		return ""
 	}
--- a/operator/commands/flags.go
+++ b/operator/commands/flags.go
@@ -13,7 +13,7 @@
 	"snipeshift.example/operator/daemon"
 )
 
-// Names of flags that all commands share.
+// Names of the flags that all commands have.
 const (
 	flagStore       = "store"
 	flagDaemon      = "daemon"
@@ -34,7 +34,7 @@
 
 func flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagStore, Usage: "`ADDRESS` of the platform's store, IP number and port", Sources: cli.EnvVars("SNIPESHIFT_STORE")},
+		&cli.StringFlag{Name: flagStore, Usage: "`ADDRESS` of the platform's store, IP address and port", Sources: cli.EnvVars("SNIPESHIFT_STORE")},
 		&cli.StringSliceFlag{Name: flagDaemon, Usage: "operator `ADDRESS` of any daemon, more than one to try one after the other", Sources: cli.EnvVars("SNIPESHIFT_DAEMON")},
 		&cli.StringFlag{Name: flagOutput, Usage: "`FORMAT` of what is shown: text or json", Value: outputText},
 		&cli.DurationFlag{Name: flagTimeout, Usage: "longest wait for one answer", Value: defaultTimeout},
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkOutput refuses a wrong format before anything is done.
+// checkOutput rejects an invalid --output before the command runs.
 func checkOutput(ctx context.Context, c *cli.Command) (context.Context, error) {
 	switch o := c.String(flagOutput); o {
 	case outputText, outputJSON:
@@ -68,18 +68,18 @@
 
 // newClient returns a client of daemons.
 func newClient(c *cli.Command) (*daemon.Client, error) {
-	d, err := door.New(door.Files{
+	endpoint, err := door.New(door.Files{
 		Authority:   c.String(flagAuthority),
 		Certificate: c.String(flagCertificate),
 		Key:         c.String(flagKey),
 	}, func(error) {})
 	if err != nil {
-		return nil, tell(errUsage, "%v", err)
+		return nil, withAdvice(errUsage, "%v", err)
 	}
-	return daemon.New(d.Transport(), c.Duration(flagTimeout)), nil
+	return daemon.New(endpoint.Transport(), c.Duration(flagTimeout)), nil
 }
 
-// newFleet finds all daemons through the ones that were named.
+// newFleet lists all daemons by querying those named by --daemon.
 func newFleet(ctx context.Context, c *cli.Command) (*daemon.Fleet, error) {
 	addresses := c.StringSlice(flagDaemon)
 	if len(addresses) == 0 {
--- a/operator/commands/grants.go
+++ b/operator/commands/grants.go
@@ -14,11 +14,11 @@
 func grants() *cli.Command {
 	return &cli.Command{
 		Name:   "grants",
-		Usage:  "list the live grants: which request runs where, and for how long it still may",
+		Usage:  "list the live grants: which request runs on which upstreams, and the time left",
 		Action: runGrants,
 	}
 }
 
 func runGrants(ctx context.Context, c *cli.Command) error {
-	return collect(ctx, c, answers.PathGrants, table.Grants, func(g answers.Grant) string { return string(g.Request) })
+	return collectAndShow(ctx, c, answers.PathGrants, table.Grants, func(g answers.Grant) string { return string(g.Request) })
 }
--- a/operator/commands/hash.go
+++ b/operator/commands/hash.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Bounds of a key. The hash is fast and has no salt, so a short key could be
-// found from it by trying.
+// Bounds of the length of a key. The hash is fast and has no salt, so a short key could be found by
+// brute force.
 const (
 	minKey = 20
 	maxKey = 512
@@ -41,5 +41,5 @@
 	if len(key) < minKey || len(key) > maxKey || strings.ContainsAny(key, " \t\r\n") {
 		return usageError("a key has %d to %d characters and no spaces: make one by head -c 32 /dev/urandom | base64", minKey, maxKey)
 	}
-	return say(c, "%s", document.Hash(key))
+	return printLine(c, "%s", document.Hash(key))
 }
--- a/operator/commands/members.go
+++ b/operator/commands/members.go
@@ -23,5 +23,5 @@
 	if err != nil {
 		return err
 	}
-	return show(c, f.Members, table.Members)
+	return showRows(c, f.Members, table.Members)
 }
--- a/operator/commands/output.go
+++ b/operator/commands/output.go
@@ -11,11 +11,11 @@
 	"snipeshift.example/operator/table"
 )
 
-// asJSON tells whether the operator asked for JSON.
+// asJSON reports whether the output format is JSON.
 func asJSON(c *cli.Command) bool { return c.String(flagOutput) == outputJSON }
 
-// show writes rows as a table, or as a JSON list.
-func show[R any](c *cli.Command, rows []R, columns []table.Column[R]) error {
+// showRows prints rows as a table or as a JSON list.
+func showRows[R any](c *cli.Command, rows []R, columns []table.Column[R]) error {
 	if !asJSON(c) {
 		return table.Write(c.Root().Writer, rows, columns)
 	}
@@ -25,6 +25,7 @@
 	return showJSON(c, rows)
 }
 
+// showJSON prints value as indented JSON.
 func showJSON(c *cli.Command, value any) error {
 	j := json.NewEncoder(c.Root().Writer)
 	j.SetIndent("", "  ")
@@ -32,14 +33,14 @@
 	return j.Encode(value)
 }
 
-// say writes one line for a person.
-func say(c *cli.Command, format string, args ...any) error {
+// printLine prints one formatted line.
+func printLine(c *cli.Command, format string, args ...any) error {
 	_, err := fmt.Fprintf(c.Root().Writer, format+"\n", args...)
 	return err
 }
 
-// partial turns daemons that gave no answer into an error that names them.
-func partial(misses []daemon.Miss, all int) error {
+// partialError returns an error that names the daemons that could not be queried, nil if there are none.
+func partialError(misses []daemon.Miss, all int) error {
 	if len(misses) == 0 {
 		return nil
 	}
@@ -47,6 +48,6 @@
 	for i, m := range misses {
 		names[i] = string(m.Member.VM)
 	}
-	return tell(errPartial, "%d of %d daemons gave no answer (%s), the rest is shown: see snipeshift members; the first said: %v",
+	return withAdvice(errPartial, "%d of %d daemons gave no answer (%s), the rest is shown: see snipeshift members; the first error: %v",
 		len(misses), all, strings.Join(names, ", "), misses[0].Err)
 }
--- a/operator/commands/pools.go
+++ b/operator/commands/pools.go
@@ -20,5 +20,5 @@
 }
 
 func runPools(ctx context.Context, c *cli.Command) error {
-	return collect(ctx, c, answers.PathPools, table.Pools, func(p answers.Pool) string { return string(p.Pool) })
+	return collectAndShow(ctx, c, answers.PathPools, table.Pools, func(p answers.Pool) string { return string(p.Pool) })
 }
--- a/operator/commands/root.go
+++ b/operator/commands/root.go
@@ -1,5 +1,5 @@
-// Package commands holds the operators' command line, one file a command. Each
-// file registers its command when the program starts.
+// Package commands implements the command line of snipeshift, with one file for each command. Each file
+// registers its command when the program starts.
 package commands
 
 import (
@@ -16,11 +16,11 @@
 // Version is set by the linker on releases.
 var Version = "dev"
 
-// makers make the registered commands, a new set for each run.
-var makers []func() *cli.Command
+// constructors build the registered commands, anew for each run.
+var constructors []func() *cli.Command
 
-// register adds a command; files call it from init.
-func register(make func() *cli.Command) { makers = append(makers, make) }
+// register adds the constructor of a command; it is called from init functions.
+func register(newCommand func() *cli.Command) { constructors = append(constructors, newCommand) }
 
 // Run runs the command line and returns the exit code.
 func Run(ctx context.Context, args []string, in io.Reader, out, errors io.Writer) int {
@@ -29,7 +29,7 @@
 	if err == nil {
 		return exitOK
 	}
-	if text := line(err); text != "" {
+	if text := oneLine(err); text != "" {
 		_, _ = fmt.Fprintln(errors, "snipeshift: "+text)
 	}
 	return codeOf(err)
@@ -47,37 +47,41 @@
 		Reader:                          in,
 		Writer:                          out,
 		ErrWriter:                       errors,
-		// Run turns errors into lines and exit codes; the library must not exit by itself.
+		// Run prints errors and returns exit codes; the library must not exit the process.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Before:         checkOutput,
-		Action:         unnamed,
+		Action:         runWithoutCommand,
 	}
-	for _, m := range makers {
+	for _, m := range constructors {
 		root.Commands = append(root.Commands, m())
 	}
 	slices.SortFunc(root.Commands, func(a, b *cli.Command) int { return strings.Compare(a.Name, b.Name) })
-	each(root, func(c *cli.Command) { c.OnUsageError = usage })
+	eachCommand(root, func(c *cli.Command) { c.OnUsageError = onUsageError })
 	return root
 }
 
-func each(c *cli.Command, do func(*cli.Command)) {
+// eachCommand calls do for a command and all its subcommands.
+func eachCommand(c *cli.Command, do func(*cli.Command)) {
 	do(c)
 	for _, sub := range c.Commands {
-		each(sub, do)
+		eachCommand(sub, do)
 	}
 }
 
-// usage keeps what is wrong with the command line on one line, without the help page.
-func usage(_ context.Context, _ *cli.Command, err error, _ bool) error { return usageError("%v", err) }
+// onUsageError returns an error in the command line as a one-line message, without the help text.
+func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return usageError("%v", err)
+}
 
-// unnamed is what runs when no command was named, or one that does not exist.
-func unnamed(_ context.Context, c *cli.Command) error {
+// runWithoutCommand is the action for a missing or unknown command: help or an error.
+func runWithoutCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return usageError("no command %q: run %s --help for the commands", c.Args().First(), c.FullName())
 	}
 	return cli.ShowSubcommandHelp(c)
 }
 
+// version returns the version set by the linker, otherwise that of the module if it is a release.
 func version() string {
 	b, ok := debug.ReadBuildInfo()
 	if Version == "dev" && ok && strings.HasPrefix(b.Main.Version, "v") {
--- a/operator/commands/services.go
+++ b/operator/commands/services.go
@@ -15,9 +15,9 @@
 func services() *cli.Command {
 	return &cli.Command{
 		Name:  "services",
-		Usage: "list who decides for each service and what upstreams say of themselves, as relaying VMs know it",
-		Description: "Asks the metrics address of each relaying VM that --daemon names. Where their rows differ, the VMs do not know the same:\n" +
-			"the later epoch holds.",
+		Usage: "list the holder of each service and the statements of upstreams, as reported by relaying VMs",
+		Description: "Queries the metrics address of each relaying VM that --daemon names. Where the rows of VMs differ, the one with\n" +
+			"the later epoch is valid.",
 		Action: runServices,
 	}
 }
@@ -32,28 +32,28 @@
 		return err
 	}
 	relays := []answers.Relay{}
-	var silent error
+	var lastErr error
 	for _, a := range addresses {
 		r, err := daemon.Get[answers.Relay](ctx, k, a, answers.PathServices)
 		if err != nil {
-			silent = err
+			lastErr = err
 			continue
 		}
 		relays = append(relays, r)
 	}
 	if len(relays) == 0 {
-		return silent
+		return lastErr
 	}
 	if err := showRelays(c, relays); err != nil {
 		return err
 	}
-	if silent != nil {
-		return tell(errPartial, "%d of %d VMs gave no answer, the rest is shown; the last said: %v", len(addresses)-len(relays), len(addresses), silent)
+	if lastErr != nil {
+		return withAdvice(errPartial, "%d of %d VMs gave no answer, the rest is shown; the last error: %v", len(addresses)-len(relays), len(addresses), lastErr)
 	}
 	return nil
 }
 
-// showRelays writes a table of services and, where upstreams have said anything, one of that.
+// showRelays prints a table of services and, if there are any, a table of the statements of upstreams.
 func showRelays(c *cli.Command, relays []answers.Relay) error {
 	if asJSON(c) {
 		return showJSON(c, relays)
@@ -68,11 +68,11 @@
 			statements = append(statements, table.StatementRow{VM: r.VM, Statement: s})
 		}
 	}
-	if err := show(c, services, table.Services); err != nil || len(statements) == 0 {
+	if err := showRows(c, services, table.Services); err != nil || len(statements) == 0 {
 		return err
 	}
-	if err := say(c, ""); err != nil {
+	if err := printLine(c, ""); err != nil {
 		return err
 	}
-	return show(c, statements, table.Statements)
+	return showRows(c, statements, table.Statements)
 }
--- a/operator/commands/show.go
+++ b/operator/commands/show.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// shown is the document as JSON output.
-type shown struct {
+// documentOutput is the JSON output of the document.
+type documentOutput struct {
 	Revision peer.Revision `json:"revision"`
 	Text     string        `json:"text"`
 }
@@ -37,30 +37,32 @@
 	}
 	d, err := store.Read(ctx, s)
 	if err != nil {
-		return unread(err)
+		return readError(err)
 	}
 	if asJSON(c) {
-		return showJSON(c, shown{d.Revision, string(d.Text)})
+		return showJSON(c, documentOutput{d.Revision, string(d.Text)})
 	}
 	if d.Revision == 0 {
 		return fmt.Errorf("there is no document yet: write one and give it to snipeshift apply")
 	}
-	_, err = fmt.Fprintf(c.Root().Writer, "%s%d\n%s", revisionMark, d.Revision, d.Text)
+	_, err = fmt.Fprintf(c.Root().Writer, "%s%d\n%s", revisionPrefix, d.Revision, d.Text)
 	return err
 }
 
-// unread is the line for a store that could not be read.
-func unread(err error) error {
-	return tell(err, "the store could not be read, nothing was changed: try again, or look at --store (%v)", err)
+// readError returns the error message for a failed read of the store.
+func readError(err error) error {
+	return withAdvice(err, "the store could not be read, nothing was changed: try again, or check --store (%v)", err)
 }
 
-const revisionMark = "// snipeshift document revision "
+// revisionPrefix begins the line with the revision that show prints before the document.
+const revisionPrefix = "// snipeshift document revision "
 
-var markedLine = regexp.MustCompile(`^` + revisionMark + `(\d{1,19})\r?\n`)
+var revisionLine = regexp.MustCompile(`^` + revisionPrefix + `(\d{1,19})\r?\n`)
 
-// unmark splits the line that show put first from a text.
-func unmark(text []byte) (rest []byte, base peer.Revision, marked bool) {
-	m := markedLine.FindSubmatch(text)
+// cutRevisionLine removes the line with the revision from a text, if there is one, and returns its
+// revision.
+func cutRevisionLine(text []byte) (rest []byte, base peer.Revision, marked bool) {
+	m := revisionLine.FindSubmatch(text)
 	if m == nil {
 		return text, 0, false
 	}
--- a/operator/commands/stages.go
+++ b/operator/commands/stages.go
@@ -17,11 +17,11 @@
 	"snipeshift.example/operator/explain"
 )
 
-// runStages prints, and draws, how long requests take in each stage.
+// runStages prints how long requests take in each stage, and with --plot draws charts of it.
 func runStages(c *cli.Command, lines []explain.Line) error {
 	profiles := explain.ProfileStages(lines)
 	if len(profiles) == 0 {
-		return tell(nil, "no line of these logs ends a request")
+		return withAdvice(nil, "no log line reports the end of a request")
 	}
 	printStages(c.Root().Writer, profiles)
 	if !c.IsSet(flagPlot) {
@@ -29,7 +29,7 @@
 	}
 	name := c.String(flagPlot)
 	if err := plotStages(name, profiles); err != nil {
-		return tell(err, "%s cannot be drawn: %v", name, err)
+		return withAdvice(err, "%s cannot be drawn: %v", name, err)
 	}
 	return nil
 }
@@ -41,17 +41,17 @@
 	}
 }
 
-// Sizes of a drawing.
+// Sizes of the charts; plotHeight is that of one chart.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
 	barWidth   = vg.Length(12)
 )
 
-// paceColours are those of the bars of calm, mixed and flooded seconds.
-var paceColours = []color.Color{color.Gray{Y: 200}, color.Gray{Y: 130}, color.Gray{Y: 40}}
+// loadClassColours are the colours of the bars for calm, mixed and flooded seconds.
+var loadClassColours = []color.Color{color.Gray{Y: 200}, color.Gray{Y: 130}, color.Gray{Y: 40}}
 
-// plotStages draws the 90th percentile of each stage, a chart for each kind.
+// plotStages draws the 90th percentile of each stage, in one chart for each kind of request.
 func plotStages(name string, profiles []explain.Profile) error {
 	var kinds []string
 	byKind := map[string][]explain.Profile{}
@@ -83,22 +83,22 @@
 		return err
 	}
 	if _, err := canvas.WriteTo(f); err != nil {
-		_ = f.Close() // the first error says what went wrong
+		_ = f.Close() // the error of WriteTo is the cause
 		return err
 	}
 	return f.Close()
 }
 
-// chart draws one kind.
+// chart returns the chart of one kind of request.
 func chart(kind string, profiles []explain.Profile) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = kind
 	p.Y.Label.Text = "P90, ms"
 	stages := explain.Stages()
-	for pace, colour := range paceColours {
+	for class, colour := range loadClassColours {
 		values := make(plotter.Values, len(stages))
 		for _, x := range profiles {
-			if int(x.Pace) == pace {
+			if int(x.Pace) == class {
 				values[x.Stage] = float64(x.P90)
 			}
 		}
@@ -107,9 +107,9 @@
 			return nil, err
 		}
 		bars.Color = colour
-		bars.Offset = barWidth * vg.Length(pace-1)
+		bars.Offset = barWidth * vg.Length(class-1)
 		p.Add(bars)
-		p.Legend.Add(explain.Pace(pace).String(), bars)
+		p.Legend.Add(explain.Pace(class).String(), bars)
 	}
 	p.Legend.Top = true
 	names := make([]string, len(stages))
--- a/operator/commands/timeline.go
+++ b/operator/commands/timeline.go
@@ -22,8 +22,8 @@
 	return &cli.Command{
 		Name:  "timeline",
 		Usage: "draw the recent events of all daemons in causal order",
-		Description: "An event stands after every event that could have caused it, however much the clocks of the VMs " +
-			"differ; the time shown is the ordering clock's. With --output json, one event a line.",
+		Description: "Events are listed after every event that could have caused them, however much the clocks of the VMs " +
+			"differ; the time shown is that of the logical clock which orders them. With --output json, one event per line.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: answers.ParamRequest, Usage: "only events of this `ID`"},
 			&cli.StringFlag{Name: answers.ParamWorkspace, Usage: "only events of this `NAME`"},
@@ -37,7 +37,7 @@
 }
 
 func runTimeline(ctx context.Context, c *cli.Command) error {
-	filter, err := filterOf(c)
+	filter, err := filterFromFlags(c)
 	if err != nil {
 		return err
 	}
@@ -48,27 +48,28 @@
 	parts, misses := f.Timeline(ctx, filter)
 	events := timeline.Merge(parts)
 	if asJSON(c) {
-		err = lines(c, events)
+		err = printJSONLines(c, events)
 	} else {
 		err = table.Events(c.Root().Writer, events)
 	}
 	if err != nil {
 		return err
 	}
-	return partial(misses, len(f.Members))
+	return partialError(misses, len(f.Members))
 }
 
-func filterOf(c *cli.Command) (timeline.Filter, error) {
+// filterFromFlags returns the filter that the flags of the command describe.
+func filterFromFlags(c *cli.Command) (timeline.Filter, error) {
 	f := timeline.Filter{
 		Request:   decide.RequestID(c.String(answers.ParamRequest)),
 		Workspace: decide.WorkspaceID(c.String(answers.ParamWorkspace)),
 		Upstream:  decide.UpstreamID(c.String(answers.ParamUpstream)),
 	}
 	var err error
-	if f.Since, err = instant(c, answers.ParamSince); err != nil {
+	if f.Since, err = timeFlag(c, answers.ParamSince); err != nil {
 		return f, err
 	}
-	if f.Until, err = instant(c, answers.ParamUntil); err != nil {
+	if f.Until, err = timeFlag(c, answers.ParamUntil); err != nil {
 		return f, err
 	}
 	if last := c.Duration(flagLast); last > 0 {
@@ -77,7 +78,8 @@
 	return f, nil
 }
 
-func instant(c *cli.Command, flag string) (clock.Milli, error) {
+// timeFlag parses the RFC 3339 time in a flag; it returns zero if the flag is not set.
+func timeFlag(c *cli.Command, flag string) (clock.Milli, error) {
 	value := c.String(flag)
 	if value == "" {
 		return 0, nil
@@ -89,8 +91,8 @@
 	return clock.Milli(t.UnixMilli()), nil
 }
 
-// lines writes one event a line.
-func lines(c *cli.Command, events []timeline.Event) error {
+// printJSONLines writes events as JSON, one on each line.
+func printJSONLines(c *cli.Command, events []timeline.Event) error {
 	j := json.NewEncoder(c.Root().Writer)
 	for _, e := range events {
 		if err := j.Encode(e); err != nil {
--- a/operator/commands/usage.go
+++ b/operator/commands/usage.go
@@ -15,7 +15,7 @@
 func usageByWorkspace() *cli.Command {
 	return &cli.Command{
 		Name:   "usage",
-		Usage:  "show what each workspace used: requests, prompt tokens, cached ones among them, output tokens",
+		Usage:  "show the usage of each workspace: requests, prompt tokens, how many of these were cached, output tokens",
 		Action: runUsage,
 	}
 }
@@ -26,8 +26,8 @@
 		return err
 	}
 	counters, misses := daemon.Collect[answers.Counter](ctx, f, answers.PathUsage)
-	if err := show(c, answers.Sum(counters), table.Totals); err != nil {
+	if err := showRows(c, answers.Sum(counters), table.Totals); err != nil {
 		return err
 	}
-	return partial(misses, len(f.Members))
+	return partialError(misses, len(f.Members))
 }
--- a/operator/daemon/client.go
+++ b/operator/daemon/client.go
@@ -1,4 +1,4 @@
-// Package daemon speaks to the operator addresses of daemons.
+// Package daemon is a client of the daemons' operator addresses.
 package daemon
 
 import (
@@ -24,26 +24,26 @@
 // Class is the error class of this package.
 var Class = errs.Class("daemon")
 
-// ErrUnreachable means that a daemon gave no answer.
+// ErrUnreachable means that a daemon could not be reached or its response broke off.
 var ErrUnreachable = errs.New("no answer")
 
-// maxAnswer bounds what one daemon may make this process hold: a whole time
-// line is some ten megabytes.
-const maxAnswer = 64 << 20
+// maxResponse bounds the memory for the response of one daemon: a complete timeline is some ten
+// megabytes.
+const maxResponse = 64 << 20
 
-// maxQuote bounds what an error repeats of an answer.
+// maxQuote bounds the quotation of a response in an error message, in bytes.
 const maxQuote = 100
 
-// Client calls daemons.
+// Client is an HTTP client of daemons.
 type Client struct {
 	transport http.RoundTripper
 	timeout   time.Duration
 }
 
-// New returns a client that waits for each answer for at most timeout.
+// New returns a client that waits up to timeout for each response.
 func New(t http.RoundTripper, timeout time.Duration) *Client { return &Client{t, timeout} }
 
-// Get asks a daemon for a page.
+// Get requests a page from a daemon and decodes it.
 func Get[A any](ctx context.Context, c *Client, address, path string) (A, error) {
 	var a A
 	text, err := c.call(ctx, http.MethodGet, address, path, nil)
@@ -53,7 +53,7 @@
 	return a, decode(address, text, &a)
 }
 
-// Put sends a daemon an order and returns its answer, which has the same shape.
+// Put sends order to a daemon and returns the response, which has the same type.
 func Put[A any](ctx context.Context, c *Client, address, path string, order A) (A, error) {
 	var a A
 	body, err := json.Marshal(order)
@@ -67,7 +67,7 @@
 	return a, decode(address, text, &a)
 }
 
-// Timeline asks a daemon for its events.
+// Timeline requests the events that match a filter from a daemon.
 func (c *Client) Timeline(ctx context.Context, address string, f timeline.Filter) ([]timeline.Event, error) {
 	text, err := c.call(ctx, http.MethodGet, address, answers.PathTimeline+"?"+query(f).Encode(), nil)
 	if err != nil {
@@ -102,7 +102,7 @@
 
 func decode(address string, text []byte, into any) error {
 	if err := json.Unmarshal(text, into); err != nil {
-		return Class.New("%s answered what this command does not understand: %v; use the command of the daemon's version", address, err)
+		return Class.New("unexpected response from %s: %v; use the snipeshift command of the daemon's version", address, err)
 	}
 	return nil
 }
@@ -116,33 +116,34 @@
 	}
 	res, err := c.transport.RoundTrip(q)
 	if err != nil {
-		return nil, unreachable(address, err)
+		return nil, unreachableError(address, err)
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponse+1))
 	if err != nil {
-		return nil, unreachable(address, err)
+		return nil, unreachableError(address, err)
 	}
-	if len(text) > maxAnswer {
-		return nil, Class.New("%s answered with over %d bytes: narrow what is asked for", address, maxAnswer)
+	if len(text) > maxResponse {
+		return nil, Class.New("response from %s exceeds %d bytes: narrow the query", address, maxResponse)
 	}
 	if res.StatusCode/100 != 2 {
-		return nil, refused(address, res.StatusCode, text)
+		return nil, statusError(address, res.StatusCode, text)
 	}
 	return text, nil
 }
 
-func unreachable(address string, err error) error {
+func unreachableError(address string, err error) error {
 	return Class.Wrap(fmt.Errorf("%s: %w", address, errors.Join(ErrUnreachable, err)))
 }
 
-// refused turns an answer that is no success into its own line.
-func refused(address string, status int, text []byte) error {
+// statusError returns the error for a response without a success status.
+func statusError(address string, status int, text []byte) error {
 	var f answers.Failure
 	if json.Unmarshal(text, &f) != nil || f.Error == "" {
-		// Not a page of the daemon: its server answered before, for example because it asks for certificates.
+		// The response is not from the daemon's handlers but from its HTTP server, for example
+		// because the server requires a client certificate.
 		first, _, _ := strings.Cut(string(text), "\n")
-		f.Error = fmt.Sprintf("%q; if the daemon asks for certificates, name --authority, --certificate and --key", first[:min(len(first), maxQuote)])
+		f.Error = fmt.Sprintf("%q; if the daemon requires certificates, set --authority, --certificate and --key", first[:min(len(first), maxQuote)])
 	}
-	return Class.New("%s refused with status %d: %s", address, status, f.Error)
+	return Class.New("%s responded with status %d: %s", address, status, f.Error)
 }
--- a/operator/daemon/fleet.go
+++ b/operator/daemon/fleet.go
@@ -13,23 +13,23 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// atOnce bounds how many daemons are asked at the same time.
-const atOnce = 16
+// maxConcurrent bounds how many daemons are queried concurrently.
+const maxConcurrent = 16
 
-// Fleet is all daemons of a deployment, found through any one of them.
+// Fleet is the set of all daemons of a deployment, as listed by any one of them.
 type Fleet struct {
 	client *Client
-	// Members are all that are not gone, by name.
+	// Members lists all members except those that are gone, sorted by the name of the VM.
 	Members []answers.Member
 }
 
-// Miss is a daemon that gave no answer.
+// Miss is a daemon that could not be queried, with the error.
 type Miss struct {
 	Member answers.Member
 	Err    error
 }
 
-// Find asks the given addresses in turn for the members.
+// Find requests the list of members from the given addresses, one after the other, until one responds.
 func Find(ctx context.Context, c *Client, addresses []string) (*Fleet, error) {
 	var err error
 	for _, a := range addresses {
@@ -53,7 +53,7 @@
 	return f
 }
 
-// Member finds a member by the name of its VM.
+// Member returns the member with the given VM name.
 func (f *Fleet) Member(vm peer.VM) (answers.Member, bool) {
 	for _, m := range f.Members {
 		if m.VM == vm {
@@ -63,20 +63,20 @@
 	return answers.Member{}, false
 }
 
-// Collect asks all daemons for a list and joins the lists in the order of the
-// daemons' names. Daemons that did not answer are told apart: an operator must
-// not take a part for the whole.
+// Collect requests a list from all daemons and joins the lists in the order of the daemons' names.
+// Daemons that could not be queried are returned separately, so that operators see that the list is
+// incomplete.
 func Collect[E any](ctx context.Context, f *Fleet, path string) ([]E, []Miss) {
-	parts, misses := each(f, func(m answers.Member) ([]E, error) {
+	parts, misses := queryAll(f, func(m answers.Member) ([]E, error) {
 		return Get[[]E](ctx, f.client, m.Operator, path)
 	})
 	return slices.Concat(parts...), misses
 }
 
-// Behind lists the members on which a revision is not in force yet, each by its
-// own word; one that gives no answer may be behind and is listed.
+// Behind lists the members that do not report revision r or a later one as in force. A member that does
+// not respond may be behind and is listed too.
 func (f *Fleet) Behind(ctx context.Context, r peer.Revision) []peer.VM {
-	documents, _ := each(f, func(m answers.Member) (answers.Document, error) {
+	documents, _ := queryAll(f, func(m answers.Member) (answers.Document, error) {
 		return Get[answers.Document](ctx, f.client, m.Operator, answers.PathDocument)
 	})
 	var behind []peer.VM
@@ -88,20 +88,20 @@
 	return behind
 }
 
-// Timeline collects the events of all daemons, each daemon's apart.
+// Timeline requests the events of all daemons and returns one list for each daemon.
 func (f *Fleet) Timeline(ctx context.Context, filter timeline.Filter) ([][]timeline.Event, []Miss) {
-	return each(f, func(m answers.Member) ([]timeline.Event, error) {
+	return queryAll(f, func(m answers.Member) ([]timeline.Event, error) {
 		return f.client.Timeline(ctx, m.Operator, filter)
 	})
 }
 
-// each asks all members at once and keeps the answers in their order.
-func each[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []Miss) {
-	found := make([]A, len(f.Members))
+// queryAll calls ask for all members concurrently and returns the results in the order of Members.
+func queryAll[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []Miss) {
+	results := make([]A, len(f.Members))
 	var mu sync.Mutex
 	var misses []Miss
 	var g errgroup.Group
-	g.SetLimit(atOnce)
+	g.SetLimit(maxConcurrent)
 	for i, m := range f.Members {
 		g.Go(func() error {
 			a, err := ask(m)
@@ -111,11 +111,11 @@
 				misses = append(misses, Miss{m, err})
 				return nil
 			}
-			found[i] = a
+			results[i] = a
 			return nil
 		})
 	}
 	_ = g.Wait() // the functions above return no error
 	slices.SortFunc(misses, func(a, b Miss) int { return cmp.Compare(a.Member.VM, b.Member.VM) })
-	return found, misses
+	return results, misses
 }
--- a/operator/explain/explain.go
+++ b/operator/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds the cause of what a caller complains about in the logs of
-// all VMs. It reads JSON lines, also such as something else has put a prefix before.
+// Package explain determines from the logs of all VMs why a request failed or was slow. It reads JSON
+// lines, also with a prefix before the JSON object, as added by log collectors.
 package explain
 
 import (
@@ -18,13 +18,13 @@
 // Class is the error class of this package.
 var Class = errs.Class("explain")
 
-// Line is one line of a log.
+// Line is one line of a log, with the fields that this package evaluates.
 type Line struct {
 	Time  time.Time `json:"time"`
 	VM    string    `json:"vm"`
 	Event string    `json:"event"`
 
-	// Fields of requests. Spans are in milliseconds.
+	// Fields of request lines. Durations are in milliseconds.
 	ID        string `json:"id"`
 	Route     string `json:"route"`
 	Service   string `json:"service"`
@@ -33,7 +33,8 @@
 	Age       int64  `json:"age"`
 	Prompt    int64  `json:"prompt"`
 	Queued    int64  `json:"queued"`
-	// Read, Placed, Connected and Sent are spans since the arrival; the last three are of the last send.
+	// Read, Placed, Connected and Sent are times since the arrival. The last three are those of the last
+	// send.
 	Read      int64  `json:"read"`
 	Placed    int64  `json:"placed"`
 	Connected int64  `json:"connected"`
@@ -50,7 +51,8 @@
 	Outcome   string `json:"outcome"`
 	Error     string `json:"error"`
 
-	// Fields of what a process believes.
+	// Fields of lines that report a change in the state that a process has of its dependencies, of
+	// upstreams and of service ownership.
 	Upstream   string `json:"upstream"`
 	Address    string `json:"address"`
 	Owner      string `json:"owner"`
@@ -63,8 +65,8 @@
 	Message    string `json:"message"`
 }
 
-// Read reads all lines of a log that are JSON objects with an event. What is not is
-// counted: a log that was cut off must not look complete.
+// Read returns all lines of a log that are JSON objects with an event. It counts all others, so that a
+// truncated log does not appear complete.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	skipped, err = logline.Scan(r, func(object []byte) bool {
 		var l Line
@@ -80,20 +82,20 @@
 	return lines, skipped, nil
 }
 
-// around is how long before a request what a process believed may bear on it: the time
-// for which keys may be trusted, the longest of the bounds.
-const around = 5 * time.Second
+// contextWindow is how long before its arrival a state change can affect a request. It is the
+// longest of the time bounds on outdated state, the one for cached keys.
+const contextWindow = 5 * time.Second
 
-// Story is one request with what bears on it.
+// Story is one request with the log lines that may explain its outcome.
 type Story struct {
 	Request Line
-	// Cause names the deciding event and what it relied on.
+	// Cause describes the event that decided the outcome and the state that it was based on.
 	Cause string
-	// Context are lines of what processes believed, in the order of time.
+	// Context lists the lines about state changes that may have affected the request, ordered by time.
 	Context []Line
 }
 
-// Request finds the stories of an id. Repeats of a caller have other ids.
+// Request returns the requests with an id, ordered by time. Retries by the client have other ids.
 func Request(lines []Line, id string) []Story {
 	var out []Story
 	for _, l := range lines {
@@ -108,10 +110,10 @@
 	return out
 }
 
-// context lists what bears on a request: what its VM believed of its dependencies, and
-// what any VM believed of the upstreams that it was sent to.
+// context lists the state changes that may have affected a request: those that its VM logged about its
+// dependencies, and those that any VM logged about the upstreams that the request was sent to.
 func context(lines []Line, r Line) []Line {
-	from := r.Time.Add(-time.Duration(r.Total)*time.Millisecond - around)
+	from := r.Time.Add(-time.Duration(r.Total)*time.Millisecond - contextWindow)
 	var out []Line
 	for _, l := range lines {
 		if l.Event == logline.Request || l.Time.Before(from) || l.Time.After(r.Time) {
@@ -127,38 +129,40 @@
 	return out
 }
 
-// slowQueue and slowPause are spans in milliseconds from which on they are named as the cause.
+// slowQueue and slowPause are the shortest time in the queue and the shortest pause of a stream, in
+// milliseconds, that are reported as the cause of a slow request.
 const (
 	slowQueue = 100
 	slowPause = 1000
 )
 
-// cause names the deciding event of a request.
+// cause describes the event that decided the outcome of a request.
 func cause(r Line, context []Line) string {
 	switch {
 	case r.Outcome == "unauthorized" || r.Outcome == "unknown":
-		return fmt.Sprintf("%s: %s, by revision %d, known %d ms before to be the newest", r.Outcome, r.Error, r.Revision, r.Age)
+		return fmt.Sprintf("%s: %s, by revision %d, which was verified as the newest %d ms before", r.Outcome, r.Error, r.Revision, r.Age)
 	case r.Outcome == "unavailable" && strings.Contains(r.Error, "old"):
-		return fmt.Sprintf("what is known is too old: %s%s", r.Error, lost(context, "store"))
+		return fmt.Sprintf("local state is too old: %s%s", r.Error, describeLoss(context, "store"))
 	case r.Outcome == "overloaded" && r.Sends == "", r.Outcome == "unavailable" && r.Sends == "":
-		return fmt.Sprintf("no place in %d ms (%s): %d waited and %d ran when it was asked%s%s", r.Queued, r.Reason, r.Waiting, r.Running, lost(context, "owner"), changed(context, r))
+		return fmt.Sprintf("not placed within %d ms (%s): %d requests waiting and %d running at the placement query%s%s", r.Queued, r.Reason, r.Waiting, r.Running, describeLoss(context, "owner"), describeHolderChange(context, r))
 	case r.Outcome == "canceled" && r.Sends == "":
-		return fmt.Sprintf("its caller left after %d ms in the queue: %d waited and %d ran", r.Queued, r.Waiting, r.Running)
+		return fmt.Sprintf("canceled by its client after %d ms in the queue: %d requests waiting and %d running", r.Queued, r.Waiting, r.Running)
 	case r.Outcome != "ok":
 		return fmt.Sprintf("%s: %s; sends: %s", r.Outcome, r.Error, r.Sends)
 	case strings.Contains(r.Sends, ";"):
 		return fmt.Sprintf("served, after an earlier send failed: %s", r.Sends)
 	case r.Queued >= slowQueue:
-		return fmt.Sprintf("served, after %d of %d ms to the first byte in the queue: %d waited and %d ran%s", r.Queued, r.First, r.Waiting, r.Running, changed(context, r))
+		return fmt.Sprintf("served, after %d of %d ms to the first byte in the queue: %d requests waiting and %d running%s", r.Queued, r.First, r.Waiting, r.Running, describeHolderChange(context, r))
 	case r.Pause >= slowPause:
-		return fmt.Sprintf("served, with a pause of %d ms by upstream %s", r.Pause, r.Sends)
+		return fmt.Sprintf("served, with a pause of %d ms in the stream of upstream %s", r.Pause, r.Sends)
 	default:
 		return fmt.Sprintf("served; upstream %s took %d of %d ms to the first byte", r.Sends, r.First-r.Queued, r.First)
 	}
 }
 
-// lost tells whether a dependency was lost before the request's end.
-func lost(context []Line, dependency string) string {
+// describeLoss describes the last loss of a dependency from which it had not recovered when the
+// request ended. It is empty if there is none.
+func describeLoss(context []Line, dependency string) string {
 	out := ""
 	for _, l := range context {
 		if l.Dependency != dependency {
@@ -175,7 +179,7 @@
 	return out
 }
 
-// Between are the lines from one instant to another; zero instants are open ends.
+// Between returns the lines with a time from since to until; a zero time is no bound.
 func Between(lines []Line, since, until time.Time) []Line {
 	var out []Line
 	for _, l := range lines {
@@ -186,8 +190,9 @@
 	return out
 }
 
-// changed tells when the request's service got another holder while it waited.
-func changed(context []Line, r Line) string {
+// describeHolderChange describes the first change of the holder (the VM that owns the service) while
+// the request was in progress. It is empty if there is none.
+func describeHolderChange(context []Line, r Line) string {
 	began := arrival(r)
 	for _, l := range context {
 		if l.Event == logline.Holder && l.Service == r.Service && l.Time.After(began) {
@@ -197,16 +202,17 @@
 	return ""
 }
 
-// Window counts what happened in a span of time.
+// Window counts the events in a period of time.
 type Window struct {
+	// Requests is the number of requests that ended in the period.
 	Requests int
-	// Outcomes counts requests by outcome, with the reason for refusals.
+	// Outcomes counts requests by outcome, for refusals with the reason.
 	Outcomes map[string]int
-	// Beliefs counts the events of what processes believed, by event and subject.
+	// Beliefs counts the state changes that processes logged, by event and subject.
 	Beliefs map[string]int
 }
 
-// Span sums up what happened from one instant to another; zero instants are open ends.
+// Span counts the events from since to until; a zero time is no bound.
 func Span(lines []Line, since, until time.Time) Window {
 	w := Window{Outcomes: map[string]int{}, Beliefs: map[string]int{}}
 	for _, l := range Between(lines, since, until) {
@@ -220,6 +226,7 @@
 	return w
 }
 
+// outcome returns the outcome of a request, for refusals with the reason.
 func outcome(l Line) string {
 	if l.Outcome != "ok" && l.Sends == "" && l.Reason != "" {
 		return l.Outcome + " (" + l.Reason + ")"
@@ -227,7 +234,7 @@
 	return l.Outcome
 }
 
-// subject is what an event is about.
+// subject names the dependency, service, upstream or VM that an event is about.
 func subject(l Line) string {
 	switch l.Event {
 	case logline.Unreachable, logline.Reached:
--- a/operator/explain/stages.go
+++ b/operator/explain/stages.go
@@ -8,26 +8,27 @@
 	"snipeshift.example/lib/logline"
 )
 
-// Stage is one part of a request's way through a gate and an upstream.
+// Stage is one stage of the processing of a request by the gate (the VM that holds the client's
+// connection) and an upstream.
 type Stage uint8
 
 // The stages, in their order.
 const (
-	// StageRead: the request is read, and its key looked up.
+	// StageRead is reading the request and looking up its key.
 	StageRead Stage = iota
-	// StageQueue: a place is asked for and waited for.
+	// StageQueue is waiting for a grant to run on an upstream.
 	StageQueue
-	// StageEarlier: sends that failed or were turned away.
+	// StageEarlier is earlier sends, which failed or were rejected.
 	StageEarlier
-	// StageConnect: memory is reserved and a connection found or opened, for the last send.
+	// StageConnect is reserving memory and obtaining a connection for the last send.
 	StageConnect
-	// StageSend: its bytes are written.
+	// StageSend is writing the request to the upstream.
 	StageSend
-	// StageUpstream: until the first byte of the answer.
+	// StageUpstream is waiting for the first byte of the response.
 	StageUpstream
-	// StageWrite: from the first byte to the last.
+	// StageWrite is passing on the response, from its first byte to its last.
 	StageWrite
-	// StageWhole: the time from arrival to the end.
+	// StageWhole is the total time from arrival to end.
 	StageWhole
 	stages
 )
@@ -36,7 +37,7 @@
 	StageRead: "read", StageQueue: "queue", StageEarlier: "earlier sends", StageConnect: "connect", StageSend: "send", StageUpstream: "upstream", StageWrite: "write", StageWhole: "whole",
 }
 
-// String returns the stage's name.
+// String returns the name of the stage in the output.
 func (s Stage) String() string { return stageNames[s] }
 
 // Stages lists all stages.
@@ -48,7 +49,8 @@
 	return out
 }
 
-// spans are the lengths of one request's stages in milliseconds. A request that was refused has none after its queue.
+// spans returns the duration of each stage of a request in milliseconds. A request that was refused has
+// no stages after the queue.
 func spans(l Line) map[Stage]int64 {
 	out := map[Stage]int64{StageRead: l.Read, StageQueue: l.Queued, StageWhole: l.Total}
 	if l.Placed == 0 && l.Connected == 0 {
@@ -69,35 +71,40 @@
 	return out
 }
 
-// Pace is how many requests come in a second, against the median second.
+// Pace classifies a second by its number of arriving requests, relative to the median second.
 type Pace uint8
 
-// The paces: below three quarters of the median second, up to one and a half times, and above.
+// Classes of a second.
 const (
+	// Calm is fewer than three quarters of the requests of the median second.
 	Calm Pace = iota
+	// Mixed is between Calm and Flooded.
 	Mixed
+	// Flooded is more than one and a half times the requests of the median second.
 	Flooded
-	paces
+	loadClasses
 )
 
-var paceNames = [paces]string{Calm: "calm", Mixed: "mixed", Flooded: "flooded"}
+var loadClassNames = [loadClasses]string{Calm: "calm", Mixed: "mixed", Flooded: "flooded"}
 
-// String returns the pace's name.
-func (p Pace) String() string { return paceNames[p] }
+// String returns the name of the class in the output.
+func (p Pace) String() string { return loadClassNames[p] }
 
+// Limits of the classes, as multiples of the requests of the median second.
 const (
 	calmBelow    = 0.75
 	floodedAbove = 1.5
 )
 
-// pacer tells the pace of each second of a log.
-type pacer struct {
+// secondClassifier classifies the seconds of a log.
+type secondClassifier struct {
+	// counts holds the number of arrivals by Unix second.
 	counts map[int64]int
 	median float64
 }
 
-func newPacer(lines []Line) *pacer {
-	p := &pacer{counts: map[int64]int{}}
+func newSecondClassifier(lines []Line) *secondClassifier {
+	p := &secondClassifier{counts: map[int64]int{}}
 	for _, l := range lines {
 		if l.Event == logline.Request {
 			p.counts[arrival(l).Unix()]++
@@ -114,7 +121,8 @@
 	return p
 }
 
-func (p *pacer) at(l Line) Pace {
+// classify returns the class of the second in which a request arrived.
+func (p *secondClassifier) classify(l Line) Pace {
 	n := float64(p.counts[arrival(l).Unix()])
 	switch {
 	case n < calmBelow*p.median:
@@ -126,26 +134,28 @@
 	}
 }
 
-// arrival is when a request came: its line is written at its end.
+// arrival returns the arrival time of a request, whose log line is written at its end.
 func arrival(l Line) time.Time { return l.Time.Add(-time.Duration(l.Total) * time.Millisecond) }
 
-// Profile is the time that one kind of requests spent in one stage, at one pace.
+// Profile is the time that requests of one kind spent in one stage, in seconds of one class.
 type Profile struct {
 	Kind  string
 	Pace  Pace
 	Stage Stage
-	// Requests went through the stage; P50, P90 and P99 are milliseconds.
-	Requests      int
+	// Requests is the number of requests that went through the stage.
+	Requests int
+	// P50, P90 and P99 are percentiles of the time in milliseconds.
 	P50, P90, P99 int64
 }
 
-// Lengths of prompts in tokens that part kinds of requests.
+// Boundaries between the kinds of requests, in tokens of the prompt.
 const (
 	shortBelow = 16_000
 	longFrom   = 100_000
 )
 
-// kind names what a request is by the length of its prompt: what is short and what is long share engines, and wait for each other.
+// kind classifies a request by the length of its prompt. Short and long prompts share engines and delay
+// each other, so their times have to be compared separately.
 func kind(l Line) string {
 	switch {
 	case l.Prompt == 0:
@@ -159,23 +169,24 @@
 	}
 }
 
-// group is what a Profile is taken over.
+// group identifies the requests of one Profile.
 type group struct {
 	kind  string
-	pace  Pace
+	class Pace
 	stage Stage
 }
 
-// ProfileStages takes the times of all stages, by kind and pace. Requests that no route or key allows are left out.
+// ProfileStages returns the times of all stages, by kind of request and class of second. It leaves out
+// requests that were refused because of an unknown route or an invalid key.
 func ProfileStages(lines []Line) []Profile {
-	p := newPacer(lines)
+	p := newSecondClassifier(lines)
 	groups := map[group][]int64{}
 	for _, l := range lines {
 		if l.Event != logline.Request || l.Outcome == "unknown" || l.Outcome == "unauthorized" {
 			continue
 		}
 		for s, took := range spans(l) {
-			g := group{kind(l), p.at(l), s}
+			g := group{kind(l), p.classify(l), s}
 			groups[g] = append(groups[g], took)
 		}
 	}
@@ -183,13 +194,14 @@
 	for g, all := range groups {
 		slices.Sort(all)
 		at := func(part int) int64 { return all[(len(all)-1)*part/100] }
-		out = append(out, Profile{Kind: g.kind, Pace: g.pace, Stage: g.stage, Requests: len(all), P50: at(50), P90: at(90), P99: at(99)})
+		out = append(out, Profile{Kind: g.kind, Pace: g.class, Stage: g.stage, Requests: len(all), P50: at(50), P90: at(90), P99: at(99)})
 	}
-	sort.Slice(out, func(i, j int) bool { return before(out[i], out[j]) })
+	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
 	return out
 }
 
-func before(x, y Profile) bool {
+// less is the order of profiles: by kind, class and stage.
+func less(x, y Profile) bool {
 	switch {
 	case x.Kind != y.Kind:
 		return x.Kind < y.Kind
--- a/operator/explain/stages_test.go
+++ b/operator/explain/stages_test.go
@@ -14,12 +14,13 @@
 	require.Equal(t, map[Stage]int64{
 		StageRead: 5, StageQueue: 20, StageEarlier: 300, StageConnect: 5, StageSend: 1, StageUpstream: 100, StageWrite: 569, StageWhole: 1000,
 	}, spans(l))
-	require.Equal(t, map[Stage]int64{StageRead: 0, StageQueue: 40, StageWhole: 40}, spans(Line{Total: 40, Queued: 40}), "it was refused")
-	require.Equal(t, map[Stage]int64{StageRead: 1, StageQueue: 2, StageEarlier: 0, StageWhole: 90}, spans(Line{Total: 90, Read: 1, Queued: 2, Placed: 3}), "nobody answered the connect")
+	require.Equal(t, map[Stage]int64{StageRead: 0, StageQueue: 40, StageWhole: 40}, spans(Line{Total: 40, Queued: 40}), "refused request")
+	require.Equal(t, map[Stage]int64{StageRead: 1, StageQueue: 2, StageEarlier: 0, StageWhole: 90}, spans(Line{Total: 90, Read: 1, Queued: 2, Placed: 3}), "connecting failed")
 }
 
-// Eight seconds with a hundred requests each, one with twenty and one with three hundred, in which places are waited for.
-func TestProfileTellsCalmFromFloodedSeconds(t *testing.T) {
+// The log has eight seconds with 100 requests each, one second with 20, and one with 300 requests, which
+// have to wait for a grant.
+func TestProfileStagesByClassOfSecond(t *testing.T) {
 	var log strings.Builder
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	write := func(second, n, queued int) {
@@ -37,14 +38,14 @@
 	lines, skipped, err := Read(strings.NewReader(log.String()))
 	require.NoError(t, err)
 	require.Zero(t, skipped)
-	byPace := map[Pace]Profile{}
+	byClass := map[Pace]Profile{}
 	for _, p := range ProfileStages(lines) {
 		if p.Stage == StageQueue {
 			require.Equal(t, "short prompt", p.Kind)
-			byPace[p.Pace] = p
+			byClass[p.Pace] = p
 		}
 	}
-	require.Equal(t, int64(1), byPace[Calm].P50)
-	require.Equal(t, 800, byPace[Mixed].Requests)
-	require.Equal(t, int64(100), byPace[Flooded].P99)
+	require.Equal(t, int64(1), byClass[Calm].P50)
+	require.Equal(t, 800, byClass[Mixed].Requests)
+	require.Equal(t, int64(100), byClass[Flooded].P99)
 }
--- a/operator/main.go
+++ b/operator/main.go
@@ -1,5 +1,5 @@
-// Command snipeshift is the operators' command: it checks and applies the
-// configuration document, and shows what the daemons are doing.
+// Command snipeshift is the command line tool for operators: it checks and applies the configuration
+// document, and shows the state of the daemons.
 package main
 
 import (
--- a/operator/script_test.go
+++ b/operator/script_test.go
@@ -19,7 +19,7 @@
 	"snipeshift.example/operator/commands"
 )
 
-var update = flag.Bool("update", false, "write the golden output anew")
+var update = flag.Bool("update", false, "rewrite the golden output")
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
@@ -27,8 +27,8 @@
 	})
 }
 
-// TestScripts runs the command as a user does, against a stand-in of the
-// platform and of three daemons, and compares all that it prints.
+// TestScripts runs the command as an operator does, against a stand-in of the platform's store and of
+// three daemons, and compares its output.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata",
@@ -36,12 +36,13 @@
 		UpdateScripts:       *update,
 		Setup:               setUp,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"platform": breakPlatform,
-			"code":     checkCode,
+			"platform": platformCommand,
+			"code":     codeCommand,
 		},
 	})
 }
 
+// storeKey is the key of the store in the values of a script.
 type storeKey struct{}
 
 // setUp starts the stand-ins of one script.
@@ -66,8 +67,9 @@
 	return nil
 }
 
-// breakPlatform implements "platform FAULT": the store behaves so from then on.
-func breakPlatform(ts *testscript.TestScript, _ bool, args []string) {
+// platformCommand implements the script command "platform FAULT", which makes the store simulate a fault
+// from then on, and "platform put FILE", which writes a document as another operator.
+func platformCommand(ts *testscript.TestScript, _ bool, args []string) {
 	s := ts.Value(storeKey{}).(*platformtest.Store)
 	switch args[0] {
 	case "outage":
@@ -76,7 +78,7 @@
 		s.LoseAnswers(1)
 	case "stale":
 		s.Stale(true)
-	case "put": // another operator's change
+	case "put":
 		text := ts.ReadFile(args[1])
 		_, err := s.Put(context.Background(), "config", "document", []byte(text), platform.Always)
 		ts.Check(err)
@@ -85,8 +87,9 @@
 	}
 }
 
-// checkCode implements "code N COMMAND...": the command ends with exit code N.
-func checkCode(ts *testscript.TestScript, _ bool, args []string) {
+// codeCommand implements the script command "code N COMMAND...", which requires that the command exits
+// with code N.
+func codeCommand(ts *testscript.TestScript, _ bool, args []string) {
 	err := ts.Exec(args[1], args[2:]...)
 	got := 0
 	if err != nil {
@@ -105,9 +108,9 @@
 	return code
 }
 
-// The folder of bad documents is refused with just the lines that are kept
-// beside each, which lib/document checks too; here the command is run on them.
-func TestCheckRefusesEveryBadDocument(t *testing.T) {
+// Each document in the folder of invalid documents is rejected with exactly the lines of its golden file.
+// lib/document checks the same with the parser, this test with the command.
+func TestCheckRejectsInvalidDocuments(t *testing.T) {
 	files, err := filepath.Glob("../lib/document/testdata/bad/*.hujson")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
--- a/operator/stand_test.go
+++ b/operator/stand_test.go
@@ -19,12 +19,12 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// platformHandler speaks the platform's protocol over a store in memory.
+// platformHandler serves the protocol of the platform's store from a store in memory.
 func platformHandler(s *platformtest.Store) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /objects/{kind}/{name}", func(w http.ResponseWriter, r *http.Request) {
 		o, err := s.Get(r.Context(), platform.Kind(r.PathValue("kind")), platform.Name(r.PathValue("name")))
-		answer(w, o.Version, o.Value, err)
+		writeObject(w, o.Version, o.Value, err)
 	})
 	m.HandleFunc("PUT /objects/{kind}/{name}", func(w http.ResponseWriter, r *http.Request) {
 		text, err := io.ReadAll(r.Body)
@@ -33,18 +33,18 @@
 		}
 		base, _ := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 		v, err := s.Put(r.Context(), platform.Kind(r.PathValue("kind")), platform.Name(r.PathValue("name")), text, platform.At(platform.Version(base)))
-		answer(w, v, nil, err)
+		writeObject(w, v, nil, err)
 	})
 	return m
 }
 
-func answer(w http.ResponseWriter, v platform.Version, value []byte, err error) {
+func writeObject(w http.ResponseWriter, v platform.Version, value []byte, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatUint(uint64(v), 10)))
 		_, _ = w.Write(value)
 	case errors.Is(err, platform.ErrUnknown):
-		panic(http.ErrAbortHandler) // the answer is lost
+		panic(http.ErrAbortHandler) // the response is lost
 	case errors.Is(err, platform.ErrConflict):
 		w.WriteHeader(http.StatusPreconditionFailed)
 	case errors.Is(err, platform.ErrNotFound):
@@ -54,20 +54,20 @@
 	}
 }
 
-// fleet is three daemons: vm-1 and vm-2 answer, vm-3 is silent.
+// fleet is a stand-in of three daemons: vm-1 and vm-2 respond, vm-3 does not.
 type fleet struct {
-	servers []*httptest.Server
-	rings   []*timeline.Ring
+	servers   []*httptest.Server
+	timelines []*timeline.Ring
 }
 
-const silentDaemon = "127.0.0.1:9" // discard: nothing listens there
+const unreachableDaemon = "127.0.0.1:9" // the port of the discard protocol, where nothing listens
 
 func startFleet(e *testscript.Env) *fleet {
 	f := &fleet{}
 	for i := range 2 {
 		f.servers = append(f.servers, httptest.NewUnstartedServer(f.daemon(i)))
 	}
-	f.tell()
+	f.recordEvents()
 	for _, s := range f.servers {
 		s.Start()
 		e.Defer(s.Close)
@@ -79,21 +79,21 @@
 	return []string{f.servers[0].Listener.Addr().String(), f.servers[1].Listener.Addr().String()}
 }
 
-// hand is a clock that is set by hand.
-type hand struct{ now clock.Milli }
+// manualClock is a clock that is advanced by the test.
+type manualClock struct{ now clock.Milli }
 
-func (h *hand) Now() clock.Milli { return h.now }
+func (h *manualClock) Now() clock.Milli { return h.now }
 
 // noon is 2026-01-02 12:00:00 UTC.
 const noon clock.Milli = 1767355200000
 
-// tell plays one request over both daemons; the clock of vm-2 is a minute
-// behind, and the request is tried twice.
-func (f *fleet) tell() {
-	one, two := &hand{noon}, &hand{noon - clock.Minute}
+// recordEvents records the events of one request on both daemons. The clock of vm-2 is one minute
+// behind, and the request is sent twice.
+func (f *fleet) recordEvents() {
+	one, two := &manualClock{noon}, &manualClock{noon - clock.Minute}
 	a := timeline.New("snipeshiftd", "vm-1", 1, 64, one)
 	b := timeline.New("snipeshiftd", "vm-2", 4, 64, two)
-	f.rings = []*timeline.Ring{a, b}
+	f.timelines = []*timeline.Ring{a, b}
 	e := timeline.Event{Request: "r-1", Workspace: "ward-inspectors"}
 	add := func(r *timeline.Ring, k timeline.Kind, u decide.UpstreamID, peer, text string) {
 		e.Kind, e.Upstream, e.Peer, e.Text = k, u, peer, text
@@ -115,7 +115,7 @@
 	a.Add(timeline.Event{Kind: timeline.Arrived, Request: "r-2", Workspace: "sms-desk"})
 }
 
-// daemon answers as vm-1 or vm-2.
+// daemon returns the handler of vm-1 (i is 0) or vm-2 (i is 1).
 func (f *fleet) daemon(i int) http.Handler {
 	m := http.NewServeMux()
 	page := func(path string, lists ...any) {
@@ -146,7 +146,7 @@
 	m.HandleFunc("GET "+answers.PathTimeline, func(w http.ResponseWriter, r *http.Request) {
 		since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 		q := timeline.Filter{Request: decide.RequestID(r.URL.Query().Get("request")), Since: clock.Milli(since)}
-		for _, e := range f.rings[i].Events(q) {
+		for _, e := range f.timelines[i].Events(q) {
 			_ = json.NewEncoder(w).Encode(e)
 		}
 	})
@@ -178,7 +178,7 @@
 func (f *fleet) members() []answers.Member {
 	a := f.addresses()
 	return []answers.Member{
-		{VM: "vm-3", Incarnation: 2, Domain: "kochi-hall", Peer: "10.3.0.4:7001", Operator: silentDaemon, State: answers.Silent, Revision: 1, Age: 4000},
+		{VM: "vm-3", Incarnation: 2, Domain: "kochi-hall", Peer: "10.3.0.4:7001", Operator: unreachableDaemon, State: answers.Silent, Revision: 1, Age: 4000},
 		{VM: "vm-1", Incarnation: 1, Domain: "tvm-hall", Peer: "10.1.0.4:7001", Operator: a[0], State: answers.Serving, Revision: 2},
 		{VM: "vm-2", Incarnation: 4, Domain: "kollam-hall", Peer: "10.2.0.4:7001", Operator: a[1], State: answers.Serving, Revision: 2, Age: 310},
 		{VM: "vm-0", Incarnation: 1, Domain: "tvm-hall", State: answers.Gone},
--- a/operator/store/store.go
+++ b/operator/store/store.go
@@ -1,5 +1,4 @@
-// Package store reads and replaces the configuration document in the
-// platform's store.
+// Package store reads and replaces the configuration document in the platform's store.
 package store
 
 import (
@@ -14,7 +13,7 @@
 	"snipeshift.example/lib/platform"
 )
 
-// Where the document is kept.
+// The object that contains the document.
 const (
 	kind platform.Kind = "config"
 	name platform.Name = "document"
@@ -23,15 +22,16 @@
 // Class is the error class of this package.
 var Class = errs.Class("store")
 
-// Outcomes of Write that are no success.
+// Errors of Write.
 var (
-	// ErrLost means that another change came first; nothing of the text is in force.
+	// ErrLost means that another operator's change came first and the document was not written.
 	ErrLost = errs.New("another change came first")
-	// ErrUnknown means that the answer was lost and reading back did not settle what happened.
+	// ErrUnknown means that the response was lost, and that reading the document back did not show
+	// whether the write took effect.
 	ErrUnknown = errs.New("the outcome is unknown")
 )
 
-// Objects is what this package needs of the platform's store.
+// Objects is the part of the client of the platform's store that this package uses.
 type Objects interface {
 	Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error)
 	Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, c platform.Condition) (platform.Version, error)
@@ -55,21 +55,21 @@
 	return Current{peer.Revision(o.Version), o.Value}, nil
 }
 
-// Rules of repeating a write whose answer was lost.
+// Number of attempts to write, and the pause between them.
 const (
-	tries = 6
-	pause = 200 * time.Millisecond
+	maxAttempts = 6
+	retryPause  = 200 * time.Millisecond
 )
 
-// Write replaces revision base, zero for none, by text. It does so once or not
-// at all: each try carries the condition that base is still the newest, and
-// when an answer was lost the store is read back before it says anything.
+// Write replaces revision base of the document (zero if there is none) by text and returns the new
+// revision. The write takes effect at most once: each attempt is conditional on base still being the
+// newest revision. If a response was lost, Write reads the document back to determine the outcome.
 func Write(ctx context.Context, s Objects, base peer.Revision, text []byte) (peer.Revision, error) {
-	// sent is set once a try may have taken effect without our knowing.
-	sent := false
+	// mayHaveApplied is set once an attempt without a response may have taken effect.
+	mayHaveApplied := false
 	var err error
-	for try := range tries {
-		if try > 0 && !sleep(ctx, pause) {
+	for attempt := range maxAttempts {
+		if attempt > 0 && !sleep(ctx, retryPause) {
 			break
 		}
 		var v platform.Version
@@ -77,29 +77,29 @@
 		switch {
 		case err == nil:
 			return peer.Revision(v), nil
-		case errors.Is(err, platform.ErrConflict) && !sent:
+		case errors.Is(err, platform.ErrConflict) && !mayHaveApplied:
 			return 0, ErrLost
 		case errors.Is(err, platform.ErrRefused):
 			return 0, err
 		case errors.Is(err, platform.ErrUnknown):
-			sent = true
+			mayHaveApplied = true
 		}
-		if !sent {
+		if !mayHaveApplied {
 			continue
 		}
-		// A lost answer, or a conflict that our own lost write may have caused.
+		// A response was lost, or the conflict may be with our own write whose response was lost.
 		if r, settled, lost := readBack(ctx, s, base, text); settled {
 			return r, lost
 		}
 	}
-	if sent {
+	if mayHaveApplied {
 		return 0, Class.Wrap(errors.Join(ErrUnknown, err))
 	}
 	return 0, err
 }
 
-// readBack finds out whether a write took effect. It stays unsettled while the
-// store shows base: reads may be old, and the write may still be on its way.
+// readBack determines whether a write took effect. The outcome remains unsettled while the store returns
+// base: reads may be stale, and the write may still arrive.
 func readBack(ctx context.Context, s Objects, base peer.Revision, text []byte) (r peer.Revision, settled bool, err error) {
 	c, err := Read(ctx, s)
 	switch {
@@ -112,6 +112,7 @@
 	}
 }
 
+// sleep waits for d and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/operator/store/store_test.go
+++ b/operator/store/store_test.go
@@ -11,38 +11,39 @@
 	"snipeshift.example/lib/platform/platformtest"
 )
 
-// seed writes the first document.
-func seed(t *testing.T, s *platformtest.Store) peer.Revision {
+// writeFirst writes the first document.
+func writeFirst(t *testing.T, s *platformtest.Store) peer.Revision {
 	r, err := Write(t.Context(), s, 0, []byte("old"))
 	require.NoError(t, err)
 	return r
 }
 
-func inForce(t *testing.T, s *platformtest.Store) string {
+// currentText returns the text of the newest document.
+func currentText(t *testing.T, s *platformtest.Store) string {
 	c, err := Read(t.Context(), s)
 	require.NoError(t, err)
 	return string(c.Text)
 }
 
-// Two operators read the same revision, edit and apply. The second one must be
-// told, or the first one's change would be gone without anybody knowing.
-func TestTheLoserOfARaceIsToldAndChangesNothing(t *testing.T) {
+// Two operators read the same revision, edit and apply. The second write must fail, otherwise it would
+// silently overwrite the first one's change.
+func TestConcurrentWriteFails(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
+	base := writeFirst(t, s)
 	_, err := Write(t.Context(), s, base, []byte("first"))
 	require.NoError(t, err)
 	_, err = Write(t.Context(), s, base, []byte("second"))
 	require.ErrorIs(t, err, ErrLost)
-	require.Equal(t, "first", inForce(t, s))
+	require.Equal(t, "first", currentText(t, s))
 	_, err = Write(t.Context(), s, 0, []byte("new"))
 	require.ErrorIs(t, err, ErrLost)
 }
 
-// The write takes effect and its answer is lost. Told "failed", the operator
-// would apply again over what others did meanwhile.
-func TestALostAnswerIsSettledByReadingBack(t *testing.T) {
+// The write takes effect and the response is lost. If Write reported a failure, the operator would apply
+// again and overwrite changes that others have made in the meantime.
+func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
+	base := writeFirst(t, s)
 	s.LoseAnswers(1)
 	r, err := Write(t.Context(), s, base, []byte("new"))
 	require.NoError(t, err)
@@ -52,22 +53,22 @@
 	require.Equal(t, "new", string(c.Text))
 }
 
-// The write itself is lost with its answer. The store still shows the base, so
-// the same conditional write is tried again and takes effect once.
-func TestALostWriteIsTriedAgain(t *testing.T) {
+// The write itself is lost. The store still returns the base revision, so the same conditional write is
+// retried and takes effect once.
+func TestLostWriteIsRetried(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
+	base := writeFirst(t, s)
 	s.LoseWrites(2)
 	_, err := Write(t.Context(), s, base, []byte("new"))
 	require.NoError(t, err)
-	require.Equal(t, "new", inForce(t, s))
+	require.Equal(t, "new", currentText(t, s))
 }
 
-// A write hangs in the network and is delivered after a later try already took
-// effect. Its condition names the old revision, so it must change nothing.
-func TestAWriteDeliveredLateChangesNothing(t *testing.T) {
+// A write is delayed in the network and delivered after a later attempt has taken effect. Its condition
+// names the old revision, so it must not change anything.
+func TestDelayedWriteChangesNothing(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
+	base := writeFirst(t, s)
 	s.DelayWrites(1)
 	r, err := Write(t.Context(), s, base, []byte("new"))
 	require.NoError(t, err)
@@ -75,21 +76,21 @@
 	require.NoError(t, err)
 	require.Greater(t, next, r)
 	s.Deliver()
-	require.Equal(t, "newer", inForce(t, s))
+	require.Equal(t, "newer", currentText(t, s))
 }
 
-// The answer is lost and reads are answered from an old copy. Nobody can tell
-// then, and saying either "done" or "not done" could be false.
-func TestWhatCannotBeSettledIsCalledUnknown(t *testing.T) {
+// The response is lost and reads return an old copy. The outcome cannot be determined, so reporting
+// either success or failure could be false.
+func TestUnresolvedOutcomeIsUnknown(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
+	base := writeFirst(t, s)
 	s.Stale(true)
 	s.LoseAnswers(1)
 	_, err := Write(t.Context(), s, base, []byte("new"))
 	require.ErrorIs(t, err, ErrUnknown)
 }
 
-func TestAnOutageIsNoUnknownOutcome(t *testing.T) {
+func TestOutageIsNotUnknownOutcome(t *testing.T) {
 	s := platformtest.New()
 	s.Outage(true)
 	_, err := Write(t.Context(), s, 0, []byte("new"))
@@ -97,21 +98,20 @@
 	require.NotErrorIs(t, err, ErrUnknown)
 }
 
-// The answer of the first write is lost, and before it could be read back
-// another operator replaced the document. Ours is not in force, whichever way
-// it went, and that is what the operator must hear.
-func TestALostAnswerFollowedByAnotherChangeIsALostRace(t *testing.T) {
+// The response to the write is lost, and another operator replaces the document before it is read back.
+// Whether or not the write took effect, its document is no longer in force, and Write must report that.
+func TestLostResponseThenConcurrentChange(t *testing.T) {
 	s := platformtest.New()
-	base := seed(t, s)
-	_, err := Write(t.Context(), overtaken{s}, base, []byte("new"))
+	base := writeFirst(t, s)
+	_, err := Write(t.Context(), overtakenStore{s}, base, []byte("new"))
 	require.ErrorIs(t, err, ErrLost)
-	require.Equal(t, "theirs", inForce(t, s))
+	require.Equal(t, "theirs", currentText(t, s))
 }
 
-// overtaken loses each write and lets another operator write in its place.
-type overtaken struct{ *platformtest.Store }
+// overtakenStore is a store that loses each write and performs one of another operator instead.
+type overtakenStore struct{ *platformtest.Store }
 
-func (o overtaken) Put(ctx context.Context, k platform.Kind, n platform.Name, _ []byte, c platform.Condition) (platform.Version, error) {
+func (o overtakenStore) Put(ctx context.Context, k platform.Kind, n platform.Name, _ []byte, c platform.Condition) (platform.Version, error) {
 	_, err := o.Store.Put(ctx, k, n, []byte("theirs"), c)
 	if err != nil {
 		return 0, err
--- a/operator/table/columns.go
+++ b/operator/table/columns.go
@@ -8,7 +8,7 @@
 	answers "snipeshift.example/lib/operator"
 )
 
-// Members are the columns of daemons.
+// Members are the columns of the list of daemons.
 var Members = []Column[answers.Member]{
 	{"VM", func(m answers.Member) string { return string(m.VM) }},
 	{"STATE", func(m answers.Member) string { return string(m.State) }},
@@ -20,7 +20,7 @@
 	{"INCARNATION", func(m answers.Member) string { return text(m.Incarnation) }},
 }
 
-// Pools are the columns of pools.
+// Pools are the columns of the list of pools.
 var Pools = []Column[answers.Pool]{
 	{"POOL", func(p answers.Pool) string { return string(p.Pool) }},
 	{"OWNER", func(p answers.Pool) string { return string(p.Owner) }},
@@ -32,12 +32,12 @@
 	{"WAIT(ms)", func(p answers.Pool) string { return waits(p.Wait) }},
 }
 
-// waits shows the waits of urgency 0 to 3.
+// waits formats the estimated waits of urgencies 0 to 3.
 func waits(ms [4]clock.Milli) string {
 	return strings.Trim(fmt.Sprint(ms), "[]")
 }
 
-// Upstreams are the columns of upstreams.
+// Upstreams are the columns of the list of upstreams.
 var Upstreams = []Column[answers.Upstream]{
 	{"UPSTREAM", func(u answers.Upstream) string { return string(u.Name) }},
 	{"STATE", func(u answers.Upstream) string { return string(u.State) }},
@@ -51,7 +51,7 @@
 	{"FENCED", func(u answers.Upstream) string { return text(u.Fenced) }},
 }
 
-// reported is the age of the last report.
+// reported formats the age of the last load report.
 func reported(u answers.Upstream) string {
 	if u.Age < 0 {
 		return "never"
@@ -59,7 +59,7 @@
 	return u.Age.Duration().String()
 }
 
-// Grants are the columns of live grants.
+// Grants are the columns of the list of live grants.
 var Grants = []Column[answers.Grant]{
 	{"REQUEST", func(g answers.Grant) string { return string(g.Request) }},
 	{"WORKSPACE", func(g answers.Grant) string { return string(g.Workspace) }},
@@ -73,7 +73,7 @@
 	{"LEFT", func(g answers.Grant) string { return g.Left.Duration().String() }},
 }
 
-// Totals are the columns of usage by workspace.
+// Totals are the columns of the usage by workspace.
 var Totals = []Column[answers.Total]{
 	{"WORKSPACE", func(t answers.Total) string { return string(t.Workspace) }},
 	{"REQUESTS", func(t answers.Total) string { return text(t.Requests) }},
--- a/operator/table/events.go
+++ b/operator/table/events.go
@@ -10,42 +10,44 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// maxLanes is how many VMs get a lane of their own; more would not fit a screen.
+// maxLanes bounds the VMs for which lanes are drawn; more lanes would not fit on a screen.
 const maxLanes = 16
 
 const timeLayout = "2006-01-02 15:04:05.000"
 
-// event is an event with its lane.
-type event struct {
+// laneEvent is a timeline event with its row of lanes, one character for each VM: * for the VM of
+// the event and | for all others.
+type laneEvent struct {
 	timeline.Event
 	lanes string
 }
 
-var eventColumns = []Column[event]{
-	{"TIME", func(e event) string { return time.UnixMilli(int64(e.Stamp.Milli())).UTC().Format(timeLayout) }},
-	{"LANES", func(e event) string { return e.lanes }},
-	{"VM", func(e event) string { return e.VM }},
-	{"EVENT", func(e event) string { return e.Kind.String() }},
-	{"DETAIL", func(e event) string { return detail(e.Event) }},
+var eventColumns = []Column[laneEvent]{
+	{"TIME", func(e laneEvent) string { return time.UnixMilli(int64(e.Stamp.Milli())).UTC().Format(timeLayout) }},
+	{"LANES", func(e laneEvent) string { return e.lanes }},
+	{"VM", func(e laneEvent) string { return e.VM }},
+	{"EVENT", func(e laneEvent) string { return e.Kind.String() }},
+	{"DETAIL", func(e laneEvent) string { return detail(e.Event) }},
 }
 
-// Events draws merged events with a lane for each VM, so that the eye can
-// follow a request from one to the other.
+// Events writes merged events as a table with a lane for each VM, which shows how a request moves
+// between VMs. It omits the lanes if there are more than maxLanes VMs.
 func Events(out io.Writer, events []timeline.Event) error {
 	vms := vmsOf(events)
 	columns := eventColumns
 	if len(vms) > maxLanes {
 		columns = slices.Delete(slices.Clone(columns), 1, 2)
 	}
-	rows := make([]event, len(events))
+	rows := make([]laneEvent, len(events))
 	for i, e := range events {
 		lanes := []byte(strings.Repeat("|", len(vms)))
 		lanes[slices.Index(vms, e.VM)] = '*'
-		rows[i] = event{e, string(lanes)}
+		rows[i] = laneEvent{e, string(lanes)}
 	}
 	return Write(out, rows, columns)
 }
 
+// vmsOf returns the sorted names of the VMs that have events.
 func vmsOf(events []timeline.Event) []string {
 	seen := map[string]bool{}
 	var vms []string
@@ -59,7 +61,7 @@
 	return vms
 }
 
-// detail lists what an event names.
+// detail formats the request, workspace, upstream, peer and text of an event.
 func detail(e timeline.Event) string {
 	var words []string
 	add := func(name, value string) {
--- a/operator/table/services.go
+++ b/operator/table/services.go
@@ -6,20 +6,21 @@
 	"snipeshift.example/lib/route"
 )
 
-// ServiceRow is a service as a VM knows it.
+// ServiceRow is the state of a service as reported by one VM.
 type ServiceRow struct {
 	VM  peer.VM
 	Era route.Era
 	answers.Service
 }
 
-// StatementRow is what a VM has heard an upstream say of itself.
+// StatementRow is a statement of an upstream (a rate limit, a back-off or a drain notice) as reported by
+// one VM.
 type StatementRow struct {
 	VM peer.VM
 	answers.Statement
 }
 
-// Services are the columns of services.
+// Services are the columns of the list of services.
 var Services = []Column[ServiceRow]{
 	{"ASKED", func(r ServiceRow) string { return string(r.VM) }},
 	{"SERVICE", func(r ServiceRow) string { return string(r.Service.Service) }},
@@ -31,7 +32,7 @@
 	{"ERA", func(r ServiceRow) string { return text(r.Era) }},
 }
 
-// Statements are the columns of what upstreams say of themselves.
+// Statements are the columns of the list of statements of upstreams.
 var Statements = []Column[StatementRow]{
 	{"ASKED", func(r StatementRow) string { return string(r.VM) }},
 	{"SERVICE", func(r StatementRow) string { return string(r.Service) }},
@@ -43,7 +44,7 @@
 	{"AGE", func(r StatementRow) string { return r.Age.Duration().String() }},
 }
 
-// rate is a limit in requests a second; empty for other statements.
+// rate formats a rate limit in requests per second; it is empty for other statements.
 func rate(r StatementRow) string {
 	if r.Kind != "limit" {
 		return ""
@@ -51,7 +52,7 @@
 	return text(r.Rate)
 }
 
-// left is what remains of a rest; empty for other statements.
+// left formats the remaining time of a back-off; it is empty for other statements.
 func left(r StatementRow) string {
 	if r.Left <= 0 {
 		return ""
--- a/operator/table/table.go
+++ b/operator/table/table.go
@@ -1,4 +1,4 @@
-// Package table writes lists and events as tables for people.
+// Package table writes lists and events as text tables.
 package table
 
 import (
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Column is one column of a table.
+// Column is one column of a table: its title and the function that formats the cell of a row.
 type Column[R any] struct {
 	Title string
 	Cell  func(R) string
@@ -31,12 +31,12 @@
 	return w.Flush()
 }
 
-// line writes one line; an empty cell shows as a dash so that a script can cut columns.
+// line writes one line. It writes empty cells as a dash, so that scripts can split lines into columns.
 func line(w io.Writer, cells []string) {
 	for i, cell := range cells {
 		if cell == "" {
 			cells[i] = "-"
 		}
 	}
-	_, _ = fmt.Fprintln(w, strings.Join(cells, "\t")) // Flush tells of errors
+	_, _ = fmt.Fprintln(w, strings.Join(cells, "\t")) // Flush reports errors
 }
