--- a/operator/commands/collect.go
+++ b/operator/commands/collect.go
@@ -17,10 +17,10 @@
 	if err != nil {
 		return err
 	}
-	rows, misses := daemon.Collect[R](ctx, f, path)
+	rows, failures := daemon.Collect[R](ctx, f, path)
 	slices.SortStableFunc(rows, func(a, b R) int { return cmp.Compare(name(a), name(b)) })
 	if err := showRows(c, rows, columns); err != nil {
 		return err
 	}
-	return partialError(misses, len(f.Members))
+	return partialError(failures, len(f.Members))
 }
--- a/operator/commands/output.go
+++ b/operator/commands/output.go
@@ -40,14 +40,14 @@
 }
 
 // partialError returns an error that names the daemons that could not be queried, nil if there are none.
-func partialError(misses []daemon.Miss, all int) error {
-	if len(misses) == 0 {
+func partialError(failures []daemon.Miss, all int) error {
+	if len(failures) == 0 {
 		return nil
 	}
-	names := make([]string, len(misses))
-	for i, m := range misses {
+	names := make([]string, len(failures))
+	for i, m := range failures {
 		names[i] = string(m.Member.VM)
 	}
 	return withAdvice(errPartial, "%d of %d daemons gave no answer (%s), the rest is shown: see snipeshift members; the first error: %v",
-		len(misses), all, strings.Join(names, ", "), misses[0].Err)
+		len(failures), all, strings.Join(names, ", "), failures[0].Err)
 }
--- a/operator/commands/timeline.go
+++ b/operator/commands/timeline.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	parts, misses := f.Timeline(ctx, filter)
+	parts, failures := f.Timeline(ctx, filter)
 	events := timeline.Merge(parts)
 	if asJSON(c) {
 		err = printJSONLines(c, events)
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	return partialError(misses, len(f.Members))
+	return partialError(failures, len(f.Members))
 }
 
 // filterFromFlags returns the filter that the flags of the command describe.
--- a/operator/commands/usage.go
+++ b/operator/commands/usage.go
@@ -25,9 +25,9 @@
 	if err != nil {
 		return err
 	}
-	counters, misses := daemon.Collect[answers.Counter](ctx, f, answers.PathUsage)
+	counters, failures := daemon.Collect[answers.Counter](ctx, f, answers.PathUsage)
 	if err := showRows(c, answers.Sum(counters), table.Totals); err != nil {
 		return err
 	}
-	return partialError(misses, len(f.Members))
+	return partialError(failures, len(f.Members))
 }
--- a/operator/daemon/fleet.go
+++ b/operator/daemon/fleet.go
@@ -67,10 +67,10 @@
 // Daemons that could not be queried are returned separately, so that operators see that the list is
 // incomplete.
 func Collect[E any](ctx context.Context, f *Fleet, path string) ([]E, []Miss) {
-	parts, misses := queryAll(f, func(m answers.Member) ([]E, error) {
+	parts, failures := queryAll(f, func(m answers.Member) ([]E, error) {
 		return Get[[]E](ctx, f.client, m.Operator, path)
 	})
-	return slices.Concat(parts...), misses
+	return slices.Concat(parts...), failures
 }
 
 // Behind lists the members that do not report revision r or a later one as in force. A member that does
@@ -99,7 +99,7 @@
 func queryAll[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []Miss) {
 	results := make([]A, len(f.Members))
 	var mu sync.Mutex
-	var misses []Miss
+	var failures []Miss
 	var g errgroup.Group
 	g.SetLimit(maxConcurrent)
 	for i, m := range f.Members {
@@ -108,7 +108,7 @@
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				misses = append(misses, Miss{m, err})
+				failures = append(failures, Miss{m, err})
 				return nil
 			}
 			results[i] = a
@@ -116,6 +116,6 @@
 		})
 	}
 	_ = g.Wait() // the functions above return no error
-	slices.SortFunc(misses, func(a, b Miss) int { return cmp.Compare(a.Member.VM, b.Member.VM) })
-	return results, misses
+	slices.SortFunc(failures, func(a, b Miss) int { return cmp.Compare(a.Member.VM, b.Member.VM) })
+	return results, failures
 }
