--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -62,7 +62,7 @@
 		return runStages(c, explain.Between(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 	}
 	if span {
-		printWindow(out, explain.Span(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
+		printSummary(out, explain.Span(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 		return nil
 	}
 	requests := explain.Request(lines, args[0])
@@ -116,11 +116,11 @@
 	}
 }
 
-func printWindow(w io.Writer, win explain.Window) {
-	fmt.Fprintf(w, "%d requests\n", win.Requests)
-	printCounts(w, win.Outcomes)
+func printSummary(w io.Writer, summary explain.Window) {
+	fmt.Fprintf(w, "%d requests\n", summary.Requests)
+	printCounts(w, summary.Outcomes)
 	fmt.Fprintln(w, "state changes")
-	printCounts(w, win.Beliefs)
+	printCounts(w, summary.Beliefs)
 }
 
 // printCounts prints the counts in descending order.
--- a/operator/explain/explain.go
+++ b/operator/explain/explain.go
@@ -24,7 +24,8 @@
 	VM    string    `json:"vm"`
 	Event string    `json:"event"`
 
-	// Fields of request lines. Durations are in milliseconds.
+	// Fields of request lines. Durations are in milliseconds. Age is the time since Revision was last
+	// verified as the newest; Sends lists all sends, separated by semicolons.
 	ID        string `json:"id"`
 	Route     string `json:"route"`
 	Service   string `json:"service"`
--- a/operator/explain/stages.go
+++ b/operator/explain/stages.go
@@ -96,15 +96,15 @@
 	floodedAbove = 1.5
 )
 
-// secondClassifier classifies the seconds of a log.
-type secondClassifier struct {
+// loadClassifier classifies the seconds of a log.
+type loadClassifier struct {
 	// counts holds the number of arrivals by Unix second.
 	counts map[int64]int
 	median float64
 }
 
-func newSecondClassifier(lines []Line) *secondClassifier {
-	p := &secondClassifier{counts: map[int64]int{}}
+func newLoadClassifier(lines []Line) *loadClassifier {
+	p := &loadClassifier{counts: map[int64]int{}}
 	for _, l := range lines {
 		if l.Event == logline.Request {
 			p.counts[arrival(l).Unix()]++
@@ -122,7 +122,7 @@
 }
 
 // classify returns the class of the second in which a request arrived.
-func (p *secondClassifier) classify(l Line) Pace {
+func (p *loadClassifier) classify(l Line) Pace {
 	n := float64(p.counts[arrival(l).Unix()])
 	switch {
 	case n < calmBelow*p.median:
@@ -179,7 +179,7 @@
 // ProfileStages returns the times of all stages, by kind of request and class of second. It leaves out
 // requests that were refused because of an unknown route or an invalid key.
 func ProfileStages(lines []Line) []Profile {
-	p := newSecondClassifier(lines)
+	p := newLoadClassifier(lines)
 	groups := map[group][]int64{}
 	for _, l := range lines {
 		if l.Event != logline.Request || l.Outcome == "unknown" || l.Outcome == "unauthorized" {
@@ -200,7 +200,7 @@
 	return out
 }
 
-// less is the order of profiles: by kind, class and stage.
+// less orders profiles by kind, class and stage.
 func less(x, y Profile) bool {
 	switch {
 	case x.Kind != y.Kind:
--- a/operator/stand_test.go
+++ b/operator/stand_test.go
@@ -90,15 +90,15 @@
 // recordEvents records the events of one request on both daemons. The clock of vm-2 is one minute
 // behind, and the request is sent twice.
 func (f *fleet) recordEvents() {
-	one, two := &manualClock{noon}, &manualClock{noon - clock.Minute}
-	a := timeline.New("snipeshiftd", "vm-1", 1, 64, one)
-	b := timeline.New("snipeshiftd", "vm-2", 4, 64, two)
+	clock1, clock2 := &manualClock{noon}, &manualClock{noon - clock.Minute}
+	a := timeline.New("snipeshiftd", "vm-1", 1, 64, clock1)
+	b := timeline.New("snipeshiftd", "vm-2", 4, 64, clock2)
 	f.timelines = []*timeline.Ring{a, b}
 	e := timeline.Event{Request: "r-1", Workspace: "ward-inspectors"}
 	add := func(r *timeline.Ring, k timeline.Kind, u decide.UpstreamID, peer, text string) {
 		e.Kind, e.Upstream, e.Peer, e.Text = k, u, peer, text
 		r.Add(e)
-		one.now += 5
+		clock1.now += 5
 	}
 	add(a, timeline.Arrived, "", "", "kind=ward-draft")
 	b.Receive(a.Send())
