--- a/daemon/readers/fleet_test.go
+++ b/daemon/readers/fleet_test.go
@@ -37,7 +37,7 @@
 
 // Call implements registry.Peers without a network.
 func (f *testFleet) Call(_ context.Context, address, _ string, args, reply any) error {
-	return registry.NewReceiver(f.registries[address]).Tell(args.(*peer.RegistryWord), reply.(*peer.RegistryReply))
+	return registry.NewReceiver(f.registries[address]).Tell(args.(*peer.RegistrySummary), reply.(*peer.RegistryReply))
 }
 
 func newTestFleet(ctx context.Context, t *testing.T, p *standin.Platform, vms int) *testFleet {
--- a/emulator/engine/http.go
+++ b/emulator/engine/http.go
@@ -128,7 +128,7 @@
 	if need > e.settings.Memory {
 		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("%d tokens are more than the memory of %d", need, e.settings.Memory)
 	}
-	seed := expect.Of(prompt)
+	seed := expect.SeedOf(prompt)
 	return &batch.Request{
 		Entry: &batch.Entry{
 			ID:       decide.RequestID(id),
--- a/operator/commands/services.go
+++ b/operator/commands/services.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		return err
 	}
-	relays := []answers.Relay{}
+	relays := []answers.RelayStatus{}
 	var lastErr error
 	for _, a := range addresses {
-		r, err := daemon.Get[answers.Relay](ctx, k, a, answers.PathServices)
+		r, err := daemon.Get[answers.RelayStatus](ctx, k, a, answers.PathServices)
 		if err != nil {
 			lastErr = err
 			continue
@@ -54,7 +54,7 @@
 }
 
 // showRelays prints a table of services and, if there are any, a table of the statements of upstreams.
-func showRelays(c *cli.Command, relays []answers.Relay) error {
+func showRelays(c *cli.Command, relays []answers.RelayStatus) error {
 	if asJSON(c) {
 		return showJSON(c, relays)
 	}
--- a/operator/commands/usage.go
+++ b/operator/commands/usage.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return err
 	}
-	counters, failures := daemon.Collect[answers.Counter](ctx, f, answers.PathUsage)
-	if err := showRows(c, answers.Sum(counters), table.Totals); err != nil {
+	counters, failures := daemon.Collect[answers.UsageCounter](ctx, f, answers.PathUsage)
+	if err := showRows(c, answers.SumUsage(counters), table.Totals); err != nil {
 		return err
 	}
 	return partialError(failures, len(f.Members))
--- a/operator/explain/explain.go
+++ b/operator/explain/explain.go
@@ -252,7 +252,7 @@
 		return l.Upstream
 	case logline.Report, logline.Reserve, logline.Release:
 		return l.Upstream
-	case logline.Silent:
+	case logline.Unresponsive:
 		return l.Address
 	}
 	return l.VM
--- a/operator/store/store.go
+++ b/operator/store/store.go
@@ -73,7 +73,7 @@
 			break
 		}
 		var v platform.Version
-		v, err = s.Put(ctx, kind, name, text, platform.At(platform.Version(base)))
+		v, err = s.Put(ctx, kind, name, text, platform.IfVersion(platform.Version(base)))
 		switch {
 		case err == nil:
 			return peer.Revision(v), nil
--- a/operator/store/store_test.go
+++ b/operator/store/store_test.go
@@ -44,7 +44,7 @@
 func TestLostResponseIsResolvedByReadingBack(t *testing.T) {
 	s := platformtest.New()
 	base := writeFirst(t, s)
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	r, err := Write(t.Context(), s, base, []byte("new"))
 	require.NoError(t, err)
 	c, err := Read(t.Context(), s)
@@ -75,7 +75,7 @@
 	next, err := Write(t.Context(), s, r, []byte("newer"))
 	require.NoError(t, err)
 	require.Greater(t, next, r)
-	s.Deliver()
+	s.DeliverDelayed()
 	require.Equal(t, "newer", currentText(t, s))
 }
 
@@ -84,15 +84,15 @@
 func TestUnresolvedOutcomeIsUnknown(t *testing.T) {
 	s := platformtest.New()
 	base := writeFirst(t, s)
-	s.Stale(true)
-	s.LoseAnswers(1)
+	s.SetStale(true)
+	s.LoseResponses(1)
 	_, err := Write(t.Context(), s, base, []byte("new"))
 	require.ErrorIs(t, err, ErrUnknown)
 }
 
 func TestOutageIsNotUnknownOutcome(t *testing.T) {
 	s := platformtest.New()
-	s.Outage(true)
+	s.SetOutage(true)
 	_, err := Write(t.Context(), s, 0, []byte("new"))
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 	require.NotErrorIs(t, err, ErrUnknown)
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -59,7 +59,7 @@
 	l := newLoad(f)
 	l.more(t)
 	f.Platform.Models[0].Leave()
-	var relays []operator.Relay
+	var relays []operator.RelayStatus
 	require.Eventually(t, func() bool {
 		relays = relaysOf(t, f)
 		return heard(relays) && oneHolder(relays)
@@ -79,8 +79,8 @@
 }
 
 // relaysOf is what each VM knows of services.
-func relaysOf(t *testing.T, f *fleet.Fleet) []operator.Relay {
-	relays := make([]operator.Relay, len(f.VMs))
+func relaysOf(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
+	relays := make([]operator.RelayStatus, len(f.VMs))
 	for i, v := range f.VMs {
 		if err := json.Unmarshal([]byte(get(t, v, operator.PathServices, time.Second)), &relays[i]); err != nil {
 			t.Error(err)
@@ -90,12 +90,12 @@
 }
 
 // heard reports whether any VM has heard an upstream say something of itself.
-func heard(relays []operator.Relay) bool {
-	return slices.ContainsFunc(relays, func(r operator.Relay) bool { return len(r.Statements) > 0 })
+func heard(relays []operator.RelayStatus) bool {
+	return slices.ContainsFunc(relays, func(r operator.RelayStatus) bool { return len(r.Statements) > 0 })
 }
 
 // oneHolder reports whether all VMs follow one holder of each service.
-func oneHolder(relays []operator.Relay) bool {
+func oneHolder(relays []operator.RelayStatus) bool {
 	holders := map[route.ServiceID]peer.VM{}
 	for _, r := range relays {
 		for _, s := range r.Services {
