--- a/operator/commands/usage.go
+++ b/operator/commands/usage.go
@@ -15,7 +15,7 @@
 func usageByWorkspace() *cli.Command {
 	return &cli.Command{
 		Name:   "usage",
-		Usage:  "show what each workspace used: requests, prompt tokens, cached ones among them, output tokens",
+		Usage:  "show the usage of each workspace: requests, prompt tokens, how many of these were cached, output tokens",
 		Action: runUsage,
 	}
 }
@@ -25,9 +25,9 @@
 	if err != nil {
 		return err
 	}
-	counters, misses := daemon.Collect[answers.UsageCounter](ctx, f, answers.PathUsage)
-	if err := show(c, answers.SumUsage(counters), table.Totals); err != nil {
+	counters, failures := daemon.Collect[answers.UsageCounter](ctx, f, answers.PathUsage)
+	if err := showRows(c, answers.SumUsage(counters), table.Totals); err != nil {
 		return err
 	}
-	return partial(misses, len(f.Members))
+	return partialError(failures, len(f.Members))
 }
