--- a/operator/commands/drain.go
+++ b/operator/commands/drain.go
@@ -115,7 +115,7 @@
 	var base peer.Revision
 	for range drainTries {
 		base, r, err = drainOnce(ctx, s, name, !c.Bool(flagUndo))
-		if !errors.Is(err, store.ErrLost) {
+		if !errors.Is(err, store.ErrSuperseded) {
 			break
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // drainOnce sets drain of one upstream in the newest document and writes the document back.
-func drainOnce(ctx context.Context, s store.Objects, name string, on bool) (base, r peer.Revision, err error) {
+func drainOnce(ctx context.Context, s store.ObjectStore, name string, on bool) (base, r peer.Revision, err error) {
 	now, err := store.Read(ctx, s)
 	if err != nil {
 		return 0, 0, err
--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -59,13 +59,13 @@
 	}
 	out := c.Root().Writer
 	if c.Bool(flagStages) {
-		return runStages(c, explain.Between(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
+		return runStages(c, explain.LinesBetween(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 	}
 	if span {
-		printSummary(out, explain.Span(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
+		printSummary(out, explain.Summarize(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 		return nil
 	}
-	requests := explain.Request(lines, args[0])
+	requests := explain.FindRequests(lines, args[0])
 	if len(requests) == 0 {
 		return withAdvice(nil, "no log line reports the end of request %s: is the log of the VM that received it among the files?", args[0])
 	}
@@ -103,7 +103,7 @@
 // timeOfDayFormat formats a time of day.
 const timeOfDayFormat = "15:04:05.000"
 
-func printRequest(w io.Writer, s explain.Story) {
+func printRequest(w io.Writer, s explain.RequestReport) {
 	r := s.Request
 	fmt.Fprintf(w, "request %s at %s, ended %s\n", r.ID, r.VM, r.Time.UTC().Format(timeOfDayFormat))
 	fmt.Fprintf(w, "  cause     %s\n", s.Cause)
@@ -116,11 +116,11 @@
 	}
 }
 
-func printSummary(w io.Writer, summary explain.Window) {
+func printSummary(w io.Writer, summary explain.Summary) {
 	fmt.Fprintf(w, "%d requests\n", summary.Requests)
 	printCounts(w, summary.Outcomes)
 	fmt.Fprintln(w, "state changes")
-	printCounts(w, summary.Beliefs)
+	printCounts(w, summary.StateChanges)
 }
 
 // printCounts prints the counts in descending order.
--- a/operator/commands/output.go
+++ b/operator/commands/output.go
@@ -40,7 +40,7 @@
 }
 
 // partialError returns an error that names the daemons that could not be queried, nil if there are none.
-func partialError(failures []daemon.Miss, all int) error {
+func partialError(failures []daemon.MemberError, all int) error {
 	if len(failures) == 0 {
 		return nil
 	}
--- a/operator/daemon/fleet.go
+++ b/operator/daemon/fleet.go
@@ -23,8 +23,8 @@
 	Members []answers.Member
 }
 
-// Miss is a daemon that could not be queried, with the error.
-type Miss struct {
+// MemberError is a daemon that could not be queried, with the error.
+type MemberError struct {
 	Member answers.Member
 	Err    error
 }
@@ -66,7 +66,7 @@
 // Collect requests a list from all daemons and joins the lists in the order of the daemons' names.
 // Daemons that could not be queried are returned separately, so that operators see that the list is
 // incomplete.
-func Collect[E any](ctx context.Context, f *Fleet, path string) ([]E, []Miss) {
+func Collect[E any](ctx context.Context, f *Fleet, path string) ([]E, []MemberError) {
 	parts, failures := queryAll(f, func(m answers.Member) ([]E, error) {
 		return Get[[]E](ctx, f.client, m.Operator, path)
 	})
@@ -89,17 +89,17 @@
 }
 
 // Timeline requests the events of all daemons and returns one list for each daemon.
-func (f *Fleet) Timeline(ctx context.Context, filter timeline.Filter) ([][]timeline.Event, []Miss) {
+func (f *Fleet) Timeline(ctx context.Context, filter timeline.Filter) ([][]timeline.Event, []MemberError) {
 	return queryAll(f, func(m answers.Member) ([]timeline.Event, error) {
 		return f.client.Timeline(ctx, m.Operator, filter)
 	})
 }
 
 // queryAll calls ask for all members concurrently and returns the results in the order of Members.
-func queryAll[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []Miss) {
+func queryAll[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []MemberError) {
 	results := make([]A, len(f.Members))
 	var mu sync.Mutex
-	var failures []Miss
+	var failures []MemberError
 	var g errgroup.Group
 	g.SetLimit(maxConcurrent)
 	for i, m := range f.Members {
@@ -108,7 +108,7 @@
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				failures = append(failures, Miss{m, err})
+				failures = append(failures, MemberError{m, err})
 				return nil
 			}
 			results[i] = a
@@ -116,6 +116,6 @@
 		})
 	}
 	_ = g.Wait() // the functions above return no error
-	slices.SortFunc(failures, func(a, b Miss) int { return cmp.Compare(a.Member.VM, b.Member.VM) })
+	slices.SortFunc(failures, func(a, b MemberError) int { return cmp.Compare(a.Member.VM, b.Member.VM) })
 	return results, failures
 }
--- a/operator/explain/explain.go
+++ b/operator/explain/explain.go
@@ -87,8 +87,8 @@
 // longest of the time bounds on outdated state, the one for cached keys.
 const contextWindow = 5 * time.Second
 
-// Story is one request with the log lines that may explain its outcome.
-type Story struct {
+// RequestReport is one request with the log lines that may explain its outcome.
+type RequestReport struct {
 	Request Line
 	// Cause describes the event that decided the outcome and the state that it was based on.
 	Cause string
@@ -96,14 +96,14 @@
 	Context []Line
 }
 
-// Request returns the requests with an id, ordered by time. Retries by the client have other ids.
-func Request(lines []Line, id string) []Story {
-	var out []Story
+// FindRequests returns the requests with an id, ordered by time. Retries by the client have other ids.
+func FindRequests(lines []Line, id string) []RequestReport {
+	var out []RequestReport
 	for _, l := range lines {
 		if l.Event != logline.Request || l.ID != id {
 			continue
 		}
-		s := Story{Request: l, Context: context(lines, l)}
+		s := RequestReport{Request: l, Context: context(lines, l)}
 		s.Cause = cause(l, s.Context)
 		out = append(out, s)
 	}
@@ -180,8 +180,8 @@
 	return out
 }
 
-// Between returns the lines with a time from since to until; a zero time is no bound.
-func Between(lines []Line, since, until time.Time) []Line {
+// LinesBetween returns the lines with a time from since to until; a zero time is no bound.
+func LinesBetween(lines []Line, since, until time.Time) []Line {
 	var out []Line
 	for _, l := range lines {
 		if (since.IsZero() || !l.Time.Before(since)) && (until.IsZero() || !l.Time.After(until)) {
@@ -203,26 +203,26 @@
 	return ""
 }
 
-// Window counts the events in a period of time.
-type Window struct {
+// Summary counts the events in a period of time.
+type Summary struct {
 	// Requests is the number of requests that ended in the period.
 	Requests int
 	// Outcomes counts requests by outcome, for refusals with the reason.
 	Outcomes map[string]int
-	// Beliefs counts the state changes that processes logged, by event and subject.
-	Beliefs map[string]int
+	// StateChanges counts the state changes that processes logged, by event and subject.
+	StateChanges map[string]int
 }
 
-// Span counts the events from since to until; a zero time is no bound.
-func Span(lines []Line, since, until time.Time) Window {
-	w := Window{Outcomes: map[string]int{}, Beliefs: map[string]int{}}
-	for _, l := range Between(lines, since, until) {
+// Summarize counts the events from since to until; a zero time is no bound.
+func Summarize(lines []Line, since, until time.Time) Summary {
+	w := Summary{Outcomes: map[string]int{}, StateChanges: map[string]int{}}
+	for _, l := range LinesBetween(lines, since, until) {
 		if l.Event == logline.Request {
 			w.Requests++
 			w.Outcomes[outcome(l)]++
 			continue
 		}
-		w.Beliefs[strings.TrimSpace(l.Event+" "+subject(l))]++
+		w.StateChanges[strings.TrimSpace(l.Event+" "+subject(l))]++
 	}
 	return w
 }
--- a/operator/explain/stages.go
+++ b/operator/explain/stages.go
@@ -28,13 +28,13 @@
 	StageUpstream
 	// StageWrite is passing on the response, from its first byte to its last.
 	StageWrite
-	// StageWhole is the total time from arrival to end.
-	StageWhole
+	// StageTotal is the total time from arrival to end.
+	StageTotal
 	stages
 )
 
 var stageNames = [stages]string{
-	StageRead: "read", StageQueue: "queue", StageEarlier: "earlier sends", StageConnect: "connect", StageSend: "send", StageUpstream: "upstream", StageWrite: "write", StageWhole: "whole",
+	StageRead: "read", StageQueue: "queue", StageEarlier: "earlier sends", StageConnect: "connect", StageSend: "send", StageUpstream: "upstream", StageWrite: "write", StageTotal: "whole",
 }
 
 // String returns the name of the stage in the output.
@@ -52,7 +52,7 @@
 // spans returns the duration of each stage of a request in milliseconds. A request that was refused has
 // no stages after the queue.
 func spans(l Line) map[Stage]int64 {
-	out := map[Stage]int64{StageRead: l.Read, StageQueue: l.Queued, StageWhole: l.Total}
+	out := map[Stage]int64{StageRead: l.Read, StageQueue: l.Queued, StageTotal: l.Total}
 	if l.Placed == 0 && l.Connected == 0 {
 		return out
 	}
@@ -71,13 +71,13 @@
 	return out
 }
 
-// Pace classifies a second by its number of arriving requests, relative to the median second.
-type Pace uint8
+// LoadClass classifies a second by its number of arriving requests, relative to the median second.
+type LoadClass uint8
 
 // Classes of a second.
 const (
 	// Calm is fewer than three quarters of the requests of the median second.
-	Calm Pace = iota
+	Calm LoadClass = iota
 	// Mixed is between Calm and Flooded.
 	Mixed
 	// Flooded is more than one and a half times the requests of the median second.
@@ -88,7 +88,7 @@
 var loadClassNames = [loadClasses]string{Calm: "calm", Mixed: "mixed", Flooded: "flooded"}
 
 // String returns the name of the class in the output.
-func (p Pace) String() string { return loadClassNames[p] }
+func (p LoadClass) String() string { return loadClassNames[p] }
 
 // Limits of the classes, as multiples of the requests of the median second.
 const (
@@ -122,7 +122,7 @@
 }
 
 // classify returns the class of the second in which a request arrived.
-func (p *loadClassifier) classify(l Line) Pace {
+func (p *loadClassifier) classify(l Line) LoadClass {
 	n := float64(p.counts[arrival(l).Unix()])
 	switch {
 	case n < calmBelow*p.median:
@@ -140,7 +140,7 @@
 // Profile is the time that requests of one kind spent in one stage, in seconds of one class.
 type Profile struct {
 	Kind  string
-	Pace  Pace
+	Load  LoadClass
 	Stage Stage
 	// Requests is the number of requests that went through the stage.
 	Requests int
@@ -172,7 +172,7 @@
 // group identifies the requests of one Profile.
 type group struct {
 	kind  string
-	class Pace
+	class LoadClass
 	stage Stage
 }
 
@@ -194,7 +194,7 @@
 	for g, all := range groups {
 		slices.Sort(all)
 		at := func(part int) int64 { return all[(len(all)-1)*part/100] }
-		out = append(out, Profile{Kind: g.kind, Pace: g.class, Stage: g.stage, Requests: len(all), P50: at(50), P90: at(90), P99: at(99)})
+		out = append(out, Profile{Kind: g.kind, Load: g.class, Stage: g.stage, Requests: len(all), P50: at(50), P90: at(90), P99: at(99)})
 	}
 	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
 	return out
@@ -205,8 +205,8 @@
 	switch {
 	case x.Kind != y.Kind:
 		return x.Kind < y.Kind
-	case x.Pace != y.Pace:
-		return x.Pace < y.Pace
+	case x.Load != y.Load:
+		return x.Load < y.Load
 	default:
 		return x.Stage < y.Stage
 	}
--- a/operator/store/store.go
+++ b/operator/store/store.go
@@ -24,15 +24,15 @@
 
 // Errors of Write.
 var (
-	// ErrLost means that another operator's change came first and the document was not written.
-	ErrLost = errs.New("another change came first")
+	// ErrSuperseded means that another operator's change came first and the document was not written.
+	ErrSuperseded = errs.New("another change came first")
 	// ErrUnknown means that the response was lost, and that reading the document back did not show
 	// whether the write took effect.
 	ErrUnknown = errs.New("the outcome is unknown")
 )
 
-// Objects is the part of the client of the platform's store that this package uses.
-type Objects interface {
+// ObjectStore is the part of the client of the platform's store that this package uses.
+type ObjectStore interface {
 	Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error)
 	Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, c platform.Condition) (platform.Version, error)
 }
@@ -44,7 +44,7 @@
 }
 
 // Read returns the newest document.
-func Read(ctx context.Context, s Objects) (Current, error) {
+func Read(ctx context.Context, s ObjectStore) (Current, error) {
 	o, err := s.Get(ctx, kind, name)
 	if errors.Is(err, platform.ErrNotFound) {
 		return Current{}, nil
@@ -64,7 +64,7 @@
 // Write replaces revision base of the document (zero if there is none) by text and returns the new
 // revision. The write takes effect at most once: each attempt is conditional on base still being the
 // newest revision. If a response was lost, Write reads the document back to determine the outcome.
-func Write(ctx context.Context, s Objects, base peer.Revision, text []byte) (peer.Revision, error) {
+func Write(ctx context.Context, s ObjectStore, base peer.Revision, text []byte) (peer.Revision, error) {
 	// mayHaveApplied is set once an attempt without a response may have taken effect.
 	mayHaveApplied := false
 	var err error
@@ -78,7 +78,7 @@
 		case err == nil:
 			return peer.Revision(v), nil
 		case errors.Is(err, platform.ErrConflict) && !mayHaveApplied:
-			return 0, ErrLost
+			return 0, ErrSuperseded
 		case errors.Is(err, platform.ErrRefused):
 			return 0, err
 		case errors.Is(err, platform.ErrUnknown):
@@ -100,7 +100,7 @@
 
 // readBack determines whether a write took effect. The outcome remains unsettled while the store returns
 // base: reads may be stale, and the write may still arrive.
-func readBack(ctx context.Context, s Objects, base peer.Revision, text []byte) (r peer.Revision, settled bool, err error) {
+func readBack(ctx context.Context, s ObjectStore, base peer.Revision, text []byte) (r peer.Revision, settled bool, err error) {
 	c, err := Read(ctx, s)
 	switch {
 	case err != nil || c.Revision <= base:
@@ -108,7 +108,7 @@
 	case bytes.Equal(c.Text, text):
 		return c.Revision, true, nil
 	default:
-		return 0, true, ErrLost
+		return 0, true, ErrSuperseded
 	}
 }
 
--- a/operator/store/store_test.go
+++ b/operator/store/store_test.go
@@ -33,10 +33,10 @@
 	_, err := Write(t.Context(), s, base, []byte("first"))
 	require.NoError(t, err)
 	_, err = Write(t.Context(), s, base, []byte("second"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 	require.Equal(t, "first", currentText(t, s))
 	_, err = Write(t.Context(), s, 0, []byte("new"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 }
 
 // The write takes effect and the response is lost. If Write reported a failure, the operator would apply
@@ -104,7 +104,7 @@
 	s := platformtest.New()
 	base := writeFirst(t, s)
 	_, err := Write(t.Context(), overtakenStore{s}, base, []byte("new"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 	require.Equal(t, "theirs", currentText(t, s))
 }
 
