--- a/emulator/batch/batch.go
+++ b/emulator/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch is the heart of the stand-in engine: continuous batching over
-// tables of requests, without sockets or goroutines. Its caller locks, lets
-// the time of each step pass, and passes the clock's readings in.
+// Package batch implements the continuous batching of the emulated engine, without sockets or
+// goroutines. Its caller holds the lock, waits for the duration of each step and passes in the
+// current time.
 package batch
 
 import (
@@ -13,7 +13,7 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Settings of a batch; the fields are those of the engine's settings.
+// Settings of a batch. The fields of the same name in the engine's settings describe them.
 type Settings struct {
 	Slots           int
 	Prefill, Decode decide.Rate
@@ -21,39 +21,39 @@
 	Keep, Orphan    clock.Milli
 }
 
-// Batch holds the requests of one engine.
+// Batch is the queue and the running batch of one engine.
 type Batch struct {
 	settings Settings
 	memory   *kv.Memory
-	// started is called when a request takes its slot, changed with every change of its entry.
-	started func(q *Request)
-	changed func(q *Request)
-	// requests holds live ones and ended ones that can still be resumed.
+	// onStart is called when a request takes a slot, onChange whenever the state of its ledger entry changes.
+	onStart  func(q *Request)
+	onChange func(q *Request)
+	// requests holds queued and running requests, and ended ones whose stream can still be resumed.
 	requests map[decide.RequestID]*Request
 	// queue and running are ordered by priority, then arrival.
 	queue, running []*Request
-	// imported counts tokens that came by import, until their request ends.
+	// imported is the number of tokens of KV cache that were imported for a request that has not ended.
 	imported map[decide.RequestID]decide.Tokens
-	// forgot is when old requests were last dropped.
-	forgot clock.Milli
+	// lastSweep is the time of the last sweep.
+	lastSweep clock.Milli
 }
 
 // New returns an empty batch.
-func New(s Settings, m *kv.Memory, started, changed func(q *Request)) *Batch {
+func New(s Settings, m *kv.Memory, onStart, onChange func(q *Request)) *Batch {
 	return &Batch{
 		settings: s,
 		memory:   m,
-		started:  started,
-		changed:  changed,
+		onStart:  onStart,
+		onChange: onChange,
 		requests: map[decide.RequestID]*Request{},
 		imported: map[decide.RequestID]decide.Tokens{},
 	}
 }
 
-// Find returns a request that runs or can still be resumed, or nil.
+// Find returns the request if it has not ended or can still be resumed, otherwise nil.
 func (b *Batch) Find(id decide.RequestID) *Request { return b.requests[id] }
 
-// Other returns some other request, or nil.
+// Other returns any request other than q, or nil if there is none.
 func (b *Batch) Other(q *Request) *Request {
 	for _, o := range b.requests {
 		if o != q {
@@ -63,26 +63,28 @@
 	return nil
 }
 
-// Waiting counts queued requests.
+// Waiting returns the number of queued requests.
 func (b *Batch) Waiting() int { return len(b.queue) }
 
-// Busy counts queued and running requests.
+// Busy returns the number of queued and running requests.
 func (b *Batch) Busy() int { return len(b.queue) + len(b.running) }
 
-// Add queues a request behind all of its priority. One of the same id must have ended.
+// Add queues a request behind all others of its priority. An earlier request with the same ID must
+// have ended.
 func (b *Batch) Add(q *Request) {
 	q.Entry.Outcome = Queued
 	q.Changed = make(chan struct{})
 	b.requests[q.ID()] = q
-	b.changed(q)
+	b.onChange(q)
 	i, _ := slices.BinarySearchFunc(b.queue, q.Entry.Priority+1, func(r *Request, p int) int { return r.Entry.Priority - p })
 	b.queue = slices.Insert(b.queue, i, q)
 }
 
-// Import notes that n tokens of a request came from another engine.
+// Import records that n tokens of the request's KV cache were imported from another engine.
 func (b *Batch) Import(id decide.RequestID, n decide.Tokens) { b.imported[id] = n }
 
-// Cancel ends a request and frees what it holds; it tells whether there was anything to end or free.
+// Cancel ends a request and frees its memory. It returns false if there was neither a request nor
+// memory.
 func (b *Batch) Cancel(id decide.RequestID, now clock.Milli) bool {
 	q := b.requests[id]
 	if q != nil {
@@ -92,46 +94,48 @@
 	return b.Release(id) || q != nil
 }
 
-// Release frees all that a request holds; exports stay.
+// Release frees the memory of a request, but not its exports. It returns false if it had none.
 func (b *Batch) Release(id decide.RequestID) bool {
 	delete(b.imported, id)
 	return b.memory.Free(id)
 }
 
-// Step is one pass of the batch: how many prompt tokens each request gets
-// prefilled, who decodes one token, and how long that takes.
+// Step is one iteration of the batch: the number of prompt tokens to prefill for each request, the
+// requests that decode one token, and the duration.
 type Step struct {
 	Length  time.Duration
-	prefill []part
+	prefill []prefillPart
 	decode  []*Request
 }
 
-// part is one request's share of a step's prefill.
-type part struct {
+// prefillPart is the part of a step's prefill that belongs to one request.
+type prefillPart struct {
 	req    *Request
 	tokens decide.Tokens
 }
 
-// Idle tells whether there is nothing to do.
+// Idle reports whether the step has no work.
 func (s *Step) Idle() bool { return len(s.prefill)+len(s.decode) == 0 }
 
-// Plan runs the tables' systems: forget, admit, then share the next step, which
-// takes slow times as long as at full speed.
-func (b *Batch) Plan(now clock.Milli, slow float64) Step {
-	b.forget(now)
+// Plan removes old requests, admits queued ones and plans the next step. The step takes slowdown
+// times as long as at full speed.
+func (b *Batch) Plan(now clock.Milli, slowdown float64) Step {
+	b.sweep(now)
 	b.admit(now)
-	return b.share(slow)
+	return b.planStep(slowdown)
 }
 
-// forgetStep is how often old requests are looked for: the look costs time for each one kept.
-const forgetStep clock.Milli = 50
+// sweepInterval is the time between two sweeps, since each sweep visits every stored request.
+const sweepInterval clock.Milli = 50
 
-// forget cancels requests whose reader stayed away and drops old streams.
-func (b *Batch) forget(now clock.Milli) {
-	if now-b.forgot < forgetStep {
+// sweep cancels requests whose reader disconnected and did not return within Orphan, and removes
+// requests that ended at least Keep ago. With a negative Orphan it cancels none, and keeps an ended
+// request until a reader has received the whole stream or the request is deleted.
+func (b *Batch) sweep(now clock.Milli) {
+	if now-b.lastSweep < sweepInterval {
 		return
 	}
-	b.forgot = now
+	b.lastSweep = now
 	for id, q := range b.requests {
 		orphan := b.settings.Orphan >= 0 && !q.Read && q.Readers == 0 && now-q.Left >= b.settings.Orphan
 		switch {
@@ -145,7 +149,8 @@
 	}
 }
 
-// admit gives slots and memory to queued requests, most urgent first, then in order of arrival.
+// admit assigns slots and memory to queued requests by priority, then in order of arrival. It stops
+// at the first request that does not fit into memory.
 func (b *Batch) admit(now clock.Milli) {
 	for len(b.queue) > 0 && len(b.running) < b.settings.Slots {
 		q := b.queue[0]
@@ -160,50 +165,51 @@
 func (b *Batch) start(q *Request, now clock.Milli) {
 	q.Entry.Started = now
 	q.Entry.Outcome = Running
-	b.started(q)
-	b.changed(q)
+	b.onStart(q)
+	b.onChange(q)
 	// The last prompt token is always computed: it yields the first output token.
 	cached := max(b.memory.Cached(q.Levels), b.imported[q.ID()])
 	q.Entry.Cached = max(0, min(cached, q.Entry.Prompt-1))
-	q.filled = q.Entry.Cached
+	q.prefilled = q.Entry.Cached
 	b.running = append(b.running, q)
 	slices.SortStableFunc(b.running, byPriority)
 }
 
-// share splits the next step: all that decode get one token, and a chunk of
-// prefill goes to the others, most urgent first. The chunk lengthens the step
-// for all, which is how a long prompt slows the decode of its neighbours.
-func (b *Batch) share(slow float64) Step {
+// planStep plans the next step: every decoding request produces one token, and the others share a
+// chunk of prefill, most urgent first. The prefill lengthens the step for all requests, so a long
+// prompt slows down the decoding of the others, as it does in a real engine.
+func (b *Batch) planStep(slowdown float64) Step {
 	var s Step
-	left := b.settings.Chunk
+	budget := b.settings.Chunk
 	for _, q := range b.running {
-		need := q.Entry.Prompt - q.filled
+		need := q.Entry.Prompt - q.prefilled
 		if need <= 0 {
 			s.decode = append(s.decode, q)
 			continue
 		}
-		if n := min(need, left); n > 0 {
-			s.prefill = append(s.prefill, part{q, n})
-			left -= n
+		if n := min(need, budget); n > 0 {
+			s.prefill = append(s.prefill, prefillPart{q, n})
+			budget -= n
 		}
 	}
-	seconds := float64(b.settings.Chunk-left) / float64(b.settings.Prefill)
+	seconds := float64(b.settings.Chunk-budget) / float64(b.settings.Prefill)
 	if len(s.decode) > 0 {
 		seconds += 1 / float64(b.settings.Decode)
 	}
-	s.Length = time.Duration(slow * seconds * float64(time.Second))
+	s.Length = time.Duration(slowdown * seconds * float64(time.Second))
 	return s
 }
 
-// Apply makes the events of a step, for requests that still run.
+// Apply records the progress and the stream events of a finished step. Requests that have ended
+// since the step was planned are skipped.
 func (b *Batch) Apply(s Step, now clock.Milli) {
 	for _, q := range s.decode {
 		b.emit(q, now)
 	}
 	for _, p := range s.prefill {
 		q := p.req
-		q.filled += p.tokens
-		if q.filled < q.Entry.Prompt || q.Ended {
+		q.prefilled += p.tokens
+		if q.prefilled < q.Entry.Prompt || q.Ended {
 			continue
 		}
 		b.memory.Remember(q.Levels)
@@ -211,7 +217,7 @@
 	}
 }
 
-// emit makes the next token, and with the last one the event that carries the usage.
+// emit produces the next output token, and after the last token also the final event with the usage.
 func (b *Batch) emit(q *Request, now clock.Milli) {
 	if q.Ended {
 		return
@@ -222,15 +228,15 @@
 	q.Events = append(q.Events, now)
 	q.Entry.Output++
 	if len(q.Events) < q.Limit {
-		q.wake()
+		q.notify()
 		return
 	}
 	q.Events = append(q.Events, now)
 	b.end(q, Done, now)
 }
 
-// end takes a request out of the batch or the queue and frees its memory,
-// unless it is to be held until its deletion.
+// end removes a request from the batch or the queue and frees its memory. With a negative Orphan, a
+// request that is done without an open stream retains its memory until it is deleted.
 func (b *Batch) end(q *Request, o Outcome, now clock.Milli) {
 	if q.Ended {
 		return
@@ -238,13 +244,13 @@
 	q.Ended = true
 	q.Entry.Finished = now
 	q.Entry.Outcome = o
-	b.changed(q)
+	b.onChange(q)
 	b.running = slices.DeleteFunc(b.running, func(r *Request) bool { return r == q })
 	b.queue = slices.DeleteFunc(b.queue, func(r *Request) bool { return r == q })
 	if b.settings.Orphan >= 0 || o == Canceled || q.Readers > 0 {
 		b.Release(q.ID())
 	}
-	q.wake()
+	q.notify()
 }
 
 func byPriority(a, b *Request) int { return cmp.Compare(a.Entry.Priority, b.Entry.Priority) }
--- a/emulator/batch/request.go
+++ b/emulator/batch/request.go
@@ -7,36 +7,37 @@
 	"snipeshift.example/lib/expect"
 )
 
-// Outcome is how a request stands in the ledger.
+// Outcome is the state of a request in the ledger.
 type Outcome string
 
-// The outcomes.
+// The states of a request. Done, Canceled and Crashed are final.
 const (
 	Queued   Outcome = "queued"
 	Running  Outcome = "running"
 	Done     Outcome = "done"
-	Canceled Outcome = "canceled" // deleted, or its reader left and did not come back
-	Crashed  Outcome = "crashed"  // it killed the process
+	Canceled Outcome = "canceled" // deleted, or its reader disconnected and did not return
+	Crashed  Outcome = "crashed"  // the request crashed the engine
 )
 
-// Entry is one request in the ledger.
+// Entry is the ledger's record of one request.
 type Entry struct {
 	ID decide.RequestID `json:"id"`
-	// Key, Grant and Group are the headers Idempotency-Key, X-Grant and X-Group.
+	// Key, Grant and Group are the values of the headers Idempotency-Key, X-Grant and X-Group.
 	Key      string `json:"key"`
 	Grant    string `json:"grant"`
 	Group    string `json:"group"`
 	Priority int    `json:"priority"`
-	// Arrived, Started, First and Finished are instants in milliseconds, zero if not reached;
-	// Started is when it took its slot and memory, First when its first token was made.
+	// Arrived, Started, First and Finished are times in milliseconds, zero if not reached. Started
+	// is when the request received its slot and memory, First when its first token was produced.
 	Arrived  clock.Milli `json:"arrived"`
 	Started  clock.Milli `json:"started"`
 	First    clock.Milli `json:"first"`
 	Finished clock.Milli `json:"finished"`
-	// Hash is xxhash64 of the prompt in hexadecimal, Text its first bytes.
+	// Hash is the xxhash64 of the prompt in hexadecimal, Text the beginning of the prompt.
 	Hash string `json:"hash"`
 	Text string `json:"text"`
-	// Prompt, Cached, Output and Reserved count tokens; Output those made so far.
+	// Prompt, Cached, Output and Reserved are numbers of tokens: of the prompt, of its cached
+	// prefix, of the output produced so far, and of the reserved memory.
 	Prompt   decide.Tokens `json:"prompt"`
 	Cached   decide.Tokens `json:"cached"`
 	Output   decide.Tokens `json:"output"`
@@ -44,42 +45,43 @@
 	Outcome  Outcome       `json:"outcome"`
 }
 
-// Request is one generation, from its arrival until Keep after its end.
+// Request is one generation. It is stored from its arrival until Settings.Keep after its end.
 type Request struct {
 	Entry *Entry
-	// Chat tells which of the API's two calls it came by, Model what it named.
+	// Chat is true for a chat completion and false for a text completion. Model is the requested model.
 	Chat   bool
 	Model  string
 	Prompt string
-	// Seed determines the answer.
+	// Seed determines the text of the answer.
 	Seed   expect.Seed
 	Levels []kv.Level
-	// Limit is the number of output tokens; the stream has one event more, which carries the usage.
+	// Limit is the number of output tokens. The stream has one more event, with the usage.
 	Limit int
-	// Events holds the instant at which each event was made.
+	// Events holds the time at which each event was produced.
 	Events []clock.Milli
-	// Ended is set once no further event will be made.
+	// Ended is set when no further event will be produced.
 	Ended bool
-	// Readers counts open streams; Left is when the last one closed early.
+	// Readers is the number of open streams. Left is when the most recent stream was closed.
 	Readers int
 	Left    clock.Milli
-	// Read is set once a reader got the end mark, or nobody will come for it.
+	// Read is set when a reader has received the end mark, or the request was canceled and no
+	// reader will resume its stream.
 	Read bool
-	// Changed is closed and replaced with every event and at the end.
+	// Changed is closed and replaced at every event and when the request ends.
 	Changed chan struct{}
 
-	// filled counts prompt tokens in memory, cached ones included.
-	filled decide.Tokens
+	// prefilled is the number of prompt tokens in KV memory, including cached and imported ones.
+	prefilled decide.Tokens
 }
 
-// ID is the request's id.
+// ID returns the ID of the request.
 func (q *Request) ID() decide.RequestID { return q.Entry.ID }
 
-// Size is how many tokens of the request are in memory.
-func (q *Request) Size() decide.Tokens { return q.filled + q.Entry.Output }
+// Size returns the number of tokens of the request in KV memory: prefilled prompt and output.
+func (q *Request) Size() decide.Tokens { return q.prefilled + q.Entry.Output }
 
-// wake lets its readers look again.
-func (q *Request) wake() {
+// notify wakes the readers that wait for the next event.
+func (q *Request) notify() {
 	close(q.Changed)
 	q.Changed = make(chan struct{})
 }
--- a/emulator/completion/body.go
+++ b/emulator/completion/body.go
@@ -1,5 +1,5 @@
-// Package completion is the shape of the API's completions as an engine reads
-// and writes it: the parts of a body that matter, and the chunks of a stream.
+// Package completion parses the API's completion requests and writes the chunks of streamed
+// completions, as far as the emulated engine needs them.
 package completion
 
 import (
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Body is what the engine reads of a generation request.
+// Body is a completion or chat completion request. It has only the fields that the engine uses.
 type Body struct {
 	Model    string          `json:"model"`
 	Messages []message       `json:"messages"`
 	Prompt   json.RawMessage `json:"prompt"`
 	Stream   bool            `json:"stream"`
-	// MaxCompletionTokens goes before the older MaxTokens.
+	// MaxCompletionTokens takes precedence over the deprecated MaxTokens.
 	MaxTokens           int `json:"max_tokens"`
 	MaxCompletionTokens int `json:"max_completion_tokens"`
 }
@@ -22,27 +22,27 @@
 	Content json.RawMessage `json:"content"`
 }
 
-type part struct {
+type contentPart struct {
 	Text string `json:"text"`
 }
 
-// Limit is the number of output tokens, normal where the request names none.
-func (b *Body) Limit(normal int) int {
+// Limit returns the requested number of output tokens, or defaultLimit if the request has none.
+func (b *Body) Limit(defaultLimit int) int {
 	switch {
 	case b.MaxCompletionTokens > 0:
 		return b.MaxCompletionTokens
 	case b.MaxTokens > 0:
 		return b.MaxTokens
 	default:
-		return normal
+		return defaultLimit
 	}
 }
 
-// Chat joins the text of all messages by newlines.
+// Chat returns the prompt of a chat completion: the text of all messages, joined by newlines.
 func (b *Body) Chat() (string, error) {
 	texts := make([]string, len(b.Messages))
 	for i, m := range b.Messages {
-		t, err := text(m.Content, "")
+		t, err := parseText(m.Content, "")
 		if err != nil {
 			return "", err
 		}
@@ -51,11 +51,12 @@
 	return strings.Join(texts, "\n"), nil
 }
 
-// Completion reads a prompt, or joins several by newlines.
-func (b *Body) Completion() (string, error) { return text(b.Prompt, "\n") }
+// Completion returns the prompt of a text completion. Several prompts are joined by newlines.
+func (b *Body) Completion() (string, error) { return parseText(b.Prompt, "\n") }
 
-// text reads a string, a list of strings or a list of text parts, joined by sep.
-func text(raw json.RawMessage, sep string) (string, error) {
+// parseText parses a string, a list of strings or a list of content parts. It joins strings by sep,
+// content parts too.
+func parseText(raw json.RawMessage, sep string) (string, error) {
 	var s string
 	if len(raw) == 0 || json.Unmarshal(raw, &s) == nil {
 		return s, nil
@@ -64,7 +65,7 @@
 	if json.Unmarshal(raw, &list) == nil {
 		return strings.Join(list, sep), nil
 	}
-	var parts []part
+	var parts []contentPart
 	if err := json.Unmarshal(raw, &parts); err != nil {
 		return "", err
 	}
--- a/emulator/completion/body_test.go
+++ b/emulator/completion/body_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPromptIsAllText(t *testing.T) {
+func TestPromptJoinsAllTextParts(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"messages":[{"content":"a"},{"content":[{"type":"text","text":"b"},{"text":"c"}]}]}`: "a\nbc",
 		`{"messages":[{"role":"user"},{"content":null}]}`:                                      "\n",
@@ -28,7 +28,7 @@
 	require.Error(t, err)
 }
 
-func TestLimit(t *testing.T) {
+func TestOutputLimit(t *testing.T) {
 	require.Equal(t, 16, (&Body{}).Limit(16))
 	require.Equal(t, 3, (&Body{MaxTokens: 3}).Limit(16))
 	require.Equal(t, 4, (&Body{MaxTokens: 3, MaxCompletionTokens: 4}).Limit(16))
--- a/emulator/completion/chunk.go
+++ b/emulator/completion/chunk.go
@@ -9,13 +9,15 @@
 	"snipeshift.example/lib/expect"
 )
 
-// Voice is whose words a chunk carries: the request's own, or another's when streams are crossed.
+// Voice is the request whose ID and answer a chunk contains. It is normally the request of the
+// stream; while the engine is told to cross streams, it is a different one.
 type Voice struct {
 	ID   decide.RequestID
 	Seed expect.Seed
 }
 
-// Chunk appends event n as the API's clients expect it.
+// Chunk appends event n of the stream of q in the API's JSON format, with the ID and text of v.
+// The event after the last token holds the finish reason and the usage.
 func Chunk(b []byte, q *batch.Request, n int, v Voice) []byte {
 	b = append(b, `{"id":`...)
 	b = strconv.AppendQuote(b, string(v.ID))
@@ -29,9 +31,9 @@
 	b = strconv.AppendQuote(b, q.Model)
 	b = append(b, `,"choices":[{"index":0,`...)
 	if n == q.Limit {
-		return last(b, q)
+		return appendFinish(b, q)
 	}
-	b = delta(b, q, n)
+	b = appendDelta(b, q, n)
 	b = v.Seed.Append(b, n)
 	if q.Chat {
 		return append(b, `"},"finish_reason":null}]}`...)
@@ -39,7 +41,7 @@
 	return append(b, `","finish_reason":null}]}`...)
 }
 
-func delta(b []byte, q *batch.Request, n int) []byte {
+func appendDelta(b []byte, q *batch.Request, n int) []byte {
 	switch {
 	case !q.Chat:
 		return append(b, `"text":"`...)
@@ -50,8 +52,8 @@
 	}
 }
 
-// last appends the rest of the chunk that carries the finish reason and the usage.
-func last(b []byte, q *batch.Request) []byte {
+// appendFinish appends the remainder of the final chunk, with the finish reason and the usage.
+func appendFinish(b []byte, q *batch.Request) []byte {
 	if q.Chat {
 		b = append(b, `"delta":{},"finish_reason":"length"}]`...)
 	} else {
--- a/emulator/kv/memory.go
+++ b/emulator/kv/memory.go
@@ -1,5 +1,5 @@
-// Package kv is the KV memory of the stand-in engine: what requests and
-// exports hold, and the prefix cache in what is left. Its caller locks.
+// Package kv models the KV memory of the emulated engine: the memory reserved by requests and
+// exports, and the prefix cache in the remaining memory. It is not safe for concurrent use.
 package kv
 
 import (
@@ -12,94 +12,96 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Handle names an export: engine, number and tokens, so that another engine
-// can tell how much memory an import takes.
+// Handle identifies an export. It contains the engine's name, a number and the size in tokens, so
+// that another engine can read from it how much memory the import needs.
 type Handle string
 
-// Held is one request that holds memory.
+// Held is the memory reserved by one request, in tokens.
 type Held struct {
 	ID       decide.RequestID `json:"id"`
 	Reserved decide.Tokens    `json:"reserved"`
 }
 
-// Kept is one export.
+// Kept is one export: a copy of the KV cache of a request that other engines can import.
 type Kept struct {
 	Handle  Handle           `json:"handle"`
 	Request decide.RequestID `json:"request"`
 	Tokens  decide.Tokens    `json:"tokens"`
 }
 
-// Memory is the KV memory of one engine. What is neither held by a request nor
-// by an export is the prefix cache's.
+// Memory is the KV memory of one engine. Memory that is reserved neither by a request nor by an
+// export is available to the prefix cache.
 type Memory struct {
 	size decide.Tokens
-	// held is what running requests, members of groups and imports hold.
-	held    map[decide.RequestID]decide.Tokens
-	exports map[Handle]Kept
-	// used is the sum over held and exports; it is at most size.
+	// reserved is the memory of running requests, reservations of group members and imports.
+	reserved map[decide.RequestID]decide.Tokens
+	exports  map[Handle]Kept
+	// used is the sum of reserved and exports. It is at most size.
 	used  decide.Tokens
 	cache *cache
 }
 
-// New returns free memory of a size in tokens. Changed is called with each
-// prefix that comes into the cache or leaves it.
-func New(size decide.Tokens, changed func(h decide.PrefixHash, evicted bool)) *Memory {
+// New returns free memory of a size in tokens. onChange is called for each prefix that is added to
+// the cache or evicted.
+func New(size decide.Tokens, onChange func(h decide.PrefixHash, evicted bool)) *Memory {
 	return &Memory{
-		size:    size,
-		held:    map[decide.RequestID]decide.Tokens{},
-		exports: map[Handle]Kept{},
-		cache:   newCache(changed),
+		size:     size,
+		reserved: map[decide.RequestID]decide.Tokens{},
+		exports:  map[Handle]Kept{},
+		cache:    newCache(onChange),
 	}
 }
 
-func (m *Memory) room() decide.Tokens { return m.size - m.used }
+func (m *Memory) available() decide.Tokens { return m.size - m.used }
 
-// Size is the whole memory in tokens.
+// Size returns the total memory in tokens.
 func (m *Memory) Size() decide.Tokens { return m.size }
 
-// Used is what requests and exports hold.
+// Used returns the memory of requests and exports in tokens.
 func (m *Memory) Used() decide.Tokens { return m.used }
 
-// Holds returns what id holds, and false if nothing.
+// Holds returns the memory reserved by a request, and false if it has no reservation.
 func (m *Memory) Holds(id decide.RequestID) (decide.Tokens, bool) {
-	n, ok := m.held[id]
+	n, ok := m.reserved[id]
 	return n, ok
 }
 
-// Reserve makes id hold at least n tokens, evicting cached prefixes; it returns false if they do not fit.
+// Reserve raises the reservation of a request to at least n tokens and evicts cached prefixes to make
+// room. It returns false and changes nothing if the memory does not suffice.
 func (m *Memory) Reserve(id decide.RequestID, n decide.Tokens) bool {
-	more := n - m.held[id]
-	if more > m.room() {
+	additional := n - m.reserved[id]
+	if additional > m.available() {
 		return false
 	}
-	if more > 0 {
-		m.used += more
+	if additional > 0 {
+		m.used += additional
 	}
-	m.held[id] = max(n, m.held[id])
-	m.cache.shrink(m.room())
+	m.reserved[id] = max(n, m.reserved[id])
+	m.cache.evict(m.available())
 	return true
 }
 
-// Free lets go of what id holds and tells whether it held anything.
+// Free releases the reservation of a request. It returns false if there was none.
 func (m *Memory) Free(id decide.RequestID) bool {
-	n, ok := m.held[id]
+	n, ok := m.reserved[id]
 	m.used -= n
-	delete(m.held, id)
+	delete(m.reserved, id)
 	return ok
 }
 
-// Export sets n tokens aside under a handle.
+// Export stores an export of n tokens of a request under a handle. It returns false if the memory
+// does not suffice.
 func (m *Memory) Export(h Handle, id decide.RequestID, n decide.Tokens) bool {
-	if n > m.room() {
+	if n > m.available() {
 		return false
 	}
 	m.used += n
 	m.exports[h] = Kept{h, id, n}
-	m.cache.shrink(m.room())
+	m.cache.evict(m.available())
 	return true
 }
 
-// Drop deletes an export and tells whether it was there.
+// Drop deletes an export. It returns false if there was none.
 func (m *Memory) Drop(h Handle) bool {
 	x, ok := m.exports[h]
 	m.used -= x.Tokens
@@ -107,23 +109,23 @@
 	return ok
 }
 
-// Cached returns how many leading tokens of a prompt are in the cache.
+// Cached returns the number of leading tokens of a prompt that are cached.
 func (m *Memory) Cached(levels []Level) decide.Tokens { return m.cache.match(levels) }
 
-// Remember puts a prompt's levels into the cache, as far as they fit.
-func (m *Memory) Remember(levels []Level) { m.cache.add(levels, m.room()) }
+// Remember adds the levels of a prompt to the cache, as far as they fit.
+func (m *Memory) Remember(levels []Level) { m.cache.add(levels, m.available()) }
 
-// Held lists what requests hold, by id.
+// Held lists the reservations of requests, sorted by ID.
 func (m *Memory) Held() []Held {
 	list := []Held{}
-	for id, n := range m.held {
+	for id, n := range m.reserved {
 		list = append(list, Held{id, n})
 	}
 	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Exports lists exports by handle.
+// Exports lists the exports, sorted by handle.
 func (m *Memory) Exports() []Kept {
 	list := []Kept{}
 	for _, x := range m.exports {
@@ -133,17 +135,17 @@
 	return list
 }
 
-// HandleOf makes the handle of an engine's export.
+// HandleOf returns the handle of an engine's export of n tokens. The number makes it unique.
 func HandleOf(engine string, number uint64, n decide.Tokens) Handle {
 	return Handle(fmt.Sprintf("%s.%d.%d", engine, number, n))
 }
 
-// Tokens reads the size out of a handle.
+// Tokens returns the size of the export in tokens. It returns an error if the handle is malformed.
 func (h Handle) Tokens() (decide.Tokens, error) {
 	s := string(h)
 	n, err := strconv.ParseInt(s[strings.LastIndexByte(s, '.')+1:], 10, 64)
 	if err != nil || n < 0 {
-		return 0, fmt.Errorf("malformed handle %q", h)
+		return 0, fmt.Errorf("malformed export handle %q: it must end in a number of tokens", h)
 	}
 	return decide.Tokens(n), nil
 }
