--- a/emulator/engine/control.go
+++ b/emulator/engine/control.go
@@ -9,8 +9,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// deleteRequest cancels a request and frees what it holds. A repeat is fine
-// while the engine remembers the request.
+// deleteRequest cancels a request and frees its memory. The call is idempotent until the engine has
+// removed the request from its records.
 func (e *Engine) deleteRequest(w http.ResponseWriter, r *http.Request) {
 	id := decide.RequestID(r.PathValue("id"))
 	e.mu.Lock()
@@ -20,71 +20,71 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !e.batch.Cancel(id, e.clock.Now()) {
-		refuse(w, http.StatusNotFound, "no such request")
+		writeError(w, http.StatusNotFound, "no such request")
 		return
 	}
-	e.kick()
+	e.wake()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// reservation asks for memory without a generation.
-type reservation struct {
+// memoryRequest is a request for memory without a generation, for a member of a group.
+type memoryRequest struct {
 	Request decide.RequestID `json:"request"`
 	Tokens  decide.Tokens    `json:"tokens"`
 }
 
 func (e *Engine) postMemory(w http.ResponseWriter, r *http.Request) {
-	var m reservation
+	var m memoryRequest
 	if !e.readJSON(w, r, &m) {
 		return
 	}
 	if m.Request == "" || m.Tokens < 0 {
-		refuse(w, http.StatusBadRequest, "request and tokens are needed")
+		writeError(w, http.StatusBadRequest, "request and tokens are needed")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || e.control.Refuse {
-		refuse(w, http.StatusServiceUnavailable, "no new work is taken")
+	if e.stopping || e.control.Refuse {
+		writeError(w, http.StatusServiceUnavailable, "no new work is taken")
 		return
 	}
 	if !e.memory.Reserve(m.Request, m.Tokens) {
-		refuse(w, http.StatusInsufficientStorage, "not enough memory")
+		writeError(w, http.StatusInsufficientStorage, "not enough memory")
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
 }
 
-// transfer names an export.
+// transfer identifies an export and the request that it belongs to.
 type transfer struct {
 	Handle  kv.Handle        `json:"handle"`
 	Request decide.RequestID `json:"request"`
 }
 
-// postExport copies the KV cache of a request that holds memory here.
+// postExport copies the KV cache of a request that has memory on this engine.
 func (e *Engine) postExport(w http.ResponseWriter, r *http.Request) {
 	id := decide.RequestID(r.PathValue("request"))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n, ok := e.memory.Holds(id)
 	if !ok {
-		refuse(w, http.StatusNotFound, "the request holds no memory here")
+		writeError(w, http.StatusNotFound, "the request holds no memory here")
 		return
 	}
 	if q := e.batch.Find(id); q != nil {
 		n = q.Size()
 	}
-	e.handles++
-	h := kv.HandleOf(e.settings.Name, e.handles, n)
+	e.exportCount++
+	h := kv.HandleOf(e.settings.Name, e.exportCount, n)
 	if !e.memory.Export(h, id, n) {
-		refuse(w, http.StatusInsufficientStorage, "not enough memory")
+		writeError(w, http.StatusInsufficientStorage, "not enough memory")
 		return
 	}
 	w.WriteHeader(http.StatusCreated)
 	writeJSON(w, transfer{h, id})
 }
 
-// postImport takes an export of any engine in; its tokens then count as cached for the request.
+// postImport imports an export of any engine. Its tokens then count as cached for the request.
 func (e *Engine) postImport(w http.ResponseWriter, r *http.Request) {
 	var t transfer
 	if !e.readJSON(w, r, &t) {
@@ -92,13 +92,13 @@
 	}
 	n, err := t.Handle.Tokens()
 	if err != nil || t.Request == "" {
-		refuse(w, http.StatusBadRequest, "malformed handle or no request")
+		writeError(w, http.StatusBadRequest, "malformed handle or no request")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.memory.Reserve(t.Request, n) {
-		refuse(w, http.StatusInsufficientStorage, "not enough memory")
+		writeError(w, http.StatusInsufficientStorage, "not enough memory")
 		return
 	}
 	e.batch.Import(t.Request, n)
@@ -113,56 +113,57 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !e.memory.Drop(kv.Handle(r.PathValue("handle"))) {
-		refuse(w, http.StatusNotFound, "no such export")
+		writeError(w, http.StatusNotFound, "no such export")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Order is an order that reached the engine, with what became of it.
+// Order is an order that the engine received, as recorded in the ledger.
 type Order struct {
 	Fence uint64 `json:"fence"`
 	// Order is "role", "model", "adapter" or "version".
 	Order string      `json:"order"`
 	Value string      `json:"value"`
 	At    clock.Milli `json:"at"`
-	// Refused is set where the fencing number was old and the engine checks it.
+	// Refused is set if the fencing number was old and the engine checks fencing numbers.
 	Refused bool `json:"refused"`
-	// Old is set where the number was below an earlier one, checked or not.
+	// Old is set if the fencing number was below that of an earlier order, whether or not the engine
+	// checks fencing numbers.
 	Old bool `json:"old"`
 }
 
-// order is what a caller sends.
-type order struct {
+// orderRequest is the body of POST /orders.
+type orderRequest struct {
 	Fence uint64 `json:"fence"`
 	Order string `json:"order"`
 	Value string `json:"value"`
 }
 
 func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
-	var m order
+	var m orderRequest
 	if !e.readJSON(w, r, &m) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	o := Order{Fence: m.Fence, Order: m.Order, Value: m.Value, At: e.clock.Now(), Old: m.Fence < e.fence}
+	o := Order{Fence: m.Fence, Order: m.Order, Value: m.Value, At: e.clock.Now(), Old: m.Fence < e.highestFence}
 	o.Refused = o.Old && e.settings.Fenced
-	if !o.Refused && !e.obey(m) {
-		refuse(w, http.StatusBadRequest, "order is role, model, adapter or version")
+	if !o.Refused && !e.applyOrder(m) {
+		writeError(w, http.StatusBadRequest, "order is role, model, adapter or version")
 		return
 	}
-	e.fence = max(e.fence, m.Fence)
+	e.highestFence = max(e.highestFence, m.Fence)
 	e.orders = append(e.orders, o)
 	e.journal.Write(o)
 	if o.Refused {
-		refuse(w, http.StatusConflict, "fencing number is old")
+		writeError(w, http.StatusConflict, "fencing number is old")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) obey(m order) bool {
+func (e *Engine) applyOrder(m orderRequest) bool {
 	switch m.Order {
 	case "role":
 		e.role = m.Value
@@ -177,21 +178,21 @@
 
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	r := e.visible()
+	r := e.visibleReport()
 	e.mu.Unlock()
 	writeJSON(w, r)
 }
 
 func (e *Engine) getEvents(w http.ResponseWriter, r *http.Request) {
-	seq, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
+	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "malformed after")
+		writeError(w, http.StatusBadRequest, "malformed after")
 		return
 	}
 	e.mu.Lock()
-	seen := e.after(seq)
+	events := e.eventsAfter(after)
 	e.mu.Unlock()
-	writeJSON(w, seen)
+	writeJSON(w, events)
 }
 
 func (e *Engine) getLedger(w http.ResponseWriter, _ *http.Request) {
@@ -217,7 +218,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.control = c
-	close(e.commanded)
-	e.commanded = make(chan struct{})
+	close(e.controlChanged)
+	e.controlChanged = make(chan struct{})
 	writeJSON(w, c)
 }
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine stands in for a model engine: it batches continuously, caches
-// prompt prefixes in limited memory, honours priorities, resumes and cancels
-// streams, exports and imports KV cache, takes orders, and reports its load
-// late and its cache events late and with gaps. It can be told to fail.
+// Package engine emulates a model engine: it batches continuously, caches prompt prefixes in limited
+// memory, schedules by priority, resumes and cancels streams, exports and imports KV cache and
+// executes orders. Its load reports are delayed, and its cache events are delayed and incomplete.
+// Faults can be injected through POST /control.
 package engine
 
 import (
@@ -17,116 +17,117 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Engine is the stand-in. It is an http.Handler.
+// Engine is an emulated engine. It is an http.Handler.
 type Engine struct {
 	settings Settings
 	clock    *clock.Clock
 	mux      *http.ServeMux
 	journal  *ledger.Journal
-	// exit ends the process when a request crashes it.
+	// exit ends the process when a poison request is started. Tests replace it.
 	exit func(status int)
 
 	mu      sync.Mutex
 	control Control
 	memory  *kv.Memory
 	batch   *batch.Batch
-	// history holds every request's entry for good; the prompts go with their requests.
-	history []*batch.Entry
-	orders  []Order
-	fence   uint64
-	role    string
-	model   string
-	handles uint64
-	reports reports
-	events  events
-	// closed refuses new work while the process stops.
-	closed bool
-	// streams counts open answers.
-	streams int
-	// commanded is closed and replaced when the control changes.
-	commanded chan struct{}
-
-	// work ends the rest of an idle batch.
-	work    chan struct{}
-	closing chan struct{}
-	running sync.WaitGroup
+	// entries holds the ledger entries of all requests and is never truncated. The entries do not
+	// refer to the prompts, which are freed with their requests.
+	entries      []*batch.Entry
+	orders       []Order
+	highestFence uint64
+	role         string
+	model        string
+	exportCount  uint64
+	reports      reportHistory
+	events       eventLog
+	// stopping is set while the process stops. New requests are then refused.
+	stopping bool
+	// openStreams is the number of answers that are being sent or are about to be sent.
+	openStreams int
+	// controlChanged is closed and replaced when control changes.
+	controlChanged chan struct{}
+
+	// wakeup wakes the batch loop while it has no work.
+	wakeup     chan struct{}
+	done       chan struct{}
+	background sync.WaitGroup
 }
 
-// New opens the ledger and starts the batch; Close ends it.
+// New opens the ledger file and starts the batch loop. Close stops it.
 func New(s Settings, c *clock.Clock) (*Engine, error) {
 	j, err := ledger.Open(s.Ledger)
 	if err != nil {
 		return nil, err
 	}
 	e := &Engine{
-		settings:  s,
-		clock:     c,
-		journal:   j,
-		exit:      os.Exit,
-		role:      s.Role,
-		model:     s.Model,
-		commanded: make(chan struct{}),
-		work:      make(chan struct{}, 1),
-		closing:   make(chan struct{}),
+		settings:       s,
+		clock:          c,
+		journal:        j,
+		exit:           os.Exit,
+		role:           s.Role,
+		model:          s.Model,
+		controlChanged: make(chan struct{}),
+		wakeup:         make(chan struct{}, 1),
+		done:           make(chan struct{}),
 	}
 	e.events.random = newRandom(s.Seed)
-	e.memory = kv.New(s.Memory, e.cacheChanged)
-	e.batch = batch.New(s.batch(), e.memory, e.started, e.changed)
-	e.report()
-	e.route()
-	e.running.Go(e.run)
-	e.running.Go(e.watch)
+	e.memory = kv.New(s.Memory, e.onCacheChange)
+	e.batch = batch.New(s.batch(), e.memory, e.onStart, e.onChange)
+	e.recordReport()
+	e.registerRoutes()
+	e.background.Go(e.run)
+	e.background.Go(e.recordReports)
 	return e, nil
 }
 
-// Close stops the batch and closes the ledger's file.
+// Close stops the batch loop and closes the ledger file.
 func (e *Engine) Close() error {
-	close(e.closing)
-	e.running.Wait()
+	close(e.done)
+	e.background.Wait()
 	return e.journal.Close()
 }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// crashStatus is the exit status of a process that a request killed.
+// crashStatus is the exit status of the process after a poison request.
 const crashStatus = 3
 
-// started is called when a request begins to run: this is where one that
-// crashes every engine takes the process down.
-func (e *Engine) started(q *batch.Request) {
+// onStart is called when a request begins to run. It ends the process if the request is a poison
+// request, as declared by Control.Crash.
+func (e *Engine) onStart(q *batch.Request) {
 	if m := e.control.Crash; m != "" && strings.Contains(q.Prompt, m) {
 		q.Entry.Outcome = batch.Crashed
-		e.changed(q)
+		e.onChange(q)
 		e.exit(crashStatus)
 	}
 }
 
-func (e *Engine) changed(q *batch.Request) { e.journal.Write(q.Entry) }
+func (e *Engine) onChange(q *batch.Request) { e.journal.Write(q.Entry) }
 
-// idleStep is how often an engine without work looks for streams to forget.
-const idleStep = 100 * time.Millisecond
+// idleInterval is how often an engine without work plans a step, which removes old requests.
+const idleInterval = 100 * time.Millisecond
 
-// run steps the batch until the engine closes. Each step is planned, then its
-// time passes, then its tokens appear.
+// run executes the steps of the batch until the engine is closed. It plans a step, waits for its
+// duration and then applies it, which produces its tokens.
 func (e *Engine) run() {
-	due := time.Now()
+	stepEnd := time.Now()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		s := e.plan()
 		if s.Idle() {
-			if !e.rest(timer) {
+			if !e.waitForWork(timer) {
 				return
 			}
-			due = time.Now()
+			stepEnd = time.Now()
 			continue
 		}
-		due = due.Add(s.Length)
-		if late := time.Since(due); late > s.Length {
-			due = due.Add(late) // the machine is too slow for the settings
+		stepEnd = stepEnd.Add(s.Length)
+		if delay := time.Since(stepEnd); delay > s.Length {
+			stepEnd = stepEnd.Add(delay) // the machine is too slow for the settings, so do not try to catch up
 		}
-		if !e.pass(timer, time.Until(due)) {
+		if !e.sleep(timer, time.Until(stepEnd)) {
 			return
 		}
 		e.mu.Lock()
@@ -145,65 +146,67 @@
 	return e.batch.Plan(e.clock.Now(), slow)
 }
 
-// rest waits for work.
-func (e *Engine) rest(t *time.Timer) bool {
-	t.Reset(idleStep)
+// waitForWork waits for a wakeup or idleInterval. It returns false if the engine is closed.
+func (e *Engine) waitForWork(t *time.Timer) bool {
+	t.Reset(idleInterval)
 	select {
-	case <-e.work:
+	case <-e.wakeup:
 		return true
 	case <-t.C:
 		return true
-	case <-e.closing:
+	case <-e.done:
 		return false
 	}
 }
 
-func (e *Engine) pass(t *time.Timer, d time.Duration) bool {
+// sleep waits for a duration. It returns false if the engine is closed.
+func (e *Engine) sleep(t *time.Timer, d time.Duration) bool {
 	if d > 0 {
 		t.Reset(d)
 		select {
 		case <-t.C:
-		case <-e.closing:
+		case <-e.done:
 			return false
 		}
 	}
 	select {
-	case <-e.closing:
+	case <-e.done:
 		return false
 	default:
 		return true
 	}
 }
 
-// kick ends the rest of an idle batch.
-func (e *Engine) kick() {
+// wake wakes the batch loop if it waits for work.
+func (e *Engine) wake() {
 	select {
-	case e.work <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Drain is the graceful stop: the engine reports that it leaves, still takes
-// work for the notice, then refuses it and waits for what runs.
+// Drain stops the engine gracefully. The engine reports that it is leaving and accepts requests for
+// the notice period. Then it refuses new requests and waits for the running ones, at most for
+// Settings.Drain.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	e.control.Leaving = true
 	e.mu.Unlock()
 	time.Sleep(e.settings.Notice.Duration())
 	e.mu.Lock()
-	e.closed = true
+	e.stopping = true
 	e.mu.Unlock()
 	limit := e.clock.Now() + e.settings.Drain
 	for e.busy() && e.clock.Now() < limit {
-		time.Sleep(drainStep)
+		time.Sleep(drainInterval)
 	}
 }
 
-// drainStep is how often a stopping engine looks whether its work is done.
-const drainStep = 5 * time.Millisecond
+// drainInterval is how often a stopping engine checks whether all requests have ended.
+const drainInterval = 5 * time.Millisecond
 
 func (e *Engine) busy() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.batch.Busy()+e.streams > 0
+	return e.batch.Busy()+e.openStreams > 0
 }
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -21,8 +21,8 @@
 	"snipeshift.example/lib/expect"
 )
 
-// patience bounds every wait on a condition.
-const patience = 10 * time.Second
+// waitLimit is the timeout of every call and of every wait for a condition.
+const waitLimit = 10 * time.Second
 
 type client struct {
 	t      *testing.T
@@ -30,7 +30,8 @@
 	engine *Engine
 }
 
-// start runs an engine that is quick and tells the truth at once, unless change says otherwise.
+// start runs a fast engine without delays or gaps in its reports and events. The function change, if
+// not nil, modifies its settings.
 func start(t *testing.T, change func(*Settings)) client {
 	t.Helper()
 	s := Defaults()
@@ -59,10 +60,10 @@
 	return http.DefaultClient.Do(r)
 }
 
-// do sends a call with a whole answer and wants a status.
+// do sends a call, requires a status and returns the body of the response.
 func (c client) do(want int, method, path, body string, headers ...string) string {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	a, err := c.send(ctx, method, path, body, headers...)
 	require.NoError(c.t, err)
@@ -92,11 +93,11 @@
 
 func (c client) eventually(f func() bool) {
 	c.t.Helper()
-	require.Eventually(c.t, f, patience, time.Millisecond)
+	require.Eventually(c.t, f, waitLimit, time.Millisecond)
 }
 
-// chunkOf is what a caller reads of one event.
-type chunkOf struct {
+// chunk is the data of one stream event, as far as a client reads it.
+type chunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Delta struct {
@@ -114,14 +115,14 @@
 	} `json:"usage"`
 }
 
-// answer is one stream as a caller saw it.
+// answer is one stream as received by a client.
 type answer struct {
 	status int
 	text   string
 	ids    []string
 	seqs   []string
-	last   chunkOf
-	marked bool
+	last   chunk
+	done   bool
 	err    error
 }
 
@@ -148,9 +149,9 @@
 		case field == "id":
 			a.seqs = append(a.seqs, value)
 		case value == "[DONE]":
-			a.marked = true
+			a.done = true
 		case field == "data":
-			a.last = chunkOf{}
+			a.last = chunk{}
 			require.NoError(t, json.Unmarshal([]byte(value), &a.last), value)
 			a.ids = append(a.ids, a.last.ID)
 			a.text += a.last.Choices[0].Delta.Content + a.last.Choices[0].Text
@@ -160,12 +161,12 @@
 	return a
 }
 
-func TestStreamIsWholeAndItsOwn(t *testing.T) {
+func TestStreamIsCompleteAndCorrect(t *testing.T) {
 	c := start(t, nil)
 	a := c.generate(t.Context(), "r1", "ward 7", 5, "X-Priority", "2", "X-Grant", "9", "Idempotency-Key", "k")
 	require.NoError(t, a.err)
 	require.NoError(t, expect.Check("ward 7", a.text, 5))
-	require.True(t, a.marked)
+	require.True(t, a.done)
 	require.Equal(t, []string{"0", "1", "2", "3", "4", "5"}, a.seqs)
 	require.Equal(t, []string{"r1", "r1", "r1", "r1", "r1", "r1"}, a.ids)
 	require.Equal(t, 2, a.last.Usage.Prompt)
@@ -186,7 +187,7 @@
 	require.NoError(t, expect.Check("a\nb", got.text, expect.Default))
 }
 
-func TestMalformedRequestsRunNothing(t *testing.T) {
+func TestMalformedRequestsDoNotRun(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Model = "m"; s.Memory = 1000 })
 	id := []string{"X-Request-Id", "r"}
 	c.do(400, "POST", "/v1/completions", `{`, id...)
@@ -199,7 +200,7 @@
 	require.Empty(t, c.ledger().Requests)
 }
 
-func TestUrgentGoesBeforeWaiting(t *testing.T) {
+func TestQueueIsOrderedByPriority(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Slots = 1 })
 	c.control(`{"slow":1000}`)
 	for i, p := range []string{"0", "3", "3", "1"} {
@@ -217,7 +218,7 @@
 	require.LessOrEqual(t, l[1].Finished, l[2].Started)
 }
 
-func TestPrefixIsCachedUntilMemoryIsNeeded(t *testing.T) {
+func TestCachedPrefixIsEvictedWhenMemoryIsNeeded(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Memory = 10_000 })
 	prompt := strings.Repeat("abcd", 4200)
 	c.generate(t.Context(), "r1", prompt, 1)
@@ -241,21 +242,21 @@
 	c.control(`{"truncate":3}`)
 	a := c.generate(t.Context(), "r1", "ward 7", 8)
 	require.Error(t, a.err)
-	require.False(t, a.marked)
+	require.False(t, a.done)
 	require.Equal(t, []string{"0", "1", "2"}, a.seqs)
 	c.control(`{"truncate":0}`)
 	r, err := c.send(t.Context(), "GET", "/v1/requests/r1/stream", "", "Last-Event-ID", "2")
 	b := read(t, r, err)
 	require.NoError(t, b.err)
-	require.True(t, b.marked)
+	require.True(t, b.done)
 	require.Equal(t, "3", b.seqs[0])
 	require.NoError(t, expect.Check("ward 7", a.text+b.text, 8))
 	c.do(404, "GET", "/v1/requests/none/stream", "")
 }
 
-// The caller's side of a stream goes away and never comes back. The engine
-// runs on for a while, so that the stream can be resumed, then frees the memory.
-func TestOrphanIsCanceledAfterItsTime(t *testing.T) {
+// The client of a stream disconnects and never returns. The engine must continue the request for a
+// while, so that the stream can be resumed, and then cancel it and free its memory.
+func TestOrphanIsCanceledAfterTimeout(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Orphan = 100; s.Decode = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
 	go c.generate(ctx, "r1", "ward 7", 1000)
@@ -265,8 +266,8 @@
 	require.Equal(t, batch.Canceled, c.ledger().Requests[0].Outcome)
 }
 
-// An engine that never forgets a request by itself keeps its memory after its
-// reader died, until somebody deletes the request; a lost DELETE changes nothing.
+// An engine that never cancels requests without a reader must retain the request's memory after the
+// reader has disconnected, until the request is deleted. A lost DELETE must change nothing.
 func TestMemoryIsHeldUntilDeleted(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Orphan = -1; s.Keep = 1 })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -298,7 +299,7 @@
 	c.do(204, "DELETE", "/v1/requests/r1", "")
 	a := <-got
 	require.Error(t, a.err)
-	require.False(t, a.marked)
+	require.False(t, a.done)
 	require.Zero(t, c.load().Used)
 	require.Equal(t, batch.Canceled, c.ledger().Requests[0].Outcome)
 }
@@ -320,9 +321,10 @@
 	require.Zero(t, c.load().Used)
 }
 
-// Two holders of the same duty give orders, the earlier one after a pause. An
-// engine that checks refuses the old number; one that ignores it obeys.
-func TestOldOrders(t *testing.T) {
+// Two VMs send orders with different fencing numbers, the one with the lower number last, after a
+// pause. An engine that checks fencing numbers must refuse its order; one that does not check them
+// executes it.
+func TestOrdersWithOldFence(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		c := start(t, func(s *Settings) { s.Fenced = fenced })
 		c.do(204, "POST", "/orders", `{"fence":2,"order":"role","value":"long"}`)
@@ -338,8 +340,8 @@
 	}
 }
 
-// Chunks of another request arrive on a stream, or each chunk twice; whoever
-// passes them on unchecked hands a caller someone else's answer or a garbled one.
+// The engine sends chunks of another request on a stream, or each chunk twice. A proxy that forwards
+// them unchecked gives its client another client's answer or a garbled one.
 func TestCrossedAndDuplicatedEvents(t *testing.T) {
 	c := start(t, nil)
 	c.control(`{"cross":true,"match":"seven"}`)
@@ -357,7 +359,7 @@
 	require.NotEqual(t, "r4", a.ids[1])
 }
 
-func TestStalledStreamGoesOnWhenReleased(t *testing.T) {
+func TestStalledStreamContinuesWhenReleased(t *testing.T) {
 	c := start(t, nil)
 	c.control(`{"stall":true,"late":1}`)
 	got := make(chan answer)
@@ -375,33 +377,33 @@
 	require.NoError(t, expect.Check("ward 7", (<-got).text, 4))
 }
 
-// An answer is cut and the connection closed as if it were whole: only the
-// missing end mark tells.
-func TestCleanTruncationLacksOnlyTheMark(t *testing.T) {
+// An answer is truncated and the HTTP response ends normally. Only the missing end mark shows that
+// the answer is incomplete.
+func TestCleanTruncationLacksOnlyTheEndMark(t *testing.T) {
 	c := start(t, nil)
 	c.control(`{"truncate":2,"clean":true}`)
 	a := c.generate(t.Context(), "r1", "ward 7", 4)
 	require.NoError(t, a.err)
-	require.False(t, a.marked)
+	require.False(t, a.done)
 	require.Len(t, a.seqs, 2)
 }
 
-// One request kills each engine that starts to run it; those queued do no harm yet.
-func TestCrashTextEndsTheProcess(t *testing.T) {
+// A poison request must crash the engine when it starts to run. Other requests must not.
+func TestPoisonRequestEndsTheProcess(t *testing.T) {
 	c := start(t, nil)
-	died := make(chan int, 1)
-	c.engine.exit = func(status int) { died <- status }
+	exited := make(chan int, 1)
+	c.engine.exit = func(status int) { exited <- status }
 	c.control(`{"crash":"poison"}`)
 	a := c.generate(t.Context(), "r1", "ward 7", 1)
 	require.NoError(t, a.err)
-	require.Empty(t, died)
+	require.Empty(t, exited)
 	go c.generate(t.Context(), "r2", "some poison", 1)
-	require.Equal(t, crashStatus, <-died)
+	require.Equal(t, crashStatus, <-exited)
 }
 
-// The engine takes a request and runs it, and its connection breaks before any
-// answer: whoever sent it must not say that it did not run.
-func TestLostAnswerStillRuns(t *testing.T) {
+// The engine runs a request, but the connection breaks before any response. The sender must not report
+// that the request did not run.
+func TestRequestWithLostAnswerRuns(t *testing.T) {
 	c := start(t, nil)
 	c.control(`{"die":1}`)
 	require.Error(t, c.generate(t.Context(), "r1", "p", 1).err)
@@ -430,7 +432,7 @@
 	<-got
 }
 
-func TestDrainTakesWorkForTheNoticeThenWaits(t *testing.T) {
+func TestDrainAcceptsWorkDuringNoticeThenWaits(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Notice = 1; s.Decode = 500 })
 	got := make(chan answer)
 	go func() { got <- c.generate(t.Context(), "r1", "ward 7", 100) }()
@@ -441,7 +443,7 @@
 	require.Equal(t, 503, c.generate(t.Context(), "r2", "p", 1).status)
 }
 
-func TestLoadReportLags(t *testing.T) {
+func TestLoadReportIsDelayed(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Lag = 100_000 })
 	c.do(201, "POST", "/v1/kv", `{"request":"g","tokens":9000}`)
 	require.Zero(t, c.load().Used)
@@ -454,17 +456,18 @@
 	e := &Engine{settings: Settings{Gap: 0.5}, clock: clock.New()}
 	e.events.random = newRandom(7)
 	for i := range 100 {
-		e.cacheChanged(decide.PrefixHash(i), false)
+		e.onCacheChange(decide.PrefixHash(i), false)
 	}
-	seen := e.after(0)
+	seen := e.eventsAfter(0)
 	require.Less(t, len(seen), 80)
 	require.Greater(t, len(seen), 20)
 	e.settings.Late = 100_000
-	require.Empty(t, e.after(0))
+	require.Empty(t, e.eventsAfter(0))
 }
 
-// A long prompt spans engines: each holds its part, and the leader needs only its own.
-func TestGroupLeaderHoldsItsPart(t *testing.T) {
+// A long prompt is split over a group of engines. The leader must reserve only its own share of the
+// memory, or the value of X-Reserve if that is larger.
+func TestGroupLeaderReservesOnlyItsShare(t *testing.T) {
 	c := start(t, func(s *Settings) { s.Memory = 1000 })
 	prompt := strings.Repeat("abcd", 1500)
 	require.Equal(t, 413, c.generate(t.Context(), "r1", prompt, 1).status)
--- a/emulator/engine/http.go
+++ b/emulator/engine/http.go
@@ -17,31 +17,32 @@
 	"snipeshift.example/lib/expect"
 )
 
-func (e *Engine) route() {
+func (e *Engine) registerRoutes() {
 	e.mux = http.NewServeMux()
-	e.mux.HandleFunc("POST /v1/chat/completions", e.hear(e.postChat))
-	e.mux.HandleFunc("POST /v1/completions", e.hear(e.postCompletion))
-	e.mux.HandleFunc("GET /v1/requests/{id}/stream", e.hear(e.getStream))
-	e.mux.HandleFunc("DELETE /v1/requests/{id}", e.hear(e.deleteRequest))
-	e.mux.HandleFunc("POST /v1/kv", e.hear(e.postMemory))
-	e.mux.HandleFunc("POST /v1/kv/{request}/export", e.hear(e.postExport))
-	e.mux.HandleFunc("POST /v1/kv/import", e.hear(e.postImport))
-	e.mux.HandleFunc("DELETE /v1/kv/{handle}", e.hear(e.deleteExport))
-	e.mux.HandleFunc("GET /load", e.hear(e.getLoad))
-	e.mux.HandleFunc("GET /events", e.hear(e.getEvents))
-	e.mux.HandleFunc("POST /orders", e.hear(e.postOrder))
-	e.mux.HandleFunc("GET /health", e.hear(func(http.ResponseWriter, *http.Request) {}))
+	e.mux.HandleFunc("POST /v1/chat/completions", e.unlessMuted(e.postChat))
+	e.mux.HandleFunc("POST /v1/completions", e.unlessMuted(e.postCompletion))
+	e.mux.HandleFunc("GET /v1/requests/{id}/stream", e.unlessMuted(e.getStream))
+	e.mux.HandleFunc("DELETE /v1/requests/{id}", e.unlessMuted(e.deleteRequest))
+	e.mux.HandleFunc("POST /v1/kv", e.unlessMuted(e.postMemory))
+	e.mux.HandleFunc("POST /v1/kv/{request}/export", e.unlessMuted(e.postExport))
+	e.mux.HandleFunc("POST /v1/kv/import", e.unlessMuted(e.postImport))
+	e.mux.HandleFunc("DELETE /v1/kv/{handle}", e.unlessMuted(e.deleteExport))
+	e.mux.HandleFunc("GET /load", e.unlessMuted(e.getLoad))
+	e.mux.HandleFunc("GET /events", e.unlessMuted(e.getEvents))
+	e.mux.HandleFunc("POST /orders", e.unlessMuted(e.postOrder))
+	e.mux.HandleFunc("GET /health", e.unlessMuted(func(http.ResponseWriter, *http.Request) {}))
 	e.mux.HandleFunc("GET /ledger", e.getLedger)
 	e.mux.HandleFunc("GET /control", e.getControl)
 	e.mux.HandleFunc("POST /control", e.postControl)
 }
 
-// hear leaves calls unanswered while the engine is mute.
-func (e *Engine) hear(h http.HandlerFunc) http.HandlerFunc {
+// unlessMuted delays the handling of calls while the engine is mute. Calls whose client disconnects
+// meanwhile are dropped.
+func (e *Engine) unlessMuted(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for {
 			e.mu.Lock()
-			mute, commanded := e.control.Mute, e.commanded
+			mute, commanded := e.control.Mute, e.controlChanged
 			e.mu.Unlock()
 			if !mute {
 				h(w, r)
@@ -67,38 +68,39 @@
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool, promptOf func(*completion.Body) (string, error)) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.Body))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, err.Error())
+		writeError(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
 	var b completion.Body
 	if err := json.Unmarshal(raw, &b); err != nil || !utf8.Valid(raw) {
-		refuse(w, http.StatusBadRequest, "malformed body")
+		writeError(w, http.StatusBadRequest, "malformed body")
 		return
 	}
 	prompt, err := promptOf(&b)
 	if err != nil || prompt == "" || !b.Stream {
-		refuse(w, http.StatusBadRequest, "a prompt and stream:true are needed")
+		writeError(w, http.StatusBadRequest, "a prompt and stream:true are needed")
 		return
 	}
-	q, status, err := e.requestOf(r, &b, prompt)
+	q, status, err := e.newRequest(r, &b, prompt)
 	if err != nil {
-		refuse(w, status, err.Error())
+		writeError(w, status, err.Error())
 		return
 	}
 	q.Chat = chat
-	if status, err := e.take(q); err != nil {
-		refuse(w, status, err.Error())
+	if status, err := e.enqueue(q); err != nil {
+		writeError(w, status, err.Error())
 		return
 	}
-	if e.dies() {
-		e.leave(q, false)
+	if e.dropsAnswer() {
+		e.detach(q, false)
 		panic(http.ErrAbortHandler)
 	}
-	e.stream(w, r, q, 0)
+	e.serveStream(w, r, q, 0)
 }
 
-// dies tells whether the next answer is to be lost whole.
-func (e *Engine) dies() bool {
+// dropsAnswer reports whether the answer to this request must be dropped, and counts it against
+// Control.Die.
+func (e *Engine) dropsAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.control.Die == 0 {
@@ -108,12 +110,13 @@
 	return true
 }
 
-// requestOf reads the headers and works out what memory the request needs.
-func (e *Engine) requestOf(r *http.Request, b *completion.Body, prompt string) (*batch.Request, int, error) {
+// newRequest returns the request from its headers, body and prompt, with the memory that it needs. On
+// an error it also returns the status of the response.
+func (e *Engine) newRequest(r *http.Request, b *completion.Body, prompt string) (*batch.Request, int, error) {
 	h := r.Header
 	id := h.Get("X-Request-Id")
-	priority, err1 := number(h.Get("X-Priority"))
-	reserve, err2 := number(h.Get("X-Reserve"))
+	priority, err1 := parseNumber(h.Get("X-Priority"))
+	reserve, err2 := parseNumber(h.Get("X-Reserve"))
 	if id == "" || err1 != nil || err2 != nil {
 		return nil, http.StatusBadRequest, fmt.Errorf("X-Request-Id is missing, or X-Priority or X-Reserve is no number")
 	}
@@ -138,7 +141,7 @@
 			Priority: priority,
 			Arrived:  e.clock.Now(),
 			Hash:     strconv.FormatUint(uint64(seed), 16),
-			Text:     strings.ToValidUTF8(prompt[:min(len(prompt), textLimit)], ""),
+			Text:     strings.ToValidUTF8(prompt[:min(len(prompt), maxLedgerText)], ""),
 			Prompt:   tokens,
 			Reserved: need,
 		},
@@ -147,18 +150,19 @@
 		Seed:    seed,
 		Levels:  kv.LevelsOf(prompt),
 		Limit:   limit,
-		Readers: 1, // the caller's own stream, counted out by leave
+		Readers: 1, // the stream of this call, until detach
 	}, 0, nil
 }
 
-// textLimit is how much of a prompt the ledger shows, in bytes.
-const textLimit = 80
+// maxLedgerText is the number of bytes of a prompt that the ledger shows.
+const maxLedgerText = 80
 
-// take queues a request unless the engine does not want it.
-func (e *Engine) take(q *batch.Request) (int, error) {
+// enqueue adds a request to the batch's queue. If the engine refuses the request, it returns an error
+// and the status of the response.
+func (e *Engine) enqueue(q *batch.Request) (int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.closed || e.control.Refuse {
+	if e.stopping || e.control.Refuse {
 		return http.StatusServiceUnavailable, fmt.Errorf("no new work is taken")
 	}
 	if e.model != "" && q.Model != e.model {
@@ -167,14 +171,15 @@
 	if old := e.batch.Find(q.ID()); old != nil && !old.Ended {
 		return http.StatusConflict, fmt.Errorf("request %q is running", q.ID())
 	}
-	e.streams++
-	e.history = append(e.history, q.Entry)
+	e.openStreams++
+	e.entries = append(e.entries, q.Entry)
 	e.batch.Add(q)
-	e.kick()
+	e.wake()
 	return 0, nil
 }
 
-func number(s string) (int, error) {
+// parseNumber parses a non-negative number. An empty string counts as zero.
+func parseNumber(s string) (int, error) {
 	if s == "" {
 		return 0, nil
 	}
@@ -185,16 +190,16 @@
 	return n, err
 }
 
-// problem is an error in the API's shape.
-type problem struct {
+// errorBody is an error response in the API's format.
+type errorBody struct {
 	Error struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
 	} `json:"error"`
 }
 
-func refuse(w http.ResponseWriter, status int, message string) {
-	var p problem
+func writeError(w http.ResponseWriter, status int, message string) {
+	var p errorBody
 	p.Error.Message = message
 	p.Error.Type = http.StatusText(status)
 	w.Header().Set("Content-Type", "application/json")
@@ -207,14 +212,15 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// readJSON reads a small body strictly, or answers 400.
+// readJSON parses the body and rejects unknown fields. If it returns false, it has responded with
+// status 400.
 func (e *Engine) readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.Body))
 	if err == nil {
 		err = settings.Parse(raw, into)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 	}
 	return err == nil
 }
--- a/emulator/engine/report.go
+++ b/emulator/engine/report.go
@@ -11,15 +11,15 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Report is the answer to GET /load.
+// Report is the response to GET /load.
 type Report struct {
-	// At is when it was true, on the engine's clock; Seq rises with every report.
+	// At is the time of the measurement on the engine's clock. Seq increases with every report.
 	At  clock.Milli `json:"at"`
 	Seq uint64      `json:"seq"`
-	// Running lists all that hold memory: running requests, group members and imports.
+	// Running lists all reservations of memory: running requests, group members and imports.
 	Running []kv.Held `json:"running"`
 	Exports []kv.Kept `json:"exports"`
-	// Used is the memory taken by them in tokens, the prefix cache not counted.
+	// Used is the memory of Running and Exports in tokens, without the prefix cache.
 	Used    decide.Tokens `json:"used"`
 	Memory  decide.Tokens `json:"memory"`
 	Queued  int           `json:"queued"`
@@ -27,56 +27,58 @@
 	Role    string        `json:"role"`
 }
 
-// reports is what was true lately, oldest first.
-type reports struct {
+// reportHistory holds the recent load reports, oldest first.
+type reportHistory struct {
 	list []Report
 	seq  uint64
 }
 
-// reportStep is how often the load is recorded.
-const reportStep = 25 * time.Millisecond
+// reportInterval is how often the load is recorded.
+const reportInterval = 25 * time.Millisecond
 
-// watch records the load until the engine closes.
-func (e *Engine) watch() {
-	t := time.NewTicker(reportStep)
+// recordReports records the load at every reportInterval until the engine is closed.
+func (e *Engine) recordReports() {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			e.mu.Lock()
-			e.report()
+			e.recordReport()
 			e.mu.Unlock()
-		case <-e.closing:
+		case <-e.done:
 			return
 		}
 	}
 }
 
-// report records the present load and drops what no reader will see again.
-func (e *Engine) report() {
+// recordReport records the current load and removes reports that are older than the newest visible
+// one.
+func (e *Engine) recordReport() {
 	old := 0
 	l := e.reports.list
 	for old+1 < len(l) && l[old+1].At <= e.clock.Now()-e.settings.Lag {
 		old++
 	}
-	e.reports.list = append(slices.Delete(l, 0, old), e.load())
+	e.reports.list = append(slices.Delete(l, 0, old), e.currentReport())
 }
 
-// visible returns the newest report that is old enough to be seen, or the very first.
-func (e *Engine) visible() Report {
+// visibleReport returns the newest report that is at least Settings.Lag old. Before there is one, it
+// returns the first report.
+func (e *Engine) visibleReport() Report {
 	if e.settings.Lag == 0 {
-		return e.load()
+		return e.currentReport()
 	}
-	seen := e.reports.list[0]
+	newest := e.reports.list[0]
 	for _, r := range e.reports.list {
 		if r.At <= e.clock.Now()-e.settings.Lag {
-			seen = r
+			newest = r
 		}
 	}
-	return seen
+	return newest
 }
 
-func (e *Engine) load() Report {
+func (e *Engine) currentReport() Report {
 	e.reports.seq++
 	return Report{
 		At:      e.clock.Now(),
@@ -91,7 +93,7 @@
 	}
 }
 
-// Event is one change of the prefix cache.
+// Event is one change of the prefix cache: a prefix was added or evicted.
 type Event struct {
 	Seq     uint64            `json:"seq"`
 	Prefix  decide.PrefixHash `json:"prefix"`
@@ -99,56 +101,58 @@
 	at      clock.Milli
 }
 
-// events is the published part of the cache's history, oldest first.
-type events struct {
+// eventLog holds the published events of the prefix cache, oldest first.
+type eventLog struct {
 	list   []Event
 	seq    uint64
 	random *rand.Rand
 }
 
-// eventsKept is how many events a reader can still ask for.
-const eventsKept = 4096
+// maxEvents is the number of events that are stored for readers.
+const maxEvents = 4096
 
-// cacheChanged numbers an event and loses some: a lost one leaves a gap in the numbers.
-func (e *Engine) cacheChanged(h decide.PrefixHash, evicted bool) {
+// onCacheChange numbers and stores an event. It drops some events at random, which leaves gaps in the
+// numbers.
+func (e *Engine) onCacheChange(h decide.PrefixHash, evicted bool) {
 	v := &e.events
 	v.seq++
 	if v.random.Float64() < e.settings.Gap {
 		return
 	}
 	v.list = append(v.list, Event{v.seq, h, evicted, e.clock.Now()})
-	if len(v.list) > eventsKept {
-		v.list = slices.Delete(v.list, 0, len(v.list)-eventsKept)
+	if len(v.list) > maxEvents {
+		v.list = slices.Delete(v.list, 0, len(v.list)-maxEvents)
 	}
 }
 
-// after returns events above seq that are old enough to be seen.
-func (e *Engine) after(seq uint64) []Event {
-	seen := []Event{}
+// eventsAfter returns the events with numbers above seq that are at least Settings.Late old.
+func (e *Engine) eventsAfter(seq uint64) []Event {
+	visible := []Event{}
 	for _, v := range e.events.list {
 		if v.Seq > seq && v.at <= e.clock.Now()-e.settings.Late {
-			seen = append(seen, v)
+			visible = append(visible, v)
 		}
 	}
-	return seen
+	return visible
 }
 
-// Ledger is the answer to GET /ledger.
+// Ledger is the response to GET /ledger.
 type Ledger struct {
 	Requests []batch.Entry `json:"requests"`
 	Orders   []Order       `json:"orders"`
-	// Orphans lists ids that hold memory without a request that runs.
+	// Orphans lists the IDs that have memory reserved but no queued or running request.
 	Orphans []decide.RequestID `json:"orphans"`
 }
 
-// ledger copies the record, so that writing a long one out does not hold the engine up.
+// ledger returns a copy of the ledger. It can be encoded without the lock, so that a long ledger does
+// not delay the batch.
 func (e *Engine) ledger() Ledger {
 	l := Ledger{
-		Requests: make([]batch.Entry, 0, len(e.history)),
+		Requests: make([]batch.Entry, 0, len(e.entries)),
 		Orders:   append([]Order{}, e.orders...),
 		Orphans:  []decide.RequestID{},
 	}
-	for _, n := range e.history {
+	for _, n := range e.entries {
 		l.Requests = append(l.Requests, *n)
 	}
 	for _, h := range e.memory.Held() {
--- a/emulator/engine/settings.go
+++ b/emulator/engine/settings.go
@@ -7,53 +7,54 @@
 	"snipeshift.example/lib/expect"
 )
 
-// Settings of the stand-in.
+// Settings of an emulated engine.
 type Settings struct {
-	// Name is the upstream's; it starts every export handle.
+	// Name is the name of the upstream. Export handles begin with it.
 	Name string `json:"name"`
-	// Model is the model it serves; empty serves any.
+	// Model is the model that the engine serves. If it is empty, the engine serves every model.
 	Model string `json:"model"`
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of running requests.
 	Slots int `json:"slots"`
-	// Memory is KV memory in tokens.
+	// Memory is the KV memory in tokens.
 	Memory decide.Tokens `json:"memory"`
-	// Prefill is prompt tokens per second of the engine.
+	// Prefill is the prefill throughput of the engine, in prompt tokens per second.
 	Prefill decide.Rate `json:"prefill"`
-	// Decode is output tokens per second of one request while nothing prefills.
+	// Decode is the number of output tokens per second of each request while no prompt is prefilled.
 	Decode decide.Rate `json:"decode"`
-	// Chunk is the most prompt tokens that one step prefills; the step, and with
-	// it the next token of every running request, takes that much longer.
+	// Chunk is the maximum number of prompt tokens that one step prefills. The prefill lengthens
+	// the step and so delays the next token of every running request.
 	Chunk decide.Tokens `json:"chunk"`
-	// Output is the answer's length in tokens where a request names no limit.
+	// Output is the length of an answer in tokens if the request has no limit.
 	Output int `json:"output"`
-	// Lag is the age of load reports, in milliseconds.
+	// Lag is the minimum age of a load report when it is returned, in milliseconds.
 	Lag clock.Milli `json:"lag"`
-	// Late is the age of the newest cache event shown, in milliseconds.
+	// Late is the minimum age of a cache event when it is returned, in milliseconds.
 	Late clock.Milli `json:"late"`
-	// Gap is the part of cache events that is lost, 0 to 1.
+	// Gap is the fraction of cache events that are lost, 0 to 1.
 	Gap float64 `json:"gap"`
-	// Seed makes the choice of lost events repeatable.
+	// Seed of the random choice of lost events, to make it reproducible.
 	Seed uint64 `json:"seed"`
-	// Keep is how long a finished stream can be resumed, in milliseconds.
+	// Keep is how long a stream can be resumed after the request has ended, in milliseconds.
 	Keep clock.Milli `json:"keep"`
-	// Orphan is how long a request runs on without a reader, in milliseconds;
-	// negative lets it end and then holds its memory until it is deleted.
+	// Orphan is how long a request without a reader runs before it is canceled, in milliseconds.
+	// If it is negative, the request runs to its end and retains its memory until it is deleted.
 	Orphan clock.Milli `json:"orphan"`
-	// Fenced refuses orders with an old fencing number.
+	// Fenced makes the engine refuse orders with an old fencing number.
 	Fenced bool `json:"fenced"`
-	// Role is its first role: "short", "long" or "any".
+	// Role is the initial role of the engine: "short", "long" or "any".
 	Role string `json:"role"`
-	// Notice is how long it still takes work after SIGTERM, in milliseconds.
+	// Notice is how long the engine accepts requests after SIGTERM, in milliseconds.
 	Notice clock.Milli `json:"notice"`
-	// Drain bounds the wait for running work after the notice, in milliseconds.
+	// Drain limits the wait for running requests after the notice period, in milliseconds.
 	Drain clock.Milli `json:"drain"`
-	// Body is the largest body in bytes.
+	// Body is the maximum size of a request body in bytes.
 	Body int64 `json:"body"`
-	// Ledger is a file that gets every entry as a line of JSON, so that the record survives a kill; empty for none.
+	// Ledger is a file to which every change of an entry is appended as a line of JSON, so that the
+	// record survives a crash of the engine. If it is empty, no file is written.
 	Ledger string `json:"ledger"`
 }
 
-// Defaults are a small engine that is quick enough for tests.
+// Defaults returns the settings of a small engine that is fast enough for tests.
 func Defaults() Settings {
 	return Settings{
 		Name:    "engine",
@@ -87,42 +88,48 @@
 	}
 }
 
-// Control is what a test tells the engine to do wrong. A field that is absent
-// from a message keeps its value.
+// Control is the set of faults that a test injects, the body of POST /control. Fields that are absent
+// from a body keep their values.
 type Control struct {
-	// Match limits stall, truncate, cross, duplicate and late to prompts that contain it.
+	// Match limits Stall, Truncate, Clean, Cross, Duplicate and Late to requests whose prompt
+	// contains this text.
 	Match string `json:"match"`
-	// Slow multiplies the duration of every step; zero or one is full speed.
+	// Slow multiplies the duration of every step. Zero and one mean full speed.
 	Slow float64 `json:"slow"`
-	// Stall stops sending on open streams and keeps their connections.
+	// Stall stops sending on open streams but leaves their connections open.
 	Stall bool `json:"stall"`
-	// Truncate cuts streams after so many events, without an end mark; zero is off.
+	// Truncate ends streams without an end mark after this number of events. Zero disables it.
 	Truncate int `json:"truncate"`
-	// Clean ends a truncated stream as if it were whole for HTTP, in place of a broken connection.
+	// Clean ends truncated streams as complete HTTP responses instead of aborting the connection.
 	Clean bool `json:"clean"`
-	// Cross sends chunks of another request: its id, and its text if it is here.
+	// Cross sends chunks with the ID and the text of another request. If the engine has no other
+	// request, both are made up.
 	Cross bool `json:"cross"`
-	// From is the number of the first event that cross and duplicate concern.
+	// From is the number of the first event that Cross and Duplicate apply to.
 	From int `json:"from"`
-	// Die lets the next N requests run and closes their connections without an answer.
+	// Die is the number of following requests that run but whose connections are closed without a
+	// response.
 	Die int `json:"die"`
-	// Duplicate sends every event so many more times.
+	// Duplicate is the number of additional copies that are sent of every event.
 	Duplicate int `json:"duplicate"`
-	// Late sends every event so long after it was made, in milliseconds.
+	// Late is the delay between the production of an event and its sending, in milliseconds.
 	Late clock.Milli `json:"late"`
-	// Crash kills the process when a request whose prompt contains it starts to run; empty is off.
+	// Crash ends the process when a request starts to run whose prompt contains this text. An empty
+	// text disables it.
 	Crash string `json:"crash"`
-	// Refuse answers 503 to new requests, which then do not run.
+	// Refuse answers new requests with status 503 and does not run them.
 	Refuse bool `json:"refuse"`
-	// Mute reads every call but /control and /ledger and answers nothing.
+	// Mute accepts calls but does not respond to them, except to /control and /ledger.
 	Mute bool `json:"mute"`
-	// Lose drops the next N DELETE calls without effect and closes their connections.
+	// Lose is the number of following DELETE calls that have no effect and whose connections are closed
+	// without a response.
 	Lose int `json:"lose"`
-	// Leaving shows in load reports; work is still taken, so that a test sees who sends it.
+	// Leaving is shown in load reports. Requests are still accepted, so that a test can detect who
+	// still sends them.
 	Leaving bool `json:"leaving"`
 }
 
-// faults are the parts of Control that concern one stream.
+// faults holds the fields of Control that apply to one stream.
 type faults struct {
 	stall     bool
 	truncate  int
--- a/emulator/engine/stream.go
+++ b/emulator/engine/stream.go
@@ -12,150 +12,154 @@
 	"snipeshift.example/lib/decide"
 )
 
-// sender writes one request's events to one connection.
-type sender struct {
-	engine *Engine
-	req    *batch.Request
-	w      http.ResponseWriter
-	flush  func() error
-	gone   <-chan struct{}
-	buf    []byte
-	// next is the number of the event to send, sent counts those of this connection.
+// streamWriter writes one request's events to one connection.
+type streamWriter struct {
+	engine       *Engine
+	req          *batch.Request
+	w            http.ResponseWriter
+	flush        func() error
+	disconnected <-chan struct{}
+	buf          []byte
+	// next is the number of the next event to send, sent the number of events sent on this
+	// connection, without duplicates.
 	next, sent int
 }
 
-// view is what a sender needs to know of the engine at one moment.
-type view struct {
-	events    []clock.Milli
-	ended     bool
-	faults    faults
-	other     completion.Voice
-	changed   chan struct{}
-	commanded chan struct{}
+// streamState is a copy of the state that a streamWriter needs, taken under the engine's lock.
+type streamState struct {
+	events         []clock.Milli
+	ended          bool
+	faults         faults
+	other          completion.Voice
+	changed        chan struct{}
+	controlChanged chan struct{}
 }
 
-// stream sends events from number next on until the end mark, and counts the
-// reader out. It aborts the connection where the stream is not whole.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, q *batch.Request, next int) {
+// serveStream sends the events from number next to the end mark, then detaches the reader. It aborts
+// the connection if the stream is not complete, unless the stream was truncated cleanly.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, q *batch.Request, next int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("X-Request-Id", string(q.ID()))
 	w.WriteHeader(http.StatusOK)
-	s := &sender{
-		engine: e,
-		req:    q,
-		w:      w,
-		flush:  http.NewResponseController(w).Flush,
-		gone:   r.Context().Done(),
-		next:   next,
+	s := &streamWriter{
+		engine:       e,
+		req:          q,
+		w:            w,
+		flush:        http.NewResponseController(w).Flush,
+		disconnected: r.Context().Done(),
+		next:         next,
 	}
 	_ = s.flush()
-	whole, clean := s.run()
-	e.leave(q, whole)
-	if !whole && !clean {
+	complete, clean := s.run()
+	e.detach(q, complete)
+	if !complete && !clean {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// leave counts a reader out.
-func (e *Engine) leave(q *batch.Request, whole bool) {
+// detach removes a reader from a request. The argument complete is set if the reader received the end
+// mark.
+func (e *Engine) detach(q *batch.Request, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.streams--
+	e.openStreams--
 	q.Readers--
 	q.Left = e.clock.Now()
-	q.Read = q.Read || whole
-	if whole && q.Ended {
+	q.Read = q.Read || complete
+	if complete && q.Ended {
 		e.batch.Release(q.ID())
-		e.kick()
+		e.wake()
 	}
 }
 
-// run returns whether the reader got the end mark, and if not, whether the
-// answer is to end as if it were complete for HTTP.
-func (s *sender) run() (whole, clean bool) {
+// run sends events until the stream ends. It reports whether the end mark was sent, and if not,
+// whether the response must be ended normally instead of aborted.
+func (s *streamWriter) run() (complete, clean bool) {
 	for {
-		v := s.view()
-		sent, cut := s.batch(v)
+		v := s.state()
+		sent, truncated := s.writeAvailable(v)
 		switch {
-		case cut:
+		case truncated:
 			return false, v.faults.clean
 		case !sent:
 			return false, false
 		case v.faults.stall:
-			if !s.wait(v.commanded, v.commanded) {
+			if !s.wait(v.controlChanged, v.controlChanged) {
 				return false, false
 			}
 		case v.ended && s.next >= len(v.events):
-			return s.finish(), false
-		case !s.wait(v.changed, v.commanded):
+			return s.writeDone(), false
+		case !s.wait(v.changed, v.controlChanged):
 			return false, false
 		}
 	}
 }
 
-func (s *sender) view() view {
+func (s *streamWriter) state() streamState {
 	e, q := s.engine, s.req
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	v := view{events: q.Events, ended: q.Ended, changed: q.Changed, commanded: e.commanded}
+	v := streamState{events: q.Events, ended: q.Ended, changed: q.Changed, controlChanged: e.controlChanged}
 	if strings.Contains(q.Prompt, e.control.Match) {
 		c := &e.control
 		v.faults = faults{c.Stall, c.Truncate, c.Clean, c.Cross, c.From, c.Duplicate, c.Late}
 	}
 	if v.faults.cross {
-		v.other = e.other(q)
+		v.other = e.otherSource(q)
 	}
 	return v
 }
 
-// other is the voice of some other request, or of one that never was.
-func (e *Engine) other(q *batch.Request) completion.Voice {
+// otherSource returns the ID and seed of another request, or made-up ones if there is none.
+func (e *Engine) otherSource(q *batch.Request) completion.Voice {
 	if o := e.batch.Other(q); o != nil {
 		return completion.Voice{ID: o.ID(), Seed: o.Seed}
 	}
 	return completion.Voice{ID: "other-" + q.ID(), Seed: q.Seed + 1}
 }
 
-// batch sends what is there. It returns false if the reader left, and cut if the stream is to be truncated here.
-func (s *sender) batch(v view) (sent, cut bool) {
+// writeAvailable sends the events that have been produced. It returns sent=false if the reader has
+// disconnected or the engine is closed, and truncated=true if the stream must be truncated here.
+func (s *streamWriter) writeAvailable(v streamState) (sent, truncated bool) {
 	if v.faults.stall {
 		return true, false
 	}
 	for ; s.next < len(v.events); s.next++ {
 		if v.faults.truncate > 0 && s.sent >= v.faults.truncate {
-			// What was written must arrive before the cut: where several events are
-			// ready at once it still lies in the buffer.
+			// The events before the truncation must arrive. If several were available at once, they
+			// are still in the buffer.
 			return s.flush() == nil, true
 		}
-		if !s.hold(v.events[s.next] + v.faults.late) {
+		if !s.waitUntil(v.events[s.next] + v.faults.late) {
 			return false, false
 		}
-		if !s.event(v) {
+		if !s.writeEvent(v) {
 			return false, false
 		}
 	}
 	return s.flush() == nil, v.faults.truncate > 0 && s.sent >= v.faults.truncate
 }
 
-// event writes event number next, more than once if events are duplicated.
-func (s *sender) event(v view) bool {
-	who := completion.Voice{ID: s.req.ID(), Seed: s.req.Seed}
-	times := 1
+// writeEvent writes event number next, several times if events are duplicated. It returns false if
+// the connection is broken.
+func (s *streamWriter) writeEvent(v streamState) bool {
+	source := completion.Voice{ID: s.req.ID(), Seed: s.req.Seed}
+	copies := 1
 	if s.next >= v.faults.from {
-		times += v.faults.duplicate
+		copies += v.faults.duplicate
 		if v.faults.cross {
-			who = v.other
+			source = v.other
 		}
 	}
 	b := s.buf[:0]
 	b = append(b, "id: "...)
 	b = strconv.AppendInt(b, int64(s.next), 10)
 	b = append(b, "\ndata: "...)
-	b = completion.Chunk(b, s.req, s.next, who)
+	b = completion.Chunk(b, s.req, s.next, source)
 	b = append(b, "\n\n"...)
 	s.buf = b
 	s.sent++
-	for range times {
+	for range copies {
 		if _, err := s.w.Write(b); err != nil {
 			return false
 		}
@@ -163,10 +167,11 @@
 	return true
 }
 
-// finish sends the end mark of a whole answer.
-func (s *sender) finish() bool {
+// writeDone sends the end mark of a complete answer. It returns false if the request was canceled
+// before its last event or the connection is broken.
+func (s *streamWriter) writeDone() bool {
 	if s.next <= s.req.Limit {
-		return false // canceled
+		return false // canceled before its last event
 	}
 	if _, err := s.w.Write([]byte("data: [DONE]\n\n")); err != nil {
 		return false
@@ -174,22 +179,23 @@
 	return s.flush() == nil
 }
 
-// wait returns false if the reader left or the engine closes.
-func (s *sender) wait(a, b <-chan struct{}) bool {
+// wait waits for either channel. It returns false if the reader disconnects or the engine is closed.
+func (s *streamWriter) wait(a, b <-chan struct{}) bool {
 	select {
 	case <-a:
 		return true
 	case <-b:
 		return true
-	case <-s.gone:
+	case <-s.disconnected:
 		return false
-	case <-s.engine.closing:
+	case <-s.engine.done:
 		return false
 	}
 }
 
-// hold waits for an instant.
-func (s *sender) hold(at clock.Milli) bool {
+// waitUntil flushes the events written so far and waits until a time. It returns false if the reader
+// disconnects or the engine is closed.
+func (s *streamWriter) waitUntil(at clock.Milli) bool {
 	span := at - s.engine.clock.Now()
 	if span <= 0 {
 		return true
@@ -200,20 +206,20 @@
 	select {
 	case <-t.C:
 		return true
-	case <-s.gone:
+	case <-s.disconnected:
 		return false
-	case <-s.engine.closing:
+	case <-s.engine.done:
 		return false
 	}
 }
 
-// getStream resumes a stream after the event that Last-Event-ID names.
+// getStream resumes a stream after the event in Last-Event-ID, or from the start without the header.
 func (e *Engine) getStream(w http.ResponseWriter, r *http.Request) {
 	next := 0
 	if last := r.Header.Get("Last-Event-ID"); last != "" {
-		n, err := number(last)
+		n, err := parseNumber(last)
 		if err != nil {
-			refuse(w, http.StatusBadRequest, "malformed Last-Event-ID")
+			writeError(w, http.StatusBadRequest, "malformed Last-Event-ID")
 			return
 		}
 		next = n + 1
@@ -223,12 +229,12 @@
 	ok := q != nil && next <= q.Limit+1
 	if ok {
 		q.Readers++
-		e.streams++
+		e.openStreams++
 	}
 	e.mu.Unlock()
 	if !ok {
-		refuse(w, http.StatusNotFound, "no such stream")
+		writeError(w, http.StatusNotFound, "no such stream")
 		return
 	}
-	e.stream(w, r, q, next)
+	e.serveStream(w, r, q, next)
 }
