--- a/emulator/load/balancer.go
+++ b/emulator/load/balancer.go
@@ -10,19 +10,20 @@
 	"snipeshift.example/emulator/local"
 )
 
-// probeStep is how often the balancer asks each daemon whether it is ready;
-// the time between a daemon's no and the last request sent to it.
-const probeStep = 100 * time.Millisecond
+// probeInterval is how often the balancer checks whether each daemon is ready. A daemon that is no
+// longer ready still receives requests for up to this time.
+const probeInterval = 100 * time.Millisecond
 
-// probeLimit is how long a daemon may take over its answer.
-const probeLimit = time.Second
+// probeTimeout is the time within which a daemon must answer a readiness check.
+const probeTimeout = time.Second
 
-// balancer stands in for the platform's: it spreads requests blindly over the
-// daemons that say they are ready. Without operator addresses all are taken as ready.
+// balancer emulates the platform's load balancer. It distributes requests over the daemons that
+// report that they are ready, without regard to their load. Without operator addresses it treats all
+// daemons as ready.
 type balancer struct {
 	addresses []string
 	operators []string
-	// ready is set by address while the daemon says so.
+	// ready holds for each address whether the daemon was ready at the last check.
 	ready []atomic.Bool
 }
 
@@ -34,7 +35,8 @@
 	return b
 }
 
-// watch probes every daemon until ctx ends; it returns after the first round.
+// watch checks every daemon periodically in goroutines of g until ctx ends. It returns after the first
+// check of each.
 func (b *balancer) watch(ctx context.Context, g *errgroup.Group) {
 	var first errgroup.Group
 	for i := range b.operators {
@@ -43,7 +45,7 @@
 			return nil
 		})
 		g.Go(func() error {
-			for sleepUntil(ctx, time.Now().Add(probeStep)) {
+			for sleepUntil(ctx, time.Now().Add(probeInterval)) {
 				b.probe(ctx, i)
 			}
 			return nil
@@ -53,12 +55,13 @@
 }
 
 func (b *balancer) probe(ctx context.Context, i int) {
-	ctx, cancel := context.WithTimeout(ctx, probeLimit)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	b.ready[i].Store(local.IsReady(ctx, b.operators[i]))
 }
 
-// pick returns the nth of the ready daemons, counted round; with none ready, of all.
+// pick returns the address of the nth ready daemon, modulo their number. If none is ready, it chooses
+// from all.
 func (b *balancer) pick(n int) string {
 	var ready []string
 	for i, a := range b.addresses {
--- a/emulator/load/compare.go
+++ b/emulator/load/compare.go
@@ -11,73 +11,74 @@
 	"snipeshift.example/emulator/caller"
 )
 
-// Comparison sets up the measure of added latency: the same requests straight
-// to a stand-in and through a daemon, in one run.
+// Comparison is the setup of a measurement of the latency that a daemon adds: the same requests are
+// sent directly to an emulated engine or service and through a daemon.
 type Comparison struct {
-	// Direct is host:port of an engine or service, Through that of a daemon before it.
+	// Direct is the host:port of an engine or service, Through that of a daemon in front of it.
 	Direct, Through string
-	// Rate is requests per second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// Slice is how long each side is loaded before it is the other's turn.
+	// Slice is how long requests are sent on one path before switching to the other.
 	Slice time.Duration
-	// Rounds is how often both have their turn.
+	// Rounds is the number of slices of each path.
 	Rounds int
-	// Key, Model and Kind are what the daemon is told.
+	// Key, Model and Kind are the API key, model and request kind of all requests.
 	Key, Model, Kind string
-	// Service compares a plain service's calls; empty compares streams of the model.
+	// Service is the plain service whose calls are compared. If it is empty, streams of the model
+	// are compared.
 	Service string
-	// Tokens is the prompt's length, Output the answer's.
+	// Tokens is the length of each prompt in tokens, Output that of each answer.
 	Tokens, Output int
 	Seed           uint64
 }
 
-// Side is what was measured on one way.
+// Side is the measurements of one path, direct or through the daemon.
 type Side struct {
 	Sent     int                    `json:"sent"`
 	Outcomes map[caller.Outcome]int `json:"outcomes"`
-	// First is the time to the first token, or to the whole answer of a service's call.
+	// First is the time to the first token of a stream, or to the complete answer of a service.
 	First Span `json:"first"`
 	Total Span `json:"total"`
 }
 
-// Compared is the result, in milliseconds. The differences are between
-// quantiles of the two distributions, not quantiles of a difference.
+// Compared is the result of a Comparison, in milliseconds. The differences are between the quantiles
+// of the two distributions; they are not quantiles of the differences.
 type Compared struct {
 	Direct  Side `json:"direct"`
 	Through Side `json:"through"`
-	// Median and P99 are what the daemon adds to the time to the first token.
+	// Median and P99 are the differences in the time to the first token.
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
-	// TotalMedian and TotalP99 are what it adds to the time to the end.
+	// TotalMedian and TotalP99 are the differences in the time to the end of the answer.
 	TotalMedian float64 `json:"totalmedian"`
 	TotalP99    float64 `json:"totalp99"`
 }
 
-// side is one way's settings and measures.
-type side struct {
-	planner *planner
-	client  *caller.Client
-	tally   *tally
-	group   *group
+// path is the requests and measurements of one path, direct or through the daemon.
+type path struct {
+	planner    *planner
+	client     *caller.Client
+	tally      *tally
+	histograms *histograms
 }
 
-// Compare runs both sides in turn, a short slice each, so that whatever else
-// the machine does falls on both alike. The first slice of each warms up and is not counted.
+// Compare sends requests on both paths alternately, in short slices, so that other load on the machine
+// affects both equally. The first slice of each path is a warm-up and is not counted.
 func Compare(ctx context.Context, c Comparison) (Compared, error) {
-	sides := []*side{c.side(c.Direct, true), c.side(c.Through, false)}
+	paths := []*path{c.newPath(c.Direct, true), c.newPath(c.Through, false)}
 	for round := range c.Rounds + 1 {
-		for i := range sides {
-			s := sides[(i+round)%len(sides)]
-			s.slice(ctx, c.Slice, round > 0)
+		for i := range paths {
+			p := paths[(i+round)%len(paths)]
+			p.runSlice(ctx, c.Slice, round > 0)
 			if ctx.Err() != nil {
 				return Compared{}, ctx.Err()
 			}
 		}
 	}
-	for _, s := range sides {
-		s.client.Close()
+	for _, p := range paths {
+		p.client.Close()
 	}
-	r := Compared{Direct: sides[0].result(), Through: sides[1].result()}
+	r := Compared{Direct: paths[0].result(), Through: paths[1].result()}
 	r.Median = r.Through.First.P50 - r.Direct.First.P50
 	r.P99 = r.Through.First.P99 - r.Direct.First.P99
 	r.TotalMedian = r.Through.Total.P50 - r.Direct.Total.P50
@@ -85,8 +86,8 @@
 	return r, nil
 }
 
-func (c Comparison) side(address string, direct bool) *side {
-	s := Settings{
+func (c Comparison) newPath(address string, direct bool) *path {
+	settings := Settings{
 		Addresses: []string{address},
 		Rate:      c.Rate,
 		Seed:      c.Seed,
@@ -100,22 +101,22 @@
 			From:    c.Tokens,
 			To:      c.Tokens,
 			Output:  c.Output,
-			Allowed: compareLimit,
+			Allowed: compareTimeout,
 		}},
 		Direct: direct,
 	}
-	return &side{planner: newPlanner(s), client: caller.New(), tally: newTally(), group: newGroup()}
+	return &path{planner: newPlanner(settings), client: caller.New(), tally: newTally(), histograms: newHistograms()}
 }
 
-// compareLimit is how long one request may take, in milliseconds.
-const compareLimit = 10_000
+// compareTimeout is the allowed time of one request, in milliseconds.
+const compareTimeout = 10_000
 
-// slice sends what is due within a span and waits for all answers. Requests are
-// made before their slice starts, and their times count from when they are sent.
-func (s *side) slice(ctx context.Context, span time.Duration, counts bool) {
+// runSlice sends the requests of one slice on schedule and waits for all answers. All requests are
+// generated before the slice starts, and their times are measured from the moment of sending.
+func (p *path) runSlice(ctx context.Context, length time.Duration, counted bool) {
 	var qs []caller.Request
-	for end := s.planner.after + span; s.planner.after < end; {
-		qs = append(qs, s.planner.next())
+	for end := p.planner.offset + length; p.planner.offset < end; {
+		qs = append(qs, p.planner.next())
 	}
 	var g errgroup.Group
 	start := time.Now().Add(-qs[0].After)
@@ -124,9 +125,9 @@
 			break
 		}
 		g.Go(func() error {
-			r := s.client.Do(ctx, q, time.Now())
-			if counts {
-				s.add(q, r)
+			r := p.client.Do(ctx, q, time.Now())
+			if counted {
+				p.add(q, r)
 			}
 			return nil
 		})
@@ -134,27 +135,27 @@
 	_ = g.Wait()
 }
 
-func (s *side) add(q caller.Request, r caller.Result) {
-	s.tally.add(q, r)
-	s.tally.mu.Lock()
-	defer s.tally.mu.Unlock()
+func (p *path) add(q caller.Request, r caller.Result) {
+	p.tally.add(q, r)
+	p.tally.mu.Lock()
+	defer p.tally.mu.Unlock()
 	if r.Outcome == caller.Finished {
-		record(s.group.first, r.First)
-		record(s.group.total, r.Total)
+		record(p.histograms.first, r.First)
+		record(p.histograms.total, r.Total)
 	}
 }
 
-func (s *side) result() Side {
-	r := s.tally.end(0)
-	return Side{r.Sent, r.Outcomes, spanOf(s.group.first), spanOf(s.group.total)}
+func (p *path) result() Side {
+	r := p.tally.finish(0)
+	return Side{r.Sent, r.Outcomes, distributionOf(p.histograms.first), distributionOf(p.histograms.total)}
 }
 
-// Wrong counts wrong answers on both ways.
+// Wrong returns the number of wrong answers on both paths.
 func (r *Compared) Wrong() int {
 	return r.Direct.Outcomes[caller.Wrong] + r.Through.Outcomes[caller.Wrong]
 }
 
-// Text writes the result for a person.
+// Text writes the result as a table for people.
 func (r *Compared) Text(out io.Writer) error {
 	_, err := fmt.Fprintf(out, `milliseconds   first p50      p99  total p50      p99  finished
 direct        %s
--- a/emulator/load/load_test.go
+++ b/emulator/load/load_test.go
@@ -45,7 +45,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// control sends fields to a stand-in.
+// control sends a POST /control with fields to an emulated engine or service.
 func control(t *testing.T, h http.Handler, fields string) {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -53,7 +53,7 @@
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
 
-func direct(address string) Settings {
+func directSettings(address string) Settings {
 	return Settings{
 		Addresses: []string{address},
 		Callers:   8,
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestPlanIsRepeatable(t *testing.T) {
+func TestPlanIsReproducible(t *testing.T) {
 	s, err := Defaults(local.Indus)
 	require.NoError(t, err)
 	s.Addresses = []string{"a", "b"}
@@ -89,14 +89,15 @@
 	require.NotEqual(t, newPlanner(s).next().Prompt, newPlanner(q.settings).next().Prompt)
 }
 
-func TestOpenAndClosedLoopsFinishWhatTheySend(t *testing.T) {
+func TestOpenAndClosedLoopsFinishAllRequests(t *testing.T) {
 	_, address := startEngine(t)
 	for _, rate := range []float64{0, 400} {
-		s := direct(address)
+		s := directSettings(address)
 		s.Rate = rate
 		s.Seed += uint64(rate)
 		if rate > 0 {
-			// An open loop skips what would be over Callers, as a slow machine makes it; here none may be.
+			// An open loop skips requests while Callers are open, which can happen on a slow
+			// machine. Here none may be skipped.
 			s.Callers = s.Count
 		}
 		r, err := Run(t.Context(), s)
@@ -111,9 +112,9 @@
 	}
 }
 
-func TestClosedLoopEndsByTheClock(t *testing.T) {
+func TestClosedLoopEndsAfterSpan(t *testing.T) {
 	_, address := startEngine(t)
-	s := direct(address)
+	s := directSettings(address)
 	s.Count, s.Span = 0, 100
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
@@ -124,7 +125,7 @@
 func TestTooManyOpenRequestsAreSkipped(t *testing.T) {
 	e, address := startEngine(t)
 	control(t, e, `{"stall":true}`)
-	s := direct(address)
+	s := directSettings(address)
 	s.Rate, s.Callers, s.Kinds[0].Allowed, s.Slack = 1000, 2, 200, 0
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
@@ -132,9 +133,10 @@
 	require.Equal(t, r.Sent, r.Outcomes[caller.Overdue])
 }
 
-// Each fault of an engine, passed on unchecked, must show as what it is: a cut
-// stream is no answer, and another's words are a wrong one even when marked whole.
-func TestFaultyStreamsAreToldApart(t *testing.T) {
+// An engine has a fault, and its response is forwarded unchecked. Each fault must result in its own
+// outcome: a truncated stream is broken, and the text of another request is a wrong answer even with
+// an end mark.
+func TestFaultyStreamsHaveDistinctOutcomes(t *testing.T) {
 	e, address := startEngine(t)
 	for fields, want := range map[string]caller.Outcome{
 		`{"truncate":2}`:              caller.Broken,
@@ -147,7 +149,7 @@
 	} {
 		control(t, e, `{"truncate":0,"clean":false,"cross":false,"duplicate":0,"refuse":false}`)
 		control(t, e, fields)
-		s := direct(address)
+		s := directSettings(address)
 		s.Count, s.Seed = 1, xxhash.Sum64String(fields)
 		r, err := Run(t.Context(), s)
 		require.NoError(t, err)
@@ -155,11 +157,11 @@
 	}
 }
 
-func TestCompareTakesTurns(t *testing.T) {
+func TestCompareMeasuresAddedLatency(t *testing.T) {
 	e, address := startEngine(t)
 	delay := 20 * time.Millisecond
 	through := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(delay) // the latency that is to be found
+		time.Sleep(delay) // the added latency that the comparison must find
 		r.Header.Set("X-Request-Id", "through-"+r.Header.Get("Authorization")+fmt.Sprint(time.Now().UnixNano()))
 		e.ServeHTTP(w, r)
 	}))
@@ -195,14 +197,14 @@
 		func(s *Settings) { s.Count = 0 },
 		func(s *Settings) { s.Kinds[0].From = 0 },
 	} {
-		s := direct("a")
+		s := directSettings("a")
 		change(&s)
 		_, err := Run(t.Context(), s)
 		require.Error(t, err)
 	}
 }
 
-func TestReadKindsReplaceTheMixWhole(t *testing.T) {
+func TestKindsFromSettingsReplaceTheDefaultMix(t *testing.T) {
 	s, err := Defaults(local.Directorate)
 	require.NoError(t, err)
 	require.NoError(t, settings.Load("", []string{`kinds=[{"name":"a"},{"name":"b"}]`}, &s))
@@ -211,9 +213,9 @@
 	require.Error(t, json.Unmarshal([]byte(`[{"nam":"a"}]`), &k))
 }
 
-func TestErrorsAreCountedByKindAndRan(t *testing.T) {
+func TestErrorsAreCountedByKindAndExecution(t *testing.T) {
 	for ran, want := range map[string]caller.Outcome{"no": caller.Refused, "maybe": caller.Failed, "yes": caller.Failed} {
-		s := direct(serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		s := directSettings(serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Snipeshift-Error", "k")
 			w.Header().Set("Snipeshift-Ran", ran)
 			w.Header().Set("Retry-After", "3")
@@ -228,9 +230,9 @@
 	}
 }
 
-// The daemons refuse while they are full; callers come back when told to, and
-// their waiting counts from when they first asked.
-func TestRefusedCallersComeBack(t *testing.T) {
+// The daemons refuse requests while they are full. Clients must retry after the time in Retry-After,
+// and their latency is measured from their first attempt.
+func TestRefusedRequestsAreRetried(t *testing.T) {
 	e, address := startEngine(t)
 	var refused atomic.Int32
 	full := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -242,7 +244,7 @@
 		}
 		e.ServeHTTP(w, r)
 	}))
-	s := direct(full)
+	s := directSettings(full)
 	s.Addresses = append(s.Addresses, address)
 	s.Count, s.Callers, s.Retries, s.Seed = 6, 6, 3, 3
 	r, err := Run(t.Context(), s)
@@ -257,34 +259,34 @@
 	require.Equal(t, 2, r.Outcomes[caller.Refused])
 }
 
-// A daemon that is about to stop says that it is not ready; the balancer then
-// sends nothing more its way, and nothing is cut off when it goes.
-func TestBalancerLeavesOutDaemonsThatAreNotReady(t *testing.T) {
+// A daemon that is about to stop reports that it is not ready. The balancer must then send it no more
+// requests, so that none is interrupted when the daemon stops.
+func TestBalancerSkipsDaemonsThatAreNotReady(t *testing.T) {
 	e, address := startEngine(t)
 	var ready atomic.Bool
-	var misses atomic.Int32
+	var received atomic.Int32
 	leaving := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/ready" && !ready.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		if r.URL.Path != "/ready" {
-			misses.Add(1)
+			received.Add(1)
 			e.ServeHTTP(w, r)
 		}
 	}))
-	well := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	s := direct(address)
+	healthy := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	s := directSettings(address)
 	s.Addresses = []string{address, leaving}
-	s.Operators = []string{well, leaving}
+	s.Operators = []string{healthy, leaving}
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
 	require.Equal(t, 40, r.Outcomes[caller.Finished], r.Examples)
-	require.Zero(t, misses.Load())
+	require.Zero(t, received.Load())
 	ready.Store(true)
 	s.Seed++
 	_, err = Run(t.Context(), s)
 	require.NoError(t, err)
-	require.NotZero(t, misses.Load())
+	require.NotZero(t, received.Load())
 	b := newBalancer(s)
 	b.ready[0].Store(false)
 	b.ready[1].Store(false)
@@ -295,7 +297,7 @@
 }
 
 func TestSharesAndBurstsShapeThePlan(t *testing.T) {
-	s := direct("a")
+	s := directSettings("a")
 	s.Shares = map[string]float64{"a": 4}
 	s.Rate, s.Burst, s.Period = 100, 10, 1000
 	p := newPlanner(s)
@@ -303,7 +305,7 @@
 	for range 1000 {
 		q := p.next()
 		sent[q.Workspace]++
-		if q.After%time.Second < time.Second/burstPart {
+		if q.After%time.Second < time.Second/burstDivisor {
 			early++
 		}
 	}
@@ -313,7 +315,7 @@
 
 func TestUsageIsCountedByWorkspace(t *testing.T) {
 	_, address := startEngine(t)
-	r, err := Run(t.Context(), direct(address))
+	r, err := Run(t.Context(), directSettings(address))
 	require.NoError(t, err)
 	a, b := r.Workspaces["a"], r.Workspaces["b"]
 	require.Equal(t, 40, a.Finished+b.Finished)
@@ -322,10 +324,10 @@
 	require.Greater(t, a.Prompt, a.Sent*9)
 }
 
-func TestServiceCallsAreMeasuredApart(t *testing.T) {
+func TestServiceCallsHaveTheirOwnBand(t *testing.T) {
 	v, err := service.New(service.Defaults(), clock.New())
 	require.NoError(t, err)
-	s := direct(serve(t, v))
+	s := directSettings(serve(t, v))
 	s.Kinds[0].Service = "alert-desk"
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -11,17 +11,16 @@
 	"snipeshift.example/lib/expect"
 )
 
-// planner makes the requests of a run one after another. The same settings
-// make the same requests.
+// planner generates the requests of a run one after another. The same settings give the same requests.
 type planner struct {
 	settings Settings
 	random   *rand.Rand
-	// workspaces is the sorted list of those with a key.
+	// workspaces is the sorted list of the workspaces that have a key.
 	workspaces []string
-	normal     []Kind
-	long       []Kind
+	shortKinds []Kind
+	longKinds  []Kind
 	number     int
-	after      time.Duration
+	offset     time.Duration
 }
 
 func newPlanner(s Settings) *planner {
@@ -32,22 +31,22 @@
 	}
 	for _, k := range s.Kinds {
 		if k.Long {
-			p.long = append(p.long, k)
+			p.longKinds = append(p.longKinds, k)
 		} else {
-			p.normal = append(p.normal, k)
+			p.shortKinds = append(p.shortKinds, k)
 		}
 	}
 	return p
 }
 
-// more tells whether the run has another request.
-func (p *planner) more() bool {
+// hasNext reports whether the run has another request.
+func (p *planner) hasNext() bool {
 	s := &p.settings
-	return (s.Count == 0 || p.number < s.Count) && (s.Span == 0 || p.after < s.Span.Duration())
+	return (s.Count == 0 || p.number < s.Count) && (s.Span == 0 || p.offset < s.Span.Duration())
 }
 
-// next makes the next request. Arrivals at a rate are independent of each
-// other, so the spans between them follow the exponential distribution.
+// next generates the next request. At a fixed rate arrivals are independent of each other, so the
+// times between them are distributed exponentially.
 func (p *planner) next() caller.Request {
 	s := &p.settings
 	k := p.kind()
@@ -60,15 +59,15 @@
 		Workspace: workspace,
 		Key:       s.Keys[workspace],
 		Kind:      k.Name,
-		Tokens:    p.length(k),
+		Tokens:    p.promptLength(k),
 		Output:    k.Output,
-		Stream:    p.random.Float64() < s.Stream || s.Direct, // one draw in any case
+		Stream:    p.random.Float64() < s.Stream || s.Direct, // always draws, so that Direct changes no other choice
 		Allowed:   k.Allowed,
 		Slack:     s.Slack,
 		Pause:     k.Pause,
 		Direct:    s.Direct,
 		ID:        fmt.Sprintf("load-%d-%d", s.Seed, p.number),
-		After:     p.after,
+		After:     p.offset,
 	}
 	if k.Deadline {
 		r.Deadline = k.Allowed
@@ -76,30 +75,30 @@
 	if k.Once {
 		r.Once = r.ID
 	}
-	p.fill(&r, k)
+	p.fillBody(&r, k)
 	p.number++
 	if s.Rate > 0 {
-		p.after += time.Duration(p.random.ExpFloat64() / p.rate() * float64(time.Second))
+		p.offset += time.Duration(p.random.ExpFloat64() / p.rate() * float64(time.Second))
 	}
 	return r
 }
 
-// maxChoice is far above the number of daemons, so that all get the same share.
+// maxChoice is far above the number of daemons, so that choice modulo this number is nearly uniform.
 const maxChoice = 1 << 20
 
-// burstPart is the part of each period that bursts.
-const burstPart = 5
+// burstDivisor divides a period into parts. The burst lasts for the first part.
+const burstDivisor = 5
 
-// rate is the rate at the present place in the plan.
+// rate returns the request rate at the current offset.
 func (p *planner) rate() float64 {
 	s := &p.settings
-	if s.Burst > 0 && p.after%s.Period.Duration() < s.Period.Duration()/burstPart {
+	if s.Burst > 0 && p.offset%s.Period.Duration() < s.Period.Duration()/burstDivisor {
 		return s.Rate * s.Burst
 	}
 	return s.Rate
 }
 
-// workspace chooses one by their shares.
+// workspace chooses a workspace at random, weighted by the shares.
 func (p *planner) workspace() string {
 	total := 0.0
 	for _, w := range p.workspaces {
@@ -122,23 +121,23 @@
 }
 
 func (p *planner) kind() Kind {
-	if len(p.long) > 0 && (len(p.normal) == 0 || p.random.Float64() < p.settings.Long) {
-		return p.long[p.random.IntN(len(p.long))]
+	if len(p.longKinds) > 0 && (len(p.shortKinds) == 0 || p.random.Float64() < p.settings.Long) {
+		return p.longKinds[p.random.IntN(len(p.longKinds))]
 	}
 	total := 0.0
-	for _, k := range p.normal {
+	for _, k := range p.shortKinds {
 		total += k.Weight
 	}
 	x := p.random.Float64() * total
-	for _, k := range p.normal {
+	for _, k := range p.shortKinds {
 		if x -= k.Weight; x < 0 {
 			return k
 		}
 	}
-	return p.normal[len(p.normal)-1]
+	return p.shortKinds[len(p.shortKinds)-1]
 }
 
-func (p *planner) length(k Kind) int {
+func (p *planner) promptLength(k Kind) int {
 	from, to := k.From, k.To
 	if k.Long {
 		from, to = p.settings.LongFrom, p.settings.LongTo
@@ -146,8 +145,8 @@
 	return from + p.random.IntN(to-from+1)
 }
 
-// fill makes the body.
-func (p *planner) fill(r *caller.Request, k Kind) {
+// fillBody generates the prompt and sets the path and body of the request.
+func (p *planner) fillBody(r *caller.Request, k Kind) {
 	r.Prompt = p.prompt(r)
 	if k.Service != "" {
 		r.Service, r.Stream = true, false
@@ -162,8 +161,8 @@
 	r.Body = caller.ChatBody(p.settings.Model, r.Prompt, r.Output, r.Stream)
 }
 
-// prompt begins with text that the kind and workspace share, and ends with
-// text of its own, so that its answer is its own too.
+// prompt generates a prompt that begins with text common to all prompts of the kind and workspace and
+// ends with random text. The random text makes the prompt, and therefore its answer, unique.
 func (p *planner) prompt(r *caller.Request) string {
 	shared := int(float64(r.Tokens) * p.settings.Shared)
 	b := make([]byte, 0, r.Tokens*expect.TokenBytes)
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -9,11 +9,12 @@
 	"snipeshift.example/emulator/caller"
 )
 
-// ahead is how many requests are made before they are due, so that making a
-// long prompt does not delay others.
-const ahead = 32
+// prefetch is the number of requests that are generated in advance, so that the generation of a long
+// prompt does not delay other requests.
+const prefetch = 32
 
-// Run sends the load and reports. An end of ctx stops sending; open requests are then given up.
+// Run sends the requests of a run and returns their measurements. If ctx ends, it stops sending and
+// cancels open requests.
 func Run(ctx context.Context, s Settings) (Report, error) {
 	if err := s.check(); err != nil {
 		return Report{}, err
@@ -21,33 +22,34 @@
 	c := caller.New()
 	defer c.Close()
 	t := newTally()
-	requests := make(chan caller.Request, ahead)
+	requests := make(chan caller.Request, prefetch)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var g errgroup.Group
-	p := persistent{c, newBalancer(s), s.Retries, t}
-	p.balancer.watch(ctx, &g)
+	client := retryingClient{c, newBalancer(s), s.Retries, t}
+	client.balancer.watch(ctx, &g)
 	start := time.Now()
 	g.Go(func() error {
 		defer close(requests)
-		ctx, cancel := productionOf(ctx, s, start)
+		ctx, cancel := planContext(ctx, s, start)
 		defer cancel()
 		produce(ctx, newPlanner(s), requests)
 		return nil
 	})
 	if s.Rate > 0 {
-		open(ctx, s.Callers, p, requests, start)
+		runOpenLoop(ctx, s.Callers, client, requests, start)
 	} else {
-		closed(ctx, s.Callers, p, requests)
+		runClosedLoop(ctx, s.Callers, client, requests)
 	}
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	cancel()
 	err := g.Wait()
-	return t.end(took), err
+	return t.finish(elapsed), err
 }
 
-// productionOf ends the plan of a closed loop by the clock; that of an open one ends by its own times.
-func productionOf(ctx context.Context, s Settings, start time.Time) (context.Context, context.CancelFunc) {
+// planContext returns the context of the generation of requests. In a closed loop with a span, it ends
+// when the span has passed. In an open loop, the planner itself ends the plan by the scheduled times.
+func planContext(ctx context.Context, s Settings, start time.Time) (context.Context, context.CancelFunc) {
 	if s.Rate > 0 || s.Span == 0 {
 		return context.WithCancel(ctx)
 	}
@@ -55,7 +57,7 @@
 }
 
 func produce(ctx context.Context, p *planner, out chan<- caller.Request) {
-	for p.more() {
+	for p.hasNext() {
 		select {
 		case out <- p.next():
 		case <-ctx.Done():
@@ -64,34 +66,34 @@
 	}
 }
 
-// open sends each request when it is due and counts its time from then, so
-// that a slow system cannot slow the load down and look faster for it.
-func open(ctx context.Context, callers int, p persistent, requests <-chan caller.Request, start time.Time) {
+// runOpenLoop sends each request at its scheduled time and measures its duration from then. A slow
+// system can therefore neither reduce the load nor hide its delays (coordinated omission).
+func runOpenLoop(ctx context.Context, concurrency int, client retryingClient, requests <-chan caller.Request, start time.Time) {
 	var g errgroup.Group
-	g.SetLimit(callers)
+	g.SetLimit(concurrency)
 	for q := range requests {
-		due := start.Add(q.After)
-		if !sleepUntil(ctx, due) {
+		scheduled := start.Add(q.After)
+		if !sleepUntil(ctx, scheduled) {
 			break
 		}
 		sent := g.TryGo(func() error {
-			p.tally.add(q, p.do(ctx, q, due))
+			client.tally.add(q, client.do(ctx, q, scheduled))
 			return nil
 		})
 		if !sent {
-			p.tally.skip()
+			client.tally.skip()
 		}
 	}
 	_ = g.Wait()
 }
 
-// closed keeps as many callers busy, each with one request at a time.
-func closed(ctx context.Context, callers int, p persistent, requests <-chan caller.Request) {
+// runClosedLoop emulates a fixed number of clients that each send one request at a time.
+func runClosedLoop(ctx context.Context, concurrency int, client retryingClient, requests <-chan caller.Request) {
 	var g errgroup.Group
-	for range callers {
+	for range concurrency {
 		g.Go(func() error {
 			for q := range requests {
-				p.tally.add(q, p.do(ctx, q, time.Now()))
+				client.tally.add(q, client.do(ctx, q, time.Now()))
 			}
 			return nil
 		})
@@ -99,6 +101,7 @@
 	_ = g.Wait()
 }
 
+// sleepUntil waits until a time. It returns false if ctx ends before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -114,27 +117,27 @@
 	}
 }
 
-// persistent sends a request again after a refusal that proves that it did not
-// run, when and as often as callers do, each time to another daemon.
-type persistent struct {
+// retryingClient sends requests and retries those that were refused without running. It waits for the
+// time in Retry-After and, if the balancer permits, uses another daemon for each attempt.
+type retryingClient struct {
 	client   *caller.Client
 	balancer *balancer
-	// retries is how often it comes back.
+	// retries is the maximum number of retries of one request.
 	retries int
 	tally   *tally
 }
 
-func (p persistent) do(ctx context.Context, q caller.Request, start time.Time) caller.Result {
-	q.Address = p.balancer.pick(q.Choice)
-	r := p.client.Do(ctx, q, start)
-	for i := 1; i <= p.retries && r.Outcome == caller.Refused && r.Retry > 0; i++ {
-		again := time.Now().Add(time.Duration(r.Retry) * time.Second)
-		if q.Allowed > 0 && again.After(start.Add(q.Allowed.Duration())) || !sleepUntil(ctx, again) {
+func (c retryingClient) do(ctx context.Context, q caller.Request, start time.Time) caller.Result {
+	q.Address = c.balancer.pick(q.Choice)
+	r := c.client.Do(ctx, q, start)
+	for i := 1; i <= c.retries && r.Outcome == caller.Refused && r.Retry > 0; i++ {
+		retryAt := time.Now().Add(time.Duration(r.Retry) * time.Second)
+		if q.Allowed > 0 && retryAt.After(start.Add(q.Allowed.Duration())) || !sleepUntil(ctx, retryAt) {
 			return r
 		}
-		q.Address = p.balancer.pick(q.Choice + i)
-		p.tally.retry()
-		r = p.client.Do(ctx, q, start)
+		q.Address = c.balancer.pick(q.Choice + i)
+		c.tally.retry()
+		r = c.client.Do(ctx, q, start)
 	}
 	return r
 }
--- a/emulator/load/settings.go
+++ b/emulator/load/settings.go
@@ -1,5 +1,5 @@
-// Package load plays the callers: it sends a repeatable mix of requests to the
-// daemons, checks every answer against what its prompt calls for, and measures.
+// Package load emulates clients: it sends a reproducible mix of requests to the daemons, checks every
+// answer against the answer expected for its prompt, and measures latencies.
 package load
 
 import (
@@ -14,53 +14,61 @@
 
 // Settings of a run.
 type Settings struct {
-	// Addresses are host:port of the daemons; each request goes to one of them.
+	// Addresses are the host:port of the daemons. Each request is sent to one of them.
 	Addresses []string `json:"addresses"`
-	// Operators are the daemons' operator addresses in the same order; with them
-	// the balancer's stand-in sends requests only to daemons that say they are ready.
+	// Operators are the operator addresses of the daemons, in the same order. If they are set,
+	// requests are sent only to daemons that report that they are ready.
 	Operators []string `json:"operators"`
-	// Rate is requests per second, sent whether or not earlier ones are answered;
-	// zero sends the next once one of Callers is free.
+	// Rate is the number of requests per second in an open loop, which sends them whether or not
+	// earlier ones have been answered. Zero is a closed loop: each of Callers clients sends its next
+	// request after its previous one has ended.
 	Rate float64 `json:"rate"`
-	// Callers is the most requests open at once.
+	// Callers is the maximum number of open requests. An open loop skips requests above it.
 	Callers int `json:"callers"`
-	// Count ends the run after so many requests, Span after so many milliseconds; zero is no limit.
+	// Count ends the run after a number of requests, Span after a number of milliseconds. Zero means
+	// no limit.
 	Count int         `json:"count"`
 	Span  clock.Milli `json:"span"`
-	// Seed determines every request, its time and its address.
+	// Seed determines every request, its scheduled time and the choice of its address.
 	Seed uint64 `json:"seed"`
-	// Model is the model that requests name.
+	// Model is the model of the requests.
 	Model string `json:"model"`
-	// Stream is the part of model requests that ask for a stream, 0 to 1.
+	// Stream is the fraction of model requests that ask for a stream, 0 to 1.
 	Stream float64 `json:"stream"`
-	// Shared is the part of each prompt that other prompts of the same kind and workspace begin with too, 0 to 1.
+	// Shared is the fraction of each prompt that is a prefix common to all prompts of the same kind
+	// and workspace, 0 to 1.
 	Shared float64 `json:"shared"`
-	// Long is the part of requests that are of a long kind and take their length from LongFrom to LongTo tokens, 0 to 1.
+	// Long is the fraction of requests of the long kinds, 0 to 1. Their prompts have LongFrom to
+	// LongTo tokens.
 	Long     float64 `json:"long"`
 	LongFrom int     `json:"longfrom"`
 	LongTo   int     `json:"longto"`
-	// Keys are the API keys by workspace.
+	// Keys maps workspaces to their API keys.
 	Keys map[string]string `json:"keys"`
-	// Shares are the workspaces' shares of the requests relative to each other; one that is not named has 1.
+	// Shares maps workspaces to their relative shares of the requests. A workspace that is not listed
+	// has the share 1.
 	Shares map[string]float64 `json:"shares"`
-	// Burst multiplies the rate during the first fifth of every Period, in milliseconds; zero for a steady rate.
+	// Burst multiplies the rate during the first fifth of every Period, which is in milliseconds.
+	// Zero is a constant rate.
 	Burst  float64     `json:"burst"`
 	Period clock.Milli `json:"period"`
-	// Retries is how often a caller comes back after a refusal that did not run and says when to.
+	// Retries is the maximum number of retries of a request that was refused without running and
+	// with a Retry-After.
 	Retries int `json:"retries"`
-	// Kinds is the mix.
+	// Kinds is the mix of request kinds.
 	Kinds Kinds `json:"kinds"`
-	// Slack is how long after its allowed time a request is still waited for, in milliseconds.
+	// Slack is how long the client waits for an answer beyond the allowed time of the request, in
+	// milliseconds.
 	Slack clock.Milli `json:"slack"`
-	// Direct speaks to an engine or a service itself in place of a daemon.
+	// Direct is set if the addresses are those of engines or services instead of daemons.
 	Direct bool `json:"direct"`
 }
 
-// Kinds is a mix. One that is read replaces the one before whole.
+// Kinds is a mix of request kinds. Decoding JSON into it replaces all previous elements.
 type Kinds []Kind
 
-// UnmarshalJSON implements json.Unmarshaler: the standard library would keep
-// fields of the earlier elements that the new ones leave out.
+// UnmarshalJSON implements json.Unmarshaler. By default, the standard library decodes into existing
+// elements and retains the values of fields that the new elements do not set.
 func (ks *Kinds) UnmarshalJSON(text []byte) error {
 	var fresh []Kind
 	if err := settings.Parse(text, &fresh); err != nil {
@@ -73,29 +81,30 @@
 // Kind is one kind of request in the mix.
 type Kind struct {
 	Name string `json:"name"`
-	// Weight is its share of the requests, relative to the other kinds.
+	// Weight is the share of the kind in the requests, relative to the other kinds that are not long.
 	Weight float64 `json:"weight"`
-	// Service routes it to a plain service; empty for the model.
+	// Service is the plain service that the requests call. If it is empty, they use the model.
 	Service string `json:"service"`
-	// From and To bound the prompt in tokens; the body, for a service.
+	// From and To are the minimum and maximum length of the prompt, or of the body for a service,
+	// in tokens. Long kinds use LongFrom and LongTo of the settings instead.
 	From int `json:"from"`
 	To   int `json:"to"`
-	// Output is the answer's length in tokens.
+	// Output is the length of the answer in tokens.
 	Output int `json:"output"`
-	// Once gives every request an idempotency key of its own.
+	// Once gives every request a unique idempotency key.
 	Once bool `json:"once"`
-	// Long kinds are those that the settings' Long concerns.
+	// Long marks a long kind. All long kinds together make up the fraction Long of the settings.
 	Long bool `json:"long"`
-	// Allowed is how long the caller waits, in milliseconds.
+	// Allowed is how long the client waits for the answer, in milliseconds.
 	Allowed clock.Milli `json:"allowed"`
-	// Deadline sends Allowed along as the request's deadline.
+	// Deadline makes the client send Allowed as the deadline of the request.
 	Deadline bool `json:"deadline"`
-	// Pause is how long the caller stops after each event it reads, in milliseconds.
+	// Pause is how long the client pauses after it has read an event, in milliseconds.
 	Pause clock.Milli `json:"pause"`
 }
 
-// Defaults are a mix for one of the example deployments: prompts from a
-// thousand tokens to a million, one in fifty over a hundred thousand.
+// Defaults returns the settings for one of the example deployments. Model prompts have from a thousand
+// to a million tokens; one request in fifty has a prompt of over a hundred thousand.
 func Defaults(d local.Deployment) (Settings, error) {
 	doc, err := local.Example(d)
 	if err != nil {
@@ -133,7 +142,7 @@
 	return s, nil
 }
 
-// mixes are the shares and lengths of the deployments' kinds.
+// mixes holds the default mix of request kinds of each example deployment.
 var mixes = map[local.Deployment]Kinds{
 	local.Directorate: {
 		{Name: "ward-notice", Weight: 50, From: 1000, To: 4000, Output: 32},
@@ -151,29 +160,29 @@
 	},
 }
 
-// check refuses settings that cannot run.
+// check returns an error if a run with the settings is not possible.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Addresses) == 0:
-		return errors.New("no addresses")
+		return errors.New("addresses is empty")
 	case len(s.Operators) > 0 && len(s.Operators) != len(s.Addresses):
-		return errors.New("operators and addresses differ in number")
+		return errors.New("operators and addresses must have the same number of elements")
 	case len(s.Keys) == 0:
-		return errors.New("no keys")
+		return errors.New("keys is empty")
 	case len(s.Kinds) == 0:
-		return errors.New("no kinds")
+		return errors.New("kinds is empty")
 	case s.Callers <= 0:
-		return errors.New("callers is below 1")
+		return errors.New("callers must be at least 1")
 	case s.Rate < 0 || s.Count < 0 || s.Span < 0:
-		return errors.New("rate, count or span is negative")
+		return errors.New("rate, count and span must not be negative")
 	case s.Burst < 0 || s.Period < 0 || s.Burst > 0 && s.Period == 0:
-		return errors.New("a burst needs a period")
+		return errors.New("burst and period must not be negative, and a burst needs a period")
 	case s.Rate == 0 && s.Count == 0 && s.Span == 0:
-		return errors.New("a run needs a count or a span")
+		return errors.New("without a rate, a run needs a count or a span")
 	}
 	for _, k := range s.Kinds {
 		if k.From < 1 || k.To < k.From || k.Weight < 0 {
-			return fmt.Errorf("kind %q: from is below 1, to below from, or weight negative", k.Name)
+			return fmt.Errorf("kind %q: from must be at least 1, to at least from, and weight not negative", k.Name)
 		}
 	}
 	return nil
--- a/emulator/load/streams.go
+++ b/emulator/load/streams.go
@@ -9,36 +9,36 @@
 	"snipeshift.example/emulator/proc"
 )
 
-// Streams sets up the measure of a daemon's memory under open streams.
+// Streams is the setup of a measurement of a daemon's memory with open streams.
 type Streams struct {
-	// Address is host:port of the daemon, Pid its process.
+	// Address is the host:port of the daemon, Pid its process ID.
 	Address string
 	Pid     int
-	// Count is how many streams are open at once.
+	// Count is the number of streams that are open at the same time.
 	Count int
-	// Key, Model and Kind are what the daemon is told; Output is the length of
-	// each answer in tokens, long enough that none ends during the measure.
+	// Key, Model and Kind are the API key, model and request kind of all requests. Output is the
+	// length of each answer in tokens, which must be so long that none ends during the measurement.
 	Key, Model, Kind string
 	Output           int
-	// Settle is how long all streams stay open before the measure.
+	// Settle is how long all streams are open before the measurement.
 	Settle time.Duration
 }
 
-// Held is the result: resident memory in bytes.
+// Held is the result of the measurement: resident memory of the daemon in bytes.
 type Held struct {
-	// Open counts streams that had their first token.
+	// Open is the number of streams that have received their first token.
 	Open int `json:"open"`
-	// Before is without streams, During with all of them open.
+	// Before is the memory without streams, During with all of them open.
 	Before int64 `json:"before"`
 	During int64 `json:"during"`
-	// Each is the difference for one stream.
+	// Each is the difference divided by the number of open streams.
 	Each int64 `json:"each"`
-	// Reason is why a stream ended before the measure, empty if none did.
+	// Reason is why a stream ended before the measurement. It is empty if none did.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Hold opens the streams, waits until each has had its first token, and reads
-// the daemon's memory before and meanwhile. It closes the streams at the end.
+// Hold measures the daemon's memory, opens the streams, waits until each has received its first token
+// and measures again. Then it closes the streams.
 func Hold(ctx context.Context, s Streams) (Held, error) {
 	before, err := proc.Of(s.Pid)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return p.next()
 }
 
-// await waits for the first token of every stream, then lets them settle.
+// await waits for the first token of every stream and then for the Settle time. It returns early if a
+// stream or ctx ends.
 func (h *Held) await(ctx context.Context, s Streams, first <-chan struct{}, ended <-chan caller.Result) {
 	for h.Open < s.Count {
 		select {
--- a/emulator/load/tally.go
+++ b/emulator/load/tally.go
@@ -15,10 +15,10 @@
 	"snipeshift.example/emulator/caller"
 )
 
-// Band is a range of prompt lengths that is measured by itself.
+// Band is a range of prompt lengths whose requests are measured together.
 type Band string
 
-// bands are the upper ends of prompt lengths in tokens; longer ones are in the last.
+// bands lists the bands with their exclusive upper limits in tokens. The last band has no limit.
 var bands = []struct {
 	name Band
 	to   int
@@ -29,11 +29,11 @@
 	{LongBand, 0},
 }
 
-// Bands that others ask for by name.
+// Bands that are used by name.
 const (
 	ShortBand Band = "under 4k"
 	LongBand  Band = "over 100k"
-	// ServiceBand holds calls of plain services, which have no prompt.
+	// ServiceBand is the band of calls of plain services, which have no prompt.
 	ServiceBand Band = "service"
 )
 
@@ -49,7 +49,7 @@
 	return bands[len(bands)-1].name
 }
 
-// Span is a distribution of times in milliseconds.
+// Span is a summary of a distribution of durations, in milliseconds.
 type Span struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -58,31 +58,32 @@
 	Max   float64 `json:"max"`
 }
 
-// longest is the largest time that is told apart.
-const longest = 2 * time.Hour
+// maxDuration is the largest duration that the histograms record. Longer ones count as this long.
+const maxDuration = 2 * time.Hour
 
-// digits is the precision of the histograms.
-const digits = 3
+// significantDigits is the precision of the histograms in decimal digits.
+const significantDigits = 3
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longest.Microseconds(), digits)
+	return hdrhistogram.New(1, maxDuration.Microseconds(), significantDigits)
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d, time.Microsecond), longest).Microseconds())
+	_ = h.RecordValue(min(max(d, time.Microsecond), maxDuration).Microseconds())
 }
 
-func spanOf(h *hdrhistogram.Histogram) Span {
+func distributionOf(h *hdrhistogram.Histogram) Span {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Span{h.TotalCount(), ms(50), ms(95), ms(99), float64(h.Max()) / 1000}
 }
 
-// group measures the finished requests of one band or kind.
-type group struct{ first, total, gaps *hdrhistogram.Histogram }
+// histograms records the durations of the finished requests of one band or kind: time to the first
+// token, time to the end, and times between tokens.
+type histograms struct{ first, total, gaps *hdrhistogram.Histogram }
 
-func newGroup() *group { return &group{newHistogram(), newHistogram(), newHistogram()} }
+func newHistograms() *histograms { return &histograms{newHistogram(), newHistogram(), newHistogram()} }
 
-func (g *group) add(q caller.Request, r caller.Result) {
+func (g *histograms) add(q caller.Request, r caller.Result) {
 	if q.Stream {
 		record(g.first, r.First)
 	}
@@ -92,53 +93,58 @@
 	}
 }
 
-// Times are the measures of one band or kind: time to first token of streams,
-// time to the end, and spans between tokens.
+// Times are the durations of one band or kind: First is the time to the first token of streams, Total
+// the time to the end of the answer, Gaps the times between tokens.
 type Times struct {
 	First Span `json:"first"`
 	Total Span `json:"total"`
 	Gaps  Span `json:"gaps"`
 }
 
-func (g *group) times() Times { return Times{spanOf(g.first), spanOf(g.total), spanOf(g.gaps)} }
+func (g *histograms) latencies() Times {
+	return Times{distributionOf(g.first), distributionOf(g.total), distributionOf(g.gaps)}
+}
 
-// Fault counts errors of one kind and one claim about execution.
+// Fault is the number of error responses with the same kind and the same statement of whether the
+// request ran ("yes", "no" or "maybe").
 type Fault struct {
 	Kind  string `json:"kind"`
 	Ran   string `json:"ran"`
 	Count int    `json:"count"`
 }
 
-// Report is the result of a run.
+// Report is the result of a run of the load generator.
 type Report struct {
-	// Sent counts requests; Skipped those left out because too many were open.
+	// Sent is the number of requests that were sent. Skipped is the number of requests that were not
+	// sent because too many were open.
 	Sent    int `json:"sent"`
 	Skipped int `json:"skipped"`
-	// Retried counts requests sent again after a refusal.
+	// Retried is the number of retries after a refusal.
 	Retried  int                    `json:"retried"`
 	Seconds  float64                `json:"seconds"`
 	Outcomes map[caller.Outcome]int `json:"outcomes"`
 	Faults   []Fault                `json:"faults"`
-	// Output counts the tokens of finished answers.
+	// Output is the number of tokens of finished answers.
 	Output int            `json:"output"`
 	Bands  map[Band]Times `json:"bands"`
-	// Kinds measures by kind of request.
+	// Kinds holds the durations by kind of request.
 	Kinds map[string]Times `json:"kinds"`
-	// Workspaces counts by workspace, to compare with what they are charged.
+	// Workspaces holds the usage by workspace, to compare with the usage that is billed.
 	Workspaces map[string]Share `json:"workspaces"`
-	// Examples shows the first few requests that did not finish.
+	// Examples holds the first few requests of each outcome that did not finish.
 	Examples []Example `json:"examples"`
 }
 
-// Share is what one workspace sent and got.
+// Share is the usage of one workspace.
 type Share struct {
 	Sent     int `json:"sent"`
 	Finished int `json:"finished"`
-	// Prompt and Output count the tokens of finished model requests.
+	// Prompt and Output are the numbers of tokens of finished model requests.
 	Prompt int `json:"prompt"`
 	Output int `json:"output"`
 }
 
+// with returns the usage including one more request.
 func (s Share) with(q caller.Request, r caller.Result) Share {
 	s.Sent++
 	if r.Outcome != caller.Finished {
@@ -160,19 +166,19 @@
 	Result  *caller.Result `json:"result"`
 }
 
-// textShown is how much of an example's answer is shown, in bytes.
-const textShown = 300
+// maxExampleText is the number of bytes of an example's answer that are shown.
+const maxExampleText = 300
 
-// examplesKept is how many of each outcome are shown.
-const examplesKept = 3
+// maxExamples is the number of examples that are shown of each outcome.
+const maxExamples = 3
 
-// tally gathers results. It is safe for concurrent use.
+// tally collects the results of requests. It is safe for concurrent use.
 type tally struct {
 	mu       sync.Mutex
 	report   Report
 	faults   map[Fault]int
-	bands    map[Band]*group
-	kinds    map[string]*group
+	bands    map[Band]*histograms
+	kinds    map[string]*histograms
 	examples map[caller.Outcome]int
 }
 
@@ -180,8 +186,8 @@
 	return &tally{
 		report:   Report{Outcomes: map[caller.Outcome]int{}, Examples: []Example{}, Faults: []Fault{}, Workspaces: map[string]Share{}},
 		faults:   map[Fault]int{},
-		bands:    map[Band]*group{},
-		kinds:    map[string]*group{},
+		bands:    map[Band]*histograms{},
+		kinds:    map[string]*histograms{},
 		examples: map[caller.Outcome]int{},
 	}
 }
@@ -208,39 +214,39 @@
 		t.faults[Fault{Kind: r.Kind, Ran: r.Ran}]++
 	}
 	if r.Outcome != caller.Finished {
-		t.example(q, r)
+		t.addExample(q, r)
 		return
 	}
 	if !q.Service {
 		t.report.Output += q.Output
 	}
-	groupOf(t.bands, bandOf(q)).add(q, r)
-	groupOf(t.kinds, q.Kind).add(q, r)
+	histogramsOf(t.bands, bandOf(q)).add(q, r)
+	histogramsOf(t.kinds, q.Kind).add(q, r)
 }
 
-func groupOf[K comparable](m map[K]*group, k K) *group {
+func histogramsOf[K comparable](m map[K]*histograms, k K) *histograms {
 	g, ok := m[k]
 	if !ok {
-		g = newGroup()
+		g = newHistograms()
 		m[k] = g
 	}
 	return g
 }
 
-func (t *tally) example(q caller.Request, r caller.Result) {
-	if t.examples[r.Outcome] >= examplesKept {
+func (t *tally) addExample(q caller.Request, r caller.Result) {
+	if t.examples[r.Outcome] >= maxExamples {
 		return
 	}
 	t.examples[r.Outcome]++
-	r.Text = r.Text[:min(len(r.Text), textShown)]
+	r.Text = r.Text[:min(len(r.Text), maxExampleText)]
 	t.report.Examples = append(t.report.Examples, Example{q.Number, q.Kind, q.Address, &r})
 }
 
-func (t *tally) end(took time.Duration) Report {
+func (t *tally) finish(elapsed time.Duration) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.report
-	r.Seconds = took.Seconds()
+	r.Seconds = elapsed.Seconds()
 	r.Bands, r.Kinds = map[Band]Times{}, map[string]Times{}
 	for f, n := range t.faults {
 		f.Count = n
@@ -248,15 +254,15 @@
 	}
 	slices.SortFunc(r.Faults, func(a, b Fault) int { return b.Count - a.Count })
 	for k, g := range t.bands {
-		r.Bands[k] = g.times()
+		r.Bands[k] = g.latencies()
 	}
 	for k, g := range t.kinds {
-		r.Kinds[k] = g.times()
+		r.Kinds[k] = g.latencies()
 	}
 	return r
 }
 
-// Text writes the report for a person.
+// Text writes the report as a table for people.
 func (r *Report) Text(out io.Writer) error {
 	var b strings.Builder
 	r.write(&b)
@@ -268,7 +274,7 @@
 }
 
 func (r *Report) write(w *strings.Builder) {
-	fmt.Fprintf(w, "sent %d in %.1f s, skipped %d, sent again %d\n", r.Sent, r.Seconds, r.Skipped, r.Retried)
+	fmt.Fprintf(w, "sent %d in %.1f s, skipped %d, retried %d\n", r.Sent, r.Seconds, r.Skipped, r.Retried)
 	for _, o := range []caller.Outcome{caller.Finished, caller.Refused, caller.Failed, caller.Broken, caller.Overdue, caller.Wrong} {
 		fmt.Fprintf(w, "%s\t%d\n", o, r.Outcomes[o])
 	}
