--- a/emulator/call.go
+++ b/emulator/call.go
@@ -19,30 +19,30 @@
 func init() {
 	register(&cli.Command{
 		Name:  "call",
-		Usage: "send one request, check its answer and print what became of it",
+		Usage: "send one request, check its answer and print the result",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Required: true, Usage: "`HOST:PORT` of a daemon"},
 			&cli.StringFlag{Name: "key", Value: local.KeyOf("thiruvananthapuram"), Usage: "API key"},
 			&cli.StringFlag{Name: "model", Value: "notice-drafter", Usage: "model"},
-			&cli.StringFlag{Name: "service", Usage: "plain service to call in place of a model"},
+			&cli.StringFlag{Name: "service", Usage: "plain service to call instead of a model"},
 			&cli.StringFlag{Name: "kind", Usage: "request kind"},
-			&cli.StringFlag{Name: "prompt", Value: "ward 7", Usage: "prompt, or a service's body"},
-			&cli.IntFlag{Name: "tokens", Usage: "repeat the prompt up to so many tokens"},
+			&cli.StringFlag{Name: "prompt", Value: "ward 7", Usage: "prompt, or the request body for a service"},
+			&cli.IntFlag{Name: "tokens", Usage: "repeat the prompt up to this length in tokens"},
 			&cli.IntFlag{Name: "output", Value: expect.Default, Usage: "length of the answer in tokens"},
-			&cli.BoolFlag{Name: "whole", Usage: "ask for a whole answer in place of a stream"},
-			&cli.IntFlag{Name: "deadline", Usage: "allowed time in `MILLISECONDS`, sent along"},
-			&cli.IntFlag{Name: "wait", Value: 60_000, Usage: "longest wait in `MILLISECONDS`"},
+			&cli.BoolFlag{Name: "whole", Usage: "request a non-streaming response"},
+			&cli.IntFlag{Name: "deadline", Usage: "deadline of the request in `MILLISECONDS`, sent to the daemon"},
+			&cli.IntFlag{Name: "wait", Value: 60_000, Usage: "maximum wait for the answer in `MILLISECONDS`"},
 			&cli.StringFlag{Name: "once", Usage: "idempotency key"},
-			&cli.BoolFlag{Name: "direct", Usage: "the address is an engine or a service itself"},
+			&cli.BoolFlag{Name: "direct", Usage: "the address is that of an engine or a service, not of a daemon"},
 		},
 		Action: runCall,
 	})
 }
 
-// Exit statuses of call, beside 0 for a whole and right answer and 1 for a wrong one.
+// Exit statuses of call, besides 0 for a complete and correct answer and 1 for a wrong answer.
 const (
-	statusRefused = 2 // did not run
-	statusFailed  = 3 // ran or may have run, without a whole answer
+	statusRefused = 2 // the request did not run
+	statusFailed  = 3 // the request ran or may have run, but there was no complete answer
 )
 
 func runCall(ctx context.Context, c *cli.Command) error {
@@ -54,7 +54,7 @@
 	case caller.Finished:
 		return nil
 	case caller.Wrong:
-		return errWrong
+		return errWrongAnswers
 	case caller.Refused:
 		return cli.Exit("", statusRefused)
 	default:
--- a/emulator/compare.go
+++ b/emulator/compare.go
@@ -15,26 +15,26 @@
 func init() {
 	register(&cli.Command{
 		Name:  "compare",
-		Usage: "measure the latency that a daemon adds, against the stand-in itself",
+		Usage: "measure the latency that a daemon adds, compared to direct requests",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "direct", Required: true, Usage: "`HOST:PORT` of an engine or service"},
 			&cli.StringFlag{Name: "through", Required: true, Usage: "`HOST:PORT` of a daemon"},
 			&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests per second"},
-			&cli.DurationFlag{Name: "slice", Value: defaultSlice, Usage: "how long each side runs at a time"},
-			&cli.IntFlag{Name: "rounds", Value: 10, Usage: "how often both run"},
+			&cli.DurationFlag{Name: "slice", Value: defaultSlice, Usage: "time on each path before switching to the other"},
+			&cli.IntFlag{Name: "rounds", Value: 10, Usage: "number of slices of each path"},
 			&cli.StringFlag{Name: "key", Value: local.KeyOf("thiruvananthapuram"), Usage: "API key"},
 			&cli.StringFlag{Name: "model", Value: "notice-drafter", Usage: "model"},
 			&cli.StringFlag{Name: "kind", Value: "ward-notice", Usage: "request kind"},
-			&cli.StringFlag{Name: "service", Usage: "compare calls of this plain service"},
-			&cli.IntFlag{Name: "tokens", Value: 1000, Usage: "length of the prompt"},
+			&cli.StringFlag{Name: "service", Usage: "compare calls of this plain service instead of the model"},
+			&cli.IntFlag{Name: "tokens", Value: 1000, Usage: "length of the prompt in tokens"},
 			&cli.IntFlag{Name: "output", Value: 4, Usage: "length of the answer in tokens"},
-			&cli.IntFlag{Name: "seed", Value: 1, Usage: "seed of the requests"},
+			&cli.IntFlag{Name: "seed", Value: 1, Usage: "random seed of the requests"},
 		},
 		Action: runCompare,
 	})
 }
 
-// defaultSlice is short against the drift of a shared machine.
+// defaultSlice is short compared to the time in which the load of a shared machine changes.
 const defaultSlice = time.Second
 
 func runCompare(ctx context.Context, c *cli.Command) error {
@@ -62,7 +62,7 @@
 		return err
 	}
 	if r.Wrong() > 0 {
-		return errWrong
+		return errWrongAnswers
 	}
 	return nil
 }
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -16,8 +16,8 @@
 func init() {
 	register(&cli.Command{
 		Name:   "engine",
-		Usage:  "stand in for a model engine",
-		Flags:  standinFlags(),
+		Usage:  "run an emulated model engine",
+		Flags:  emulatorFlags(),
 		Action: runEngine,
 	})
 }
--- a/emulator/experiment.go
+++ b/emulator/experiment.go
@@ -13,9 +13,9 @@
 func init() {
 	register(&cli.Command{
 		Name:  "experiment",
-		Usage: "measure a local deployment at several levels of load, without and with long prompts",
+		Usage: "measure a local deployment at several request rates, without and with long prompts",
 		Flags: append(append(localFlags(), loadFlags()...),
-			&cli.FloatSliceFlag{Name: "rate", Value: []float64{2, 5, 10}, Usage: "a level in requests per second; may be repeated"},
+			&cli.FloatSliceFlag{Name: "rate", Value: []float64{2, 5, 10}, Usage: "request rate to measure, per second; may be repeated"},
 			&cli.StringSliceFlag{Name: "engine", Usage: "one setting for every engine, `FIELD=VALUE`; may be repeated"},
 		),
 		Action: runExperiment,
@@ -43,7 +43,7 @@
 		return err
 	}
 	if experiment.Wrong(pairs) > 0 {
-		return errWrong
+		return errWrongAnswers
 	}
 	return nil
 }
--- a/emulator/fake_test.go
+++ b/emulator/fake_test.go
@@ -20,8 +20,8 @@
 	"snipeshift.example/lib/clock"
 )
 
-// runFakeDaemon plays a daemon until SIGTERM: it is ready, and answers callers
-// from an engine and a service inside itself.
+// runFakeDaemon emulates a daemon until SIGTERM. It is always ready and answers clients with an
+// emulated engine and service in its own process.
 func runFakeDaemon() {
 	var s local.Daemon
 	if err := settings.Load(os.Args[2], nil, &s); err != nil {
@@ -31,7 +31,7 @@
 	defer stop()
 	g, ctx := errgroup.WithContext(ctx)
 	ready := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-	for address, h := range map[string]http.Handler{s.Operator: ready, s.Caller: answerer()} {
+	for address, h := range map[string]http.Handler{s.Operator: ready, s.Caller: fakeUpstreams()} {
 		g.Go(func() error { return listen.Serve(ctx, listen.Server{Address: address, Handler: h}, os.Stdout) })
 	}
 	if err := g.Wait(); err != nil {
@@ -39,7 +39,9 @@
 	}
 }
 
-func answerer() http.Handler {
+// fakeUpstreams returns a handler that answers paths under /services/ with an emulated service and
+// all others with an emulated engine.
+func fakeUpstreams() http.Handler {
 	s := engine.Defaults()
 	s.Prefill = 5_000_000
 	e, err := engine.New(s, clock.New())
--- a/emulator/fleet.go
+++ b/emulator/fleet.go
@@ -14,7 +14,7 @@
 func init() {
 	register(&cli.Command{
 		Name:  "fleet",
-		Usage: "stand in for many engines and services in one process",
+		Usage: "run many emulated engines and services in one process",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Required: true, Usage: "`FILE` of JSON with comments"},
 		},
--- a/emulator/idle.go
+++ b/emulator/idle.go
@@ -15,20 +15,20 @@
 func init() {
 	register(&cli.Command{
 		Name:  "idle",
-		Usage: "measure what a daemon spends on control, by size of the deployment",
+		Usage: "measure what a daemon without requests consumes, by size of the deployment",
 		Flags: append(localFlags(),
 			&cli.StringFlag{Name: "deployment", Value: string(local.Directorate), Usage: "directorate or indus"},
-			&cli.StringSliceFlag{Name: "size", Value: []string{"12x3", "60x3", "240x3", "12x9"}, Usage: "`ENGINESxDAEMONS`; may be repeated"},
-			&cli.DurationFlag{Name: "settle", Value: settleTime, Usage: "time from ready to the measure"},
-			&cli.DurationFlag{Name: "span", Value: idleSpan, Usage: "length of the measure"},
+			&cli.StringSliceFlag{Name: "size", Value: []string{"12x3", "60x3", "240x3", "12x9"}, Usage: "deployment to measure, `ENGINESxDAEMONS`; may be repeated"},
+			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "wait between readiness and the measurement"},
+			&cli.DurationFlag{Name: "span", Value: defaultIdleSpan, Usage: "length of the measurement"},
 			&cli.StringSliceFlag{Name: "set", Usage: "one setting for every engine, `FIELD=VALUE`; may be repeated"},
 		),
 		Action: runIdle,
 	})
 }
 
-// idleSpan is long against the longest period of a daemon's control work.
-const idleSpan = 20 * time.Second
+// defaultIdleSpan is long compared to the longest period of a daemon's background work.
+const defaultIdleSpan = 20 * time.Second
 
 func runIdle(ctx context.Context, c *cli.Command) error {
 	o, err := localOptions(c)
--- a/emulator/load.go
+++ b/emulator/load.go
@@ -27,8 +27,8 @@
 func loadFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{Name: "address", Usage: "`HOST:PORT` of a daemon; may be repeated"},
-		&cli.StringSliceFlag{Name: "operator", Usage: "its operator's `HOST:PORT`, in the same order; only ready daemons then get requests"},
-		&cli.StringFlag{Name: "deployment", Value: string(local.Directorate), Usage: "whose mix: directorate or indus"},
+		&cli.StringSliceFlag{Name: "operator", Usage: "operator `HOST:PORT` of each daemon, in the order of the addresses; if set, only ready daemons receive requests"},
+		&cli.StringFlag{Name: "deployment", Value: string(local.Directorate), Usage: "example deployment whose mix is sent: directorate or indus"},
 		&cli.StringFlag{Name: "settings", Usage: "`FILE` of JSON with comments"},
 		&cli.StringSliceFlag{Name: "set", Usage: "one setting, `FIELD=VALUE`; may be repeated"},
 	}
@@ -43,8 +43,8 @@
 	return s, settings.Load(c.String("settings"), c.StringSlice("set"), &s)
 }
 
-// errWrong makes the exit status tell of wrong answers.
-var errWrong = errors.New("there were wrong answers")
+// errWrongAnswers is returned by commands that received wrong answers, which sets the exit status.
+var errWrongAnswers = errors.New("some answers were wrong")
 
 func runLoad(ctx context.Context, c *cli.Command) error {
 	s, err := loadSettings(c)
@@ -62,7 +62,7 @@
 		return err
 	}
 	if r.Outcomes[caller.Wrong] > 0 {
-		return errWrong
+		return errWrongAnswers
 	}
 	return nil
 }
--- a/emulator/local.go
+++ b/emulator/local.go
@@ -24,13 +24,13 @@
 // localFlags are common to the commands that start a deployment.
 func localFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIR` of the daemon's program"},
-		&cli.IntFlag{Name: "engines", Value: 6, Usage: "how many engines of the example run"},
-		&cli.IntFlag{Name: "services", Value: 2, Usage: "how many plain services of the example run"},
-		&cli.IntFlag{Name: "daemons", Value: 3, Usage: "how many daemons run"},
+		&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIR` of the daemon's executable"},
+		&cli.IntFlag{Name: "engines", Value: 6, Usage: "number of engines"},
+		&cli.IntFlag{Name: "services", Value: 2, Usage: "number of plain services"},
+		&cli.IntFlag{Name: "daemons", Value: 3, Usage: "number of daemons"},
 		&cli.BoolFlag{Name: "packed", Usage: "run all engines and services in one process"},
-		&cli.StringFlag{Name: "caller", Usage: "`HOST:PORT` of the first daemon for callers; the system chooses by default"},
-		&cli.StringFlag{Name: "logs", Usage: "existing `DIR` that keeps the logs"},
+		&cli.StringFlag{Name: "caller", Usage: "client `HOST:PORT` of the first daemon; a free port is chosen by default"},
+		&cli.StringFlag{Name: "logs", Usage: "existing `DIR` to which logs are written; they are not removed"},
 	}
 }
 
--- a/emulator/main.go
+++ b/emulator/main.go
@@ -1,5 +1,5 @@
-// Program emulator holds stand-ins for what the platform gives, a load tool
-// and a small local deployment. Each command is one file that registers itself.
+// Program emulator emulates the platform, model engines and services, generates load, and runs small
+// local deployments. Each command is in its own file and registers itself.
 package main
 
 import (
@@ -14,8 +14,8 @@
 
 var commands []*cli.Command
 
-// register adds a command; the file of each command calls it from init. A
-// value of a repeated flag may hold commas.
+// register adds a command. The file of each command calls it from init. The values of repeated flags
+// are not split at commas, since settings may contain commas.
 func register(c *cli.Command) {
 	c.DisableSliceFlagSeparator = true
 	commands = append(commands, c)
@@ -33,16 +33,16 @@
 	defer stop()
 	root := &cli.Command{
 		Name:     "emulator",
-		Usage:    "stand-ins for the platform, load, and a local deployment",
+		Usage:    "emulate the platform and upstreams, generate load, run a local deployment",
 		Commands: commands,
 	}
 	return root.Run(ctx, os.Args)
 }
 
-// standinFlags are common to the commands that run one stand-in.
-func standinFlags() []cli.Flag {
+// emulatorFlags are common to the commands that run one emulated server.
+func emulatorFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`HOST:PORT`; port 0 lets the system choose"},
+		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "`HOST:PORT` to listen on; port 0 chooses a free port"},
 		&cli.StringFlag{Name: "settings", Usage: "`FILE` of JSON with comments"},
 		&cli.StringSliceFlag{Name: "set", Usage: "one setting, `FIELD=VALUE`; may be repeated"},
 	}
--- a/emulator/main_test.go
+++ b/emulator/main_test.go
@@ -23,11 +23,11 @@
 	"snipeshift.example/emulator/local"
 )
 
-// patience bounds every wait on a condition.
-const patience = 20 * time.Second
+// waitLimit is the timeout of every wait for a condition.
+const waitLimit = 20 * time.Second
 
-// TestMain lets the test's own program play the emulator and the daemon, so
-// that the tests run real processes.
+// TestMain runs the test executable as the emulator or the fake daemon if it is started under their
+// names, so that the tests can run real processes.
 func TestMain(m *testing.M) {
 	switch filepath.Base(os.Args[0]) {
 	case "emulator":
@@ -35,7 +35,7 @@
 	case local.DaemonName:
 		runFakeDaemon()
 	default:
-		// The race detector would keep each child a second longer at its end.
+		// By default, the race detector delays the exit of each child by a second.
 		if err := os.Setenv("GORACE", "atexit_sleep_ms=0"); err != nil {
 			panic(err)
 		}
@@ -43,8 +43,8 @@
 	}
 }
 
-// program links the test's own file under a name that TestMain knows.
-func program(t *testing.T, dir, name string) string {
+// linkProgram links the test executable under a name that TestMain recognizes and returns its path.
+func linkProgram(t *testing.T, dir, name string) string {
 	t.Helper()
 	self, err := os.Executable()
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	return string(text), err
 }
 
-// run starts the emulator and reads its first line into ready.
+// start starts a command and decodes its first line of output into ready.
 func start(t *testing.T, ready any, args ...string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), args[0], args[1:]...)
@@ -81,8 +81,8 @@
 	return cmd, lines
 }
 
-func TestStandInsRunAsProcesses(t *testing.T) {
-	emulator := program(t, t.TempDir(), "emulator")
+func TestEmulatorsRunAsProcesses(t *testing.T) {
+	emulator := linkProgram(t, t.TempDir(), "emulator")
 	for _, name := range []string{"platform", "service", "engine"} {
 		args := []string{emulator, name}
 		if name == "engine" {
@@ -99,16 +99,16 @@
 }
 
 func TestUnknownSettingIsAnError(t *testing.T) {
-	emulator := program(t, t.TempDir(), "emulator")
+	emulator := linkProgram(t, t.TempDir(), "emulator")
 	text, err := exec.CommandContext(t.Context(), emulator, "engine", "--set", "sped=1").CombinedOutput()
 	require.Error(t, err)
 	require.Contains(t, string(text), "sped")
 }
 
-func TestLocalStartsAndLeavesNothing(t *testing.T) {
+func TestLocalStartsAndCleansUp(t *testing.T) {
 	bin, temp := t.TempDir(), t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", temp)
 	var r local.Ready
 	cmd, lines := start(t, &r, emulator, "local", "--bin", bin, "--engines", "4", "--set", "notice=1")
@@ -130,13 +130,13 @@
 	left, err := os.ReadDir(temp)
 	require.NoError(t, err)
 	require.Empty(t, left)
-	requireGone(t, r.Pids)
+	requireExited(t, r.Pids)
 }
 
 func TestPackedDeploymentHasAllUpstreamsInOneProcess(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var r local.Ready
 	cmd, _ := start(t, &r, emulator, "local", "--bin", bin, "--packed", "--engines", "30", "--services", "4", "--set", "notice=1")
@@ -148,32 +148,32 @@
 	}
 	require.NoError(t, cmd.Process.Signal(os.Interrupt))
 	require.NoError(t, cmd.Wait())
-	requireGone(t, r.Pids)
+	requireExited(t, r.Pids)
 }
 
-// The parent is killed and can stop nothing itself. Its children must not
-// outlive it, or ports and memory stay taken.
+// The emulator is killed and cannot stop its child processes itself. They must exit with it, because
+// they would occupy ports and memory.
 func TestLocalKilledLeavesNoProcess(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var r local.Ready
 	cmd, _ := start(t, &r, emulator, "local", "--bin", bin, "--engines", "1")
 	require.NoError(t, cmd.Process.Kill())
 	_ = cmd.Wait()
-	requireGone(t, r.Pids)
+	requireExited(t, r.Pids)
 }
 
-func requireGone(t *testing.T, pids map[string]int) {
+func requireExited(t *testing.T, pids map[string]int) {
 	t.Helper()
 	for name, pid := range pids {
-		require.Eventually(t, func() bool { return gone(pid) }, patience, time.Millisecond, name)
+		require.Eventually(t, func() bool { return exited(pid) }, waitLimit, time.Millisecond, name)
 	}
 }
 
-// gone tells whether a process has ended, reaped or not.
-func gone(pid int) bool {
+// exited reports whether a process has exited, reaped or not.
+func exited(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return true
@@ -182,14 +182,14 @@
 	return strings.HasPrefix(rest, "Z")
 }
 
-func TestLocalTellsWhyADaemonDidNotStart(t *testing.T) {
-	emulator := program(t, t.TempDir(), "emulator")
+func TestLocalReportsWhyADaemonDidNotStart(t *testing.T) {
+	emulator := linkProgram(t, t.TempDir(), "emulator")
 	text, err := exec.CommandContext(t.Context(), emulator, "local", "--bin", t.TempDir(), "--engines", "1", "--set", "notice=1").CombinedOutput()
 	require.Error(t, err)
 	require.Contains(t, string(text), local.DaemonName)
 }
 
-// output runs the emulator and reads what it prints as JSON.
+// output runs the emulator and decodes its output as JSON.
 func output(t *testing.T, into any, args ...string) {
 	t.Helper()
 	text, err := exec.CommandContext(t.Context(), args[0], args[1:]...).Output()
@@ -197,10 +197,10 @@
 	require.NoError(t, json.Unmarshal(text, into), string(text))
 }
 
-func TestMeasuresOfALocalDeployment(t *testing.T) {
+func TestMeasurementsOfALocalDeployment(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var r local.Ready
 	start(t, &r, emulator, "local", "--bin", bin, "--engines", "1", "--services", "1", "--daemons", "1", "--set", "notice=1")
@@ -223,8 +223,8 @@
 
 func TestExperimentMeasuresEveryLevel(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var pairs []experiment.Pair
 	output(t, &pairs, emulator, "experiment", "--bin", bin, "--engines", "1", "--engine", "notice=1", "--rate", "20", "--rate", "40",
@@ -241,8 +241,8 @@
 
 func TestIdleMeasuresEverySize(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var rows []experiment.Idle
 	output(t, &rows, emulator, "idle", "--bin", bin, "--size", "2x1", "--size", "21x2", "--settle", "1ms", "--span", "100ms", "--set", "notice=1")
@@ -255,8 +255,8 @@
 
 func TestPathMeasuresModelAndService(t *testing.T) {
 	bin := t.TempDir()
-	emulator := program(t, bin, "emulator")
-	program(t, bin, local.DaemonName)
+	emulator := linkProgram(t, bin, "emulator")
+	linkProgram(t, bin, local.DaemonName)
 	t.Setenv("TMPDIR", t.TempDir())
 	var rows []experiment.Path
 	output(t, &rows, emulator, "path", "--bin", bin, "--daemons", "1", "--rate", "50", "--slice", "200ms", "--rounds", "1", "--settle", "1ms", "--idle", "1ms")
--- a/emulator/path.go
+++ b/emulator/path.go
@@ -16,27 +16,28 @@
 func init() {
 	register(&cli.Command{
 		Name:  "path",
-		Usage: "measure what a request through a daemon costs, in a deployment of its own",
+		Usage: "measure the cost of a request through a daemon, in a local deployment",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIR` of the daemon's program"},
-			&cli.IntFlag{Name: "daemons", Value: 3, Usage: "how many daemons run"},
+			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "`DIR` of the daemon's executable"},
+			&cli.IntFlag{Name: "daemons", Value: 3, Usage: "number of daemons"},
 			&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests per second"},
-			&cli.DurationFlag{Name: "slice", Value: defaultSlice, Usage: "how long each side runs at a time"},
-			&cli.IntFlag{Name: "rounds", Value: 10, Usage: "how often both run"},
-			&cli.IntFlag{Name: "tokens", Value: 1000, Usage: "length of the prompt"},
+			&cli.DurationFlag{Name: "slice", Value: defaultSlice, Usage: "time on each path before switching to the other"},
+			&cli.IntFlag{Name: "rounds", Value: 10, Usage: "number of slices of each path"},
+			&cli.IntFlag{Name: "tokens", Value: 1000, Usage: "length of the prompt in tokens"},
 			&cli.IntFlag{Name: "output", Value: 4, Usage: "length of the answer in tokens"},
-			&cli.DurationFlag{Name: "settle", Value: settleTime, Usage: "time from ready to the measure"},
-			&cli.DurationFlag{Name: "idle", Value: pathIdle, Usage: "how long the daemons are watched without requests"},
+			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "wait between readiness and the measurement"},
+			&cli.DurationFlag{Name: "idle", Value: defaultPathIdle, Usage: "how long the daemons are measured without requests"},
 		},
 		Action: runPath,
 	})
 }
 
-// quickEngine are settings under which the engine's own steps do not hide what a daemon adds.
-var quickEngine = []string{"decode=20000", "prefill=50000000", "slots=256", "lag=50", "notice=1"}
+// fastEngine holds engine settings with such short steps that they do not hide the latency that a
+// daemon adds.
+var fastEngine = []string{"decode=20000", "prefill=50000000", "slots=256", "lag=50", "notice=1"}
 
-// pathIdle is long against the period of heartbeats.
-const pathIdle = 5 * time.Second
+// defaultPathIdle is long compared to the heartbeat period.
+const defaultPathIdle = 5 * time.Second
 
 func runPath(ctx context.Context, c *cli.Command) error {
 	program, err := os.Executable()
@@ -51,7 +52,7 @@
 			Engines:    1,
 			Services:   1,
 			Daemons:    c.Int("daemons"),
-			Sets:       quickEngine,
+			Sets:       fastEngine,
 		},
 		Model: load.Comparison{
 			Rate:   c.Float("rate"),
@@ -82,7 +83,7 @@
 	}
 	for _, r := range rows {
 		if r.Compared.Wrong() > 0 {
-			return errWrong
+			return errWrongAnswers
 		}
 	}
 	return nil
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -15,8 +15,8 @@
 func init() {
 	register(&cli.Command{
 		Name:   "platform",
-		Usage:  "stand in for the object store and the list of VMs",
-		Flags:  standinFlags(),
+		Usage:  "run an emulated platform: the object store and the list of VMs",
+		Flags:  emulatorFlags(),
 		Action: runPlatform,
 	})
 }
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -16,8 +16,8 @@
 func init() {
 	register(&cli.Command{
 		Name:   "service",
-		Usage:  "stand in for a plain service",
-		Flags:  standinFlags(),
+		Usage:  "run an emulated plain service",
+		Flags:  emulatorFlags(),
 		Action: runService,
 	})
 }
--- a/emulator/streams.go
+++ b/emulator/streams.go
@@ -19,20 +19,20 @@
 		Usage: "measure a daemon's memory with many streams open",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Required: true, Usage: "`HOST:PORT` of a daemon"},
-			&cli.IntFlag{Name: "pid", Required: true, Usage: "its process id"},
-			&cli.IntFlag{Name: "count", Value: 1000, Usage: "how many streams"},
+			&cli.IntFlag{Name: "pid", Required: true, Usage: "process ID of the daemon"},
+			&cli.IntFlag{Name: "count", Value: 1000, Usage: "number of streams"},
 			&cli.StringFlag{Name: "key", Value: local.KeyOf("thiruvananthapuram"), Usage: "API key"},
 			&cli.StringFlag{Name: "model", Value: "notice-drafter", Usage: "model"},
 			&cli.StringFlag{Name: "kind", Value: "ward-notice", Usage: "request kind"},
 			&cli.IntFlag{Name: "output", Value: 2000, Usage: "length of each answer in tokens"},
-			&cli.DurationFlag{Name: "settle", Value: settleTime, Usage: "how long all stay open before the measure"},
+			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "how long all streams are open before the measurement"},
 		},
 		Action: runStreams,
 	})
 }
 
-// settleTime lets a daemon's heap take its size.
-const settleTime = 3 * time.Second
+// defaultSettle is enough time for a daemon's heap to reach a steady size.
+const defaultSettle = 3 * time.Second
 
 func runStreams(ctx context.Context, c *cli.Command) error {
 	h, err := load.Hold(ctx, load.Streams{
