--- a/emulator/batch/batch.go
+++ b/emulator/batch/batch.go
@@ -25,7 +25,8 @@
 type Batch struct {
 	settings Settings
 	memory   *kv.Memory
-	// onStart is called when a request takes a slot, onChange whenever the state of its ledger entry changes.
+	// onStart is called when a request takes a slot, onChange whenever the state of its ledger
+	// entry changes.
 	onStart  func(q *Request)
 	onChange func(q *Request)
 	// requests holds queued and running requests, and ended ones whose stream can still be resumed.
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -139,11 +139,11 @@
 func (e *Engine) plan() batch.Step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	slow := e.control.Slow
-	if slow <= 0 {
-		slow = 1
+	slowdown := e.control.Slow
+	if slowdown <= 0 {
+		slowdown = 1
 	}
-	return e.batch.Plan(e.clock.Now(), slow)
+	return e.batch.Plan(e.clock.Now(), slowdown)
 }
 
 // waitForWork waits for a wakeup or idleInterval. It returns false if the engine is closed.
--- a/emulator/engine/http.go
+++ b/emulator/engine/http.go
@@ -42,14 +42,14 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		for {
 			e.mu.Lock()
-			mute, commanded := e.control.Mute, e.controlChanged
+			mute, changed := e.control.Mute, e.controlChanged
 			e.mu.Unlock()
 			if !mute {
 				h(w, r)
 				return
 			}
 			select {
-			case <-commanded:
+			case <-changed:
 			case <-r.Context().Done():
 				panic(http.ErrAbortHandler)
 			}
@@ -71,17 +71,17 @@
 		writeError(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	var b completion.Body
-	if err := json.Unmarshal(raw, &b); err != nil || !utf8.Valid(raw) {
+	var body completion.Body
+	if err := json.Unmarshal(raw, &body); err != nil || !utf8.Valid(raw) {
 		writeError(w, http.StatusBadRequest, "malformed body")
 		return
 	}
-	prompt, err := promptOf(&b)
-	if err != nil || prompt == "" || !b.Stream {
+	prompt, err := promptOf(&body)
+	if err != nil || prompt == "" || !body.Stream {
 		writeError(w, http.StatusBadRequest, "a prompt and stream:true are needed")
 		return
 	}
-	q, status, err := e.newRequest(r, &b, prompt)
+	q, status, err := e.newRequest(r, &body, prompt)
 	if err != nil {
 		writeError(w, status, err.Error())
 		return
@@ -112,15 +112,15 @@
 
 // newRequest returns the request from its headers, body and prompt, with the memory that it needs. On
 // an error it also returns the status of the response.
-func (e *Engine) newRequest(r *http.Request, b *completion.Body, prompt string) (*batch.Request, int, error) {
+func (e *Engine) newRequest(r *http.Request, body *completion.Body, prompt string) (*batch.Request, int, error) {
 	h := r.Header
 	id := h.Get("X-Request-Id")
-	priority, err1 := parseNumber(h.Get("X-Priority"))
-	reserve, err2 := parseNumber(h.Get("X-Reserve"))
-	if id == "" || err1 != nil || err2 != nil {
+	priority, errPriority := parseNumber(h.Get("X-Priority"))
+	reserve, errReserve := parseNumber(h.Get("X-Reserve"))
+	if id == "" || errPriority != nil || errReserve != nil {
 		return nil, http.StatusBadRequest, fmt.Errorf("X-Request-Id is missing, or X-Priority or X-Reserve is no number")
 	}
-	limit := b.Limit(e.settings.Output)
+	limit := body.Limit(e.settings.Output)
 	tokens := decide.Tokens(expect.Tokens(prompt))
 	need := tokens + decide.Tokens(limit)
 	if group := h.Get("X-Group"); group != "" {
@@ -145,7 +145,7 @@
 			Prompt:   tokens,
 			Reserved: need,
 		},
-		Model:   b.Model,
+		Model:   body.Model,
 		Prompt:  prompt,
 		Seed:    seed,
 		Levels:  kv.LevelsOf(prompt),
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -118,7 +118,7 @@
 }
 
 // retryingClient sends requests and retries those that were refused without running. It waits for the
-// time in Retry-After and, if the balancer permits, uses another daemon for each attempt.
+// time in Retry-After before each retry and then sends the request to the next ready daemon.
 type retryingClient struct {
 	client   *caller.Client
 	balancer *balancer
