--- a/daemon/claim/bench_test.go
+++ b/daemon/claim/bench_test.go
@@ -127,9 +127,9 @@
 	k := clock.New()
 	rules := quick()
 	h := newShard(id, s.Store, k, rules, &breaker{})
-	for i := 0; i < records; i += rules.Batch {
+	for i := 0; i < records; i += rules.MaxBatch {
 		var ops []*op
-		for j := range rules.Batch {
+		for j := range rules.MaxBatch {
 			d, _ := digestOf("w", fmt.Sprintf("old-%d", i+j))
 			ops = append(ops, &op{key: d, nonce: fmt.Sprintf("00000000-0000-0000-0000-%012d", i+j), want: claimed})
 		}
--- a/daemon/claim/claim.go
+++ b/daemon/claim/claim.go
@@ -35,8 +35,8 @@
 	Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error
 }
 
-// Caller calls a method of a peer.
-type Caller interface {
+// PeerClient calls a method of a peer.
+type PeerClient interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
@@ -45,38 +45,38 @@
 	Now() clock.Milli
 }
 
-// Peers is the part of the membership that claims need.
-type Peers interface {
+// Membership is the part of the membership that claims need.
+type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
 }
 
 // Rules bound the journals.
 type Rules struct {
-	// Pace is the least time between two writes of one shard.
-	Pace clock.Milli
-	// Commit bounds the work on one batch, Attempts its conditional writes.
-	Commit   clock.Milli
-	Attempts int
-	// Batch is the most ops in one write, Queue the most withdrawals that wait.
-	Batch, Queue int
-	// Page is the size in bytes, and Window the age, at which a page is moved
+	// WriteInterval is the least time between two writes of one shard.
+	WriteInterval clock.Milli
+	// CommitTimeout bounds the work on one batch, Attempts its conditional writes.
+	CommitTimeout clock.Milli
+	MaxAttempts   int
+	// MaxBatch is the most ops in one write, Queue the most withdrawals that wait.
+	MaxBatch, MaxQueue int
+	// MaxPageSize is the size in bytes, and Window the age, at which a page is moved
 	// to an archive. Page and a whole batch stay under the store's limit.
-	Page   int
-	Window clock.Milli
-	// Archive is the largest size in bytes that merged archives reach.
-	Archive int
+	MaxPageSize int
+	MaxPageAge  clock.Milli
+	// MaxArchiveSize is the largest size in bytes that merged archives reach.
+	MaxArchiveSize int
 	// Retention is how long a key is remembered at least.
 	Retention clock.Milli
-	// Retry is the time between two tries to write what a caller doesn't wait for.
-	Retry clock.Milli
-	// Rest is the time between two claims that take their whole time while the
+	// RetryInterval is the time between two tries to write what a caller doesn't wait for.
+	RetryInterval clock.Milli
+	// ProbeInterval is the time between two claims that take their whole time while the
 	// store does not answer; the others' commits are bounded by Brief. With Rest
 	// zero all take their whole time.
-	Rest, Brief clock.Milli
-	// Home is the timeout of a call to the home of a shard. A claim waits up to a
+	ProbeInterval, BriefTimeout clock.Milli
+	// HomeTimeout is the timeout of a call to the home of a shard. A claim waits up to a
 	// Pace there; twice Home fits into the 1.5 s that a gate gives a claim.
-	Home clock.Milli
+	HomeTimeout clock.Milli
 }
 
 // DefaultRules allow 64 shards x 5 = 320 writes a second at the most, of the
@@ -84,14 +84,14 @@
 // short: 16 KB. A batch of 100 answers of 4 KB in base64 makes 600 KB with it, of
 // the 1 MB that a value may have.
 var DefaultRules = Rules{
-	Pace: 200, Commit: 2 * clock.Second, Attempts: 8,
-	Batch: 100, Queue: 10000,
-	Page: 16 << 10, Window: 60 * clock.Minute, Archive: 512 << 10, Retention: 24 * 60 * clock.Minute,
-	Retry: clock.Second, Rest: clock.Second, Brief: 250, Home: 700,
+	WriteInterval: 200, CommitTimeout: 2 * clock.Second, MaxAttempts: 8,
+	MaxBatch: 100, MaxQueue: 10000,
+	MaxPageSize: 16 << 10, MaxPageAge: 60 * clock.Minute, MaxArchiveSize: 512 << 10, Retention: 24 * 60 * clock.Minute,
+	RetryInterval: clock.Second, ProbeInterval: clock.Second, BriefTimeout: 250, HomeTimeout: 700,
 }
 
-// Kept is the largest answer in bytes that a journal keeps.
-const Kept = 4096
+// MaxStoredAnswer is the largest answer in bytes that a journal keeps.
+const MaxStoredAnswer = 4096
 
 // Ticket is a claim that was won.
 type Ticket struct {
@@ -104,10 +104,10 @@
 // Claims claims keys, here or at the home of their shard.
 type Claims struct {
 	store  Store
-	caller Caller
+	caller PeerClient
 	clock  Clock
 	rules  Rules
-	peers  Peers
+	peers  Membership
 
 	breaker breaker
 
@@ -116,7 +116,7 @@
 }
 
 // New returns claims kept in a store.
-func New(s Store, c Caller, k Clock, r Rules, p Peers) *Claims {
+func New(s Store, c PeerClient, k Clock, r Rules, p Membership) *Claims {
 	return &Claims{store: s, caller: c, clock: k, rules: r, peers: p, shards: map[shardID]*shard{}}
 }
 
@@ -148,7 +148,7 @@
 // are not kept. It tries until it is written or ctx ends, so it is called
 // beside the answer to the caller, not before it.
 func (c *Claims) Settle(ctx context.Context, t Ticket, status int, answer []byte) error {
-	if len(answer) > Kept {
+	if len(answer) > MaxStoredAnswer {
 		status, answer = 0, nil
 	}
 	return c.end(ctx, &peer.SettleArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Status: status, Answer: answer})
@@ -164,7 +164,7 @@
 		if c.settleOnce(ctx, a) {
 			return nil
 		}
-		t := time.NewTimer(c.rules.Retry.Duration())
+		t := time.NewTimer(c.rules.RetryInterval.Duration())
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -189,7 +189,7 @@
 }
 
 func (c *Claims) call(ctx context.Context, to peer.Member, method string, args, reply any) error {
-	limited, cancel := context.WithTimeout(ctx, c.rules.Home.Duration())
+	limited, cancel := context.WithTimeout(ctx, c.rules.HomeTimeout.Duration())
 	defer cancel()
 	return c.caller.Call(limited, to.Address, Name+method, args, reply)
 }
@@ -212,7 +212,7 @@
 }
 
 func (c *Claims) there(ctx context.Context, home peer.Member, t Ticket, void []string) (peer.ClaimReply, error) {
-	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: void, Left: c.rules.Home}
+	args := &peer.ClaimArgs{Workspace: t.Workspace, Key: t.Key, Nonce: t.Nonce, Void: void, Left: c.rules.HomeTimeout}
 	var reply peer.ClaimReply
 	err := c.call(ctx, home, ".Claim", args, &reply)
 	return reply, err
@@ -220,10 +220,10 @@
 
 // here runs an op on this VM and adds an answer that was moved to an archive.
 func (c *Claims) here(ctx context.Context, id shardID, o *op) peer.ClaimReply {
-	if o.want == claimed && !c.breaker.whole(c.clock.Now(), c.rules.Rest) {
+	if o.want == claimed && !c.breaker.whole(c.clock.Now(), c.rules.ProbeInterval) {
 		o.brief = true
 		// It may have to wait for one commit before its own.
-		limited, cancel := context.WithTimeout(ctx, 2*c.rules.Brief.Duration())
+		limited, cancel := context.WithTimeout(ctx, 2*c.rules.BriefTimeout.Duration())
 		defer cancel()
 		ctx = limited
 	}
@@ -255,7 +255,7 @@
 // Claim writes a claim on this VM, whoever is home by now.
 func (r *Receiver) Claim(args *peer.ClaimArgs, reply *peer.ClaimReply) error {
 	c := r.claims
-	left := min(args.Left, c.rules.Commit)
+	left := min(args.Left, c.rules.CommitTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), left.Duration())
 	defer cancel()
 	k, id := digestOf(args.Workspace, args.Key)
@@ -266,7 +266,7 @@
 // Settle records the end of a claim.
 func (r *Receiver) Settle(args *peer.SettleArgs, _ *peer.Empty) error {
 	c := r.claims
-	ctx, cancel := context.WithTimeout(context.Background(), c.rules.Commit.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), c.rules.CommitTimeout.Duration())
 	defer cancel()
 	if !c.settleHere(ctx, args) {
 		return platform.ErrUnavailable
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -22,7 +22,7 @@
 // quick are the rules of tests: the same decisions without waiting.
 func quick() Rules {
 	r := DefaultRules
-	r.Pace, r.Retry, r.Rest = 0, 1, 0
+	r.WriteInterval, r.RetryInterval, r.ProbeInterval = 0, 1, 0
 	return r
 }
 
@@ -153,7 +153,7 @@
 	x := newFixture()
 	c := x.start("a")
 	ticket, _ := c.Claim(t.Context(), "w", "key", "n1")
-	require.NoError(t, c.Settle(t.Context(), ticket, 200, make([]byte, Kept+1)))
+	require.NoError(t, c.Settle(t.Context(), ticket, 200, make([]byte, MaxStoredAnswer+1)))
 	_, r := c.Claim(t.Context(), "w", "key", "n2")
 	require.Equal(t, peer.ClaimDone, r.State)
 	require.Equal(t, fault.RanYes, r.Fault.Ran)
@@ -197,7 +197,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.LoseAnswers(1)
+	x.store.LoseResponses(1)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key", "n1"))
 	x.store.LoseWrites(1)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key2", "n2"))
@@ -214,7 +214,7 @@
 	ticket, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimWon, r.State)
 	require.NoError(t, c.Release(t.Context(), ticket))
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	require.Equal(t, peer.ClaimWon, claimState(t, x.start("b"), "key", "n2"))
 	require.Equal(t, peer.ClaimTaken, claimState(t, c, "key", "n3"))
 }
@@ -225,11 +225,11 @@
 func TestClaimThatNobodyActsOnIsWithdrawn(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.DelayWrites(x.rules.Attempts)
+	x.store.DelayWrites(x.rules.MaxAttempts)
 	_, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimUnknown, r.State)
 	require.Equal(t, fault.RanNo, r.Fault.Ran)
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	try := 0
 	require.Eventually(t, func() bool {
 		try++
@@ -242,13 +242,13 @@
 func TestOutageIsRefusedAtOnce(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.Outage(true)
+	x.store.SetOutage(true)
 	_, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimUnknown, r.State)
 	require.Equal(t, fault.Unavailable, r.Fault.Kind)
 	require.Equal(t, fault.RanNo, r.Fault.Ran)
 	require.Positive(t, r.Fault.Retry)
-	x.store.Outage(false)
+	x.store.SetOutage(false)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key", "n2"))
 }
 
@@ -271,13 +271,13 @@
 func TestSilentStoreHoldsOneCallerAtATime(t *testing.T) {
 	x := newFixture()
 	hand := &handClock{}
-	x.rules.Rest, x.rules.Commit, x.rules.Brief = 1000, 300, 5
+	x.rules.ProbeInterval, x.rules.CommitTimeout, x.rules.BriefTimeout = 1000, 300, 5
 	p := &peers{self: peer.Member{VM: "a", Address: "a"}}
 	p.believe("a")
 	s := &timedStore{Store: x.store}
 	c := New(s, x.wire, hand, x.rules, p)
-	brief := x.rules.Brief.Duration()
-	release := x.store.Hold()
+	brief := x.rules.BriefTimeout.Duration()
+	release := x.store.BlockCalls()
 	refused := func(key string) time.Duration {
 		_, r := c.Claim(t.Context(), "w", key, "n0")
 		require.Equal(t, peer.ClaimUnknown, r.State)
@@ -288,7 +288,7 @@
 	for i := range 10 {
 		require.LessOrEqual(t, refused(fmt.Sprintf("key-%d", i)), brief)
 	}
-	hand.now.Add(int64(x.rules.Rest))
+	hand.now.Add(int64(x.rules.ProbeInterval))
 	require.Greater(t, refused("key-0"), brief, "a slow store would answer this one")
 	require.LessOrEqual(t, refused("key-0"), brief)
 	release()
@@ -300,7 +300,7 @@
 func TestHungStoreEndsWithTheCallersTime(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	release := x.store.Hold()
+	release := x.store.BlockCalls()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, r := c.Claim(ctx, "w", "key", "n1")
@@ -319,11 +319,11 @@
 	x := newFixture()
 	a := x.start("a")
 	require.Equal(t, peer.ClaimWon, claimState(t, a, "other", "n0"))
-	x.store.Stale(true)
+	x.store.SetStale(true)
 	require.Equal(t, peer.ClaimWon, claimState(t, a, "key", "n1"))
 	b := x.start("b")
 	require.Equal(t, peer.ClaimUnknown, claimState(t, b, "key", "n2"))
-	x.store.Stale(false)
+	x.store.SetStale(false)
 	require.Equal(t, peer.ClaimTaken, claimState(t, b, "key", "n3"))
 }
 
@@ -371,7 +371,7 @@
 	c := x.start("a")
 	_, id := digestOf("w", "key-0")
 	keys := sameShard(id, 60)
-	release := x.store.Hold()
+	release := x.store.BlockCalls()
 	s := c.shard(id)
 	waiting := func(n int) func() bool {
 		return func() bool {
@@ -406,7 +406,7 @@
 	x := newFixture()
 	hand := &handClock{}
 	hand.now.Store(1)
-	x.clock, x.rules.Page = hand, 4*recordSize
+	x.clock, x.rules.MaxPageSize = hand, 4*recordSize
 	c := x.start("a")
 	_, id := digestOf("w", "key-0")
 	keys := sameShard(id, 30)
@@ -428,7 +428,7 @@
 		return len(archives) <= 4
 	}, 5*time.Second, time.Millisecond)
 	require.GreaterOrEqual(t, len(archives), 2)
-	require.NoError(t, x.store.Delete(t.Context(), Kind, archives[0].Name, platform.Always))
+	require.NoError(t, x.store.Delete(t.Context(), Kind, archives[0].Name, platform.Unconditional))
 	require.Equal(t, peer.ClaimUnknown, claimState(t, x.start("c"), keys[0], "n"))
 
 	// Past retention the archives go, and their keys with them.
@@ -458,14 +458,14 @@
 }
 
 func TestFullBatchStaysUnderTheStoresLimit(t *testing.T) {
-	answer := strings.Repeat("x", Kept)
+	answer := strings.Repeat("x", MaxStoredAnswer)
 	p := page{}
-	for i := range DefaultRules.Batch {
+	for i := range DefaultRules.MaxBatch {
 		p.Records = append(p.Records, record{
 			Key: digest(strings.Repeat("k", 22)), Nonce: strings.Repeat("n", 36), State: claimed,
 			At: 1 << 41, Status: 200, Answer: []byte(answer),
 		})
 		require.Less(t, len((&page{Records: p.Records[i:]}).encode()), recordSize+len(answer)*4/3+40)
 	}
-	require.Less(t, len(p.encode())+DefaultRules.Page+64<<10, platform.Limit)
+	require.Less(t, len(p.encode())+DefaultRules.MaxPageSize+64<<10, platform.MaxValueSize)
 }
--- a/daemon/claim/extend.go
+++ b/daemon/claim/extend.go
@@ -72,7 +72,7 @@
 	for from > 0 {
 		a := as[from-1]
 		old := a.Until < s.clock.Now()-s.rules.Retention/4
-		if old || a.Size > size+size/2 || a.Size+size > s.rules.Archive {
+		if old || a.Size > size+size/2 || a.Size+size > s.rules.MaxArchiveSize {
 			break
 		}
 		size += a.Size
@@ -84,9 +84,9 @@
 // keep writes an archive. If it exists already, another attempt wrote the
 // same content.
 func (s *shard) keep(ctx context.Context, a archive, value []byte) error {
-	_, err := s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
+	_, err := s.store.Put(ctx, Kind, s.id.archive(a), value, platform.IfAbsent)
 	if errors.Is(err, platform.ErrUnknown) {
-		_, err = s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
+		_, err = s.store.Put(ctx, Kind, s.id.archive(a), value, platform.IfAbsent)
 	}
 	if errors.Is(err, platform.ErrConflict) {
 		return nil
@@ -103,7 +103,7 @@
 	for _, r := range s.page.Records {
 		size += recordSize + len(r.Answer)*4/3
 	}
-	return size > s.rules.Page || s.clock.Now()-s.page.Records[0].At > s.rules.Window
+	return size > s.rules.MaxPageSize || s.clock.Now()-s.page.Records[0].At > s.rules.MaxPageAge
 }
 
 // recordSize is what a record without an answer takes at most, in bytes.
--- a/daemon/claim/schedule_test.go
+++ b/daemon/claim/schedule_test.go
@@ -34,8 +34,8 @@
 func TestAtMostOneWinnerInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newFixture()
-		x.rules.Page = 6 * recordSize
-		x.rules.Commit = 200
+		x.rules.MaxPageSize = 6 * recordSize
+		x.rules.CommitTimeout = 200
 		s := &schedule{
 			fixture: x, rt: rt, vms: []string{"a", "b", "c"},
 			lives: map[string]*Claims{}, winners: map[string][]Ticket{},
@@ -57,7 +57,7 @@
 	case 4, 5:
 		s.finish()
 	case 6:
-		s.store.LoseAnswers(rapid.IntRange(0, 10).Draw(s.rt, "lost answers"))
+		s.store.LoseResponses(rapid.IntRange(0, 10).Draw(s.rt, "lost answers"))
 	case 7:
 		s.store.LoseWrites(rapid.IntRange(0, 3).Draw(s.rt, "lost writes"))
 	case 8:
@@ -75,11 +75,11 @@
 func (s *schedule) fault() {
 	switch rapid.IntRange(0, 4).Draw(s.rt, "fault") {
 	case 0:
-		s.store.Stale(rapid.Bool().Draw(s.rt, "stale"))
+		s.store.SetStale(rapid.Bool().Draw(s.rt, "stale"))
 	case 1:
-		s.store.Outage(rapid.Bool().Draw(s.rt, "outage"))
+		s.store.SetOutage(rapid.Bool().Draw(s.rt, "outage"))
 	case 2:
-		s.store.Deliver()
+		s.store.DeliverDelayed()
 	case 3, 4:
 		s.wire.mu.Lock()
 		s.wire.lose = rapid.IntRange(0, 3).Draw(s.rt, "lost calls")
@@ -152,12 +152,12 @@
 // calm ends all faults: each key must then have an answer, and a key that was
 // won and not given back must not be given out again.
 func (s *schedule) calm() {
-	s.store.Outage(false)
-	s.store.Stale(false)
-	s.store.LoseAnswers(0)
+	s.store.SetOutage(false)
+	s.store.SetStale(false)
+	s.store.LoseResponses(0)
 	s.store.LoseWrites(0)
 	s.store.DelayWrites(0)
-	s.store.Deliver()
+	s.store.DeliverDelayed()
 	s.wire.mu.Lock()
 	s.wire.lose = 0
 	s.wire.mu.Unlock()
--- a/daemon/claim/shard.go
+++ b/daemon/claim/shard.go
@@ -80,7 +80,7 @@
 	for {
 		s.pace()
 		s.mu.Lock()
-		ops := s.waiting[:min(len(s.waiting), s.rules.Batch)]
+		ops := s.waiting[:min(len(s.waiting), s.rules.MaxBatch)]
 		s.waiting = s.waiting[len(ops):]
 		if len(ops) == 0 {
 			s.waiting, s.running = nil, false
@@ -95,7 +95,7 @@
 // pace spaces writes out: 64 shards must not take more of the store's several
 // hundred writes a second than the rest can spare. An idle shard writes at once.
 func (s *shard) pace() {
-	left := s.written + s.rules.Pace - s.clock.Now()
+	left := s.written + s.rules.WriteInterval - s.clock.Now()
 	if left > 0 {
 		time.Sleep(left.Duration())
 	}
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.limit(ops).Duration())
 	defer cancel()
 	c := &commit{shard: s, ops: ops}
-	for range s.rules.Attempts {
+	for range s.rules.MaxAttempts {
 		if c.attempt(ctx) {
 			s.breaker.worked()
 			s.finish(ops, c.verdicts)
@@ -117,7 +117,7 @@
 		}
 	}
 	if c.silent {
-		s.breaker.failed(s.clock.Now(), s.rules.Rest)
+		s.breaker.failed(s.clock.Now(), s.rules.ProbeInterval)
 	}
 	// What stands in the journal is not known: read it again before the next write.
 	s.loaded = false
@@ -128,10 +128,10 @@
 func (s *shard) limit(ops []*op) clock.Milli {
 	for _, o := range ops {
 		if !o.brief {
-			return s.rules.Commit
+			return s.rules.CommitTimeout
 		}
 	}
-	return s.rules.Brief
+	return s.rules.BriefTimeout
 }
 
 // finish hands out the verdicts.
@@ -177,14 +177,14 @@
 // withdraw needs the lock. It releases a claim that nobody will act on.
 func (s *shard) withdraw(o *op) {
 	for _, nonce := range append([]string{o.nonce}, o.void...) {
-		if len(s.waiting) < s.rules.Queue {
+		if len(s.waiting) < s.rules.MaxQueue {
 			s.enqueue(&op{key: o.key, nonce: nonce, want: released, brief: true})
 		}
 	}
 }
 
 func (s *shard) withdrawLater(o *op) {
-	time.AfterFunc(s.rules.Retry.Duration(), func() {
+	time.AfterFunc(s.rules.RetryInterval.Duration(), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.withdraw(o)
@@ -279,7 +279,7 @@
 		return false
 	}
 	s.written = s.clock.Now()
-	v, err := s.store.Put(ctx, Kind, s.id.page(), next.page.encode(), platform.At(s.version))
+	v, err := s.store.Put(ctx, Kind, s.id.page(), next.page.encode(), platform.IfVersion(s.version))
 	c.silent = errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
 	switch {
 	case err == nil:
@@ -324,8 +324,8 @@
 // the store was out, takes room and does no harm.
 func (s *shard) remove(gone []archive) {
 	for _, a := range gone {
-		ctx, cancel := context.WithTimeout(context.Background(), s.rules.Commit.Duration())
-		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Always)
+		ctx, cancel := context.WithTimeout(context.Background(), s.rules.CommitTimeout.Duration())
+		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Unconditional)
 		cancel()
 	}
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -32,7 +32,7 @@
 // heartbeat brings the fingerprints of requests that kill upstreams. A caller that
 // repeats such a request through the new VM in between costs a third engine.
 func (d *daemon) unheard() bool {
-	return d.members.Reached() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < hearFor
+	return d.members.LastContact() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < hearFor
 }
 
 // views shows the daemon's parts in the answers that operators read.
@@ -58,7 +58,7 @@
 
 // Draining implements operator.Stopper.
 func (v views) Draining() (began bool, requests int) {
-	return v.daemon.stopping.Load(), v.daemon.gate.Busy()
+	return v.daemon.stopping.Load(), v.daemon.gate.InFlight()
 }
 
 // Members implements operator.Members.
@@ -82,7 +82,7 @@
 	switch {
 	case m.Stopping:
 		return answers.Draining
-	case m.Health == peer.Doubted:
+	case m.Health == peer.Suspected:
 		return answers.Silent
 	case m.Health == peer.Gone:
 		return answers.Gone
@@ -94,7 +94,7 @@
 func (v views) Pools() []answers.Pool {
 	var out []answers.Pool
 	for _, p := range v.daemon.owner.Pools() {
-		s := p.Look()
+		s := p.Status()
 		out = append(out, answers.Pool{
 			Pool: p.ID(), Owner: v.daemon.settings.Name, Epoch: p.Epoch(), Wait: s.Summary.Wait,
 			Queued: s.Summary.Queued, Running: s.Summary.Running, Free: s.Summary.Free, Largest: s.Summary.Largest, Upstreams: len(s.Upstreams),
@@ -112,7 +112,7 @@
 	now := v.daemon.clock.Now()
 	var out []answers.Upstream
 	for _, p := range v.daemon.owner.Pools() {
-		s := p.Look()
+		s := p.Status()
 		for _, u := range s.Upstreams {
 			a := answers.Upstream{
 				Name: u.ID, Pool: p.ID(), Owner: v.daemon.settings.Name, Address: s.Addresses[u.ID],
@@ -146,7 +146,7 @@
 	now := v.daemon.clock.Now()
 	var out []answers.Grant
 	for _, p := range v.daemon.owner.Pools() {
-		for _, g := range p.Look().Grants {
+		for _, g := range p.Status().Grants {
 			out = append(out, answers.Grant{
 				Grant: g.ID, Pool: p.ID(), Owner: v.daemon.settings.Name, Request: g.Request, Workspace: g.Workspace, Gate: g.Gate,
 				Upstreams: g.Upstreams, Urgency: g.Urgency, Prompt: g.Prompt, Output: g.Output, Reserved: g.Reserved, Lease: g.Until - now, Left: g.Deadline - now,
@@ -157,10 +157,10 @@
 }
 
 // Usage implements operator.Usage.
-func (v views) Usage() []answers.Counter {
-	var out []answers.Counter
+func (v views) Usage() []answers.UsageCounter {
+	var out []answers.UsageCounter
 	for _, u := range v.daemon.state.usage() {
-		out = append(out, answers.Counter{
+		out = append(out, answers.UsageCounter{
 			VM: u.VM, Incarnation: u.Incarnation, Workspace: u.Workspace,
 			Usage: answers.Usage{Requests: u.Usage.Requests, Prompt: u.Usage.Prompt, Cached: u.Usage.Cached, Output: u.Usage.Output},
 		})
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -24,8 +24,8 @@
 // this process stands still in between; then the engine refuses its old fence.
 const orderTimeout = 2 * clock.Second
 
-// Book gives the configuration in force.
-type Book interface {
+// Registry gives the configuration in force.
+type Registry interface {
 	Index() (*document.Index, bool)
 }
 
@@ -34,30 +34,30 @@
 	Order(ctx context.Context, address string, o engine.Order) error
 }
 
-// Holder sends orders for the pools owned on this VM.
-type Holder struct {
+// Sender sends orders for the pools owned on this VM.
+type Sender struct {
 	// ctx ends orders under way with the process's work.
 	ctx     context.Context //nolint:containedctx // the life of the process
 	log     *log.Logger
 	ring    *timeline.Ring
-	book    Book
+	book    Registry
 	engines Engines
 	leases  *lease.Leases
 }
 
 // New returns a holder without leases; Want asks for them.
-func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Book, e Engines, ls *lease.Leases) *Holder {
-	return &Holder{ctx: ctx, log: l, ring: r, book: b, engines: e, leases: ls}
+func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Registry, e Engines, ls *lease.Leases) *Sender {
+	return &Sender{ctx: ctx, log: l, ring: r, book: b, engines: e, leases: ls}
 }
 
 // orderLease is the lease under which a pool's engines take orders.
 func orderLease(id peer.PoolID) platform.Name { return platform.Name("orders-" + string(id)) }
 
-// Want asks for the leases of the pools owned here that have an engine
+// RequestLeases asks for the leases of the pools owned here that have an engine
 // which checks fencing numbers. No other engine is ever sent an order: a holder
 // that was frozen in the middle of one and thawed later could then overrule
 // its successor, and nothing would stop it.
-func (h *Holder) Want(owned []peer.PoolID) {
+func (h *Sender) RequestLeases(owned []peer.PoolID) {
 	x, ok := h.book.Index()
 	if !ok {
 		return
@@ -76,7 +76,7 @@
 
 // Order implements pool.Orders: it sends an order under the pool's lease, or
 // not at all. The decision is made again while it still holds.
-func (h *Holder) Order(id peer.PoolID, u document.Upstream, o decide.Order) {
+func (h *Sender) Order(id peer.PoolID, u document.Upstream, o decide.Order) {
 	if !lease.Allowed(u.Fenced) {
 		return
 	}
@@ -87,7 +87,7 @@
 	guard.Go(h.log, "order", func() { h.order(u, fence, o) })
 }
 
-func (h *Holder) order(u document.Upstream, f lease.Fence, o decide.Order) {
+func (h *Sender) order(u document.Upstream, f lease.Fence, o decide.Order) {
 	ctx, cancel := context.WithTimeout(h.ctx, orderTimeout.Duration())
 	defer cancel()
 	start := time.Now()
--- a/daemon/pool/life_test.go
+++ b/daemon/pool/life_test.go
@@ -22,7 +22,7 @@
 }
 
 func (o *pausedOrders) Order(peer.PoolID, document.Upstream, decide.Order) {
-	o.owner.Paused()
+	o.owner.DiscardPools()
 	select {
 	case o.done <- struct{}{}:
 	default:
@@ -62,7 +62,7 @@
 	p.mu.Lock()
 	require.False(t, p.explained(g.Request, "engine-1"))
 	p.mu.Unlock()
-	o.Keep(nil)
+	o.SetOwned(nil)
 	require.Empty(t, o.Pools())
 }
 
@@ -72,15 +72,15 @@
 func TestReturnFromBeforeAPauseEndsNoNewGrant(t *testing.T) {
 	o := newTestOwner(t, 2)
 	old := ask(t, o)
-	o.Paused()
+	o.DiscardPools()
 	require.NoError(t, o.Renew(peer.RenewArgs{Pool: testPool, Grants: []peer.Progress{{Grant: old}}}, &peer.RenewReply{}))
-	require.Len(t, o.find(testPool).Look().Grants, 1, "what runs is in the books again")
+	require.Len(t, o.find(testPool).Status().Grants, 1, "what runs is in the books again")
 	r := decide.Request{ID: "vm-1.1.1.2", Workspace: "wards", Gate: "vm-1.1", Urgency: 1, Prompt: 10, Output: 10, Repeatable: true}
 	var reply peer.AcquireReply
 	require.NoError(t, o.Acquire(peer.AcquireArgs{Pool: testPool, Left: 20 * clock.Second, Request: r}, &reply))
 	require.Nil(t, reply.Fault)
 	require.NoError(t, o.Return(peer.ReturnArgs{Pool: testPool, Grant: old.ID, Request: old.Request, Outcome: decide.Done}, &peer.Empty{}))
-	left := o.find(testPool).Look().Grants
+	left := o.find(testPool).Status().Grants
 	require.Len(t, left, 1)
 	require.Equal(t, reply.Grant.ID, left[0].ID)
 }
@@ -93,7 +93,7 @@
 	o.open(testPool)
 	g := decide.Grant{ID: 1 << 40, Epoch: decide.Epoch(o.clock.Now() + clock.Minute), Request: "vm-2.1.1.1", Upstreams: []decide.UpstreamID{"engine-1"}, Reserved: 10, Prompt: 10, Deadline: clock.Minute}
 	require.NoError(t, o.Renew(peer.RenewArgs{Pool: testPool, Grants: []peer.Progress{{Grant: g}}}, &peer.RenewReply{}))
-	require.Len(t, o.find(testPool).Look().Grants, 1)
+	require.Len(t, o.find(testPool).Status().Grants, 1)
 }
 
 // A pool that this VM does not own is closed just as a gate asks it. The request
@@ -102,7 +102,7 @@
 	o := newTestOwner(t, 1)
 	p, ok := o.open(testPool)
 	require.True(t, ok)
-	o.Keep(nil)
+	o.SetOwned(nil)
 	r := decide.Request{ID: "vm-1.1.1.1", Workspace: "wards", Prompt: 10, Output: 10}
 	reply := p.acquire(peer.AcquireArgs{Pool: testPool, Left: 20 * clock.Second, Request: r})
 	require.NotNil(t, reply.Fault)
@@ -131,7 +131,7 @@
 	p := newPool(o, testPool, 1)
 	o.pools[testPool] = p
 	leaving := func() (n int) {
-		for _, v := range p.Look().Upstreams {
+		for _, v := range p.Status().Upstreams {
 			if v.Leaving {
 				n++
 			}
@@ -148,7 +148,7 @@
 		p.look(after)
 	}
 	require.Equal(t, 1, leaving())
-	require.True(t, p.Look().Upstreams[0].Leaving)
+	require.True(t, p.Status().Upstreams[0].Leaving)
 	delete(m.silent, "127.0.0.1:1")
 	p.look(after)
 	require.Zero(t, leaving(), "one that answers gets work at once")
@@ -165,9 +165,9 @@
 	require.Nil(t, reply.Fault)
 	p := o.find(testPool)
 	require.NoError(t, o.Withdraw(peer.WithdrawArgs{Pool: testPool, Request: r.ID, Serial: 1}, &peer.Empty{}))
-	require.Len(t, p.Look().Grants, 1)
+	require.Len(t, p.Status().Grants, 1)
 	require.NoError(t, o.Withdraw(peer.WithdrawArgs{Pool: testPool, Request: r.ID, Serial: 2}, &peer.Empty{}))
-	require.Empty(t, p.Look().Grants)
+	require.Empty(t, p.Status().Grants)
 	require.Empty(t, p.asked)
 }
 
@@ -184,7 +184,7 @@
 func (goneGates) Evidence(_ context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := map[decide.RequestID]Evidence{}
 	for _, id := range ids {
-		out[id] = Gone
+		out[id] = NotHeld
 	}
 	return out
 }
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -45,11 +45,11 @@
 	Load(ctx context.Context, address string) (engine.Load, error)
 	Events(ctx context.Context, address string, after uint64) ([]engine.Event, error)
 	Cancel(ctx context.Context, address string, id decide.RequestID) error
-	Drop(ctx context.Context, address, handle string) error
+	DeleteExport(ctx context.Context, address, handle string) error
 }
 
-// Book gives the configuration in force for a pool.
-type Book interface {
+// Registry gives the configuration in force for a pool.
+type Registry interface {
 	Index() (*document.Index, bool)
 	// Leaving tells whether the platform lists an upstream as leaving.
 	Leaving(id decide.UpstreamID) bool
@@ -60,9 +60,9 @@
 
 // The closed list of evidence.
 const (
-	Unsure Evidence = iota // the gate cannot be asked; it may still be there
-	Held                   // the gate holds the request
-	Gone                   // proved: the gate does not hold it, or that life of the gate is over
+	Unknown Evidence = iota // the gate cannot be asked; it may still be there
+	Held                    // the gate holds the request
+	NotHeld                 // proved: the gate does not hold it, or that life of the gate is over
 )
 
 // Gates finds out whether requests are still held.
@@ -81,7 +81,7 @@
 	log     *log.Logger
 	ring    *timeline.Ring
 	engines Engines
-	book    Book
+	book    Registry
 	gates   Gates
 	orders  Orders
 
@@ -96,27 +96,27 @@
 }
 
 // New returns an owner without pools. Ctx ends all its work.
-func New(ctx context.Context, c *clock.Clock, l *log.Logger, r *timeline.Ring, e Engines, b Book, g Gates, od Orders, epoch decide.Epoch) *Owner {
+func New(ctx context.Context, c *clock.Clock, l *log.Logger, r *timeline.Ring, e Engines, b Registry, g Gates, od Orders, epoch decide.Epoch) *Owner {
 	return &Owner{clock: c, log: l, ring: r, engines: e, book: b, gates: g, orders: od, epoch: epoch, pools: map[peer.PoolID]*Pool{}, ctx: ctx}
 }
 
 // Acquire waits for the decision on a request. It is the method Pool.Acquire of the peer door.
 func (o *Owner) Acquire(args peer.AcquireArgs, reply *peer.AcquireReply) error {
-	o.ring.Receive(args.Stamp)
+	o.ring.ReceiveStamp(args.Stamp)
 	p, ok := o.open(args.Pool)
 	if !ok {
-		reply.Fault = peer.Wire(moved())
+		reply.Fault = peer.NewFault(moved())
 		return nil
 	}
 	*reply = p.acquire(args)
 	reply.Summary = p.summary()
-	reply.Stamp = o.ring.Send()
+	reply.Stamp = o.ring.SendStamp()
 	return nil
 }
 
 // Return ends a grant.
 func (o *Owner) Return(args peer.ReturnArgs, _ *peer.Empty) error {
-	o.ring.Receive(args.Stamp)
+	o.ring.ReceiveStamp(args.Stamp)
 	if p := o.find(args.Pool); p != nil {
 		p.finish(args)
 	}
@@ -152,10 +152,10 @@
 	}
 }
 
-// Paused forgets all pools after this process stood still for longer than a
+// DiscardPools forgets all pools after this process stood still for longer than a
 // lease: others own them by now, and what is in these tables is history. Gates
 // present what is live.
-func (o *Owner) Paused() {
+func (o *Owner) DiscardPools() {
 	o.mu.Lock()
 	ps := o.list()
 	o.pools = map[peer.PoolID]*Pool{}
@@ -176,8 +176,8 @@
 	}
 }
 
-// Keep opens the pools that this VM owns now and lets go of idle ones it does not.
-func (o *Owner) Keep(owned []peer.PoolID) {
+// SetOwned opens the pools that this VM owns now and lets go of idle ones it does not.
+func (o *Owner) SetOwned(owned []peer.PoolID) {
 	mine := make(map[peer.PoolID]bool, len(owned))
 	for _, id := range owned {
 		mine[id] = true
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -137,7 +137,7 @@
 	p.mu.Lock()
 	if p.handed {
 		p.mu.Unlock()
-		return peer.AcquireReply{Fault: peer.Wire(moved())}
+		return peer.AcquireReply{Fault: peer.NewFault(moved())}
 	}
 	now := p.owner.clock.Now()
 	r := args.Request
@@ -266,7 +266,7 @@
 		p.core.Finish(now, g.ID, decide.Unused)
 	}
 	p.core.Withdraw(now, id)
-	if p.answer(id, peer.AcquireReply{Fault: peer.Wire(fault.New(fault.Canceled, "withdrawn"))}) {
+	if p.answer(id, peer.AcquireReply{Fault: peer.NewFault(fault.New(fault.Canceled, "withdrawn"))}) {
 		p.note(timeline.Withdrawn, id, "", "", "")
 	}
 	p.tick(now)
@@ -279,7 +279,7 @@
 	now := p.owner.clock.Now()
 	for id := range p.waiting {
 		p.core.Withdraw(now, id)
-		p.answer(id, peer.AcquireReply{Fault: peer.Wire(moved())})
+		p.answer(id, peer.AcquireReply{Fault: peer.NewFault(moved())})
 	}
 }
 
@@ -324,7 +324,7 @@
 	case decide.Refused:
 		e := fault.New(d.Fault, "%s", refusal(d.Fault)).WithRan(fault.RanNo).WithRetry(d.Retry)
 		p.note(timeline.Refused, d.Request, "", "", e.Error())
-		p.answer(d.Request, peer.AcquireReply{Fault: peer.Wire(e)})
+		p.answer(d.Request, peer.AcquireReply{Fault: peer.NewFault(e)})
 	case decide.Lapsed:
 		p.note(timeline.Lapsed, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
 		// The memory stays reserved until the engine's report shows it free;
@@ -386,8 +386,8 @@
 	}
 }
 
-// Look is a pool as operators see it.
-type Look struct {
+// Status is a pool as operators see it.
+type Status struct {
 	Summary   decide.Summary
 	Upstreams []decide.UpstreamView
 	Grants    []decide.Grant
@@ -406,12 +406,12 @@
 // Epoch tells this pool from the ones of earlier and other owners.
 func (p *Pool) Epoch() decide.Epoch { return p.epoch }
 
-// Look copies what operators see.
-func (p *Pool) Look() Look {
+// Status copies what operators see.
+func (p *Pool) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
-	l := Look{
+	l := Status{
 		Summary: p.core.Summary(now), Upstreams: p.core.Upstreams(now), Grants: p.core.Grants(),
 		Addresses: map[decide.UpstreamID]string{}, Used: map[decide.UpstreamID]decide.Tokens{},
 		Reported: map[decide.UpstreamID]clock.Milli{}, Fenced: map[decide.UpstreamID]bool{},
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -28,7 +28,7 @@
 	return nil, errAbsent
 }
 func (absent) Cancel(context.Context, string, decide.RequestID) error { return errAbsent }
-func (absent) Drop(context.Context, string, string) error             { return errAbsent }
+func (absent) DeleteExport(context.Context, string, string) error     { return errAbsent }
 
 type fixedBook struct{ index *document.Index }
 
--- a/daemon/pool/reap.go
+++ b/daemon/pool/reap.go
@@ -187,7 +187,7 @@
 	var g errgroup.Group
 	g.SetLimit(pollers)
 	for _, s := range due {
-		if evidence[s.request] == Gone || overdue(s.request, now) {
+		if evidence[s.request] == NotHeld || overdue(s.request, now) {
 			g.Go(func() error { p.free(s); return nil })
 		}
 	}
@@ -225,7 +225,7 @@
 	defer cancel()
 	var err error
 	if s.handle != "" {
-		err = p.owner.engines.Drop(ctx, s.upstream.Address, s.handle)
+		err = p.owner.engines.DeleteExport(ctx, s.upstream.Address, s.handle)
 	} else {
 		err = p.owner.engines.Cancel(ctx, s.upstream.Address, s.request)
 	}
--- a/daemon/pool/witness.go
+++ b/daemon/pool/witness.go
@@ -21,17 +21,17 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Witness finds out from gates whether they still hold requests.
-type Witness struct {
+// GateClient finds out from gates whether they still hold requests.
+type GateClient struct {
 	directory Directory
 	peers     Peers
 }
 
-// NewWitness returns a witness that asks the members of d.
-func NewWitness(d Directory, p Peers) *Witness { return &Witness{directory: d, peers: p} }
+// NewGateClient returns a witness that asks the members of d.
+func NewGateClient(d Directory, p Peers) *GateClient { return &GateClient{directory: d, peers: p} }
 
 // Evidence implements Gates. It asks each gate once, all at the same time.
-func (w *Witness) Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
+func (w *GateClient) Evidence(ctx context.Context, ids []decide.RequestID) map[decide.RequestID]Evidence {
 	out := make(map[decide.RequestID]Evidence, len(ids))
 	byGate := map[decide.GateID][]decide.RequestID{}
 	for _, id := range ids {
@@ -58,7 +58,7 @@
 }
 
 // ask returns the evidence on requests of one gate.
-func (w *Witness) ask(ctx context.Context, ids []decide.RequestID) []Evidence {
+func (w *GateClient) ask(ctx context.Context, ids []decide.RequestID) []Evidence {
 	es := make([]Evidence, len(ids))
 	o, _ := peer.ParseRequest(ids[0])
 	m, _, known := w.directory.Find(o.VM)
@@ -66,19 +66,19 @@
 		return es
 	}
 	if m.Incarnation > o.Incarnation {
-		return all(es, Gone)
+		return all(es, NotHeld)
 	}
 	var reply peer.HoldsReply
 	err := w.peers.Call(ctx, m.Address, "Gate.Holds", peer.HoldsArgs{Requests: ids}, &reply)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		// The VM answers and says that nothing listens there: the process is gone.
-		return all(es, Gone)
+		return all(es, NotHeld)
 	case err != nil || len(reply.Held) != len(ids):
 		return es
 	}
 	for i, held := range reply.Held {
-		es[i] = Gone
+		es[i] = NotHeld
 		if held {
 			es[i] = Held
 		}
--- a/daemon/quarantine/quarantine.go
+++ b/daemon/quarantine/quarantine.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// Died records the death of an upstream and tells all live peers before it returns.
+// RecordCrash records the death of an upstream and tells all live peers before it returns.
 // The next heartbeat would be too late: the caller sends the request again at once, and the balancer hands it to another VM.
-func (q *Quarantine) Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation) {
+func (q *Quarantine) RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation) {
 	q.mu.Lock()
 	now := q.clock.Now()
 	q.table.RecordCrash(now, fingerprint, u, born)
--- a/daemon/quarantine/quarantine_test.go
+++ b/daemon/quarantine/quarantine_test.go
@@ -44,9 +44,9 @@
 		n := net{self: peer.VM(v), nodes: nodes}
 		nodes[v] = New(still{}, n, n)
 	}
-	nodes["vm-1"].Died(42, "engine-1", 0)
+	nodes["vm-1"].RecordCrash(42, "engine-1", 0)
 	require.Equal(t, gate.Suspected, nodes["vm-2"].Check(42))
-	nodes["vm-1"].Died(42, "engine-2", 0)
+	nodes["vm-1"].RecordCrash(42, "engine-2", 0)
 	for _, q := range nodes {
 		require.Equal(t, gate.Quarantined, q.Check(42))
 		require.False(t, q.Begin(42))
@@ -57,7 +57,7 @@
 func TestHeartbeatsCarryTheTable(t *testing.T) {
 	n := net{self: "vm-1", nodes: map[string]*Quarantine{}}
 	a, b := New(still{}, n, n), New(still{}, n, n)
-	a.Died(7, "engine-1", 0)
+	a.RecordCrash(7, "engine-1", 0)
 	var beat peer.BeatArgs
 	a.Fill("vm-2", &beat)
 	b.Learn(&beat, false)
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -71,8 +71,8 @@
 	Begin(fingerprint uint64) bool
 	// End reports the end of a send; whole is set if the client received a complete response.
 	End(fingerprint uint64, whole bool)
-	// Died reports that an upstream crashed while it ran the request.
-	Died(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
+	// RecordCrash reports that an upstream crashed while it ran the request.
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
 }
 
 // Memory reserves and releases KV memory on engines.
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -182,7 +182,7 @@
 		*n.whole = append(*n.whole, whole)
 	}
 }
-func (testSuspects) Died(uint64, decide.UpstreamID, decide.Incarnation) {}
+func (testSuspects) RecordCrash(uint64, decide.UpstreamID, decide.Incarnation) {}
 
 // fixture is a gate with upstreams whose responses a test defines.
 type fixture struct {
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -80,7 +80,7 @@
 	}
 	res = x.roundTrip(ctx, cancel, grant, poolHost(u.Address, u.Born), memory.helpers(grant), v)
 	if res.suspicious && g.probeFails(grant.Leader.Address) {
-		g.Suspects.Died(x.fingerprint, u.ID, u.Born)
+		g.Suspects.RecordCrash(x.fingerprint, u.ID, u.Born)
 		res.outcome = span.Unreachable
 	}
 	return res
--- a/daemon/usage/usage.go
+++ b/daemon/usage/usage.go
@@ -68,20 +68,20 @@
 
 // Rules set the pace of writing.
 type Rules struct {
-	// Least is the time between two writes of a small sheet.
-	Least clock.Milli
-	// Speed is the most bytes a second that writes take on average. A sheet of
+	// MinInterval is the time between two writes of a small sheet.
+	MinInterval clock.Milli
+	// MaxBytesPerSecond is the most bytes a second that writes take on average. A sheet of
 	// 3,500 workspaces has about 400 KB; written every 5 s it would take eleven
 	// times the 7 KB a second that a node may spend, so it is written less often.
-	Speed int
-	// Tick is the time between two looks at what is to be written.
-	Tick clock.Milli
-	// Forget is how long a copy of a dead VM's sheet is kept after it was written.
-	Forget clock.Milli
+	MaxBytesPerSecond int
+	// CheckInterval is the time between two looks at what is to be written.
+	CheckInterval clock.Milli
+	// Retention is how long a copy of a dead VM's sheet is kept after it was written.
+	Retention clock.Milli
 }
 
 // DefaultRules write a small sheet every 5 s and one of 400 KB every 200 s.
-var DefaultRules = Rules{Least: 5 * clock.Second, Speed: 2048, Tick: clock.Second, Forget: 10 * clock.Minute}
+var DefaultRules = Rules{MinInterval: 5 * clock.Second, MaxBytesPerSecond: 2048, CheckInterval: clock.Second, Retention: 10 * clock.Minute}
 
 // counter is one workspace of this VM's own sheet.
 type counter struct {
@@ -99,12 +99,12 @@
 	since clock.Milli
 }
 
-// Book counts for this VM and keeps copies for others.
-type Book struct {
+// Meter counts for this VM and keeps copies for others.
+type Meter struct {
 	store Store
 	clock Clock
 	rules Rules
-	peers Peers
+	peers Membership
 	self  life
 
 	mu  sync.Mutex
@@ -127,9 +127,9 @@
 }
 
 // New returns the book of one life of a VM.
-func New(s Store, k Clock, r Rules, p Peers) *Book {
+func New(s Store, k Clock, r Rules, p Membership) *Meter {
 	self := p.Self()
-	return &Book{
+	return &Meter{
 		store: s, clock: k, rules: r, peers: p,
 		self: life{self.VM, self.Incarnation},
 		own:  map[decide.WorkspaceID]*counter{},
@@ -140,7 +140,7 @@
 
 // Add counts. It is called with what was consumed since the last call, also
 // while a request still runs, so that a gate that dies loses little of it.
-func (b *Book) Add(w decide.WorkspaceID, u peer.Usage) {
+func (b *Meter) Add(w decide.WorkspaceID, u peer.Usage) {
 	if u == (peer.Usage{}) {
 		return
 	}
@@ -155,8 +155,8 @@
 	c.usage, c.change = Sum(c.usage, u), b.change
 }
 
-// Own is what this life has counted for a workspace.
-func (b *Book) Own(w decide.WorkspaceID) peer.Usage {
+// OwnUsage is what this life has counted for a workspace.
+func (b *Meter) OwnUsage(w decide.WorkspaceID) peer.Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c := b.own[w]; c != nil {
@@ -166,10 +166,10 @@
 }
 
 // Fill implements member.Part.
-func (b *Book) Fill(peer.VM, *peer.BeatArgs) {}
+func (b *Meter) Fill(peer.VM, *peer.BeatArgs) {}
 
 // Counters lists every counter known here: this life's own and the copies of others'.
-func (b *Book) Counters() []peer.WorkspaceUsage {
+func (b *Meter) Counters() []peer.WorkspaceUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var us []peer.WorkspaceUsage
@@ -185,7 +185,7 @@
 }
 
 // Load implements member.AckedPart: a neighbour gets what it is not known to have.
-func (b *Book) Load(to peer.Member, m *peer.BeatArgs) {
+func (b *Meter) Load(to peer.Member, m *peer.BeatArgs) {
 	if !b.keeps(to) {
 		return
 	}
@@ -205,8 +205,8 @@
 }
 
 // keeps tells whether a member is to hold a copy of this VM's sheet.
-func (b *Book) keeps(m peer.Member) bool {
-	for _, n := range b.peers.Neighbours() {
+func (b *Meter) keeps(m peer.Member) bool {
+	for _, n := range b.peers.RingSuccessors() {
 		if n.VM == m.VM && n.Incarnation == m.Incarnation {
 			return true
 		}
@@ -215,7 +215,7 @@
 }
 
 // Arrived implements member.AckedPart.
-func (b *Book) Arrived(to peer.Member) {
+func (b *Meter) Arrived(to peer.Member) {
 	l := life{to.VM, to.Incarnation}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // Learn implements member.Part: it keeps copies of others' counters.
-func (b *Book) Learn(m *peer.BeatArgs, _ bool) {
+func (b *Meter) Learn(m *peer.BeatArgs, _ bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, u := range m.Usage {
@@ -242,4 +242,4 @@
 	}
 }
 
-var _ member.AckedPart = (*Book)(nil)
+var _ member.AckedPart = (*Meter)(nil)
--- a/daemon/usage/usage_test.go
+++ b/daemon/usage/usage_test.go
@@ -30,7 +30,7 @@
 func (p *peers) Self() peer.Member   { return p.self }
 func (p *peers) Live() []peer.Member { p.mu.Lock(); defer p.mu.Unlock(); return p.live }
 
-func (p *peers) Neighbours() []peer.Member {
+func (p *peers) RingSuccessors() []peer.Member {
 	var ns []peer.Member
 	for _, m := range p.Live() {
 		if m.VM != p.self.VM {
@@ -43,14 +43,14 @@
 type fixture struct {
 	store *platformtest.Store
 	clock *handClock
-	books map[peer.VM]*Book
+	books map[peer.VM]*Meter
 	peers map[peer.VM]*peers
 	lives map[peer.VM]peer.Incarnation
 }
 
 func newFixture(vms ...peer.VM) *fixture {
 	x := &fixture{
-		store: platformtest.New(), clock: &handClock{}, books: map[peer.VM]*Book{},
+		store: platformtest.New(), clock: &handClock{}, books: map[peer.VM]*Meter{},
 		peers: map[peer.VM]*peers{}, lives: map[peer.VM]peer.Incarnation{},
 	}
 	x.clock.now.Store(1000)
@@ -150,7 +150,7 @@
 func TestLostAnswerCountsOnce(t *testing.T) {
 	x := newFixture("a")
 	x.books["a"].Add("w", count(1))
-	x.store.LoseAnswers(1)
+	x.store.LoseResponses(1)
 	require.Error(t, x.books["a"].Flush(t.Context()))
 	x.books["a"].Add("w", count(1))
 	require.NoError(t, x.books["a"].Flush(t.Context()))
@@ -166,7 +166,7 @@
 	require.Error(t, x.books["a"].Flush(t.Context()))
 	x.books["a"].Add("w", count(1))
 	require.NoError(t, x.books["a"].Flush(t.Context()))
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	require.Equal(t, count(2), x.totals(t)["w"])
 }
 
@@ -201,7 +201,7 @@
 	b := x.books["a"]
 	b.Add("w", count(1))
 	require.NoError(t, b.writeOwn(t.Context()))
-	require.Equal(t, x.clock.Now()+DefaultRules.Least, b.next)
+	require.Equal(t, x.clock.Now()+DefaultRules.MinInterval, b.next)
 	for i := range 3500 {
 		b.Add(decide.WorkspaceID(fmt.Sprintf("workspace-%04d", i)), peer.Usage{Requests: 1e4, Prompt: 1e9, Cached: 1e8, Output: 1e7})
 	}
@@ -209,7 +209,7 @@
 	o, err := x.store.Get(t.Context(), Kind, b.self.object())
 	require.NoError(t, err)
 	t.Logf("3500 workspaces: %d bytes, next write after %d ms", len(o.Value), b.next-x.clock.Now())
-	require.GreaterOrEqual(t, b.next-x.clock.Now(), clock.Milli(len(o.Value))*clock.Second/clock.Milli(DefaultRules.Speed))
+	require.GreaterOrEqual(t, b.next-x.clock.Now(), clock.Milli(len(o.Value))*clock.Second/clock.Milli(DefaultRules.MaxBytesPerSecond))
 }
 
 // VMs die and come back, heartbeats and writes lose their answers or arrive
@@ -233,7 +233,7 @@
 			case 4:
 				x.write(rt, v)
 			case 5:
-				x.store.LoseAnswers(rapid.IntRange(0, 2).Draw(rt, "lost answers"))
+				x.store.LoseResponses(rapid.IntRange(0, 2).Draw(rt, "lost answers"))
 			case 6:
 				x.store.DelayWrites(rapid.IntRange(0, 2).Draw(rt, "delayed"))
 			case 7:
@@ -249,14 +249,14 @@
 				x.start(v)
 			}
 		}
-		x.store.LoseAnswers(0)
+		x.store.LoseResponses(0)
 		x.store.DelayWrites(0)
 		for range 2 {
 			for _, v := range vms {
 				require.NoError(rt, x.books[v].Flush(contextOf(rt)))
 			}
 		}
-		x.store.Deliver()
+		x.store.DeliverDelayed()
 		if used > 0 {
 			require.Equal(rt, count(used), x.totals(rt)["w"])
 		}
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -33,11 +33,11 @@
 	Now() clock.Milli
 }
 
-// Peers is the part of the membership that a book needs.
-type Peers interface {
+// Membership is the part of the membership that a book needs.
+type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
-	Neighbours() []peer.Member
+	RingSuccessors() []peer.Member
 }
 
 // line is one workspace of a stored sheet.
@@ -99,8 +99,8 @@
 }
 
 // Run writes until ctx ends, and does not write then; see Flush.
-func (b *Book) Run(ctx context.Context) error {
-	t := time.NewTicker(b.rules.Tick.Duration())
+func (b *Meter) Run(ctx context.Context) error {
+	t := time.NewTicker(b.rules.CheckInterval.Duration())
 	defer t.Stop()
 	for {
 		select {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (b *Book) tick(ctx context.Context) {
+func (b *Meter) tick(ctx context.Context) {
 	b.writing.Lock()
 	defer b.writing.Unlock()
 	if b.clock.Now() >= b.next {
@@ -123,7 +123,7 @@
 }
 
 // Flush writes what the store lacks, at the end of a planned stop.
-func (b *Book) Flush(ctx context.Context) error {
+func (b *Meter) Flush(ctx context.Context) error {
 	b.writing.Lock()
 	defer b.writing.Unlock()
 	b.writeTails(ctx)
@@ -131,7 +131,7 @@
 }
 
 // writeOwn writes this VM's sheet if it changed.
-func (b *Book) writeOwn(ctx context.Context) error {
+func (b *Meter) writeOwn(ctx context.Context) error {
 	b.mu.Lock()
 	change, s := b.change, sheet{}
 	for w, c := range b.own {
@@ -142,11 +142,11 @@
 		return nil
 	}
 	value := s.encode()
-	b.next = b.clock.Now() + max(b.rules.Least, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.Speed))
+	b.next = b.clock.Now() + max(b.rules.MinInterval, clock.Milli(len(value))*clock.Second/clock.Milli(b.rules.MaxBytesPerSecond))
 	v, err := b.put(ctx, b.self, s, b.version)
 	if err != nil {
 		// Whatever became of it, the next try reads first.
-		b.version, b.next = 0, b.clock.Now()+b.rules.Least
+		b.version, b.next = 0, b.clock.Now()+b.rules.MinInterval
 		return err
 	}
 	b.version, b.stored = v, change
@@ -155,7 +155,7 @@
 
 // put raises a stored sheet to s. The write is tied to the version that was
 // read, so that a write that got stuck can't undo a later one.
-func (b *Book) put(ctx context.Context, l life, s sheet, known platform.Version) (platform.Version, error) {
+func (b *Meter) put(ctx context.Context, l life, s sheet, known platform.Version) (platform.Version, error) {
 	if known == 0 {
 		o, err := b.store.Get(ctx, Kind, l.object())
 		if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -172,11 +172,11 @@
 			s, known = old, o.Version
 		}
 	}
-	return b.store.Put(ctx, Kind, l.object(), s.encode(), platform.At(known))
+	return b.store.Put(ctx, Kind, l.object(), s.encode(), platform.IfVersion(known))
 }
 
 // writeTails writes the copies of lives that are over.
-func (b *Book) writeTails(ctx context.Context) {
+func (b *Meter) writeTails(ctx context.Context) {
 	live := map[life]bool{}
 	for _, m := range b.peers.Live() {
 		live[life{m.VM, m.Incarnation}] = true
@@ -190,7 +190,7 @@
 }
 
 // tails copies what is to be written, and forgets what has long been.
-func (b *Book) tails(live map[life]bool) map[life]sheet {
+func (b *Meter) tails(live map[life]bool) map[life]sheet {
 	now := b.clock.Now()
 	todo := map[life]sheet{}
 	b.mu.Lock()
@@ -202,14 +202,14 @@
 			s := sheet{}
 			s.merge(t.sheet)
 			todo[l] = s
-		case now-t.since > b.rules.Forget:
+		case now-t.since > b.rules.Retention:
 			delete(b.copies, l)
 		}
 	}
 	return todo
 }
 
-func (b *Book) written(l life, s sheet) {
+func (b *Meter) written(l life, s sheet) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.copies[l]
--- a/emulator/call.go
+++ b/emulator/call.go
@@ -28,7 +28,7 @@
 			&cli.StringFlag{Name: "kind", Usage: "request kind"},
 			&cli.StringFlag{Name: "prompt", Value: "ward 7", Usage: "prompt, or the request body for a service"},
 			&cli.IntFlag{Name: "tokens", Usage: "repeat the prompt up to this length in tokens"},
-			&cli.IntFlag{Name: "output", Value: expect.Default, Usage: "length of the answer in tokens"},
+			&cli.IntFlag{Name: "output", Value: expect.DefaultTokens, Usage: "length of the answer in tokens"},
 			&cli.BoolFlag{Name: "whole", Usage: "request a non-streaming response"},
 			&cli.IntFlag{Name: "deadline", Usage: "deadline of the request in `MILLISECONDS`, sent to the daemon"},
 			&cli.IntFlag{Name: "wait", Value: 60_000, Usage: "maximum wait for the answer in `MILLISECONDS`"},
--- a/emulator/caller/call.go
+++ b/emulator/caller/call.go
@@ -236,7 +236,7 @@
 
 func (q *Request) output() int {
 	if q.Output == 0 {
-		return expect.Default
+		return expect.DefaultTokens
 	}
 	return q.Output
 }
@@ -316,7 +316,7 @@
 
 // partial settles an answer that stopped early: what came of it must still be the prompt's own.
 func (r *Result) partial(q Request, err error) error {
-	if want := expect.Of(q.Prompt).Answer(q.output()); !strings.HasPrefix(want, r.Text) {
+	if want := expect.SeedOf(q.Prompt).Answer(q.output()); !strings.HasPrefix(want, r.Text) {
 		return r.judge(errors.New("the part that came is not of the prompt's answer"))
 	}
 	return err
--- a/emulator/engine/engine_test.go
+++ b/emulator/engine/engine_test.go
@@ -184,7 +184,7 @@
 	a, err := c.send(t.Context(), "POST", "/v1/completions", `{"model":"m","stream":true,"prompt":["a","b"]}`, "X-Request-Id", "r1")
 	got := read(t, a, err)
 	require.NoError(t, got.err)
-	require.NoError(t, expect.Check("a\nb", got.text, expect.Default))
+	require.NoError(t, expect.Check("a\nb", got.text, expect.DefaultTokens))
 }
 
 func TestMalformedRequestsDoNotRun(t *testing.T) {
--- a/emulator/engine/http.go
+++ b/emulator/engine/http.go
@@ -131,7 +131,7 @@
 	if need > e.settings.Memory {
 		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("%d tokens are more than the memory of %d", need, e.settings.Memory)
 	}
-	seed := expect.Of(prompt)
+	seed := expect.SeedOf(prompt)
 	return &batch.Request{
 		Entry: &batch.Entry{
 			ID:       decide.RequestID(id),
--- a/emulator/engine/settings.go
+++ b/emulator/engine/settings.go
@@ -63,7 +63,7 @@
 		Prefill: 200_000,
 		Decode:  200,
 		Chunk:   2048,
-		Output:  expect.Default,
+		Output:  expect.DefaultTokens,
 		Lag:     250,
 		Late:    500,
 		Gap:     0.02,
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -166,7 +166,7 @@
 func (p *planner) prompt(r *caller.Request) string {
 	shared := int(float64(r.Tokens) * p.settings.Shared)
 	b := make([]byte, 0, r.Tokens*expect.TokenBytes)
-	common := expect.Of(r.Workspace + "/" + r.Kind)
+	common := expect.SeedOf(r.Workspace + "/" + r.Kind)
 	for i := range shared {
 		b = common.Append(b, i)
 	}
--- a/emulator/load/settings.go
+++ b/emulator/load/settings.go
@@ -135,7 +135,7 @@
 	for i, k := range s.Kinds {
 		for _, c := range doc.Kinds {
 			if c.Name == k.Name {
-				s.Kinds[i].Allowed, s.Kinds[i].Once = c.Allowed, !c.Repeat
+				s.Kinds[i].Allowed, s.Kinds[i].Once = c.TimeLimit, !c.Repeatable
 			}
 		}
 	}
