--- a/emulator/batch/batch.go
+++ b/emulator/batch/batch.go
@@ -15,10 +15,10 @@
 
 // Settings of a batch. The fields of the same name in the engine's settings describe them.
 type Settings struct {
-	Slots           int
-	Prefill, Decode decide.Rate
-	Chunk           decide.Tokens
-	Keep, Orphan    clock.Milli
+	Slots                    int
+	Prefill, Decode          decide.Rate
+	Chunk                    decide.Tokens
+	Retention, OrphanTimeout clock.Milli
 }
 
 // Batch is the queue and the running batch of one engine.
@@ -54,8 +54,8 @@
 // Find returns the request if it has not ended or can still be resumed, otherwise nil.
 func (b *Batch) Find(id decide.RequestID) *Request { return b.requests[id] }
 
-// Other returns any request other than q, or nil if there is none.
-func (b *Batch) Other(q *Request) *Request {
+// AnyOther returns any request other than q, or nil if there is none.
+func (b *Batch) AnyOther(q *Request) *Request {
 	for _, o := range b.requests {
 		if o != q {
 			return o
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// Waiting returns the number of queued requests.
-func (b *Batch) Waiting() int { return len(b.queue) }
+// QueueLen returns the number of queued requests.
+func (b *Batch) QueueLen() int { return len(b.queue) }
 
-// Busy returns the number of queued and running requests.
-func (b *Batch) Busy() int { return len(b.queue) + len(b.running) }
+// Active returns the number of queued and running requests.
+func (b *Batch) Active() int { return len(b.queue) + len(b.running) }
 
 // Add queues a request behind all others of its priority. An earlier request with the same ID must
 // have ended.
@@ -90,7 +90,7 @@
 	q := b.requests[id]
 	if q != nil {
 		b.end(q, Canceled, now)
-		q.Read = true // nobody will resume it
+		q.Delivered = true // nobody will resume it
 	}
 	return b.Release(id) || q != nil
 }
@@ -98,15 +98,15 @@
 // Release frees the memory of a request, but not its exports. It returns false if it had none.
 func (b *Batch) Release(id decide.RequestID) bool {
 	delete(b.imported, id)
-	return b.memory.Free(id)
+	return b.memory.Release(id)
 }
 
 // Step is one iteration of the batch: the number of prompt tokens to prefill for each request, the
 // requests that decode one token, and the duration.
 type Step struct {
-	Length  time.Duration
-	prefill []prefillPart
-	decode  []*Request
+	Duration time.Duration
+	prefill  []prefillPart
+	decode   []*Request
 }
 
 // prefillPart is the part of a step's prefill that belongs to one request.
@@ -129,21 +129,22 @@
 // sweepInterval is the time between two sweeps, since each sweep visits every stored request.
 const sweepInterval clock.Milli = 50
 
-// sweep cancels requests whose reader disconnected and did not return within Orphan, and removes
-// requests that ended at least Keep ago. With a negative Orphan it cancels none, and keeps an ended
-// request until a reader has received the whole stream or the request is deleted.
+// sweep cancels requests whose reader disconnected and did not return within OrphanTimeout, and
+// removes requests that ended at least Retention ago. With a negative OrphanTimeout it cancels none,
+// and also retains an ended request until a reader has received the complete stream or the request is
+// deleted.
 func (b *Batch) sweep(now clock.Milli) {
 	if now-b.lastSweep < sweepInterval {
 		return
 	}
 	b.lastSweep = now
 	for id, q := range b.requests {
-		orphan := b.settings.Orphan >= 0 && !q.Read && q.Readers == 0 && now-q.Left >= b.settings.Orphan
+		orphan := b.settings.OrphanTimeout >= 0 && !q.Delivered && q.Readers == 0 && now-q.LastClosed >= b.settings.OrphanTimeout
 		switch {
 		case !q.Ended && orphan:
 			b.end(q, Canceled, now)
-		case q.Ended && now-q.Entry.Finished >= b.settings.Keep && q.Readers == 0:
-			if b.settings.Orphan >= 0 || q.Read {
+		case q.Ended && now-q.Entry.Finished >= b.settings.Retention && q.Readers == 0:
+			if b.settings.OrphanTimeout >= 0 || q.Delivered {
 				delete(b.requests, id)
 			}
 		}
@@ -169,7 +170,7 @@
 	b.onStart(q)
 	b.onChange(q)
 	// The last prompt token is always computed: it yields the first output token.
-	cached := max(b.memory.Cached(q.Levels), b.imported[q.ID()])
+	cached := max(b.memory.CachedTokens(q.Levels), b.imported[q.ID()])
 	q.Entry.Cached = max(0, min(cached, q.Entry.Prompt-1))
 	q.prefilled = q.Entry.Cached
 	b.running = append(b.running, q)
@@ -197,7 +198,7 @@
 	if len(s.decode) > 0 {
 		seconds += 1 / float64(b.settings.Decode)
 	}
-	s.Length = time.Duration(slowdown * seconds * float64(time.Second))
+	s.Duration = time.Duration(slowdown * seconds * float64(time.Second))
 	return s
 }
 
@@ -213,7 +214,7 @@
 		if q.prefilled < q.Entry.Prompt || q.Ended {
 			continue
 		}
-		b.memory.Remember(q.Levels)
+		b.memory.CachePrompt(q.Levels)
 		b.emit(q, now)
 	}
 }
@@ -224,7 +225,7 @@
 		return
 	}
 	if len(q.Events) == 0 {
-		q.Entry.First = now
+		q.Entry.FirstToken = now
 	}
 	q.Events = append(q.Events, now)
 	q.Entry.Output++
@@ -236,8 +237,9 @@
 	b.end(q, Done, now)
 }
 
-// end removes a request from the batch or the queue and frees its memory. With a negative Orphan, a
-// request that is done without an open stream retains its memory until it is deleted.
+// end removes a request from the batch or the queue and frees its memory. With a negative
+// OrphanTimeout, a request that is done without an open stream retains its memory until a stream is
+// read to the end or the request is deleted.
 func (b *Batch) end(q *Request, o Outcome, now clock.Milli) {
 	if q.Ended {
 		return
@@ -248,7 +250,7 @@
 	b.onChange(q)
 	b.running = slices.DeleteFunc(b.running, func(r *Request) bool { return r == q })
 	b.queue = slices.DeleteFunc(b.queue, func(r *Request) bool { return r == q })
-	if b.settings.Orphan >= 0 || o == Canceled || q.Readers > 0 {
+	if b.settings.OrphanTimeout >= 0 || o == Canceled || q.Readers > 0 {
 		b.Release(q.ID())
 	}
 	q.notify()
--- a/emulator/batch/request.go
+++ b/emulator/batch/request.go
@@ -29,10 +29,10 @@
 	Priority int    `json:"priority"`
 	// Arrived, Started, First and Finished are times in milliseconds, zero if not reached. Started
 	// is when the request received its slot and memory, First when its first token was produced.
-	Arrived  clock.Milli `json:"arrived"`
-	Started  clock.Milli `json:"started"`
-	First    clock.Milli `json:"first"`
-	Finished clock.Milli `json:"finished"`
+	Arrived    clock.Milli `json:"arrived"`
+	Started    clock.Milli `json:"started"`
+	FirstToken clock.Milli `json:"first"`
+	Finished   clock.Milli `json:"finished"`
 	// Hash is the xxhash64 of the prompt in hexadecimal, Text the beginning of the prompt.
 	Hash string `json:"hash"`
 	Text string `json:"text"`
@@ -45,7 +45,7 @@
 	Outcome  Outcome       `json:"outcome"`
 }
 
-// Request is one generation. It is stored from its arrival until Settings.Keep after its end.
+// Request is one generation. It is stored from its arrival until Settings.Retention after its end.
 type Request struct {
 	Entry *Entry
 	// Chat is true for a chat completion and false for a text completion. Model is the requested model.
@@ -62,11 +62,11 @@
 	// Ended is set when no further event will be produced.
 	Ended bool
 	// Readers is the number of open streams. Left is when the most recent stream was closed.
-	Readers int
-	Left    clock.Milli
-	// Read is set when a reader has received the end mark, or the request was canceled and no
+	Readers    int
+	LastClosed clock.Milli
+	// Delivered is set when a reader has received the end mark, or the request was canceled and no
 	// reader will resume its stream.
-	Read bool
+	Delivered bool
 	// Changed is closed and replaced at every event and when the request ends.
 	Changed chan struct{}
 
--- a/emulator/completion/body.go
+++ b/emulator/completion/body.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Body is a completion or chat completion request. It has only the fields that the engine uses.
-type Body struct {
+// Request is a completion or chat completion request. It has only the fields that the engine uses.
+type Request struct {
 	Model    string          `json:"model"`
 	Messages []message       `json:"messages"`
 	Prompt   json.RawMessage `json:"prompt"`
@@ -27,7 +27,7 @@
 }
 
 // Limit returns the requested number of output tokens, or defaultLimit if the request has none.
-func (b *Body) Limit(defaultLimit int) int {
+func (b *Request) Limit(defaultLimit int) int {
 	switch {
 	case b.MaxCompletionTokens > 0:
 		return b.MaxCompletionTokens
@@ -38,8 +38,8 @@
 	}
 }
 
-// Chat returns the prompt of a chat completion: the text of all messages, joined by newlines.
-func (b *Body) Chat() (string, error) {
+// ChatPrompt returns the prompt of a chat completion: the text of all messages, joined by newlines.
+func (b *Request) ChatPrompt() (string, error) {
 	texts := make([]string, len(b.Messages))
 	for i, m := range b.Messages {
 		t, err := parseText(m.Content, "")
@@ -51,8 +51,8 @@
 	return strings.Join(texts, "\n"), nil
 }
 
-// Completion returns the prompt of a text completion. Several prompts are joined by newlines.
-func (b *Body) Completion() (string, error) { return parseText(b.Prompt, "\n") }
+// CompletionPrompt returns the prompt of a text completion. Several prompts are joined by newlines.
+func (b *Request) CompletionPrompt() (string, error) { return parseText(b.Prompt, "\n") }
 
 // parseText parses a string, a list of strings or a list of content parts. It joins strings by sep,
 // content parts too.
--- a/emulator/completion/chunk.go
+++ b/emulator/completion/chunk.go
@@ -9,16 +9,16 @@
 	"snipeshift.example/lib/expect"
 )
 
-// Voice is the request whose ID and answer a chunk contains. It is normally the request of the
+// Source is the request whose ID and answer a chunk contains. It is normally the request of the
 // stream; while the engine is told to cross streams, it is a different one.
-type Voice struct {
+type Source struct {
 	ID   decide.RequestID
 	Seed expect.Seed
 }
 
-// Chunk appends event n of the stream of q in the API's JSON format, with the ID and text of v.
+// AppendChunk appends event n of the stream of q in the API's JSON format, with the ID and text of v.
 // The event after the last token holds the finish reason and the usage.
-func Chunk(b []byte, q *batch.Request, n int, v Voice) []byte {
+func AppendChunk(b []byte, q *batch.Request, n int, v Source) []byte {
 	b = append(b, `{"id":`...)
 	b = strconv.AppendQuote(b, string(v.ID))
 	if q.Chat {
--- a/emulator/engine/engine.go
+++ b/emulator/engine/engine.go
@@ -55,7 +55,7 @@
 
 // New opens the ledger file and starts the batch loop. Close stops it.
 func New(s Settings, c *clock.Clock) (*Engine, error) {
-	j, err := ledger.Open(s.Ledger)
+	j, err := ledger.Open(s.LedgerFile)
 	if err != nil {
 		return nil, err
 	}
@@ -94,9 +94,9 @@
 const crashStatus = 3
 
 // onStart is called when a request begins to run. It ends the process if the request is a poison
-// request, as declared by Control.Crash.
+// request, as declared by Control.PoisonText.
 func (e *Engine) onStart(q *batch.Request) {
-	if m := e.control.Crash; m != "" && strings.Contains(q.Prompt, m) {
+	if m := e.control.PoisonText; m != "" && strings.Contains(q.Prompt, m) {
 		q.Entry.Outcome = batch.Crashed
 		e.onChange(q)
 		e.exit(crashStatus)
@@ -123,8 +123,8 @@
 			stepEnd = time.Now()
 			continue
 		}
-		stepEnd = stepEnd.Add(s.Length)
-		if delay := time.Since(stepEnd); delay > s.Length {
+		stepEnd = stepEnd.Add(s.Duration)
+		if delay := time.Since(stepEnd); delay > s.Duration {
 			stepEnd = stepEnd.Add(delay) // the machine is too slow for the settings, so do not try to catch up
 		}
 		if !e.sleep(timer, time.Until(stepEnd)) {
@@ -139,7 +139,7 @@
 func (e *Engine) plan() batch.Step {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	slowdown := e.control.Slow
+	slowdown := e.control.Slowdown
 	if slowdown <= 0 {
 		slowdown = 1
 	}
@@ -187,16 +187,16 @@
 
 // Drain stops the engine gracefully. The engine reports that it is leaving and accepts requests for
 // the notice period. Then it refuses new requests and waits for the running ones, at most for
-// Settings.Drain.
+// Settings.DrainTimeout.
 func (e *Engine) Drain() {
 	e.mu.Lock()
 	e.control.Leaving = true
 	e.mu.Unlock()
-	time.Sleep(e.settings.Notice.Duration())
+	time.Sleep(e.settings.NoticePeriod.Duration())
 	e.mu.Lock()
 	e.stopping = true
 	e.mu.Unlock()
-	limit := e.clock.Now() + e.settings.Drain
+	limit := e.clock.Now() + e.settings.DrainTimeout
 	for e.busy() && e.clock.Now() < limit {
 		time.Sleep(drainInterval)
 	}
@@ -208,5 +208,5 @@
 func (e *Engine) busy() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.batch.Busy()+e.openStreams > 0
+	return e.batch.Active()+e.openStreams > 0
 }
--- a/emulator/engine/http.go
+++ b/emulator/engine/http.go
@@ -58,20 +58,20 @@
 }
 
 func (e *Engine) postChat(w http.ResponseWriter, r *http.Request) {
-	e.generate(w, r, true, (*completion.Body).Chat)
+	e.generate(w, r, true, (*completion.Request).ChatPrompt)
 }
 
 func (e *Engine) postCompletion(w http.ResponseWriter, r *http.Request) {
-	e.generate(w, r, false, (*completion.Body).Completion)
+	e.generate(w, r, false, (*completion.Request).CompletionPrompt)
 }
 
-func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool, promptOf func(*completion.Body) (string, error)) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.Body))
+func (e *Engine) generate(w http.ResponseWriter, r *http.Request, chat bool, promptOf func(*completion.Request) (string, error)) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.MaxBody))
 	if err != nil {
 		writeError(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	var body completion.Body
+	var body completion.Request
 	if err := json.Unmarshal(raw, &body); err != nil || !utf8.Valid(raw) {
 		writeError(w, http.StatusBadRequest, "malformed body")
 		return
@@ -99,20 +99,20 @@
 }
 
 // dropsAnswer reports whether the answer to this request must be dropped, and counts it against
-// Control.Die.
+// Control.DropAnswers.
 func (e *Engine) dropsAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.control.Die == 0 {
+	if e.control.DropAnswers == 0 {
 		return false
 	}
-	e.control.Die--
+	e.control.DropAnswers--
 	return true
 }
 
 // newRequest returns the request from its headers, body and prompt, with the memory that it needs. On
 // an error it also returns the status of the response.
-func (e *Engine) newRequest(r *http.Request, body *completion.Body, prompt string) (*batch.Request, int, error) {
+func (e *Engine) newRequest(r *http.Request, body *completion.Request, prompt string) (*batch.Request, int, error) {
 	h := r.Header
 	id := h.Get("X-Request-Id")
 	priority, errPriority := parseNumber(h.Get("X-Priority"))
@@ -120,7 +120,7 @@
 	if id == "" || errPriority != nil || errReserve != nil {
 		return nil, http.StatusBadRequest, fmt.Errorf("X-Request-Id is missing, or X-Priority or X-Reserve is no number")
 	}
-	limit := body.Limit(e.settings.Output)
+	limit := body.Limit(e.settings.DefaultOutput)
 	tokens := decide.Tokens(expect.Tokens(prompt))
 	need := tokens + decide.Tokens(limit)
 	if group := h.Get("X-Group"); group != "" {
@@ -215,7 +215,7 @@
 // readJSON parses the body and rejects unknown fields. If it returns false, it has responded with
 // status 400.
 func (e *Engine) readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.Body))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, e.settings.MaxBody))
 	if err == nil {
 		err = settings.Parse(raw, into)
 	}
--- a/emulator/engine/report.go
+++ b/emulator/engine/report.go
@@ -17,8 +17,8 @@
 	At  clock.Milli `json:"at"`
 	Seq uint64      `json:"seq"`
 	// Running lists all reservations of memory: running requests, group members and imports.
-	Running []kv.Held `json:"running"`
-	Exports []kv.Kept `json:"exports"`
+	Running []kv.Reservation `json:"running"`
+	Exports []kv.Export      `json:"exports"`
 	// Used is the memory of Running and Exports in tokens, without the prefix cache.
 	Used    decide.Tokens `json:"used"`
 	Memory  decide.Tokens `json:"memory"`
@@ -57,21 +57,21 @@
 func (e *Engine) recordReport() {
 	old := 0
 	l := e.reports.list
-	for old+1 < len(l) && l[old+1].At <= e.clock.Now()-e.settings.Lag {
+	for old+1 < len(l) && l[old+1].At <= e.clock.Now()-e.settings.ReportDelay {
 		old++
 	}
 	e.reports.list = append(slices.Delete(l, 0, old), e.currentReport())
 }
 
-// visibleReport returns the newest report that is at least Settings.Lag old. Before there is one, it
-// returns the first report.
+// visibleReport returns the newest report that is at least Settings.ReportDelay old. Before there is
+// one, it returns the first report.
 func (e *Engine) visibleReport() Report {
-	if e.settings.Lag == 0 {
+	if e.settings.ReportDelay == 0 {
 		return e.currentReport()
 	}
 	newest := e.reports.list[0]
 	for _, r := range e.reports.list {
-		if r.At <= e.clock.Now()-e.settings.Lag {
+		if r.At <= e.clock.Now()-e.settings.ReportDelay {
 			newest = r
 		}
 	}
@@ -83,11 +83,11 @@
 	return Report{
 		At:      e.clock.Now(),
 		Seq:     e.reports.seq,
-		Running: e.memory.Held(),
+		Running: e.memory.Reservations(),
 		Exports: e.memory.Exports(),
 		Used:    e.memory.Used(),
 		Memory:  e.memory.Size(),
-		Queued:  e.batch.Waiting(),
+		Queued:  e.batch.QueueLen(),
 		Leaving: e.control.Leaving,
 		Role:    e.role,
 	}
@@ -116,7 +116,7 @@
 func (e *Engine) onCacheChange(h decide.PrefixHash, evicted bool) {
 	v := &e.events
 	v.seq++
-	if v.random.Float64() < e.settings.Gap {
+	if v.random.Float64() < e.settings.EventLoss {
 		return
 	}
 	v.list = append(v.list, Event{v.seq, h, evicted, e.clock.Now()})
@@ -125,11 +125,11 @@
 	}
 }
 
-// eventsAfter returns the events with numbers above seq that are at least Settings.Late old.
+// eventsAfter returns the events with numbers above seq that are at least Settings.EventDelay old.
 func (e *Engine) eventsAfter(seq uint64) []Event {
 	visible := []Event{}
 	for _, v := range e.events.list {
-		if v.Seq > seq && v.at <= e.clock.Now()-e.settings.Late {
+		if v.Seq > seq && v.at <= e.clock.Now()-e.settings.EventDelay {
 			visible = append(visible, v)
 		}
 	}
@@ -155,7 +155,7 @@
 	for _, n := range e.entries {
 		l.Requests = append(l.Requests, *n)
 	}
-	for _, h := range e.memory.Held() {
+	for _, h := range e.memory.Reservations() {
 		if q := e.batch.Find(h.ID); q == nil || q.Ended {
 			l.Orphans = append(l.Orphans, h.ID)
 		}
--- a/emulator/engine/stream.go
+++ b/emulator/engine/stream.go
@@ -30,7 +30,7 @@
 	events         []clock.Milli
 	ended          bool
 	faults         faults
-	other          completion.Voice
+	other          completion.Source
 	changed        chan struct{}
 	controlChanged chan struct{}
 }
@@ -64,8 +64,8 @@
 	defer e.mu.Unlock()
 	e.openStreams--
 	q.Readers--
-	q.Left = e.clock.Now()
-	q.Read = q.Read || complete
+	q.LastClosed = e.clock.Now()
+	q.Delivered = q.Delivered || complete
 	if complete && q.Ended {
 		e.batch.Release(q.ID())
 		e.wake()
@@ -102,7 +102,7 @@
 	v := streamState{events: q.Events, ended: q.Ended, changed: q.Changed, controlChanged: e.controlChanged}
 	if strings.Contains(q.Prompt, e.control.Match) {
 		c := &e.control
-		v.faults = faults{c.Stall, c.Truncate, c.Clean, c.Cross, c.From, c.Duplicate, c.Late}
+		v.faults = faults{c.Stall, c.Truncate, c.CleanEnd, c.Cross, c.FromEvent, c.Duplicate, c.SendDelay}
 	}
 	if v.faults.cross {
 		v.other = e.otherSource(q)
@@ -111,11 +111,11 @@
 }
 
 // otherSource returns the ID and seed of another request, or made-up ones if there is none.
-func (e *Engine) otherSource(q *batch.Request) completion.Voice {
-	if o := e.batch.Other(q); o != nil {
-		return completion.Voice{ID: o.ID(), Seed: o.Seed}
+func (e *Engine) otherSource(q *batch.Request) completion.Source {
+	if o := e.batch.AnyOther(q); o != nil {
+		return completion.Source{ID: o.ID(), Seed: o.Seed}
 	}
-	return completion.Voice{ID: "other-" + q.ID(), Seed: q.Seed + 1}
+	return completion.Source{ID: "other-" + q.ID(), Seed: q.Seed + 1}
 }
 
 // writeAvailable sends the events that have been produced. It returns sent=false if the reader has
@@ -143,7 +143,7 @@
 // writeEvent writes event number next, several times if events are duplicated. It returns false if
 // the connection is broken.
 func (s *streamWriter) writeEvent(v streamState) bool {
-	source := completion.Voice{ID: s.req.ID(), Seed: s.req.Seed}
+	source := completion.Source{ID: s.req.ID(), Seed: s.req.Seed}
 	copies := 1
 	if s.next >= v.faults.from {
 		copies += v.faults.duplicate
@@ -155,7 +155,7 @@
 	b = append(b, "id: "...)
 	b = strconv.AppendInt(b, int64(s.next), 10)
 	b = append(b, "\ndata: "...)
-	b = completion.Chunk(b, s.req, s.next, source)
+	b = completion.AppendChunk(b, s.req, s.next, source)
 	b = append(b, "\n\n"...)
 	s.buf = b
 	s.sent++
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return Pair{}, err
 	}
-	mixed, err := r.level(ctx, rate, r.load.Long)
+	mixed, err := r.level(ctx, rate, r.load.LongFraction)
 	if err != nil {
 		return Pair{}, err
 	}
@@ -104,7 +104,7 @@
 
 func (r *runner) level(ctx context.Context, rate, long float64) (Level, error) {
 	s := r.load
-	s.Rate, s.Long = rate, long
+	s.Rate, s.LongFraction = rate, long
 	s.Seed += uint64(rate * 1000)
 	before, err := r.usage(ctx)
 	if err != nil {
--- a/emulator/experiment/path.go
+++ b/emulator/experiment/path.go
@@ -28,8 +28,8 @@
 
 // Path is what one request through a daemon costs.
 type Path struct {
-	Target   string        `json:"target"`
-	Compared load.Compared `json:"compared"`
+	Target   string                `json:"target"`
+	Compared load.ComparisonResult `json:"compared"`
 	// Allocs and Allocated are heap allocations and their bytes in all daemons for one request.
 	Allocs    float64 `json:"allocs"`
 	Allocated float64 `json:"allocated"`
@@ -132,7 +132,7 @@
 
 const kilobyte = 1 << 10
 
-func sideRow(b *strings.Builder, target, way string, s load.Side) {
+func sideRow(b *strings.Builder, target, way string, s load.PathResult) {
 	fmt.Fprintf(b, "| %s | %s | %d of %d | %.2f | %.2f | %.2f | %.2f |\n",
 		target, way, s.Outcomes["finished"], s.Sent, s.First.P50, s.First.P99, s.Total.P50, s.Total.P99)
 }
--- a/emulator/kv/memory.go
+++ b/emulator/kv/memory.go
@@ -16,14 +16,14 @@
 // that another engine can read from it how much memory the import needs.
 type Handle string
 
-// Held is the memory reserved by one request, in tokens.
-type Held struct {
+// Reservation is the memory reserved by one request, in tokens.
+type Reservation struct {
 	ID       decide.RequestID `json:"id"`
 	Reserved decide.Tokens    `json:"reserved"`
 }
 
-// Kept is one export: a copy of the KV cache of a request that other engines can import.
-type Kept struct {
+// Export is one export: a copy of the KV cache of a request that other engines can import.
+type Export struct {
 	Handle  Handle           `json:"handle"`
 	Request decide.RequestID `json:"request"`
 	Tokens  decide.Tokens    `json:"tokens"`
@@ -35,7 +35,7 @@
 	size decide.Tokens
 	// reserved is the memory of running requests, reservations of group members and imports.
 	reserved map[decide.RequestID]decide.Tokens
-	exports  map[Handle]Kept
+	exports  map[Handle]Export
 	// used is the sum of reserved and exports. It is at most size.
 	used  decide.Tokens
 	cache *cache
@@ -47,7 +47,7 @@
 	return &Memory{
 		size:     size,
 		reserved: map[decide.RequestID]decide.Tokens{},
-		exports:  map[Handle]Kept{},
+		exports:  map[Handle]Export{},
 		cache:    newCache(onChange),
 	}
 }
@@ -60,8 +60,8 @@
 // Used returns the memory of requests and exports in tokens.
 func (m *Memory) Used() decide.Tokens { return m.used }
 
-// Holds returns the memory reserved by a request, and false if it has no reservation.
-func (m *Memory) Holds(id decide.RequestID) (decide.Tokens, bool) {
+// Reserved returns the memory reserved by a request, and false if it has no reservation.
+func (m *Memory) Reserved(id decide.RequestID) (decide.Tokens, bool) {
 	n, ok := m.reserved[id]
 	return n, ok
 }
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Free releases the reservation of a request. It returns false if there was none.
-func (m *Memory) Free(id decide.RequestID) bool {
+// Release releases the reservation of a request. It returns false if there was none.
+func (m *Memory) Release(id decide.RequestID) bool {
 	n, ok := m.reserved[id]
 	m.used -= n
 	delete(m.reserved, id)
@@ -96,47 +96,47 @@
 		return false
 	}
 	m.used += n
-	m.exports[h] = Kept{h, id, n}
+	m.exports[h] = Export{h, id, n}
 	m.cache.evict(m.available())
 	return true
 }
 
-// Drop deletes an export. It returns false if there was none.
-func (m *Memory) Drop(h Handle) bool {
+// DeleteExport deletes an export. It returns false if there was none.
+func (m *Memory) DeleteExport(h Handle) bool {
 	x, ok := m.exports[h]
 	m.used -= x.Tokens
 	delete(m.exports, h)
 	return ok
 }
 
-// Cached returns the number of leading tokens of a prompt that are cached.
-func (m *Memory) Cached(levels []Level) decide.Tokens { return m.cache.match(levels) }
+// CachedTokens returns the number of leading tokens of a prompt that are cached.
+func (m *Memory) CachedTokens(levels []Level) decide.Tokens { return m.cache.match(levels) }
 
-// Remember adds the levels of a prompt to the cache, as far as they fit.
-func (m *Memory) Remember(levels []Level) { m.cache.add(levels, m.available()) }
+// CachePrompt adds the levels of a prompt to the cache, as far as they fit.
+func (m *Memory) CachePrompt(levels []Level) { m.cache.add(levels, m.available()) }
 
-// Held lists the reservations of requests, sorted by ID.
-func (m *Memory) Held() []Held {
-	list := []Held{}
+// Reservations lists the reservations of requests, sorted by ID.
+func (m *Memory) Reservations() []Reservation {
+	list := []Reservation{}
 	for id, n := range m.reserved {
-		list = append(list, Held{id, n})
+		list = append(list, Reservation{id, n})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b Reservation) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
 // Exports lists the exports, sorted by handle.
-func (m *Memory) Exports() []Kept {
-	list := []Kept{}
+func (m *Memory) Exports() []Export {
+	list := []Export{}
 	for _, x := range m.exports {
 		list = append(list, x)
 	}
-	slices.SortFunc(list, func(a, b Kept) int { return cmp.Compare(a.Handle, b.Handle) })
+	slices.SortFunc(list, func(a, b Export) int { return cmp.Compare(a.Handle, b.Handle) })
 	return list
 }
 
-// HandleOf returns the handle of an engine's export of n tokens. The number makes it unique.
-func HandleOf(engine string, number uint64, n decide.Tokens) Handle {
+// NewHandle returns the handle of an engine's export of n tokens. The number makes it unique.
+func NewHandle(engine string, number uint64, n decide.Tokens) Handle {
 	return Handle(fmt.Sprintf("%s.%d.%d", engine, number, n))
 }
 
--- a/emulator/load/compare.go
+++ b/emulator/load/compare.go
@@ -32,20 +32,20 @@
 	Seed           uint64
 }
 
-// Side is the measurements of one path, direct or through the daemon.
-type Side struct {
+// PathResult is the measurements of one path, direct or through the daemon.
+type PathResult struct {
 	Sent     int                    `json:"sent"`
 	Outcomes map[caller.Outcome]int `json:"outcomes"`
 	// First is the time to the first token of a stream, or to the complete answer of a service.
-	First Span `json:"first"`
-	Total Span `json:"total"`
+	First Distribution `json:"first"`
+	Total Distribution `json:"total"`
 }
 
-// Compared is the result of a Comparison, in milliseconds. The differences are between the quantiles
-// of the two distributions; they are not quantiles of the differences.
-type Compared struct {
-	Direct  Side `json:"direct"`
-	Through Side `json:"through"`
+// ComparisonResult is the result of a Comparison, in milliseconds. The differences are between the
+// quantiles of the two distributions; they are not quantiles of the differences.
+type ComparisonResult struct {
+	Direct  PathResult `json:"direct"`
+	Through PathResult `json:"through"`
 	// Median and P99 are the differences in the time to the first token.
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
@@ -64,21 +64,21 @@
 
 // Compare sends requests on both paths alternately, in short slices, so that other load on the machine
 // affects both equally. The first slice of each path is a warm-up and is not counted.
-func Compare(ctx context.Context, c Comparison) (Compared, error) {
+func Compare(ctx context.Context, c Comparison) (ComparisonResult, error) {
 	paths := []*path{c.newPath(c.Direct, true), c.newPath(c.Through, false)}
 	for round := range c.Rounds + 1 {
 		for i := range paths {
 			p := paths[(i+round)%len(paths)]
 			p.runSlice(ctx, c.Slice, round > 0)
 			if ctx.Err() != nil {
-				return Compared{}, ctx.Err()
+				return ComparisonResult{}, ctx.Err()
 			}
 		}
 	}
 	for _, p := range paths {
 		p.client.Close()
 	}
-	r := Compared{Direct: paths[0].result(), Through: paths[1].result()}
+	r := ComparisonResult{Direct: paths[0].result(), Through: paths[1].result()}
 	r.Median = r.Through.First.P50 - r.Direct.First.P50
 	r.P99 = r.Through.First.P99 - r.Direct.First.P99
 	r.TotalMedian = r.Through.Total.P50 - r.Direct.Total.P50
@@ -88,12 +88,12 @@
 
 func (c Comparison) newPath(address string, direct bool) *path {
 	settings := Settings{
-		Addresses: []string{address},
-		Rate:      c.Rate,
-		Seed:      c.Seed,
-		Model:     c.Model,
-		Stream:    1,
-		Keys:      map[string]string{"workspace": c.Key},
+		Addresses:      []string{address},
+		Rate:           c.Rate,
+		Seed:           c.Seed,
+		Model:          c.Model,
+		StreamFraction: 1,
+		Keys:           map[string]string{"workspace": c.Key},
 		Kinds: Kinds{{
 			Name:    c.Kind,
 			Weight:  1,
@@ -145,18 +145,18 @@
 	}
 }
 
-func (p *path) result() Side {
+func (p *path) result() PathResult {
 	r := p.tally.finish(0)
-	return Side{r.Sent, r.Outcomes, distributionOf(p.histograms.first), distributionOf(p.histograms.total)}
+	return PathResult{r.Sent, r.Outcomes, distributionOf(p.histograms.first), distributionOf(p.histograms.total)}
 }
 
 // Wrong returns the number of wrong answers on both paths.
-func (r *Compared) Wrong() int {
+func (r *ComparisonResult) Wrong() int {
 	return r.Direct.Outcomes[caller.Wrong] + r.Through.Outcomes[caller.Wrong]
 }
 
-// Text writes the result as a table for people.
-func (r *Compared) Text(out io.Writer) error {
+// WriteText writes the result as a table for people.
+func (r *ComparisonResult) WriteText(out io.Writer) error {
 	_, err := fmt.Fprintf(out, `milliseconds   first p50      p99  total p50      p99  finished
 direct        %s
 through       %s
@@ -165,7 +165,7 @@
 	return err
 }
 
-func (s *Side) row() string {
+func (s *PathResult) row() string {
 	return fmt.Sprintf("%10.3f %8.3f %10.3f %8.3f  %d of %d",
 		s.First.P50, s.First.P99, s.Total.P50, s.Total.P99, s.Outcomes[caller.Finished], s.Sent)
 }
--- a/emulator/load/load_test.go
+++ b/emulator/load/load_test.go
@@ -55,16 +55,16 @@
 
 func directSettings(address string) Settings {
 	return Settings{
-		Addresses: []string{address},
-		Callers:   8,
-		Count:     40,
-		Seed:      7,
-		Stream:    1,
-		Shared:    0.5,
-		Keys:      map[string]string{"a": "key-a", "b": "key-b"},
-		Kinds:     Kinds{{Name: "ward-notice", Weight: 1, From: 10, To: 50, Output: 6, Allowed: 10_000}},
-		Slack:     1000,
-		Direct:    true,
+		Addresses:      []string{address},
+		MaxOpen:        8,
+		Count:          40,
+		Seed:           7,
+		StreamFraction: 1,
+		SharedFraction: 0.5,
+		Keys:           map[string]string{"a": "key-a", "b": "key-b"},
+		Kinds:          Kinds{{Name: "ward-notice", Weight: 1, From: 10, To: 50, Output: 6, Allowed: 10_000}},
+		Slack:          1000,
+		Direct:         true,
 	}
 }
 
@@ -96,9 +96,9 @@
 		s.Rate = rate
 		s.Seed += uint64(rate)
 		if rate > 0 {
-			// An open loop skips requests while Callers are open, which can happen on a slow
+			// An open loop skips requests while MaxOpen are open, which can happen on a slow
 			// machine. Here none may be skipped.
-			s.Callers = s.Count
+			s.MaxOpen = s.Count
 		}
 		r, err := Run(t.Context(), s)
 		require.NoError(t, err)
@@ -107,7 +107,7 @@
 		require.Equal(t, int64(40), r.Bands["under 4k"].First.Count)
 		require.LessOrEqual(t, r.Bands["under 4k"].First.P50, r.Bands["under 4k"].Total.P50)
 		var text bytes.Buffer
-		require.NoError(t, r.Text(&text))
+		require.NoError(t, r.WriteText(&text))
 		require.Contains(t, text.String(), "finished  40")
 	}
 }
@@ -115,7 +115,7 @@
 func TestClosedLoopEndsAfterSpan(t *testing.T) {
 	_, address := startEngine(t)
 	s := directSettings(address)
-	s.Count, s.Span = 0, 100
+	s.Count, s.RunTime = 0, 100
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
 	require.Equal(t, r.Sent, r.Outcomes[caller.Finished], r.Examples)
@@ -126,7 +126,7 @@
 	e, address := startEngine(t)
 	control(t, e, `{"stall":true}`)
 	s := directSettings(address)
-	s.Rate, s.Callers, s.Kinds[0].Allowed, s.Slack = 1000, 2, 200, 0
+	s.Rate, s.MaxOpen, s.Kinds[0].Allowed, s.Slack = 1000, 2, 200, 0
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
 	require.NotZero(t, r.Skipped)
@@ -175,7 +175,7 @@
 	require.Equal(t, r.Through.Sent, r.Through.Outcomes[caller.Finished])
 	require.Greater(t, r.Through.First.P50, 20.0)
 	require.Greater(t, r.Median, 0.0)
-	require.NoError(t, r.Text(io.Discard))
+	require.NoError(t, r.WriteText(io.Discard))
 }
 
 func TestCompareStopsWithItsContext(t *testing.T) {
@@ -191,7 +191,7 @@
 		func(s *Settings) { s.Addresses = nil },
 		func(s *Settings) { s.Keys = nil },
 		func(s *Settings) { s.Kinds = nil },
-		func(s *Settings) { s.Callers = 0 },
+		func(s *Settings) { s.MaxOpen = 0 },
 		func(s *Settings) { s.Count = -1 },
 		func(s *Settings) { s.Burst = 2 },
 		func(s *Settings) { s.Count = 0 },
@@ -224,7 +224,7 @@
 		s.Count = 2
 		r, err := Run(t.Context(), s)
 		require.NoError(t, err)
-		require.Equal(t, []Fault{{"k", ran, 2}}, r.Faults)
+		require.Equal(t, []ErrorCount{{"k", ran, 2}}, r.Faults)
 		require.Equal(t, 2, r.Outcomes[want])
 		require.Equal(t, 3, r.Examples[0].Result.Retry)
 	}
@@ -246,7 +246,7 @@
 	}))
 	s := directSettings(full)
 	s.Addresses = append(s.Addresses, address)
-	s.Count, s.Callers, s.Retries, s.Seed = 6, 6, 3, 3
+	s.Count, s.MaxOpen, s.Retries, s.Seed = 6, 6, 3, 3
 	r, err := Run(t.Context(), s)
 	require.NoError(t, err)
 	require.Equal(t, 6, r.Outcomes[caller.Finished], r.Examples)
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -42,7 +42,7 @@
 // hasNext reports whether the run has another request.
 func (p *planner) hasNext() bool {
 	s := &p.settings
-	return (s.Count == 0 || p.number < s.Count) && (s.Span == 0 || p.offset < s.Span.Duration())
+	return (s.Count == 0 || p.number < s.Count) && (s.RunTime == 0 || p.offset < s.RunTime.Duration())
 }
 
 // next generates the next request. At a fixed rate arrivals are independent of each other, so the
@@ -61,7 +61,7 @@
 		Kind:      k.Name,
 		Tokens:    p.promptLength(k),
 		Output:    k.Output,
-		Stream:    p.random.Float64() < s.Stream || s.Direct, // always draws, so that Direct changes no other choice
+		Stream:    p.random.Float64() < s.StreamFraction || s.Direct, // always draws, so that Direct changes no other choice
 		Allowed:   k.Allowed,
 		Slack:     s.Slack,
 		Pause:     k.Pause,
@@ -121,7 +121,7 @@
 }
 
 func (p *planner) kind() Kind {
-	if len(p.longKinds) > 0 && (len(p.shortKinds) == 0 || p.random.Float64() < p.settings.Long) {
+	if len(p.longKinds) > 0 && (len(p.shortKinds) == 0 || p.random.Float64() < p.settings.LongFraction) {
 		return p.longKinds[p.random.IntN(len(p.longKinds))]
 	}
 	total := 0.0
@@ -164,7 +164,7 @@
 // prompt generates a prompt that begins with text common to all prompts of the kind and workspace and
 // ends with random text. The random text makes the prompt, and therefore its answer, unique.
 func (p *planner) prompt(r *caller.Request) string {
-	shared := int(float64(r.Tokens) * p.settings.Shared)
+	shared := int(float64(r.Tokens) * p.settings.SharedFraction)
 	b := make([]byte, 0, r.Tokens*expect.TokenBytes)
 	common := expect.SeedOf(r.Workspace + "/" + r.Kind)
 	for i := range shared {
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -37,9 +37,9 @@
 		return nil
 	})
 	if s.Rate > 0 {
-		runOpenLoop(ctx, s.Callers, client, requests, start)
+		runOpenLoop(ctx, s.MaxOpen, client, requests, start)
 	} else {
-		runClosedLoop(ctx, s.Callers, client, requests)
+		runClosedLoop(ctx, s.MaxOpen, client, requests)
 	}
 	elapsed := time.Since(start)
 	cancel()
@@ -50,10 +50,10 @@
 // planContext returns the context of the generation of requests. In a closed loop with a span, it ends
 // when the span has passed. In an open loop, the planner itself ends the plan by the scheduled times.
 func planContext(ctx context.Context, s Settings, start time.Time) (context.Context, context.CancelFunc) {
-	if s.Rate > 0 || s.Span == 0 {
+	if s.Rate > 0 || s.RunTime == 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, start.Add(s.Span.Duration()))
+	return context.WithDeadline(ctx, start.Add(s.RunTime.Duration()))
 }
 
 func produce(ctx context.Context, p *planner, out chan<- caller.Request) {
--- a/emulator/load/settings.go
+++ b/emulator/load/settings.go
@@ -20,29 +20,29 @@
 	// requests are sent only to daemons that report that they are ready.
 	Operators []string `json:"operators"`
 	// Rate is the number of requests per second in an open loop, which sends them whether or not
-	// earlier ones have been answered. Zero is a closed loop: each of Callers clients sends its next
+	// earlier ones have been answered. Zero is a closed loop: each of MaxOpen clients sends its next
 	// request after its previous one has ended.
 	Rate float64 `json:"rate"`
-	// Callers is the maximum number of open requests. An open loop skips requests above it.
-	Callers int `json:"callers"`
-	// Count ends the run after a number of requests, Span after a number of milliseconds. Zero means
+	// MaxOpen is the maximum number of open requests. An open loop skips requests above it.
+	MaxOpen int `json:"callers"`
+	// Count ends the run after a number of requests, RunTime after a number of milliseconds. Zero means
 	// no limit.
-	Count int         `json:"count"`
-	Span  clock.Milli `json:"span"`
+	Count   int         `json:"count"`
+	RunTime clock.Milli `json:"span"`
 	// Seed determines every request, its scheduled time and the choice of its address.
 	Seed uint64 `json:"seed"`
 	// Model is the model of the requests.
 	Model string `json:"model"`
-	// Stream is the fraction of model requests that ask for a stream, 0 to 1.
-	Stream float64 `json:"stream"`
-	// Shared is the fraction of each prompt that is a prefix common to all prompts of the same kind
-	// and workspace, 0 to 1.
-	Shared float64 `json:"shared"`
-	// Long is the fraction of requests of the long kinds, 0 to 1. Their prompts have LongFrom to
+	// StreamFraction is the fraction of model requests that ask for a stream, 0 to 1.
+	StreamFraction float64 `json:"stream"`
+	// SharedFraction is the fraction of each prompt that is a prefix common to all prompts of the
+	// same kind and workspace, 0 to 1.
+	SharedFraction float64 `json:"shared"`
+	// LongFraction is the fraction of requests of the long kinds, 0 to 1. Their prompts have LongFrom to
 	// LongTo tokens.
-	Long     float64 `json:"long"`
-	LongFrom int     `json:"longfrom"`
-	LongTo   int     `json:"longto"`
+	LongFraction float64 `json:"long"`
+	LongFrom     int     `json:"longfrom"`
+	LongTo       int     `json:"longto"`
 	// Keys maps workspaces to their API keys.
 	Keys map[string]string `json:"keys"`
 	// Shares maps workspaces to their relative shares of the requests. A workspace that is not listed
@@ -93,7 +93,7 @@
 	Output int `json:"output"`
 	// Once gives every request a unique idempotency key.
 	Once bool `json:"once"`
-	// Long marks a long kind. All long kinds together make up the fraction Long of the settings.
+	// Long marks a long kind. All long kinds together make up the LongFraction of the requests.
 	Long bool `json:"long"`
 	// Allowed is how long the client waits for the answer, in milliseconds.
 	Allowed clock.Milli `json:"allowed"`
@@ -111,19 +111,19 @@
 		return Settings{}, err
 	}
 	s := Settings{
-		Rate:     20,
-		Callers:  2000,
-		Span:     10 * clock.Second,
-		Seed:     1,
-		Model:    doc.Models[0].Name,
-		Stream:   0.8,
-		Shared:   0.5,
-		Long:     0.02,
-		LongFrom: 100_000,
-		LongTo:   1_000_000,
-		Keys:     map[string]string{},
-		Shares:   map[string]float64{},
-		Slack:    2 * clock.Second,
+		Rate:           20,
+		MaxOpen:        2000,
+		RunTime:        10 * clock.Second,
+		Seed:           1,
+		Model:          doc.Models[0].Name,
+		StreamFraction: 0.8,
+		SharedFraction: 0.5,
+		LongFraction:   0.02,
+		LongFrom:       100_000,
+		LongTo:         1_000_000,
+		Keys:           map[string]string{},
+		Shares:         map[string]float64{},
+		Slack:          2 * clock.Second,
 	}
 	for _, w := range doc.Workspaces {
 		if len(w.Kinds) == 0 {
@@ -171,13 +171,13 @@
 		return errors.New("keys is empty")
 	case len(s.Kinds) == 0:
 		return errors.New("kinds is empty")
-	case s.Callers <= 0:
+	case s.MaxOpen <= 0:
 		return errors.New("callers must be at least 1")
-	case s.Rate < 0 || s.Count < 0 || s.Span < 0:
+	case s.Rate < 0 || s.Count < 0 || s.RunTime < 0:
 		return errors.New("rate, count and span must not be negative")
 	case s.Burst < 0 || s.Period < 0 || s.Burst > 0 && s.Period == 0:
 		return errors.New("burst and period must not be negative, and a burst needs a period")
-	case s.Rate == 0 && s.Count == 0 && s.Span == 0:
+	case s.Rate == 0 && s.Count == 0 && s.RunTime == 0:
 		return errors.New("without a rate, a run needs a count or a span")
 	}
 	for _, k := range s.Kinds {
--- a/emulator/load/streams.go
+++ b/emulator/load/streams.go
@@ -9,8 +9,8 @@
 	"snipeshift.example/emulator/proc"
 )
 
-// Streams is the setup of a measurement of a daemon's memory with open streams.
-type Streams struct {
+// StreamsSetup is the setup of a measurement of a daemon's memory with open streams.
+type StreamsSetup struct {
 	// Address is the host:port of the daemon, Pid its process ID.
 	Address string
 	Pid     int
@@ -24,8 +24,8 @@
 	Settle time.Duration
 }
 
-// Held is the result of the measurement: resident memory of the daemon in bytes.
-type Held struct {
+// StreamMemory is the result of the measurement: resident memory of the daemon in bytes.
+type StreamMemory struct {
 	// Open is the number of streams that have received their first token.
 	Open int `json:"open"`
 	// Before is the memory without streams, During with all of them open.
@@ -37,14 +37,14 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Hold measures the daemon's memory, opens the streams, waits until each has received its first token
-// and measures again. Then it closes the streams.
-func Hold(ctx context.Context, s Streams) (Held, error) {
+// MeasureStreams measures the daemon's memory, opens the streams, waits until each has received its
+// first token and measures again. Then it closes the streams.
+func MeasureStreams(ctx context.Context, s StreamsSetup) (StreamMemory, error) {
 	before, err := proc.Of(s.Pid)
 	if err != nil {
-		return Held{}, err
+		return StreamMemory{}, err
 	}
-	h := Held{Before: before.Memory}
+	h := StreamMemory{Before: before.Memory}
 	ctx, cancel := context.WithCancel(ctx)
 	first := make(chan struct{}, s.Count)
 	ended := make(chan caller.Result, s.Count)
@@ -67,21 +67,21 @@
 	return h, err
 }
 
-func (s *Streams) request(i int) caller.Request {
+func (s *StreamsSetup) request(i int) caller.Request {
 	p := newPlanner(Settings{
-		Addresses: []string{s.Address},
-		Model:     s.Model,
-		Stream:    1,
-		Seed:      uint64(i),
-		Keys:      map[string]string{"workspace": s.Key},
-		Kinds:     Kinds{{Name: s.Kind, Weight: 1, From: 1000, To: 1000, Output: s.Output}},
+		Addresses:      []string{s.Address},
+		Model:          s.Model,
+		StreamFraction: 1,
+		Seed:           uint64(i),
+		Keys:           map[string]string{"workspace": s.Key},
+		Kinds:          Kinds{{Name: s.Kind, Weight: 1, From: 1000, To: 1000, Output: s.Output}},
 	})
 	return p.next()
 }
 
 // await waits for the first token of every stream and then for the Settle time. It returns early if a
 // stream or ctx ends.
-func (h *Held) await(ctx context.Context, s Streams, first <-chan struct{}, ended <-chan caller.Result) {
+func (h *StreamMemory) await(ctx context.Context, s StreamsSetup, first <-chan struct{}, ended <-chan caller.Result) {
 	for h.Open < s.Count {
 		select {
 		case <-first:
--- a/emulator/load/tally.go
+++ b/emulator/load/tally.go
@@ -49,8 +49,8 @@
 	return bands[len(bands)-1].name
 }
 
-// Span is a summary of a distribution of durations, in milliseconds.
-type Span struct {
+// Distribution is a summary of a distribution of durations, in milliseconds.
+type Distribution struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
@@ -72,9 +72,9 @@
 	_ = h.RecordValue(min(max(d, time.Microsecond), maxDuration).Microseconds())
 }
 
-func distributionOf(h *hdrhistogram.Histogram) Span {
+func distributionOf(h *hdrhistogram.Histogram) Distribution {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Span{h.TotalCount(), ms(50), ms(95), ms(99), float64(h.Max()) / 1000}
+	return Distribution{h.TotalCount(), ms(50), ms(95), ms(99), float64(h.Max()) / 1000}
 }
 
 // histograms records the durations of the finished requests of one band or kind: time to the first
@@ -93,21 +93,21 @@
 	}
 }
 
-// Times are the durations of one band or kind: First is the time to the first token of streams, Total
-// the time to the end of the answer, Gaps the times between tokens.
-type Times struct {
-	First Span `json:"first"`
-	Total Span `json:"total"`
-	Gaps  Span `json:"gaps"`
+// Durations summarizes the requests of one band or kind: First is the time to the first token of
+// streams, Total the time to the end of the answer, Gaps the times between tokens.
+type Durations struct {
+	First Distribution `json:"first"`
+	Total Distribution `json:"total"`
+	Gaps  Distribution `json:"gaps"`
 }
 
-func (g *histograms) latencies() Times {
-	return Times{distributionOf(g.first), distributionOf(g.total), distributionOf(g.gaps)}
+func (g *histograms) latencies() Durations {
+	return Durations{distributionOf(g.first), distributionOf(g.total), distributionOf(g.gaps)}
 }
 
-// Fault is the number of error responses with the same kind and the same statement of whether the
+// ErrorCount is the number of error responses with the same kind and the same statement of whether the
 // request ran ("yes", "no" or "maybe").
-type Fault struct {
+type ErrorCount struct {
 	Kind  string `json:"kind"`
 	Ran   string `json:"ran"`
 	Count int    `json:"count"`
@@ -123,20 +123,20 @@
 	Retried  int                    `json:"retried"`
 	Seconds  float64                `json:"seconds"`
 	Outcomes map[caller.Outcome]int `json:"outcomes"`
-	Faults   []Fault                `json:"faults"`
+	Faults   []ErrorCount           `json:"faults"`
 	// Output is the number of tokens of finished answers.
-	Output int            `json:"output"`
-	Bands  map[Band]Times `json:"bands"`
+	Output int                `json:"output"`
+	Bands  map[Band]Durations `json:"bands"`
 	// Kinds holds the durations by kind of request.
-	Kinds map[string]Times `json:"kinds"`
+	Kinds map[string]Durations `json:"kinds"`
 	// Workspaces holds the usage by workspace, to compare with the usage that is billed.
-	Workspaces map[string]Share `json:"workspaces"`
+	Workspaces map[string]WorkspaceUsage `json:"workspaces"`
 	// Examples holds the first few requests of each outcome that did not finish.
 	Examples []Example `json:"examples"`
 }
 
-// Share is the usage of one workspace.
-type Share struct {
+// WorkspaceUsage is the usage of one workspace.
+type WorkspaceUsage struct {
 	Sent     int `json:"sent"`
 	Finished int `json:"finished"`
 	// Prompt and Output are the numbers of tokens of finished model requests.
@@ -145,7 +145,7 @@
 }
 
 // with returns the usage including one more request.
-func (s Share) with(q caller.Request, r caller.Result) Share {
+func (s WorkspaceUsage) with(q caller.Request, r caller.Result) WorkspaceUsage {
 	s.Sent++
 	if r.Outcome != caller.Finished {
 		return s
@@ -176,7 +176,7 @@
 type tally struct {
 	mu       sync.Mutex
 	report   Report
-	faults   map[Fault]int
+	faults   map[ErrorCount]int
 	bands    map[Band]*histograms
 	kinds    map[string]*histograms
 	examples map[caller.Outcome]int
@@ -184,8 +184,8 @@
 
 func newTally() *tally {
 	return &tally{
-		report:   Report{Outcomes: map[caller.Outcome]int{}, Examples: []Example{}, Faults: []Fault{}, Workspaces: map[string]Share{}},
-		faults:   map[Fault]int{},
+		report:   Report{Outcomes: map[caller.Outcome]int{}, Examples: []Example{}, Faults: []ErrorCount{}, Workspaces: map[string]WorkspaceUsage{}},
+		faults:   map[ErrorCount]int{},
 		bands:    map[Band]*histograms{},
 		kinds:    map[string]*histograms{},
 		examples: map[caller.Outcome]int{},
@@ -211,7 +211,7 @@
 	t.report.Outcomes[r.Outcome]++
 	t.report.Workspaces[q.Workspace] = t.report.Workspaces[q.Workspace].with(q, r)
 	if r.Kind != "" || r.Ran != "" {
-		t.faults[Fault{Kind: r.Kind, Ran: r.Ran}]++
+		t.faults[ErrorCount{Kind: r.Kind, Ran: r.Ran}]++
 	}
 	if r.Outcome != caller.Finished {
 		t.addExample(q, r)
@@ -247,12 +247,12 @@
 	defer t.mu.Unlock()
 	r := t.report
 	r.Seconds = elapsed.Seconds()
-	r.Bands, r.Kinds = map[Band]Times{}, map[string]Times{}
+	r.Bands, r.Kinds = map[Band]Durations{}, map[string]Durations{}
 	for f, n := range t.faults {
 		f.Count = n
 		r.Faults = append(r.Faults, f)
 	}
-	slices.SortFunc(r.Faults, func(a, b Fault) int { return b.Count - a.Count })
+	slices.SortFunc(r.Faults, func(a, b ErrorCount) int { return b.Count - a.Count })
 	for k, g := range t.bands {
 		r.Bands[k] = g.latencies()
 	}
@@ -262,8 +262,8 @@
 	return r
 }
 
-// Text writes the report as a table for people.
-func (r *Report) Text(out io.Writer) error {
+// WriteText writes the report as a table for people.
+func (r *Report) WriteText(out io.Writer) error {
 	var b strings.Builder
 	r.write(&b)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -294,7 +294,7 @@
 	}
 }
 
-func (t Times) row(w *strings.Builder, name string) {
+func (t Durations) row(w *strings.Builder, name string) {
 	if t.Total.Count == 0 {
 		return
 	}
