--- a/emulator/caller/call.go
+++ b/emulator/caller/call.go
@@ -1,5 +1,5 @@
-// Package caller plays a caller of the daemons: it sends one request and judges
-// the answer against what its prompt calls for.
+// Package caller is a test client of the daemons. It sends one request and checks that the
+// response is the one that an emulated engine or service computes from the prompt or body.
 package caller
 
 import (
@@ -21,45 +21,48 @@
 	"snipeshift.example/lib/expect"
 )
 
-// Outcome is what became of one request, as its caller sees it.
+// Outcome classifies the end of one request as the client sees it.
 type Outcome string
 
-// The outcomes.
+// The outcomes of a request.
 const (
-	Finished Outcome = "finished" // the whole answer, checked
-	Refused  Outcome = "refused"  // an error that says the request did not run
-	Failed   Outcome = "failed"   // an error that says it ran or may have run
-	Broken   Outcome = "broken"   // the connection ended without an error or an end mark
-	Overdue  Outcome = "overdue"  // no end within the allowed time and the slack
-	Wrong    Outcome = "wrong"    // an answer that is not the prompt's own, or is incomplete and marked whole
+	Finished Outcome = "finished" // complete response with the expected content
+	Refused  Outcome = "refused"  // error response declaring that the request did not run
+	Failed   Outcome = "failed"   // error response declaring that the request ran or may have run
+	Broken   Outcome = "broken"   // no connection, or it ended without an error event or end marker
+	Overdue  Outcome = "overdue"  // response not complete within Request.Allowed plus Request.Slack
+	Wrong    Outcome = "wrong"    // content not expected for the prompt, or truncated but marked complete
 )
 
-// Result is one request's outcome.
+// Result is the outcome of one request, with its content and timing.
 type Result struct {
 	Outcome Outcome `json:"outcome"`
 	Status  int     `json:"status"`
-	// Kind and Ran are the error's, Retry is its Retry-After in seconds.
+	// Kind is the error type, Ran the declaration whether the request ran ("no", "yes" or
+	// "maybe"), and Retry the Retry-After header in seconds. All are empty without an error.
 	Kind  string `json:"kind,omitempty"`
 	Ran   string `json:"ran,omitempty"`
 	Retry int    `json:"retry,omitempty"`
-	// Request is the request id, Reason one line on anything but success.
+	// Request is the request ID that the daemon assigned. Reason describes the error if the
+	// outcome is not Finished.
 	Request string `json:"request"`
 	Reason  string `json:"reason,omitempty"`
-	// Text is what came of the answer.
+	// Text is the received part of the response text.
 	Text string `json:"text"`
-	// First is the time to the first token, Total that to the end; Gaps are the spans between tokens.
+	// First is the time from start to the first token, Total the time to the end of the
+	// response, and Gaps the times between successive tokens. Without tokens First is Total.
 	First time.Duration   `json:"first"`
 	Total time.Duration   `json:"total"`
 	Gaps  []time.Duration `json:"-"`
 }
 
-// Client sends requests.
+// Client sends requests over its own pool of HTTP connections.
 type Client struct{ http *http.Client }
 
-// idleConns is how many connections to one address are kept for reuse.
+// idleConns is the maximum number of idle connections to one address that are kept for reuse.
 const idleConns = 1024
 
-// New returns a client with connections of its own.
+// New returns a client that shares no connections with other clients.
 func New() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 5 * time.Second}).DialContext,
@@ -71,7 +74,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends a request and judges the answer. Times count from start.
+// Do sends a request and checks the response. Times in the result, and the time allowed for
+// the request, are measured from start.
 func (c *Client) Do(ctx context.Context, q Request, start time.Time) Result {
 	if q.Allowed > 0 {
 		var cancel context.CancelFunc
@@ -95,55 +99,55 @@
 }
 
 func (c *Client) exchange(ctx context.Context, q Request, start time.Time, r *Result) error {
-	h, err := q.encode(ctx)
+	req, err := q.httpRequest(ctx)
 	if err != nil {
 		return err
 	}
-	a, err := c.http.Do(h)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	r.Status = a.StatusCode
-	r.Request = a.Header.Get("Snipeshift-Request")
+	defer resp.Body.Close()
+	r.Status = resp.StatusCode
+	r.Request = resp.Header.Get("Snipeshift-Request")
 	switch {
-	case a.StatusCode != http.StatusOK:
-		return r.refusal(a)
+	case resp.StatusCode != http.StatusOK:
+		return r.readError(resp)
 	case q.Service:
-		return r.plain(q, a.Body)
+		return r.readServiceResponse(q, resp.Body)
 	case q.Stream:
-		return r.stream(q, a.Body, start)
+		return r.readStream(q, resp.Body, start)
 	default:
-		return r.whole(q, a.Body)
+		return r.readCompletion(q, resp.Body)
 	}
 }
 
-func (q *Request) encode(ctx context.Context) (*http.Request, error) {
-	h, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+q.Address+q.Path, bytes.NewReader(q.Body))
+func (q *Request) httpRequest(ctx context.Context) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+q.Address+q.Path, bytes.NewReader(q.Body))
 	if err != nil {
 		return nil, err
 	}
-	h.GetBody = nil // the client must not repeat a request by itself
-	h.Header.Set("Content-Type", "application/json")
+	req.GetBody = nil // keeps the transport from retrying the request on its own
+	req.Header.Set("Content-Type", "application/json")
 	if q.Direct {
-		h.Header.Set("X-Request-Id", q.ID)
+		req.Header.Set("X-Request-Id", q.ID)
 	} else {
-		h.Header.Set("Authorization", "Bearer "+q.Key)
+		req.Header.Set("Authorization", "Bearer "+q.Key)
 	}
 	if q.Kind != "" {
-		h.Header.Set("Snipeshift-Kind", q.Kind)
+		req.Header.Set("Snipeshift-Kind", q.Kind)
 	}
 	if q.Once != "" {
-		h.Header.Set("Idempotency-Key", q.Once)
+		req.Header.Set("Idempotency-Key", q.Once)
 	}
 	if q.Deadline > 0 {
-		h.Header.Set("Snipeshift-Deadline", strconv.FormatInt(int64(q.Deadline), 10))
+		req.Header.Set("Snipeshift-Deadline", strconv.FormatInt(int64(q.Deadline), 10))
 	}
-	return h, nil
+	return req, nil
 }
 
-// problem is an error in the API's shape.
-type problem struct {
+// errorBody is an error in the format of the API.
+type errorBody struct {
 	Error *struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
@@ -152,52 +156,53 @@
 	} `json:"error"`
 }
 
-// refusal reads an error answer.
-func (r *Result) refusal(a *http.Response) error {
-	text, err := io.ReadAll(a.Body)
+// readError reads an error response and sets the outcome from it.
+func (r *Result) readError(resp *http.Response) error {
+	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
 	}
-	r.Kind = a.Header.Get("Snipeshift-Error")
+	r.Kind = resp.Header.Get("Snipeshift-Error")
 	if r.Kind == "" {
-		r.Kind = "http-" + strconv.Itoa(a.StatusCode)
+		r.Kind = "http-" + strconv.Itoa(resp.StatusCode)
 	}
-	r.Ran = a.Header.Get("Snipeshift-Ran")
-	r.Retry, _ = strconv.Atoi(a.Header.Get("Retry-After"))
-	r.Reason = string(text[:min(len(text), reasonLimit)])
-	r.outcomeOfRan()
+	r.Ran = resp.Header.Get("Snipeshift-Ran")
+	r.Retry, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
+	r.Reason = string(text[:min(len(text), maxReasonBytes)])
+	r.setOutcomeFromRan()
 	return nil
 }
 
-// reasonLimit is how much of an error's body is kept, in bytes.
-const reasonLimit = 300
+// maxReasonBytes is the length to which an error body is truncated in Result.Reason.
+const maxReasonBytes = 300
 
-func (r *Result) outcomeOfRan() {
+func (r *Result) setOutcomeFromRan() {
 	r.Outcome = Failed
 	if r.Ran == "no" {
 		r.Outcome = Refused
 	}
 }
 
-// plain checks a service's answer.
-func (r *Result) plain(q Request, body io.Reader) error {
+// readServiceResponse reads the response of a plain service and checks its hash of the request body.
+func (r *Result) readServiceResponse(q Request, body io.Reader) error {
 	text, err := io.ReadAll(body)
 	if err != nil {
 		return err
 	}
 	r.Text = string(text)
-	var a service.Answer
-	if err := json.Unmarshal(text, &a); err != nil {
-		return r.judge(fmt.Errorf("the service's answer is malformed: %w", err))
+	var resp service.Answer
+	if err := json.Unmarshal(text, &resp); err != nil {
+		return r.conclude(fmt.Errorf("malformed service response: %w", err))
 	}
-	if want := service.Hash(q.Body); a.Hash != want {
-		return r.judge(fmt.Errorf("the service's answer is to body %s in place of %s", a.Hash, want))
+	if want := service.Hash(q.Body); resp.Hash != want {
+		return r.conclude(fmt.Errorf("service response has body hash %s, want %s", resp.Hash, want))
 	}
-	return r.judge(nil)
+	return r.conclude(nil)
 }
 
-// judge settles the outcome of an answer that claims to be whole.
-func (r *Result) judge(err error) error {
+// conclude sets the outcome: Finished if err is nil, else Wrong. It always returns nil, since a
+// wrong response is a result and not a transport error.
+func (r *Result) conclude(err error) error {
 	r.Outcome = Finished
 	if err != nil {
 		r.Outcome = Wrong
@@ -206,9 +211,9 @@
 	return nil
 }
 
-// chunk is one event of a stream, or a whole answer.
-type chunk struct {
-	problem
+// completion is one event of a streamed chat completion, or a complete non-streaming response.
+type completion struct {
+	errorBody
 	ID      string `json:"id"`
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -220,104 +225,106 @@
 	} `json:"usage"`
 }
 
-// whole checks an answer that is no stream.
-func (r *Result) whole(q Request, body io.Reader) error {
-	var c chunk
+// readCompletion reads and checks a non-streaming response.
+func (r *Result) readCompletion(q Request, body io.Reader) error {
+	var c completion
 	text, err := io.ReadAll(body)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(text, &c); err != nil || len(c.Choices) != 1 {
-		return r.judge(fmt.Errorf("the answer is malformed: %.100q", text))
+		return r.conclude(fmt.Errorf("malformed response: %.100q", text))
 	}
 	r.Text = c.Choices[0].Message.Content
-	return r.judge(r.check(q, c.Usage != nil && c.Usage.Output == q.output()))
+	return r.conclude(r.checkAnswer(q, c.Usage != nil && c.Usage.Output == q.outputTokens()))
 }
 
-func (q *Request) output() int {
+func (q *Request) outputTokens() int {
 	if q.Output == 0 {
 		return expect.Default
 	}
 	return q.Output
 }
 
-func (r *Result) check(q Request, counted bool) error {
-	if !counted {
-		return errors.New("the answer's usage is missing or wrong")
+func (r *Result) checkAnswer(q Request, usageCorrect bool) error {
+	if !usageCorrect {
+		return errors.New("token usage of the response is missing or wrong")
 	}
-	return expect.Check(q.Prompt, r.Text, q.output())
+	return expect.Check(q.Prompt, r.Text, q.outputTokens())
 }
 
-// reader is what is known of a stream so far.
-type reader struct {
-	id   string
-	last time.Time
-	// miscounted is set by a usage that is not the answer's; a stream need not carry one.
-	miscounted bool
+// streamState is the state carried from one event of a stream to the next.
+type streamState struct {
+	id        string
+	lastToken time.Time
+	// usageWrong is set if the last reported usage differs from the requested output length.
+	// It stays false without a usage, which is optional in a stream.
+	usageWrong bool
 }
 
-// stream checks events as they come, up to the end mark.
-func (r *Result) stream(q Request, body io.Reader, start time.Time) error {
-	var s reader
+// readStream checks the events of a stream as they arrive, up to the end marker "[DONE]".
+func (r *Result) readStream(q Request, body io.Reader, start time.Time) error {
+	var s streamState
 	for e, err := range sse.Read(body, nil) {
 		if err != nil {
-			return r.partial(q, err)
+			return r.concludePartial(q, err)
 		}
 		if e.Data == "[DONE]" {
-			return r.judge(r.check(q, !s.miscounted))
+			return r.conclude(r.checkAnswer(q, !s.usageWrong))
 		}
-		if done, err := r.event(q, &s, e.Data, start); done || err != nil {
+		if done, err := r.handleEvent(q, &s, e.Data, start); done || err != nil {
 			return err
 		}
 		time.Sleep(q.Pause.Duration())
 	}
-	return r.partial(q, io.ErrUnexpectedEOF)
+	return r.concludePartial(q, io.ErrUnexpectedEOF)
 }
 
-// event takes one event in, and returns true if it ended the stream.
-func (r *Result) event(q Request, s *reader, data string, start time.Time) (bool, error) {
-	var c chunk
+// handleEvent processes the data of one event and reports whether the stream ended with it.
+func (r *Result) handleEvent(q Request, s *streamState, data string, start time.Time) (bool, error) {
+	var c completion
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
-		return true, r.judge(fmt.Errorf("malformed event %.100q", data))
+		return true, r.conclude(fmt.Errorf("malformed event %.100q", data))
 	}
 	if c.Error != nil {
 		r.Kind, r.Ran, r.Reason = c.Error.Type, c.Error.Ran, c.Error.Message
-		r.outcomeOfRan()
-		return true, r.partial(q, nil)
+		r.setOutcomeFromRan()
+		return true, r.concludePartial(q, nil)
 	}
 	if s.id == "" {
 		s.id = c.ID
 	}
 	if c.ID != s.id {
-		return true, r.judge(fmt.Errorf("an event of request %q on the stream of %q", c.ID, s.id))
+		return true, r.conclude(fmt.Errorf("event of request %q received on the stream of request %q", c.ID, s.id))
 	}
 	if c.Usage != nil {
-		s.miscounted = c.Usage.Output != q.output()
+		s.usageWrong = c.Usage.Output != q.outputTokens()
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
 		if r.First == 0 && q.First != nil {
 			q.First()
 		}
-		r.token(s, start)
+		r.recordToken(s, start)
 		r.Text += c.Choices[0].Delta.Content
 	}
 	return false, nil
 }
 
-func (r *Result) token(s *reader, start time.Time) {
+func (r *Result) recordToken(s *streamState, start time.Time) {
 	now := time.Now()
 	if r.First == 0 {
 		r.First = now.Sub(start)
 	} else {
-		r.Gaps = append(r.Gaps, now.Sub(s.last))
+		r.Gaps = append(r.Gaps, now.Sub(s.lastToken))
 	}
-	s.last = now
+	s.lastToken = now
 }
 
-// partial settles an answer that stopped early: what came of it must still be the prompt's own.
-func (r *Result) partial(q Request, err error) error {
-	if want := expect.Of(q.Prompt).Answer(q.output()); !strings.HasPrefix(want, r.Text) {
-		return r.judge(errors.New("the part that came is not of the prompt's answer"))
+// concludePartial checks the text of a response that ended early. The outcome is Wrong if the
+// text is not a prefix of the expected response; otherwise concludePartial returns err.
+func (r *Result) concludePartial(q Request, err error) error {
+	if want := expect.Of(q.Prompt).Answer(q.outputTokens()); !strings.HasPrefix(want, r.Text) {
+		return r.conclude(errors.New("partial response is not a prefix of the expected one"))
 	}
 	return err
 }
--- a/emulator/caller/call_test.go
+++ b/emulator/caller/call_test.go
@@ -14,8 +14,8 @@
 	"snipeshift.example/lib/expect"
 )
 
-// ask sends a request to something that answers 200 with a fixed text.
-func ask(t *testing.T, q Request, text string) Result {
+// send sends a request to a server that responds to all requests with status 200 and text.
+func send(t *testing.T, q Request, text string) Result {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprint(w, text)
@@ -29,17 +29,17 @@
 	return c.Do(t.Context(), q, time.Now())
 }
 
-func TestWholeAnswersAreChecked(t *testing.T) {
+func TestCompletionsAreChecked(t *testing.T) {
 	own := expect.Of("p").Answer(2)
 	answer := `{"id":"x","choices":[{"message":{"content":%q}}],"usage":{"completion_tokens":%d}}`
-	require.Equal(t, Finished, ask(t, Request{}, fmt.Sprintf(answer, own, 2)).Outcome)
-	require.Equal(t, Wrong, ask(t, Request{}, fmt.Sprintf(answer, own, 3)).Outcome)
-	require.Equal(t, Wrong, ask(t, Request{}, fmt.Sprintf(answer, own[:4], 2)).Outcome)
-	require.Equal(t, Wrong, ask(t, Request{}, `{"id":"x"}`).Outcome)
+	require.Equal(t, Finished, send(t, Request{}, fmt.Sprintf(answer, own, 2)).Outcome)
+	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, own, 3)).Outcome)
+	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, own[:4], 2)).Outcome)
+	require.Equal(t, Wrong, send(t, Request{}, `{"id":"x"}`).Outcome)
 }
 
-// A stream that ends early is no answer, and it must say so: with an error
-// event, or at least without an end mark.
+// A stream that ends early must not count as finished. It has to end with an error event, or at
+// least without an end marker.
 func TestStreamsAreChecked(t *testing.T) {
 	s := expect.Of("p")
 	event := func(id string, i int) string {
@@ -60,15 +60,15 @@
 		event("x", 1) + fmt.Sprintf(fault, "no"):           Wrong,
 		"data: x\n\n":                                      Wrong,
 	} {
-		require.Equal(t, want, ask(t, Request{Stream: true}, text).Outcome, text)
+		require.Equal(t, want, send(t, Request{Stream: true}, text).Outcome, text)
 	}
-	require.Equal(t, "incomplete", ask(t, Request{Stream: true}, fmt.Sprintf(fault, "no")).Kind)
+	require.Equal(t, "incomplete", send(t, Request{Stream: true}, fmt.Sprintf(fault, "no")).Kind)
 }
 
-func TestServiceAnswersAreChecked(t *testing.T) {
+func TestServiceResponsesAreChecked(t *testing.T) {
 	q := Request{Service: true}
 	right := fmt.Sprintf(`{"hash":%q}`, service.Hash([]byte("{}")))
-	require.Equal(t, Finished, ask(t, q, right).Outcome)
-	require.Equal(t, Wrong, ask(t, q, `{"hash":"other"}`).Outcome)
-	require.Equal(t, Wrong, ask(t, q, `hello`).Outcome)
+	require.Equal(t, Finished, send(t, q, right).Outcome)
+	require.Equal(t, Wrong, send(t, q, `{"hash":"other"}`).Outcome)
+	require.Equal(t, Wrong, send(t, q, `hello`).Outcome)
 }
--- a/emulator/caller/request.go
+++ b/emulator/caller/request.go
@@ -7,42 +7,49 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Request is one request.
+// Request describes one request to send and the expected response.
 type Request struct {
+	// Number is the position of the request in a run.
 	Number int
-	// Choice chooses among the daemons that are ready when it is sent.
-	Choice  int
+	// Choice selects one of the daemons that are ready when the request is sent: it is an
+	// index modulo their number.
+	Choice int
+	// Address is host:port of the server.
 	Address string
-	// Path is the path at a daemon, or at an engine or service if the run is direct.
+	// Path is the URL path at a daemon or, if Direct is set, at the engine or service.
 	Path      string
 	Workspace string
 	Key       string
 	Kind      string
-	// Once is the idempotency key, or empty.
+	// Once is the idempotency key; empty for none.
 	Once string
-	// Service is set for a plain service's call; Body is then what it hashes.
+	// Service is set for a call of a plain service, whose response contains the hash of Body.
 	Service bool
 	Prompt  string
 	Body    []byte
-	// Tokens counts the prompt, Output the answer.
+	// Tokens is the length of the prompt and Output the length of the response, in tokens.
+	// Output 0 stands for the default of the emulated engines.
 	Tokens, Output int
 	Stream         bool
-	// Deadline is sent along unless it is zero; Allowed and Slack bound the wait.
+	// Deadline is sent as the Snipeshift-Deadline header unless it is zero. Allowed plus Slack
+	// is the time after which the client gives up; there is no limit if Allowed is zero.
 	Deadline, Allowed, Slack clock.Milli
-	Pause                    clock.Milli
-	// Direct gives the engine ID as the request id, as a daemon would.
+	// Pause is the wait after each event of a stream, to emulate a slow reader.
+	Pause clock.Milli
+	// Direct sends the request to an engine or service without a daemon, with ID as the
+	// X-Request-Id header, which otherwise the daemon sets.
 	Direct bool
 	ID     string
-	// First, if set, is called with the first token of a stream.
+	// First, if set, is called when the first token of a stream arrives.
 	First func()
-	// After is when it is due, counted from the start of the run.
+	// After is the send time, as an offset from the start of the run.
 	After time.Duration
 }
 
-// ChatPath is the path of chat completions.
+// ChatPath is the URL path of chat completions.
 const ChatPath = "/v1/chat/completions"
 
-// chatBody is a request of the API.
+// chatBody is the body of a chat completion request.
 type chatBody struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -55,7 +62,8 @@
 	Content string `json:"content"`
 }
 
-// ChatBody is the body of a chat completion with one message.
+// ChatBody returns the body of a chat completion request with one user message. With output 0
+// the body sets no max_tokens.
 func ChatBody(model, prompt string, output int, stream bool) []byte {
 	b, err := json.Marshal(chatBody{
 		Model:     model,
