--- a/emulator/local/daemons.go
+++ b/emulator/local/daemons.go
@@ -13,9 +13,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// planDaemons gives every daemon its addresses, alternating over the domains.
-func (l *Local) planDaemons(ctx context.Context) error {
-	halls := domains(l.document)
+// assignDaemonAddresses chooses the addresses of all daemons and assigns the daemons to the failure
+// domains in turn.
+func (l *Local) assignDaemonAddresses(ctx context.Context) error {
+	domainNames := domains(l.document)
 	var peers []string
 	for i := range l.options.Daemons {
 		caller := "127.0.0.1:0"
@@ -28,7 +29,7 @@
 		}
 		l.daemons = append(l.daemons, Daemon{
 			Name:     fmt.Sprintf("%s%d", DaemonPrefix, i+1),
-			Domain:   halls[i%len(halls)],
+			Domain:   domainNames[i%len(domainNames)],
 			Caller:   a[0],
 			Operator: a[1],
 			Peer:     a[2],
@@ -47,33 +48,35 @@
 	return nil
 }
 
-// freeAddresses chooses a free port where none is given. They are all held until
-// the last is chosen, so that they differ.
-func freeAddresses(ctx context.Context, wanted ...string) ([]string, error) {
-	var got []string
-	for _, w := range wanted {
-		n, err := bind(ctx, w)
+// freeAddresses replaces port 0 in each address by a free port. All ports stay bound until the last
+// one has been chosen, so that they differ.
+func freeAddresses(ctx context.Context, addresses ...string) ([]string, error) {
+	var chosen []string
+	for _, w := range addresses {
+		listener, err := bind(ctx, w)
 		if err != nil {
 			return nil, err
 		}
-		defer n.Close()
-		got = append(got, n.Addr().String())
+		defer listener.Close()
+		chosen = append(chosen, listener.Addr().String())
 	}
-	return got, nil
+	return chosen, nil
 }
 
-// The ports to choose from lie below those that systems give to connections.
+// Ports are chosen from a range below the ephemeral ports, which operating systems assign to outgoing
+// connections.
 //
-// A port is free again from its choice until the daemon listens. One that the
-// system chose can meanwhile become the near end of anybody's connection, and
-// the daemon ends with "address already in use": with 27 daemons on a busy
-// machine, two starts of three failed.
+// A chosen port is unbound until the daemon listens on it. In that interval a port of the ephemeral
+// range can be assigned to a connection of any process, and the daemon then exits with "address
+// already in use". With ephemeral ports, two of three starts of 27 daemons failed on a busy machine.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
 	portTries = 100
 )
 
+// bind listens on an address. It replaces port 0 by a random port of the range above or, if
+// portTries of these are in use, by a port that the operating system chooses.
 func bind(ctx context.Context, wanted string) (net.Listener, error) {
 	var lc net.ListenConfig
 	host, port, err := net.SplitHostPort(wanted)
@@ -93,11 +96,11 @@
 func (l *Local) startDaemons(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, d := range l.daemons {
-		file, err := l.write(d.Name+".json", d)
+		file, err := l.writeSettings(d.Name+".json", d)
 		if err != nil {
 			return err
 		}
-		p, err := l.run(daemonTier, d.Name, filepath.Join(l.options.Bin, DaemonName), "--settings", file)
+		p, err := l.startProcess(daemonTier, d.Name, filepath.Join(l.options.Bin, DaemonName), "--settings", file)
 		if err != nil {
 			return err
 		}
@@ -106,37 +109,39 @@
 	return g.Wait()
 }
 
-// readyStep is how often a daemon is asked whether it is ready.
-const readyStep = 20 * time.Millisecond
+// readyPollInterval is the interval between readiness checks of one daemon.
+const readyPollInterval = 20 * time.Millisecond
 
-// awaitReady asks a daemon's operator address until it says that it is ready.
+// awaitReady polls a daemon's operator address until the daemon reports that it is ready. It returns
+// an error if the process exits before that or readyTimeout passes.
 func (p *process) awaitReady(ctx context.Context, operator string) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	t := time.NewTicker(readyStep)
+	t := time.NewTicker(readyPollInterval)
 	defer t.Stop()
 	for !IsReady(ctx, operator) {
 		select {
 		case <-t.C:
 		case <-p.done:
-			return p.failed("ended before it was ready")
+			return p.errorWithLog("exited before it was ready")
 		case <-ctx.Done():
-			return p.failed("was not ready in time")
+			return p.errorWithLog("was not ready before the timeout")
 		}
 	}
 	return nil
 }
 
-// IsReady asks a daemon's operator address once whether it takes requests.
+// IsReady sends one readiness check to a daemon's operator address and reports whether the daemon
+// accepts requests. It returns false if the check fails.
 func IsReady(ctx context.Context, operator string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+"/ready", nil)
 	if err != nil {
 		return false
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return false
 	}
-	defer a.Body.Close()
-	return a.StatusCode == http.StatusOK
+	defer resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
--- a/emulator/local/document.go
+++ b/emulator/local/document.go
@@ -15,19 +15,19 @@
 //go:embed indus.hujson
 var indus []byte
 
-// Deployment names an example document.
+// Deployment is the name of an example deployment, which has an example document.
 type Deployment string
 
-// The deployments that have an example.
+// The example deployments.
 const (
 	Directorate Deployment = "directorate"
 	Indus       Deployment = "indus"
 )
 
-// KeyOf is the API key of a workspace in the example documents.
+// KeyOf returns the API key of a workspace in the example documents.
 func KeyOf(workspace string) string { return "example-" + workspace }
 
-// Example returns the full example document of a deployment.
+// Example returns the complete example document of a deployment.
 func Example(d Deployment) (document.Document, error) {
 	var text []byte
 	switch d {
@@ -36,15 +36,15 @@
 	case Indus:
 		text = indus
 	default:
-		return document.Document{}, fmt.Errorf("no deployment %q: directorate or indus", d)
+		return document.Document{}, fmt.Errorf("unknown deployment %q: must be directorate or indus", d)
 	}
 	var doc document.Document
 	err := settings.Parse(text, &doc)
 	return doc, err
 }
 
-// resize keeps the first so many engines and services, or adds more like them.
-// They alternate over the domains.
+// resize returns doc with the given numbers of engines and services. It drops upstreams from the end
+// or adds copies, which are assigned to the failure domains in turn.
 func resize(doc document.Document, engines, services int) document.Document {
 	var es, ss []document.Upstream
 	for _, u := range doc.Upstreams {
@@ -54,25 +54,26 @@
 			ss = append(ss, u)
 		}
 	}
-	doc.Upstreams = append(take(es, engines, domains(doc)), take(ss, services, domains(doc))...)
+	doc.Upstreams = append(takeOrRepeat(es, engines, domains(doc)), takeOrRepeat(ss, services, domains(doc))...)
 	return doc
 }
 
-// take returns the first n; beyond the end it repeats them under new names.
-func take(us []document.Upstream, n int, halls []string) []document.Upstream {
+// takeOrRepeat returns the first n upstreams. If there are fewer, it adds copies under new names and
+// assigns these to the domains in turn.
+func takeOrRepeat(us []document.Upstream, n int, domainNames []string) []document.Upstream {
 	var kept []document.Upstream
 	for i := range n {
 		u := us[i%len(us)]
 		if i >= len(us) {
 			u.Name = fmt.Sprintf("%s-again-%d", u.Name, i/len(us))
-			u.Domain = halls[i%len(halls)]
+			u.Domain = domainNames[i%len(domainNames)]
 		}
 		kept = append(kept, u)
 	}
 	return kept
 }
 
-// domains lists the failure domains of a document in order of appearance.
+// domains returns the failure domains of a document's upstreams in order of first appearance.
 func domains(doc document.Document) []string {
 	var names []string
 	seen := map[string]bool{}
@@ -85,5 +86,5 @@
 	return names
 }
 
-// encode writes a document as the store holds it.
-func encode(doc document.Document) ([]byte, error) { return json.MarshalIndent(doc, "", "  ") }
+// encodeDocument returns a document in the format in which the platform stores it.
+func encodeDocument(doc document.Document) ([]byte, error) { return json.MarshalIndent(doc, "", "  ") }
--- a/emulator/local/document_test.go
+++ b/emulator/local/document_test.go
@@ -13,17 +13,17 @@
 	"snipeshift.example/lib/document"
 )
 
-// examples is where users find the documents.
+// examples is the directory of the copies of the example documents that users read.
 const examples = "../../examples"
 
-func TestExamplesHaveTheSizesOfTheDeployments(t *testing.T) {
+func TestExampleDocuments(t *testing.T) {
 	for _, d := range []Deployment{Directorate, Indus} {
 		doc, err := Example(d)
 		require.NoError(t, err)
 		require.Len(t, doc.Upstreams, 23)
 		require.Len(t, doc.Workspaces, 10)
 		require.Len(t, domains(doc), 3)
-		require.False(t, allRepeat(doc), "some calls may not be repeated")
+		require.False(t, allRepeat(doc), "at least one kind must be non-repeatable")
 		for _, w := range doc.Workspaces {
 			sum := sha256.Sum256([]byte(KeyOf(w.Name)))
 			require.Equal(t, []string{"sha256:" + hex.EncodeToString(sum[:])}, w.Keys)
@@ -48,7 +48,7 @@
 	return true
 }
 
-func TestResizeKeepsSeveralDomains(t *testing.T) {
+func TestResizeKeepsAllDomains(t *testing.T) {
 	doc, err := Example(Directorate)
 	require.NoError(t, err)
 	small := resize(doc, 3, 1)
@@ -62,9 +62,9 @@
 	require.Len(t, names, 57)
 }
 
-// A daemon's port is chosen before the daemon listens. If any connection on the
-// machine can get the same port in between, deployments of many daemons fail to start.
-func TestChosenPortsAreOutsideThoseOfConnections(t *testing.T) {
+// A daemon's port is chosen before the daemon listens on it. If the operating system can assign the
+// port to another connection in between, deployments with many daemons fail to start.
+func TestChosenPortsAreBelowEphemeralRange(t *testing.T) {
 	got, err := freeAddresses(t.Context(), "127.0.0.1:0", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NotEqual(t, got[0], got[1])
--- a/emulator/local/local.go
+++ b/emulator/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a small deployment of separate processes on loopback:
-// stand-ins for the platform, engines and services, and daemons before them.
+// Package local runs a small deployment as separate processes on the loopback interface: an
+// emulated platform, emulated engines and services, and the daemons that serve clients.
 package local
 
 import (
@@ -22,60 +22,69 @@
 	"snipeshift.example/lib/document"
 )
 
-// Options of a deployment.
+// Options are the options of a deployment.
 type Options struct {
 	Deployment Deployment
-	// Bin is the folder of the daemon's program, Program the emulator's own file.
+	// Bin is the directory of the daemon's executable, and Program the emulator's executable.
 	Bin, Program string
-	// Engines, Services and Daemons are how many of each run.
+	// Engines, Services and Daemons are the numbers of processes of each.
 	Engines, Services, Daemons int
-	// Caller is host:port of the first daemon's address for callers; port 0 lets the system choose.
+	// Caller is host:port at which the first daemon accepts client requests. If it is empty or
+	// its port is 0, a free port is chosen.
 	Caller string
-	// Logs is a folder that keeps the logs; empty for a temporary one.
+	// Logs is the directory for log files. If it is empty, the logs are written to a temporary
+	// directory that Stop removes.
 	Logs string
-	// Packed runs all upstreams in one process, for fleets too large for a process each.
+	// Packed runs all engines and services in one process, for deployments too large for a
+	// process for each.
 	Packed bool
-	// Sets are settings for every engine, each "field=value".
+	// Sets are settings that apply to every engine, each "field=value".
 	Sets []string
 }
 
-// The tiers, in the order of their start; they stop in the reverse order.
+// The tiers of processes, in start order. They are stopped in reverse order.
 const (
 	platformTier = iota
 	upstreamTier
 	daemonTier
-	tiers
+	tierCount
 )
 
-// DaemonName is the file of the daemon's program.
+// DaemonName is the file name of the daemon's executable.
 const DaemonName = "snipeshiftd"
 
-// DaemonPrefix begins the name of every daemon.
+// DaemonPrefix is the prefix of the name of every daemon.
 const DaemonPrefix = "vm-"
 
-// readyLimit is how long all daemons may take to become ready.
-const readyLimit = 30 * time.Second
+// readyTimeout limits how long a started daemon may take to become ready.
+const readyTimeout = 30 * time.Second
 
-// Ready is the line printed once the deployment takes requests.
+// Ready is the line of JSON that is printed once the deployment accepts requests.
 type Ready struct {
 	Ready   bool   `json:"ready"`
 	Program string `json:"program"`
 	Name    string `json:"name"`
-	// Address is the first daemon's for callers; Callers and Operators are those of all daemons.
+	// Address is host:port at which the first daemon accepts client requests. Callers and
+	// Operators are the addresses of all daemons for clients and operators, and Platform is the
+	// address of the emulated platform.
 	Address   string   `json:"address"`
 	Callers   []string `json:"callers"`
 	Operators []string `json:"operators"`
 	Platform  string   `json:"platform"`
-	// Upstreams and Pids are addresses and process ids by name, Keys the API keys by workspace.
+	// Upstreams maps upstream names to addresses, Pids process names to process IDs, and Keys
+	// workspace names to API keys.
 	Upstreams map[string]string `json:"upstreams"`
 	Pids      map[string]int    `json:"pids"`
 	Keys      map[string]string `json:"keys"`
 }
 
-// Daemon is the settings file of one daemon.
+// Daemon is the content of one daemon's settings file.
 type Daemon struct {
-	Name     string   `json:"name"`
-	Domain   string   `json:"domain"`
+	Name   string `json:"name"`
+	Domain string `json:"domain"`
+	// Caller, Operator and Peer are the listening addresses for clients, operators and other
+	// daemons. Platform is the address of the platform, and Peers lists the peer addresses of
+	// all other daemons.
 	Caller   string   `json:"caller"`
 	Operator string   `json:"operator"`
 	Peer     string   `json:"peer"`
@@ -90,29 +99,30 @@
 	dir      string
 	ready    Ready
 	daemons  []Daemon
-	// children are grouped by tier: what a later tier needs is in an earlier one.
-	children [tiers][]*process
+	// children holds the processes by tier. Processes depend only on those of earlier tiers.
+	children [tierCount][]*process
 }
 
-// Run starts a deployment, prints its ready line and lines to paste to out, and
-// stops it when ctx ends.
+// Run starts a deployment, prints its ready line and shell commands for its use to out, and stops it
+// when ctx ends.
 func Run(ctx context.Context, o Options, out io.Writer) (err error) {
 	l, err := Start(ctx, o)
 	if err != nil {
 		if ctx.Err() != nil {
-			return nil // stopped while it started
+			return nil // canceled during the start, which is no failure
 		}
 		return err
 	}
 	defer func() { err = errors.Join(err, l.Stop()) }()
-	if err := l.announce(out); err != nil {
+	if err := l.printReady(out); err != nil {
 		return err
 	}
-	l.watch(ctx)
+	l.reportExits(ctx)
 	return nil
 }
 
-// Start starts a deployment and waits until it takes requests. What it started is stopped again if it fails.
+// Start starts a deployment and waits until it accepts requests. If the start fails, Start stops the
+// processes that it has started.
 func Start(ctx context.Context, o Options) (*Local, error) {
 	l, err := newLocal(o)
 	if err != nil {
@@ -124,7 +134,7 @@
 	return l, nil
 }
 
-// Ready tells where the deployment is reached.
+// Ready returns the addresses, process IDs and API keys of the deployment.
 func (l *Local) Ready() Ready { return l.ready }
 
 func newLocal(o Options) (*Local, error) {
@@ -161,17 +171,17 @@
 	if err := l.startUpstreams(ctx); err != nil {
 		return err
 	}
-	if err := l.planDaemons(ctx); err != nil {
+	if err := l.assignDaemonAddresses(ctx); err != nil {
 		return err
 	}
-	if err := l.fillPlatform(ctx); err != nil {
+	if err := l.populatePlatform(ctx); err != nil {
 		return err
 	}
 	return l.startDaemons(ctx)
 }
 
-func (l *Local) run(tier int, name, program string, args ...string) (*process, error) {
-	p, err := start(l.options.Logs, name, program, args...)
+func (l *Local) startProcess(tier int, name, program string, args ...string) (*process, error) {
+	p, err := startChild(l.options.Logs, name, program, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -181,15 +191,15 @@
 }
 
 func (l *Local) startPlatform(ctx context.Context) error {
-	p, err := l.run(platformTier, "platform", l.options.Program, "platform")
+	p, err := l.startProcess(platformTier, "platform", l.options.Program, "platform")
 	if err != nil {
 		return err
 	}
-	l.ready.Platform, err = p.address(ctx)
+	l.ready.Platform, err = p.awaitAddress(ctx)
 	return err
 }
 
-func (l *Local) write(name string, v any) (string, error) {
+func (l *Local) writeSettings(name string, v any) (string, error) {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return "", err
@@ -198,13 +208,13 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
-// fillPlatform writes the document and the list of VMs.
-func (l *Local) fillPlatform(ctx context.Context) error {
-	text, err := encode(l.document)
+// populatePlatform writes the deployment document and the list of VMs to the platform.
+func (l *Local) populatePlatform(ctx context.Context) error {
+	text, err := encodeDocument(l.document)
 	if err != nil {
 		return err
 	}
-	if err := l.put(ctx, "/objects/config/document", text); err != nil {
+	if err := l.putToPlatform(ctx, "/objects/config/document", text); err != nil {
 		return err
 	}
 	var vms []platform.VM
@@ -217,28 +227,28 @@
 	if text, err = json.Marshal(vms); err != nil {
 		return err
 	}
-	return l.put(ctx, "/vms", text)
+	return l.putToPlatform(ctx, "/vms", text)
 }
 
-func (l *Local) put(ctx context.Context, path string, body []byte) error {
+func (l *Local) putToPlatform(ctx context.Context, path string, body []byte) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+l.ready.Platform+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	if a.StatusCode >= http.StatusMultipleChoices {
-		return fmt.Errorf("platform answered %s to PUT %s", a.Status, path)
+	defer resp.Body.Close()
+	if resp.StatusCode >= http.StatusMultipleChoices {
+		return fmt.Errorf("platform responded with %s to PUT %s", resp.Status, path)
 	}
 	return nil
 }
 
-// announce prints the ready line, a curl line that works as pasted, and a line
-// after which the operators' command finds this deployment by itself.
-func (l *Local) announce(out io.Writer) error {
+// printReady prints the ready line, a curl command for a request, and an export of the environment
+// variables with which the operators' command finds this deployment.
+func (l *Local) printReady(out io.Writer) error {
 	line, err := json.Marshal(l.ready)
 	if err != nil {
 		return err
@@ -255,24 +265,25 @@
 	return err
 }
 
-// watch waits for the stop, and tells of children that end before it.
-func (l *Local) watch(ctx context.Context) {
+// reportExits reports processes that exit before ctx ends, and returns when ctx ends.
+func (l *Local) reportExits(ctx context.Context) {
 	for _, p := range slices.Concat(l.children[:]...) {
 		go func() {
 			select {
 			case <-p.done:
 				if ctx.Err() == nil {
-					fmt.Fprintf(os.Stderr, "emulator: %s ended: %v\n", p.name, p.err)
+					fmt.Fprintf(os.Stderr, "emulator: %s exited unexpectedly: %v\n", p.name, p.err)
 				}
 			case <-ctx.Done():
 			}
 		}()
 	}
 	<-ctx.Done()
-	fmt.Fprintln(os.Stderr, "emulator: stopping; this takes the daemons' grace of some seconds")
+	fmt.Fprintln(os.Stderr, "emulator: stopping; the daemons' grace period takes some seconds")
 }
 
-// Stop ends the daemons, then the stand-ins behind them, then the platform, and removes the folder.
+// Stop stops the daemons, then the engines and services, then the platform, and removes the temporary
+// directory.
 func (l *Local) Stop() error {
 	var errs []error
 	for _, t := range slices.Backward(l.children[:]) {
--- a/emulator/local/process.go
+++ b/emulator/local/process.go
@@ -16,31 +16,31 @@
 	"snipeshift.example/emulator/listen"
 )
 
-// stopLimit is how long a child may take over a graceful stop before it is killed.
-const stopLimit = 45 * time.Second
+// stopTimeout is how long a process may take to stop gracefully before it is killed.
+const stopTimeout = 45 * time.Second
 
-// startLimit is how long a stand-in may take to print its ready line.
-const startLimit = 15 * time.Second
+// startTimeout is how long an emulator process may take to print its ready line.
+const startTimeout = 15 * time.Second
 
-// process is one child.
+// process is a child process.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  string
-	// ready gets the first line of a stand-in's output, and is closed at its end.
+	// ready receives the ready line of an emulator process, and is closed at the end of the output.
 	ready chan listen.Ready
-	// done is closed once the child has ended; err tells how.
+	// done is closed when the process has exited; err is then its exit error.
 	done chan struct{}
 	err  error
 }
 
-// start runs a program with its errors in a file of dir. The child has its own
-// process group, so that Ctrl-C reaches only the parent, which stops all in
-// order; and it dies with the parent, if that is killed.
-func start(dir, name, program string, args ...string) (*process, error) {
+// startChild runs a program with standard error redirected to a log file in dir. The child has its own
+// process group, so that Ctrl-C reaches only the parent, which stops all children in order. If the
+// parent is killed, the kernel kills the child.
+func startChild(dir, name, program string, args ...string) (*process, error) {
 	p := &process{
 		name:  name,
-		cmd:   exec.Command(program, args...), //nolint:noctx // stopped by signal, in order
+		cmd:   exec.Command(program, args...), //nolint:noctx // stopped in tier order by signals, not by a context
 		log:   filepath.Join(dir, name+".log"),
 		ready: make(chan listen.Ready, 1),
 		done:  make(chan struct{}),
@@ -59,17 +59,18 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(out)
+	go p.readOutput(out)
 	return p, nil
 }
 
-// lineLimit is the longest line of a child's output, in bytes.
-const lineLimit = 1 << 20
+// maxLineBytes is the maximum length of a line of a child's output.
+const maxLineBytes = 1 << 20
 
-// follow reads the child's output to its end and waits for the child.
-func (p *process) follow(out io.Reader) {
+// readOutput reads the child's standard output to the end, passes the ready line on, and waits for the
+// child to exit.
+func (p *process) readOutput(out io.Reader) {
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, lineLimit)
+	lines.Buffer(nil, maxLineBytes)
 	var first listen.Ready
 	for lines.Scan() {
 		if first.Ready || json.Unmarshal(lines.Bytes(), &first) != nil || !first.Ready {
@@ -82,48 +83,48 @@
 	close(p.done)
 }
 
-// address waits for a stand-in's ready line and returns its address.
-func (p *process) address(ctx context.Context) (string, error) {
-	r, err := p.line(ctx)
+// awaitAddress waits for the ready line of an emulator process and returns the address in it.
+func (p *process) awaitAddress(ctx context.Context) (string, error) {
+	r, err := p.awaitReadyLine(ctx)
 	return r.Address, err
 }
 
-// line waits for a stand-in's ready line.
-func (p *process) line(ctx context.Context) (listen.Ready, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+// awaitReadyLine waits up to startTimeout for the ready line of an emulator process.
+func (p *process) awaitReadyLine(ctx context.Context) (listen.Ready, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	select {
 	case r, ok := <-p.ready:
 		if ok {
 			return r, nil
 		}
-		return r, p.failed("ended before it was ready")
+		return r, p.errorWithLog("exited before it was ready")
 	case <-ctx.Done():
-		return listen.Ready{}, p.failed("was not ready: " + ctx.Err().Error())
+		return listen.Ready{}, p.errorWithLog("printed no ready line: " + ctx.Err().Error())
 	}
 }
 
-// failed is an error that shows the end of the child's log.
-func (p *process) failed(what string) error {
+// errorWithLog returns an error that contains the end of the child's log.
+func (p *process) errorWithLog(problem string) error {
 	text, _ := os.ReadFile(p.log)
-	return fmt.Errorf("%s %s; its log ends:\n%s", p.name, what, text[max(0, len(text)-logShown):])
+	return fmt.Errorf("%s %s; end of its log:\n%s", p.name, problem, text[max(0, len(text)-shownLogBytes):])
 }
 
-// logShown is how much of a log an error shows, in bytes.
-const logShown = 2000
+// shownLogBytes is the maximum length of the part of a log in an error.
+const shownLogBytes = 2000
 
-// stop ends the child gracefully, and after the limit by force.
+// stop sends SIGTERM to the child, and SIGKILL if the child has not exited after stopTimeout.
 func (p *process) stop() error {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(stopLimit):
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
 		<-p.done
-		return p.failed("did not stop")
+		return p.errorWithLog("did not stop before the timeout and was killed")
 	}
 	if p.err != nil {
-		return errors.Join(p.err, p.failed("ended badly"))
+		return errors.Join(p.err, p.errorWithLog("exited with an error"))
 	}
 	return nil
 }
--- a/emulator/local/upstreams.go
+++ b/emulator/local/upstreams.go
@@ -10,23 +10,24 @@
 	"snipeshift.example/lib/document"
 )
 
-// startUpstreams starts all stand-ins at once, then writes their addresses into the document.
+// startUpstreams starts all engines and services in parallel and then sets their addresses in the
+// document.
 func (l *Local) startUpstreams(ctx context.Context) error {
 	if l.options.Packed {
 		return l.startFleet(ctx)
 	}
 	started := make([]*process, len(l.document.Upstreams))
 	for i, u := range l.document.Upstreams {
-		args, err := l.arguments(&l.document.Upstreams[i])
+		args, err := l.upstreamArgs(&l.document.Upstreams[i])
 		if err != nil {
 			return err
 		}
-		if started[i], err = l.run(upstreamTier, u.Name, l.options.Program, args...); err != nil {
+		if started[i], err = l.startProcess(upstreamTier, u.Name, l.options.Program, args...); err != nil {
 			return err
 		}
 	}
 	for i, p := range started {
-		a, err := p.address(ctx)
+		a, err := p.awaitAddress(ctx)
 		if err != nil {
 			return err
 		}
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// startFleet starts all stand-ins in one process.
+// startFleet starts one process that runs all engines and services.
 func (l *Local) startFleet(ctx context.Context) error {
 	var s fleet.Settings
 	for i := range l.document.Upstreams {
@@ -51,15 +52,15 @@
 		}
 		s.Engines = append(s.Engines, e)
 	}
-	args, err := l.withSettings("fleet", "fleet", s)
+	args, err := l.argsWithSettings("fleet", "fleet", s)
 	if err != nil {
 		return err
 	}
-	p, err := l.run(upstreamTier, "fleet", l.options.Program, args...)
+	p, err := l.startProcess(upstreamTier, "fleet", l.options.Program, args...)
 	if err != nil {
 		return err
 	}
-	r, err := p.line(ctx)
+	r, err := p.awaitReadyLine(ctx)
 	if err != nil {
 		return err
 	}
@@ -70,16 +71,17 @@
 	return nil
 }
 
-// arguments of the stand-in for one upstream.
-func (l *Local) arguments(u *document.Upstream) ([]string, error) {
+// upstreamArgs writes the settings file of one emulated engine or service and returns the arguments
+// of its process.
+func (l *Local) upstreamArgs(u *document.Upstream) ([]string, error) {
 	if u.Model == "" {
-		return l.withSettings("service", u.Name, serviceSettings(u))
+		return l.argsWithSettings("service", u.Name, serviceSettings(u))
 	}
 	s, err := l.engineSettings(u)
 	if err != nil {
 		return nil, err
 	}
-	return l.withSettings("engine", u.Name, s)
+	return l.argsWithSettings("engine", u.Name, s)
 }
 
 func serviceSettings(u *document.Upstream) service.Settings {
@@ -88,7 +90,9 @@
 	return s
 }
 
-// engineSettings are those that the document states; the document then states those that Sets replace.
+// engineSettings returns the settings of an emulated engine. They are taken from u and overridden by
+// Options.Sets, and the overridden values are written back to u so that the document matches the
+// engine.
 func (l *Local) engineSettings(u *document.Upstream) (engine.Settings, error) {
 	s := engine.Defaults()
 	s.Name, s.Model = u.Name, u.Model
@@ -104,7 +108,9 @@
 	return s, nil
 }
 
-func (l *Local) withSettings(program, name string, s any) ([]string, error) {
-	file, err := l.write(name+".json", s)
+// argsWithSettings writes s to a settings file and returns the arguments that run an emulator command
+// with it.
+func (l *Local) argsWithSettings(program, name string, s any) ([]string, error) {
+	file, err := l.writeSettings(name+".json", s)
 	return []string{program, "--settings", file}, err
 }
