--- a/emulator/platform/http.go
+++ b/emulator/platform/http.go
@@ -13,19 +13,19 @@
 	"snipeshift.example/lib/clock"
 )
 
-// waitLimit is the longest watch, so that a forgotten one does not stay for good.
-const waitLimit = 60 * clock.Second
+// maxWait limits the duration of a watch, so that an abandoned one does not stay open indefinitely.
+const maxWait = 60 * clock.Second
 
-// controlLimit is the largest control message in bytes.
-const controlLimit = 1 << 20
+// maxControlBytes is the maximum size of the body of a control call or a VM list.
+const maxControlBytes = 1 << 20
 
 func (p *Platform) route() {
 	p.mux = http.NewServeMux()
-	p.mux.HandleFunc("GET /objects/{kind}/{name...}", p.fail(p.get))
-	p.mux.HandleFunc("GET /objects/{kind}", p.fail(p.list))
-	p.mux.HandleFunc("PUT /objects/{kind}/{name...}", p.fail(p.put))
-	p.mux.HandleFunc("DELETE /objects/{kind}/{name...}", p.fail(p.remove))
-	p.mux.HandleFunc("GET /vms", p.fail(p.listVMs))
+	p.mux.HandleFunc("GET /objects/{kind}/{name...}", p.withFaults(p.get))
+	p.mux.HandleFunc("GET /objects/{kind}", p.withFaults(p.list))
+	p.mux.HandleFunc("PUT /objects/{kind}/{name...}", p.withFaults(p.put))
+	p.mux.HandleFunc("DELETE /objects/{kind}/{name...}", p.withFaults(p.remove))
+	p.mux.HandleFunc("GET /vms", p.withFaults(p.listVMs))
 	p.mux.HandleFunc("PUT /vms", p.putVMs)
 	p.mux.HandleFunc("GET /calls", p.getCalls)
 	p.mux.HandleFunc("GET /control", p.getControl)
@@ -33,20 +33,21 @@
 	p.mux.HandleFunc("GET /health", func(http.ResponseWriter, *http.Request) {})
 }
 
-// handler answers one call, or returns false to close the connection without an answer.
+// handler serves one call. It returns false to have the connection reset without a response.
 type handler func(w http.ResponseWriter, r *http.Request) bool
 
-// fail puts outage and slowness before a handler.
-func (p *Platform) fail(h handler) http.HandlerFunc {
+// withFaults wraps a handler so that calls are subject to the outage and the delay set by Control.
+func (p *Platform) withFaults(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !p.up(r) || !p.delay(r) || !p.up(r) || !h(w, r) {
-			reset(w)
+		if !p.awaitOutageEnd(r) || !p.delay(r) || !p.awaitOutageEnd(r) || !h(w, r) {
+			resetConnection(w)
 		}
 	}
 }
 
-// up waits out a hanging outage and returns false in a refusing one.
-func (p *Platform) up(r *http.Request) bool {
+// awaitOutageEnd returns true if there is no outage. During a Hang outage it blocks until the outage
+// changes. It returns false during a Refuse outage and when the client disconnects.
+func (p *Platform) awaitOutageEnd(r *http.Request) bool {
 	for {
 		p.mu.Lock()
 		outage, changed := p.control.Outage, p.changed
@@ -69,11 +70,11 @@
 	p.mu.Lock()
 	slow := p.control.Slow
 	p.mu.Unlock()
-	return wait(r, slow)
+	return sleep(r, slow)
 }
 
-// reset closes the connection so that the other end sees it broken.
-func reset(w http.ResponseWriter) {
+// resetConnection closes the connection with a TCP reset, so that the client sees a connection error.
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -84,8 +85,9 @@
 	_ = conn.Close()
 }
 
-// admit counts a call against its rate and answers 429 when there are too many.
-func (p *Platform) admit(w http.ResponseWriter, b *bucket, count *int, kind string) bool {
+// admit counts a call and reports whether it is within its rate limit. If it isn't, admit responds
+// with 429 and returns false.
+func (p *Platform) admit(w http.ResponseWriter, b *tokenBucket, count *int, kind string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	*count++
@@ -99,20 +101,20 @@
 	return false
 }
 
-func target(r *http.Request) key { return key{r.PathValue("kind"), r.PathValue("name")} }
+func keyFromPath(r *http.Request) key { return key{r.PathValue("kind"), r.PathValue("name")} }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) bool {
 	if r.URL.Query().Has("after") {
 		return p.watch(w, r)
 	}
-	k := target(r)
+	k := keyFromPath(r)
 	if !p.admit(w, &p.reads, &p.calls.Reads, k.kind) {
 		return true
 	}
 	p.mu.Lock()
 	s := p.table.read(k, p.stale())
 	p.mu.Unlock()
-	answer(w, s)
+	writeState(w, s)
 	return true
 }
 
@@ -145,9 +147,9 @@
 	return p.write(w, r, nil, true)
 }
 
-func (p *Platform) write(w http.ResponseWriter, r *http.Request, value []byte, gone bool) bool {
-	k := target(r)
-	c, err := conditionOf(r.Header)
+func (p *Platform) write(w http.ResponseWriter, r *http.Request, value []byte, deleted bool) bool {
+	k := keyFromPath(r)
+	c, err := parseCondition(r.Header)
 	if err != nil || k.name == "" {
 		http.Error(w, "malformed name or condition", http.StatusBadRequest)
 		return true
@@ -156,18 +158,18 @@
 		return true
 	}
 	p.mu.Lock()
-	s, ok := p.table.write(k, value, gone, c)
-	lost := ok && p.control.Lose > 0
-	if lost {
+	s, ok := p.table.write(k, value, deleted, c)
+	loseResponse := ok && p.control.Lose > 0
+	if loseResponse {
 		p.control.Lose--
 	}
-	p.wake()
+	p.wakeWaiters()
 	p.mu.Unlock()
-	if lost {
+	if loseResponse {
 		return false
 	}
 	if s.version > 0 {
-		w.Header().Set("ETag", s.version.tag())
+		w.Header().Set("ETag", s.version.etag())
 	}
 	if !ok {
 		http.Error(w, "condition failed", http.StatusPreconditionFailed)
@@ -177,10 +179,10 @@
 	return true
 }
 
-// tag is the version as an entity tag.
-func (v Version) tag() string { return strconv.Quote(strconv.FormatUint(uint64(v), 10)) }
+// etag returns the version as an entity tag, a number in quotes.
+func (v Version) etag() string { return strconv.Quote(strconv.FormatUint(uint64(v), 10)) }
 
-func conditionOf(h http.Header) (condition, error) {
+func parseCondition(h http.Header) (condition, error) {
 	if h.Get("If-None-Match") == "*" {
 		return condition{set: true, absent: true}, nil
 	}
@@ -192,11 +194,11 @@
 	return condition{set: true, match: Version(v)}, err
 }
 
-func answer(w http.ResponseWriter, s state) {
+func writeState(w http.ResponseWriter, s state) {
 	if s.version > 0 {
-		w.Header().Set("ETag", s.version.tag())
+		w.Header().Set("ETag", s.version.etag())
 	}
-	if s.gone {
+	if s.deleted {
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
@@ -223,7 +225,7 @@
 }
 
 func (p *Platform) postControl(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, controlLimit))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxControlBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -244,6 +246,6 @@
 		p.staleUntil = p.clock.Now() + c.Stale
 	}
 	p.control = c
-	p.wake()
+	p.wakeWaiters()
 	writeJSON(w, c)
 }
--- a/emulator/platform/platform.go
+++ b/emulator/platform/platform.go
@@ -1,5 +1,6 @@
-// Package platform stands in for the platform's object store and its lagging
-// list of VMs, and can be told to fail as the real one does.
+// Package platform emulates the object store and the list of VMs of the platform on which the daemons
+// run. Changes of the VM list become visible with a delay, and tests can inject the failures of the
+// real platform.
 package platform
 
 import (
@@ -9,7 +10,7 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Platform is the stand-in. It is an http.Handler.
+// Platform is the emulated platform. It is an http.Handler.
 type Platform struct {
 	settings Settings
 	clock    *clock.Clock
@@ -18,29 +19,30 @@
 	mu      sync.Mutex
 	table   table
 	control Control
-	// staleUntil is when reads see present versions again.
+	// staleUntil is the time until which reads return the previous version of each object.
 	staleUntil clock.Milli
 	calls      Calls
-	writes     bucket
-	reads      bucket
-	vms        []listing
-	// changed is closed and replaced whenever a waiter should look again.
+	writes     tokenBucket
+	reads      tokenBucket
+	// vms holds the visible VM list, followed by newer lists that are not yet visible.
+	vms []vmList
+	// changed is closed and replaced after each write and control call, to wake blocked calls.
 	changed chan struct{}
 }
 
-// Calls counts what reached the store since its start.
+// Calls counts the calls to the store since its start, including those over the rate limits.
 type Calls struct {
-	// At is the stand-in's clock, in milliseconds.
+	// At is the time of the count on the emulator's clock, in milliseconds.
 	At clock.Milli `json:"at"`
-	// Reads are gets, lists and VM lists; Watches are long polls, each counted once.
+	// Reads counts gets, lists and reads of the VM list. Watches counts long polls, each once.
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
 	Watches int `json:"watches"`
-	// Waiting is the number of watches open now.
+	// Waiting is the number of open watches.
 	Waiting int `json:"waiting"`
-	// Refused counts calls over the rate limits.
+	// Refused counts calls that were rejected because of the rate limits.
 	Refused int `json:"refused"`
-	// Kinds counts reads, watches and writes by kind of object.
+	// Kinds counts reads, watches and writes together by kind of object, "vms" for the VM list.
 	Kinds map[string]int `json:"kinds"`
 }
 
@@ -53,13 +55,13 @@
 	State   string `json:"state"`
 }
 
-// listing is the VM list as it was set at one instant.
-type listing struct {
-	at  clock.Milli
-	vms []VM
+// vmList is a version of the list of VMs and the time at which it was set.
+type vmList struct {
+	setAt clock.Milli
+	vms   []VM
 }
 
-// New returns an empty store.
+// New returns a platform with an empty store and an empty VM list.
 func New(s Settings, c *clock.Clock) *Platform {
 	p := &Platform{
 		settings: s,
@@ -67,8 +69,8 @@
 		table:    table{objects: map[key]*object{}},
 		control:  Control{Lag: s.Lag},
 		calls:    Calls{Kinds: map[string]int{}},
-		writes:   bucket{rate: s.Writes},
-		reads:    bucket{rate: s.Reads},
+		writes:   tokenBucket{rate: s.Writes},
+		reads:    tokenBucket{rate: s.Reads},
 		changed:  make(chan struct{}),
 	}
 	p.route()
@@ -78,36 +80,37 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// wake lets every waiter look again. Its caller holds mu.
-func (p *Platform) wake() {
+// wakeWaiters wakes the calls that wait for a change. The caller holds mu.
+func (p *Platform) wakeWaiters() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// stale tells whether reads see the version before the last. Its caller holds mu.
+// stale reports whether reads return the previous version. The caller holds mu.
 func (p *Platform) stale() bool { return p.clock.Now() < p.staleUntil }
 
-// bucket limits calls to a rate per second, with a burst of one second.
-type bucket struct {
-	rate int
-	left float64
-	at   clock.Milli
+// tokenBucket limits calls to a rate per second, and allows bursts of as many calls as in one second.
+// A rate of zero is no limit.
+type tokenBucket struct {
+	rate    int
+	tokens  float64
+	updated clock.Milli
 }
 
-func (b *bucket) take(now clock.Milli) bool {
+func (b *tokenBucket) take(now clock.Milli) bool {
 	if b.rate == 0 {
 		return true
 	}
-	if b.at == 0 {
-		b.left = float64(b.rate)
+	if b.updated == 0 {
+		b.tokens = float64(b.rate)
 	} else {
-		b.left += float64(now-b.at) * float64(b.rate) / float64(clock.Second)
+		b.tokens += float64(now-b.updated) * float64(b.rate) / float64(clock.Second)
 	}
-	b.at = now
-	b.left = min(b.left, float64(b.rate))
-	if b.left < 1 {
+	b.updated = now
+	b.tokens = min(b.tokens, float64(b.rate))
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/emulator/platform/platform_test.go
+++ b/emulator/platform/platform_test.go
@@ -31,7 +31,7 @@
 	return client{t, srv.URL}
 }
 
-// try sends one call and returns status, entity tag and body.
+// try sends one call and returns status, entity tag and body. The headers are pairs of key and value.
 func (c client) try(method, path, body string, headers ...string) (int, string, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -91,7 +91,7 @@
 	require.JSONEq(t, `[{"name":"b/1","version":2,"value":"b25l"},{"name":"b/2","version":1,"value":"dHdv"}]`, text)
 }
 
-func TestWatchAnswersOnChangeAndAfterItsWait(t *testing.T) {
+func TestWatchReturnsOnChangeOrTimeout(t *testing.T) {
 	c := start(t, nil)
 	c.do(204, "PUT", "/objects/config/document", "a")
 	c.do(304, "GET", "/objects/config/document?after=1&wait=1", "")
@@ -110,9 +110,9 @@
 	require.Equal(t, 5, n.Kinds["config"])
 }
 
-// A write takes effect while its answer is lost: its sender sees a broken
-// connection and must not conclude that nothing was written.
-func TestLostAnswerStillWrites(t *testing.T) {
+// A write takes effect but its response is lost. The client sees a connection error, from which it
+// cannot tell whether the write took effect.
+func TestLostResponseStillWrites(t *testing.T) {
 	c := start(t, nil)
 	c.do(200, "POST", "/control", `{"lose":1}`)
 	_, _, _, err := c.try("PUT", "/objects/claims/1", "nonce")
@@ -122,8 +122,8 @@
 	c.do(204, "PUT", "/objects/claims/1", "again")
 }
 
-// The store goes down while watches wait. In a refusing outage every
-// connection breaks, in a hanging one nothing comes until it is over.
+// The store has an outage. In a "refuse" outage every connection is reset, in a "hang" outage calls
+// get no response until the outage ends.
 func TestOutage(t *testing.T) {
 	c := start(t, nil)
 	c.do(200, "POST", "/control", `{"outage":"refuse"}`)
@@ -137,7 +137,7 @@
 	}()
 	select {
 	case <-got:
-		require.Fail(t, "answered in a hanging outage")
+		require.Fail(t, "call was answered during a hang outage")
 	case <-time.After(50 * time.Millisecond):
 	}
 	c.do(200, "POST", "/control", `{"outage":""}`)
@@ -160,7 +160,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-func TestDeadWatchNeverAnswers(t *testing.T) {
+func TestUnansweredWatch(t *testing.T) {
 	c := start(t, nil)
 	c.do(200, "POST", "/control", `{"deadwatch":true}`)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -177,7 +177,7 @@
 	c.do(204, "PUT", "/objects/config/document", "a")
 	select {
 	case err := <-done:
-		require.Fail(t, "a dead watch answered", err)
+		require.Fail(t, "watch was answered although deadwatch is set", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	cancel()
@@ -199,7 +199,7 @@
 }
 
 func TestRatesAreLimited(t *testing.T) {
-	b := bucket{rate: 2}
+	b := tokenBucket{rate: 2}
 	require.True(t, b.take(1000))
 	require.True(t, b.take(1000))
 	require.False(t, b.take(1000))
--- a/emulator/platform/settings.go
+++ b/emulator/platform/settings.go
@@ -2,45 +2,47 @@
 
 import "snipeshift.example/lib/clock"
 
-// Settings of the stand-in.
+// Settings are the settings of the emulated platform.
 type Settings struct {
-	// Writes and Reads are the most calls per second; more get 429. Zero is no limit.
+	// Writes and Reads limit the calls per second; calls over the limit get status 429. Zero is
+	// no limit. Reads include watches.
 	Writes int `json:"writes"`
 	Reads  int `json:"reads"`
-	// Lag is how long a change of the VM list takes to become visible, in milliseconds.
+	// Lag is the delay after which a change of the VM list becomes visible, in milliseconds.
 	Lag clock.Milli `json:"lag"`
-	// Limit is the largest value in bytes.
+	// Limit is the maximum size of an object's value in bytes.
 	Limit int `json:"limit"`
 }
 
-// Defaults are the rates and sizes that the platform's service is known for.
+// Defaults returns the known limits of the real platform's object store and the lag of its VM list.
 func Defaults() Settings {
 	return Settings{Writes: 500, Reads: 2000, Lag: 3 * clock.Second, Limit: 1 << 20}
 }
 
-// Outage is how connections fail while the service is down.
+// Outage is the kind of an outage of the platform.
 type Outage string
 
-// The ways to be down.
+// The kinds of outages.
 const (
-	Up     Outage = ""
+	Up     Outage = ""       // no outage
 	Refuse Outage = "refuse" // every connection is reset
-	Hang   Outage = "hang"   // requests are read and never answered
+	Hang   Outage = "hang"   // requests are read and get no response until the outage ends
 )
 
-// Control is what a test tells the stand-in to do wrong. A field that is
-// absent from a request keeps its value.
+// Control sets the failures that the platform emulates. A field that is absent from a control call
+// keeps its value, except Stale.
 type Control struct {
-	// Outage is "", "refuse" or "hang".
 	Outage Outage `json:"outage"`
-	// Slow delays every answer, in milliseconds.
+	// Slow delays every call before it is processed, in milliseconds.
 	Slow clock.Milli `json:"slow"`
-	// Lose lets the next N writes take effect and closes their connections without an answer.
+	// Lose is the number of following writes that take effect but whose connections are reset
+	// without a response.
 	Lose int `json:"lose"`
-	// Stale lets reads, lists and watches see the version before the last, for so many milliseconds from now.
+	// Stale is a duration from now, in milliseconds, in which reads, lists and watches return
+	// the previous version of each object.
 	Stale clock.Milli `json:"stale"`
-	// Deadwatch keeps every watch open and unanswered.
+	// Deadwatch leaves every watch open without a response.
 	Deadwatch bool `json:"deadwatch"`
-	// Lag replaces the lag of the VM list, in milliseconds.
+	// Lag replaces Settings.Lag, in milliseconds.
 	Lag clock.Milli `json:"lag"`
 }
--- a/emulator/platform/table.go
+++ b/emulator/platform/table.go
@@ -5,66 +5,67 @@
 	"strings"
 )
 
-// key names an object.
+// key identifies an object by kind and name.
 type key struct{ kind, name string }
 
-// Version numbers writes over all objects, rising.
+// Version is the number of a write. Versions increase with every write to any object.
 type Version uint64
 
-// state is an object at one version; a deleted object is a state without value.
+// state is the state of an object at one version. A deleted or absent object has no value.
 type state struct {
 	version Version
 	value   []byte
-	gone    bool
+	deleted bool
 }
 
-// object is the present and the previous state of one key.
+// object holds the current and the previous state of one object.
 type object struct {
-	now, before state
+	current, previous state
 }
 
-// table holds every object. Its caller locks.
+// table holds all objects. The caller synchronizes access.
 type table struct {
 	objects map[key]*object
-	last    Version
+	last    Version // version of the last write
 }
 
-// condition of a write: unconditional, on a version, or on absence.
+// condition is the precondition of a write: none, that the object has a version, or that it is absent.
 type condition struct {
 	set    bool
 	absent bool
 	match  Version
 }
 
-// read returns the state a reader sees; stale readers see the one before.
+// read returns the current state of an object, or the previous one if stale is set.
 func (t *table) read(k key, stale bool) state {
 	o, ok := t.objects[k]
 	if !ok {
-		return state{gone: true}
+		return state{deleted: true}
 	}
 	if stale {
-		return o.before
+		return o.previous
 	}
-	return o.now
+	return o.current
 }
 
-// write puts a new state in place if the condition holds, and tells whether it did.
-func (t *table) write(k key, value []byte, gone bool, c condition) (state, bool) {
+// write sets a new state of an object if the condition holds. It returns the resulting state and
+// whether the condition held. A deletion of an absent object succeeds without a new version.
+func (t *table) write(k key, value []byte, deleted bool, c condition) (state, bool) {
 	o, ok := t.objects[k]
 	if !ok {
-		o = &object{now: state{gone: true}, before: state{gone: true}}
+		o = &object{current: state{deleted: true}, previous: state{deleted: true}}
 	}
-	if !c.holds(o.now) {
-		return o.now, false
+	if !c.holds(o.current) {
+		return o.current, false
 	}
-	if gone && o.now.gone {
-		return o.now, true
+	if deleted && o.current.deleted {
+		return o.current, true
 	}
 	t.last++
-	o.before = o.now
-	o.now = state{version: t.last, value: value, gone: gone}
+	o.previous = o.current
+	o.current = state{version: t.last, value: value, deleted: deleted}
 	t.objects[k] = o
-	return o.now, true
+	return o.current, true
 }
 
 func (c condition) holds(s state) bool {
@@ -72,9 +73,9 @@
 	case !c.set:
 		return true
 	case c.absent:
-		return s.gone
+		return s.deleted
 	default:
-		return !s.gone && s.version == c.match
+		return !s.deleted && s.version == c.match
 	}
 }
 
@@ -85,7 +86,7 @@
 	Value   []byte  `json:"value"`
 }
 
-// list returns the live objects of a kind by name.
+// list returns the existing objects of a kind whose names have a prefix, sorted by name.
 func (t *table) list(kind, prefix string, stale bool) []Item {
 	items := []Item{}
 	for k := range t.objects {
@@ -93,7 +94,7 @@
 			continue
 		}
 		s := t.read(k, stale)
-		if !s.gone {
+		if !s.deleted {
 			items = append(items, Item{Name: k.name, Version: s.version, Value: s.value})
 		}
 	}
--- a/emulator/platform/watch.go
+++ b/emulator/platform/watch.go
@@ -8,45 +8,46 @@
 	"snipeshift.example/lib/clock"
 )
 
-// watch answers once the object's version is above the caller's, with 404 if
-// that version is a deletion, or with 304 after the wait.
+// watch is a long poll. It responds once the object's version is above the version in the query
+// parameter "after", with 404 if that version is a deletion. After the time in the query parameter
+// "wait" it responds with 304.
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) bool {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
-	span, err2 := waitOf(q.Get("wait"))
+	timeout, err2 := parseWait(q.Get("wait"))
 	if err != nil || err2 != nil {
 		http.Error(w, "malformed after or wait", http.StatusBadRequest)
 		return true
 	}
-	k := target(r)
+	k := keyFromPath(r)
 	if !p.admit(w, &p.reads, &p.calls.Watches, k.kind) {
 		return true
 	}
-	p.waiting(1)
-	defer p.waiting(-1)
-	limit := time.NewTimer(span.Duration())
+	p.addWaiting(1)
+	defer p.addWaiting(-1)
+	limit := time.NewTimer(timeout.Duration())
 	defer limit.Stop()
-	return p.await(w, r, k, Version(after), limit.C)
+	return p.awaitVersion(w, r, k, Version(after), limit.C)
 }
 
-func (p *Platform) await(w http.ResponseWriter, r *http.Request, k key, after Version, limit <-chan time.Time) bool {
+func (p *Platform) awaitVersion(w http.ResponseWriter, r *http.Request, k key, after Version, timeout <-chan time.Time) bool {
 	for {
-		if !p.up(r) {
+		if !p.awaitOutageEnd(r) {
 			return false
 		}
 		p.mu.Lock()
-		s, dead, changed := p.table.read(k, p.stale()), p.control.Deadwatch, p.changed
+		s, deadwatch, changed := p.table.read(k, p.stale()), p.control.Deadwatch, p.changed
 		p.mu.Unlock()
-		if dead {
-			limit = nil // a watch that was once dead never answers by itself again
+		if deadwatch {
+			timeout = nil // once Deadwatch was set during a watch, the watch no longer times out
 		}
-		if !dead && s.version > after {
-			answer(w, s)
+		if !deadwatch && s.version > after {
+			writeState(w, s)
 			return true
 		}
 		select {
 		case <-changed:
-		case <-limit:
+		case <-timeout:
 			w.WriteHeader(http.StatusNotModified)
 			return true
 		case <-r.Context().Done():
@@ -55,26 +56,28 @@
 	}
 }
 
-func (p *Platform) waiting(n int) {
+func (p *Platform) addWaiting(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls.Waiting += n
 }
 
-func waitOf(s string) (clock.Milli, error) {
+// parseWait parses the "wait" parameter of a watch, in milliseconds, which is limited to maxWait and
+// defaults to it.
+func parseWait(s string) (clock.Milli, error) {
 	if s == "" {
-		return waitLimit, nil
+		return maxWait, nil
 	}
 	n, err := strconv.ParseUint(s, 10, 32)
-	return min(clock.Milli(n), waitLimit), err
+	return min(clock.Milli(n), maxWait), err
 }
 
-// wait lets a span pass, and returns false if the caller left meanwhile.
-func wait(r *http.Request, span clock.Milli) bool {
-	if span <= 0 {
+// sleep waits for a duration. It returns false if the client disconnects before its end.
+func sleep(r *http.Request, duration clock.Milli) bool {
+	if duration <= 0 {
 		return true
 	}
-	t := time.NewTimer(span.Duration())
+	t := time.NewTimer(duration.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/emulator/service/service.go
+++ b/emulator/service/service.go
@@ -1,6 +1,6 @@
-// Package service stands in for a plain service beside the model engines, such
-// as the alert desk or the licence records. It keeps a ledger of every call it
-// executed, so that a test can see what ran and how often.
+// Package service emulates a plain service, an upstream that serves no model, such as the alert desk or
+// the licence records of the example deployments. It records every executed call in a ledger, with
+// which tests check which calls ran and how often.
 package service
 
 import (
@@ -18,55 +18,61 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Settings of the stand-in.
+// Settings are the settings of an emulated service.
 type Settings struct {
-	// Name is the upstream's.
+	// Name is the name of the upstream.
 	Name string `json:"name"`
-	// Delay is how long a call takes, in milliseconds.
+	// Delay is the duration of a call, in milliseconds.
 	Delay clock.Milli `json:"delay"`
-	// Body is the largest body in bytes.
+	// Body is the maximum size of a request body in bytes.
 	Body int64 `json:"body"`
-	// Ledger is a file that gets every call as a line of JSON, so that the record survives a kill; empty for none.
+	// Ledger is the path of a file to which the start and the end of every call are appended as
+	// lines of JSON, so that the record survives if the process is killed. Empty for no file.
 	Ledger string `json:"ledger"`
 }
 
-// Defaults are fit for a loopback deployment.
+// Defaults returns settings for a deployment on the loopback interface.
 func Defaults() Settings { return Settings{Name: "service", Delay: 2, Body: 8 << 20} }
 
-// Control is what a test tells the service to do wrong. A field that is absent
-// from a request keeps its value.
+// Control sets the failures that the service emulates. A field that is absent from a control call
+// keeps its value.
 type Control struct {
 	// Delay is added to every call, in milliseconds.
 	Delay clock.Milli `json:"delay"`
-	// Fail is the status that every call gets after it ran; zero for success.
+	// Fail is the HTTP status of the response to every call after it ran; zero for success.
 	Fail int `json:"fail"`
-	// Die lets the next N calls run and closes their connections without an answer.
+	// Die is the number of following calls that run and whose connections are then closed
+	// without a response.
 	Die int `json:"die"`
-	// Silent lets every call run and keeps its connection open without an answer.
+	// Silent lets every call run and then leaves its connection open without a response.
 	Silent bool `json:"silent"`
-	// Refuse answers 503 before a call runs.
+	// Refuse responds to every call with status 503 and does not run it.
 	Refuse bool `json:"refuse"`
 }
 
-// Call is one executed call in the ledger.
+// Call is the record of one executed call in the ledger.
 type Call struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	// Hash is xxhash64 of the body in hexadecimal.
 	Hash  string `json:"hash"`
 	Bytes int    `json:"bytes"`
-	// Key, Request and Grant are the headers Idempotency-Key, X-Request-Id and X-Grant.
-	Key     string      `json:"key"`
-	Request string      `json:"request"`
-	Grant   string      `json:"grant"`
-	Started clock.Milli `json:"started"`
-	// Finished is zero until the call ended.
+	// Key, Request and Grant are the values of the headers Idempotency-Key, X-Request-Id and
+	// X-Grant.
+	Key     string `json:"key"`
+	Request string `json:"request"`
+	Grant   string `json:"grant"`
+	// Started and Finished are times on the emulator's clock. Finished is zero while the call
+	// runs.
+	Started  clock.Milli `json:"started"`
 	Finished clock.Milli `json:"finished"`
-	// Outcome is "running", "done", "failed", "died", "silent" or "canceled" (its caller left).
+	// Outcome is "running", "done", "failed" (after Control.Fail), "died" (after Control.Die),
+	// "silent" (after Control.Silent) or "canceled" (the client disconnected).
 	Outcome string `json:"outcome"`
 }
 
-// Answer is the body of every success; a caller can check it against what it sent.
+// Answer is the body of every successful response. It describes the received call, so that the client
+// can check that the response belongs to its request.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -75,7 +81,7 @@
 	Request string `json:"request"`
 }
 
-// Service is the stand-in. It is an http.Handler.
+// Service is an emulated service. It is an http.Handler.
 type Service struct {
 	settings Settings
 	clock    *clock.Clock
@@ -87,7 +93,7 @@
 	calls   []*Call
 }
 
-// New opens the ledger and returns a service.
+// New opens the ledger file and returns a service.
 func New(s Settings, c *clock.Clock) (*Service, error) {
 	j, err := ledger.Open(s.Ledger)
 	if err != nil {
@@ -102,13 +108,13 @@
 	return v, nil
 }
 
-// Close closes the ledger's file.
+// Close closes the ledger file.
 func (v *Service) Close() error { return v.journal.Close() }
 
 // ServeHTTP implements http.Handler.
 func (v *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { v.mux.ServeHTTP(w, r) }
 
-// Hash is the hash of a body as the ledger and answers show it.
+// Hash returns the xxhash64 of a body in hexadecimal, as in Call.Hash and Answer.Hash.
 func Hash(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
 func (v *Service) call(w http.ResponseWriter, r *http.Request) {
@@ -122,28 +128,29 @@
 		http.Error(w, "refused before it ran", http.StatusServiceUnavailable)
 		return
 	}
-	if !pause(r, v.settings.Delay+control.Delay) {
-		v.end(c, "canceled")
+	if !sleep(r, v.settings.Delay+control.Delay) {
+		v.finish(c, "canceled")
 		return
 	}
 	switch {
 	case control.Silent:
-		v.end(c, "silent")
+		v.finish(c, "silent")
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	case control.Die > 0:
-		v.end(c, "died")
+		v.finish(c, "died")
 		panic(http.ErrAbortHandler)
 	case control.Fail != 0:
-		v.end(c, "failed")
+		v.finish(c, "failed")
 		http.Error(w, "the service failed", control.Fail)
 	default:
-		v.end(c, "done")
-		v.answer(w, c)
+		v.finish(c, "done")
+		v.writeResponse(w, c)
 	}
 }
 
-// begin records the call, unless calls are refused.
+// begin records the start of a call and returns it with the control settings that apply to it. It
+// returns false and records nothing if calls are refused.
 func (v *Service) begin(r *http.Request, body []byte) (*Call, Control, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -170,7 +177,7 @@
 	return c, control, true
 }
 
-func (v *Service) end(c *Call, outcome string) {
+func (v *Service) finish(c *Call, outcome string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	c.Finished = v.clock.Now()
@@ -178,7 +185,7 @@
 	v.journal.Write(c)
 }
 
-func (v *Service) answer(w http.ResponseWriter, c *Call) {
+func (v *Service) writeResponse(w http.ResponseWriter, c *Call) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Answer{
 		Service: v.settings.Name,
@@ -200,7 +207,7 @@
 	_ = json.NewEncoder(w).Encode(Ledger{Calls: calls})
 }
 
-// Ledger is the answer to GET /ledger.
+// Ledger is the body of the response to GET /ledger.
 type Ledger struct {
 	Calls []Call `json:"calls"`
 }
@@ -222,8 +229,8 @@
 	_ = json.NewEncoder(w).Encode(c)
 }
 
-func pause(r *http.Request, span clock.Milli) bool {
-	t := time.NewTimer(span.Duration())
+func sleep(r *http.Request, duration clock.Milli) bool {
+	t := time.NewTimer(duration.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/emulator/service/service_test.go
+++ b/emulator/service/service_test.go
@@ -37,7 +37,7 @@
 func (c client) try(ctx context.Context, method, path, body string) (int, string, error) {
 	r, err := http.NewRequestWithContext(ctx, method, c.url+path, strings.NewReader(body))
 	require.NoError(c.t, err)
-	r.GetBody = nil // or the client would repeat a call with an idempotency key by itself, on a reused connection
+	r.GetBody = nil // keeps the transport from retrying a call with an idempotency key on its own if a reused connection fails
 	r.Header.Set("Idempotency-Key", "k")
 	r.Header.Set("X-Request-Id", "r1")
 	a, err := http.DefaultClient.Do(r)
@@ -69,7 +69,7 @@
 	return outcomes
 }
 
-func TestAnswerTellsWhatRan(t *testing.T) {
+func TestResponseDescribesTheCall(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "ledger")
 	s := Defaults()
 	s.Ledger = file
@@ -89,8 +89,8 @@
 	require.Empty(t, c.outcomes())
 }
 
-// The service runs a call and then fails, dies or says nothing. Its caller
-// cannot know that it ran; the ledger does.
+// The service runs a call and then returns an error, closes the connection or does not respond. The
+// client cannot determine whether the call ran, but the ledger records it.
 func TestCallsThatRunWithoutASuccess(t *testing.T) {
 	c := start(t, Defaults())
 	c.do(200, "POST", "/control", `{"fail":500}`)
@@ -112,7 +112,7 @@
 	c.do(400, "POST", "/control", `{"silence":true}`)
 }
 
-func TestCallerThatLeavesIsRecorded(t *testing.T) {
+func TestClientDisconnectIsRecorded(t *testing.T) {
 	c := start(t, Defaults())
 	c.do(200, "POST", "/control", `{"delay":100000}`)
 	ctx, cancel := context.WithCancel(t.Context())
