--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -1,6 +1,7 @@
-// Package experiment runs load at several levels against a local deployment
-// and measures what the users measure: the time to the first token by prompt
-// length, and how much slower short requests get when long ones share the fleet.
+// Package experiment runs load at several rates against a local deployment. It measures the
+// time to the first token by prompt length, and how much slower short requests get when long
+// ones share the engines. It also measures the resource use of idle daemons and the overhead
+// that a daemon adds to a request.
 package experiment
 
 import (
@@ -20,40 +21,44 @@
 
 // Options of an experiment.
 type Options struct {
-	// Local is the deployment, started once for all levels.
+	// Local describes the deployment, which is started once for all rates.
 	Local local.Options
-	// Load is the load of every level but for its rate.
+	// Load is the load at every rate; its Rate is replaced.
 	Load load.Settings
-	// Rates are the levels in requests per second.
+	// Rates are the load levels in requests per second.
 	Rates []float64
 }
 
-// Level is one run of load.
+// Level is the measurement of one load run.
 type Level struct {
+	// Rate is in requests per second.
 	Rate float64 `json:"rate"`
-	// Long tells whether long prompts were in the mix.
+	// Long is set if the load contained long prompts.
 	Long   bool        `json:"long"`
 	Report load.Report `json:"report"`
-	// Cores is the processor time of all daemons over the run, in cores.
+	// Cores is the mean processor use of all daemons together, in cores.
 	Cores float64 `json:"cores"`
-	// Memory is the largest resident memory of a daemon after the run, in bytes.
+	// Memory is the maximum over the daemons of the resident memory after the run, in bytes.
 	Memory int64 `json:"memory"`
-	// Reads and Writes are the platform's calls per second, watches among the reads.
+	// Reads and Writes are calls to the platform's store per second. Reads include watches.
 	Reads  float64 `json:"reads"`
 	Writes float64 `json:"writes"`
 }
 
-// Pair is one rate without and with long prompts; the short requests of both are the same in kind.
+// Pair is the measurement at one rate, once without long prompts (Short) and once with them
+// (Mixed). The short requests of both runs have the same distribution.
 type Pair struct {
 	Short Level `json:"short"`
 	Mixed Level `json:"mixed"`
-	// P50 and P95 are the slowdown of the time to the first token of prompts
-	// under 4 k tokens: mixed over short. Zero where one of them had none.
+	// P50 and P95 are the slowdown of prompts under 4 k tokens by long prompts: the ratio of the
+	// mixed to the short run's time to the first token, at that percentile. Both are zero if
+	// the short run has no such time.
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 }
 
-// Run starts the deployment, runs every rate without and with long prompts, and stops it.
+// Run starts the deployment, runs the load at every rate without and with long prompts, and stops
+// the deployment. On an error the pairs measured so far are returned with it.
 func Run(ctx context.Context, o Options) (pairs []Pair, err error) {
 	l, err := local.Start(ctx, o.Local)
 	if err != nil {
@@ -63,7 +68,7 @@
 	r := &runner{ready: l.Ready(), load: o.Load}
 	r.load.Addresses, r.load.Operators = r.ready.Callers, r.ready.Operators
 	for _, rate := range o.Rates {
-		p, err := r.pair(ctx, rate)
+		p, err := r.measurePair(ctx, rate)
 		if err != nil {
 			return pairs, err
 		}
@@ -72,18 +77,18 @@
 	return pairs, nil
 }
 
-// runner runs levels against one deployment.
+// runner runs the load levels against one deployment.
 type runner struct {
 	ready local.Ready
 	load  load.Settings
 }
 
-func (r *runner) pair(ctx context.Context, rate float64) (Pair, error) {
-	short, err := r.level(ctx, rate, 0)
+func (r *runner) measurePair(ctx context.Context, rate float64) (Pair, error) {
+	short, err := r.measureLevel(ctx, rate, 0)
 	if err != nil {
 		return Pair{}, err
 	}
-	mixed, err := r.level(ctx, rate, r.load.Long)
+	mixed, err := r.measureLevel(ctx, rate, r.load.Long)
 	if err != nil {
 		return Pair{}, err
 	}
@@ -95,18 +100,19 @@
 	return p, ctx.Err()
 }
 
-// usage is what the daemons and the platform have done so far.
+// usage holds the total processor time of all daemons, the maximum resident memory of a daemon
+// in bytes, and the number of calls to the platform's store, all since their start.
 type usage struct {
 	processor     time.Duration
 	memory        int64
 	reads, writes int
 }
 
-func (r *runner) level(ctx context.Context, rate, long float64) (Level, error) {
+func (r *runner) measureLevel(ctx context.Context, rate, long float64) (Level, error) {
 	s := r.load
 	s.Rate, s.Long = rate, long
 	s.Seed += uint64(rate * 1000)
-	before, err := r.usage(ctx)
+	before, err := r.readUsage(ctx)
 	if err != nil {
 		return Level{}, err
 	}
@@ -114,7 +120,7 @@
 	if err != nil {
 		return Level{}, err
 	}
-	after, err := r.usage(ctx)
+	after, err := r.readUsage(ctx)
 	if err != nil {
 		return Level{}, err
 	}
@@ -129,7 +135,7 @@
 	}, nil
 }
 
-func (r *runner) usage(ctx context.Context) (usage, error) {
+func (r *runner) readUsage(ctx context.Context) (usage, error) {
 	var u usage
 	for name, pid := range r.ready.Pids {
 		if !strings.HasPrefix(name, local.DaemonPrefix) {
@@ -142,21 +148,21 @@
 		u.processor += p.Processor
 		u.memory = max(u.memory, p.Memory)
 	}
-	c, err := callsOf(ctx, r.ready.Platform)
+	c, err := platformCalls(ctx, r.ready.Platform)
 	u.reads, u.writes = c.Reads+c.Watches, c.Writes
 	return u, err
 }
 
-func callsOf(ctx context.Context, address string) (platform.Calls, error) {
+func platformCalls(ctx context.Context, address string) (platform.Calls, error) {
 	var c platform.Calls
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/calls", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/calls", nil)
 	if err != nil {
 		return c, err
 	}
-	a, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return c, err
 	}
-	defer a.Body.Close()
-	return c, json.NewDecoder(a.Body).Decode(&c)
+	defer resp.Body.Close()
+	return c, json.NewDecoder(resp.Body).Decode(&c)
 }
--- a/emulator/experiment/idle.go
+++ b/emulator/experiment/idle.go
@@ -11,43 +11,45 @@
 	"snipeshift.example/emulator/local"
 )
 
-// Size is a deployment's size.
+// Size is the size of a deployment.
 type Size struct {
 	Engines int `json:"engines"`
 	Daemons int `json:"daemons"`
 }
 
-// ParseSize reads "ENGINESxDAEMONS".
+// ParseSize parses a size of the form "ENGINESxDAEMONS", both at least 1.
 func ParseSize(s string) (Size, error) {
 	var z Size
 	if n, err := fmt.Sscanf(s, "%dx%d", &z.Engines, &z.Daemons); err != nil || n != 2 || z.Engines < 1 || z.Daemons < 1 {
-		return z, fmt.Errorf("size %q is not ENGINESxDAEMONS", s)
+		return z, fmt.Errorf("size %q does not have the form ENGINESxDAEMONS with numbers of at least 1", s)
 	}
 	return z, nil
 }
 
-// Idle is what one daemon spends on control in a deployment without requests.
+// Idle is the resource use of one daemon in a deployment that serves no requests.
 type Idle struct {
 	Size
 	// Core is the mean processor use of a daemon, in cores.
 	Core float64 `json:"core"`
-	// Memory is the largest resident memory of a daemon, in bytes.
+	// Memory is the maximum over the daemons of the resident memory, in bytes.
 	Memory int64 `json:"memory"`
-	// Reads and Writes are calls to the platform per second and daemon, watches among the reads.
+	// Reads and Writes are calls to the platform's store per second and daemon. Reads include
+	// watches.
 	Reads  float64 `json:"reads"`
 	Writes float64 `json:"writes"`
-	// In and Out are bytes per second between a daemon and its peers.
+	// In and Out are bytes per second that a daemon receives from and sends to its peers.
 	In  float64 `json:"in"`
 	Out float64 `json:"out"`
 }
 
-// RunIdle measures each size in a deployment of its own: settle first, then over span.
-func RunIdle(ctx context.Context, o local.Options, sizes []Size, settle, span time.Duration) ([]Idle, error) {
+// RunIdle measures each size in a separate deployment. After the deployment is ready it waits for
+// settle, and then measures for duration.
+func RunIdle(ctx context.Context, o local.Options, sizes []Size, settle, duration time.Duration) ([]Idle, error) {
 	var rows []Idle
 	for _, z := range sizes {
 		o.Packed = true
 		o.Engines, o.Daemons = z.Engines, z.Daemons
-		row, err := idle(ctx, o, settle, span)
+		row, err := measureIdle(ctx, o, settle, duration)
 		if err != nil {
 			return rows, err
 		}
@@ -57,7 +59,7 @@
 	return rows, nil
 }
 
-func idle(ctx context.Context, o local.Options, settle, span time.Duration) (i Idle, err error) {
+func measureIdle(ctx context.Context, o local.Options, settle, duration time.Duration) (i Idle, err error) {
 	l, err := local.Start(ctx, o)
 	if err != nil {
 		return i, err
@@ -68,31 +70,31 @@
 		return i, err
 	}
 	start := time.Now()
-	before, err := r.usage(ctx)
+	before, err := r.readUsage(ctx)
 	if err != nil {
 		return i, err
 	}
-	sent, err := meterOf(ctx, r.ready)
+	countersBefore, err := readCounters(ctx, r.ready)
 	if err != nil {
 		return i, err
 	}
-	if err := pause(ctx, span); err != nil {
+	if err := pause(ctx, duration); err != nil {
 		return i, err
 	}
-	after, err := r.usage(ctx)
+	after, err := r.readUsage(ctx)
 	if err != nil {
 		return i, err
 	}
-	took := time.Since(start).Seconds() * float64(o.Daemons)
-	more, err := meterOf(ctx, r.ready)
-	bytes := more.since(sent, took)
+	daemonSeconds := time.Since(start).Seconds() * float64(o.Daemons)
+	countersAfter, err := readCounters(ctx, r.ready)
+	perDaemonSecond := countersAfter.increasePer(countersBefore, daemonSeconds)
 	return Idle{
-		Core:   (after.processor - before.processor).Seconds() / took,
+		Core:   (after.processor - before.processor).Seconds() / daemonSeconds,
 		Memory: after.memory,
-		Reads:  float64(after.reads-before.reads) / took,
-		Writes: float64(after.writes-before.writes) / took,
-		In:     bytes[bytesIn],
-		Out:    bytes[bytesOut],
+		Reads:  float64(after.reads-before.reads) / daemonSeconds,
+		Writes: float64(after.writes-before.writes) / daemonSeconds,
+		In:     perDaemonSecond[bytesIn],
+		Out:    perDaemonSecond[bytesOut],
 	}, err
 }
 
@@ -107,7 +109,7 @@
 	}
 }
 
-// IdleTable writes the rows as a table for a page.
+// IdleTable writes the rows as a Markdown table.
 func IdleTable(rows []Idle, out io.Writer) error {
 	var b strings.Builder
 	b.WriteString("| engines | daemons | % of a core | MB | reads/s | writes/s | B/s in | B/s out |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
--- a/emulator/experiment/meter.go
+++ b/emulator/experiment/meter.go
@@ -10,7 +10,7 @@
 	"snipeshift.example/emulator/local"
 )
 
-// Names of a daemon's metrics.
+// Names of metrics that a daemon exports.
 const (
 	bytesIn   = `snipeshift_peer_bytes_total{way="in"}`
 	bytesOut  = `snipeshift_peer_bytes_total{way="out"}`
@@ -19,31 +19,32 @@
 	cpu       = "process_cpu_seconds_total"
 )
 
-// meter is a sum over all daemons by metric. A daemon without a metric counts as zero.
-type meter map[string]float64
+// counters holds the sum over all daemons for each metric. A daemon that does not export a metric
+// counts as zero.
+type counters map[string]float64
 
-// meterOf reads the metrics of all daemons.
-func meterOf(ctx context.Context, r local.Ready) (meter, error) {
-	m := meter{bytesIn: 0, bytesOut: 0, allocs: 0, allocated: 0, cpu: 0}
+// readCounters reads the metrics of all daemons at their operator addresses.
+func readCounters(ctx context.Context, r local.Ready) (counters, error) {
+	m := counters{bytesIn: 0, bytesOut: 0, allocs: 0, allocated: 0, cpu: 0}
 	for _, a := range r.Operators {
-		if err := m.add(ctx, a); err != nil {
+		if err := m.addDaemon(ctx, a); err != nil {
 			return m, err
 		}
 	}
 	return m, nil
 }
 
-func (m meter) add(ctx context.Context, operator string) error {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operator+"/metrics", nil)
+func (m counters) addDaemon(ctx context.Context, address string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return err
 	}
-	a, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
 	}
-	defer a.Body.Close()
-	lines := bufio.NewScanner(a.Body)
+	defer resp.Body.Close()
+	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		name, text, _ := strings.Cut(lines.Text(), " ")
 		if _, wanted := m[name]; !wanted {
@@ -58,9 +59,9 @@
 	return lines.Err()
 }
 
-// since is the growth from an earlier reading, in parts of n.
-func (m meter) since(earlier meter, n float64) meter {
-	d := meter{}
+// increasePer returns the increase of each metric since an earlier reading, divided by n.
+func (m counters) increasePer(earlier counters, n float64) counters {
+	d := counters{}
 	for name, x := range m {
 		d[name] = (x - earlier[name]) / n
 	}
--- a/emulator/experiment/path.go
+++ b/emulator/experiment/path.go
@@ -12,34 +12,37 @@
 	"snipeshift.example/emulator/local"
 )
 
-// PathOptions of a measure of the path through a daemon.
+// PathOptions are the options of a measurement of the overhead that a daemon adds to a request.
 type PathOptions struct {
-	// Local is the deployment; its engine should be so quick that it is no bottleneck.
+	// Local describes the deployment. Its engine should be fast enough not to be the bottleneck.
 	Local local.Options
-	// Model is compared without its fields Direct, Through and Service.
+	// Model is the comparison to run; its fields Direct, Through and Service are replaced.
 	Model load.Comparison
-	// Engine and Service name the upstreams compared; Name and Kind are the
-	// service's as callers know it, and its request kind.
+	// Engine and Service are the names of the upstreams to call directly. Name is the name of
+	// the service in requests to a daemon, and Kind the request kind of its calls.
 	Engine, Service, Name, Kind string
-	// Settle is the time from ready to the measure, Idle how long the daemons are
-	// watched without requests.
+	// Settle is the wait between readiness and the measurement, and Idle the time over which
+	// the daemons are measured without requests.
 	Settle, Idle time.Duration
 }
 
-// Path is what one request through a daemon costs.
+// Path is the cost of one request through a daemon.
 type Path struct {
+	// Target is the name of the model or service.
 	Target   string        `json:"target"`
 	Compared load.Compared `json:"compared"`
-	// Allocs and Allocated are heap allocations and their bytes in all daemons for one request.
+	// Allocs and Allocated are the number and the bytes of heap allocations in all daemons for
+	// one request.
 	Allocs    float64 `json:"allocs"`
 	Allocated float64 `json:"allocated"`
 	// Processor is the processor time of all daemons for one request, in milliseconds.
 	Processor float64 `json:"processor"`
-	// Peer is the bytes between daemons for one request, both ways.
+	// Peer is the number of bytes between daemons for one request, in both directions.
 	Peer float64 `json:"peer"`
 }
 
-// RunPath measures streams of a model, then calls of a plain service.
+// RunPath measures streams of a model and then calls of a plain service, each directly and
+// through a daemon.
 func RunPath(ctx context.Context, o PathOptions) (ps []Path, err error) {
 	l, err := local.Start(ctx, o.Local)
 	if err != nil {
@@ -52,28 +55,29 @@
 	r := l.Ready()
 	c := o.Model
 	c.Through, c.Direct = r.Address, r.Upstreams[o.Engine]
-	p, err := path(ctx, r, c, o.Idle)
+	p, err := measurePath(ctx, r, c, o.Idle)
 	if err != nil {
 		return ps, err
 	}
 	ps = append(ps, p)
 	c.Service, c.Kind = o.Name, o.Kind
 	c.Direct = r.Upstreams[o.Service]
-	p, err = path(ctx, r, c, o.Idle)
+	p, err = measurePath(ctx, r, c, o.Idle)
 	return append(ps, p), err
 }
 
-// path compares one target. What the daemons do besides is measured first, and taken off.
-func path(ctx context.Context, r local.Ready, c load.Comparison, span time.Duration) (Path, error) {
+// measurePath measures one target. It first measures the resource use of the idle daemons and
+// subtracts that from their use during the comparison.
+func measurePath(ctx context.Context, r local.Ready, c load.Comparison, idleTime time.Duration) (Path, error) {
 	p := Path{Target: c.Model}
 	if c.Service != "" {
 		p.Target = c.Service
 	}
-	idle, err := idleRate(ctx, r, span)
+	idlePerSecond, err := countersPerIdleSecond(ctx, r, idleTime)
 	if err != nil {
 		return p, err
 	}
-	before, err := meterOf(ctx, r)
+	before, err := readCounters(ctx, r)
 	if err != nil {
 		return p, err
 	}
@@ -81,45 +85,44 @@
 	if p.Compared, err = load.Compare(ctx, c); err != nil {
 		return p, err
 	}
-	took := time.Since(start).Seconds()
-	after, err := meterOf(ctx, r)
+	elapsed := time.Since(start).Seconds()
+	after, err := readCounters(ctx, r)
 	if err != nil {
 		return p, err
 	}
-	// The round that warms up is not in the tally, but cost as much as another.
+	// load.Compare runs one more round than it counts, to warm up, which uses the same resources.
 	count := float64(p.Compared.Through.Sent) * float64(c.Rounds+1) / float64(c.Rounds)
-	m := after.since(before, 1)
-	each := func(name string) float64 { return (m[name] - idle[name]*took) / count }
-	p.Allocs, p.Allocated = each(allocs), each(allocated)
-	p.Processor = each(cpu) * milliseconds
-	p.Peer = each(bytesOut)
+	m := after.increasePer(before, 1)
+	perRequest := func(name string) float64 { return (m[name] - idlePerSecond[name]*elapsed) / count }
+	p.Allocs, p.Allocated = perRequest(allocs), perRequest(allocated)
+	p.Processor = perRequest(cpu) * millisecondsPerSecond
+	p.Peer = perRequest(bytesOut)
 	return p, nil
 }
 
-// milliseconds are in a second.
-const milliseconds = 1000
+const millisecondsPerSecond = 1000
 
-// idleRate is what the daemons spend a second without requests.
-func idleRate(ctx context.Context, r local.Ready, span time.Duration) (meter, error) {
-	before, err := meterOf(ctx, r)
+// countersPerIdleSecond returns the increase of the daemons' counters per second without requests.
+func countersPerIdleSecond(ctx context.Context, r local.Ready, duration time.Duration) (counters, error) {
+	before, err := readCounters(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	if err := pause(ctx, span); err != nil {
+	if err := pause(ctx, duration); err != nil {
 		return nil, err
 	}
-	after, err := meterOf(ctx, r)
-	return after.since(before, span.Seconds()), err
+	after, err := readCounters(ctx, r)
+	return after.increasePer(before, duration.Seconds()), err
 }
 
-// PathTable writes the rows as tables for a page.
+// PathTable writes the rows as Markdown tables.
 func PathTable(ps []Path, out io.Writer) error {
 	var b strings.Builder
 	b.WriteString("| target | way | finished | first p50 ms | p99 | total p50 | p99 |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, p := range ps {
 		c := p.Compared
-		sideRow(&b, p.Target, "direct", c.Direct)
-		sideRow(&b, p.Target, "through", c.Through)
+		writeSideRow(&b, p.Target, "direct", c.Direct)
+		writeSideRow(&b, p.Target, "through", c.Through)
 		fmt.Fprintf(&b, "| %s | added | | %.2f | %.2f | %.2f | %.2f |\n", p.Target, c.Median, c.P99, c.TotalMedian, c.TotalP99)
 	}
 	b.WriteString("\n| target | allocations a request | KB allocated | ms of processor | bytes between daemons |\n| --- | --- | --- | --- | --- |\n")
@@ -132,7 +135,7 @@
 
 const kilobyte = 1 << 10
 
-func sideRow(b *strings.Builder, target, way string, s load.Side) {
+func writeSideRow(b *strings.Builder, target, way string, s load.Side) {
 	fmt.Fprintf(b, "| %s | %s | %d of %d | %.2f | %.2f | %.2f | %.2f |\n",
 		target, way, s.Outcomes["finished"], s.Sent, s.First.P50, s.First.P99, s.Total.P50, s.Total.P99)
 }
--- a/emulator/experiment/table.go
+++ b/emulator/experiment/table.go
@@ -9,26 +9,25 @@
 	"snipeshift.example/emulator/load"
 )
 
-const head = `| requests/s | long | finished | refused | failed | broken | overdue | wrong | under 4k first p50 | p95 | p99 | over 100k first p50 | p95 | service p99 | slowdown p50 | p95 | daemon cores | MB | reads/s | writes/s |
+const tableHeader = `| requests/s | long | finished | refused | failed | broken | overdue | wrong | under 4k first p50 | p95 | p99 | over 100k first p50 | p95 | service p99 | slowdown p50 | p95 | daemon cores | MB | reads/s | writes/s |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |
 `
 
-// megabyte is the unit of memory in the table.
 const megabyte = 1 << 20
 
-// Table writes the pairs as a table for a page, times in milliseconds.
+// Table writes the pairs as a Markdown table with times in milliseconds.
 func Table(pairs []Pair, out io.Writer) error {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(tableHeader)
 	for _, p := range pairs {
-		p.Short.row(&b, "", "")
-		p.Mixed.row(&b, fmt.Sprintf("%.2f", p.P50), fmt.Sprintf("%.2f", p.P95))
+		p.Short.writeRow(&b, "", "")
+		p.Mixed.writeRow(&b, fmt.Sprintf("%.2f", p.P50), fmt.Sprintf("%.2f", p.P95))
 	}
 	_, err := io.WriteString(out, b.String())
 	return err
 }
 
-func (l *Level) row(b *strings.Builder, p50, p95 string) {
+func (l *Level) writeRow(b *strings.Builder, p50, p95 string) {
 	o := l.Report.Outcomes
 	short, long := l.Report.Bands[load.ShortBand].First, l.Report.Bands[load.LongBand].First
 	service := l.Report.Bands[load.ServiceBand].Total
@@ -42,7 +41,7 @@
 		p50, p95, l.Cores, l.Memory/megabyte, l.Reads, l.Writes)
 }
 
-// Wrong counts wrong answers of all levels.
+// Wrong returns the number of wrong responses in all runs.
 func Wrong(pairs []Pair) int {
 	n := 0
 	for _, p := range pairs {
--- a/emulator/fleet/fleet.go
+++ b/emulator/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet runs many engines and services in one process, each on a port
-// of its own, to measure what daemons spend on a fleet of a size that one
-// machine could not hold as processes.
+// Package fleet runs many emulated engines and services in one process, each on its own port. It
+// allows measuring daemons with more upstreams than one machine can run as separate processes.
 package fleet
 
 import (
@@ -16,17 +15,17 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Settings are those of every stand-in; names must differ.
+// Settings lists the settings of each emulated engine and service. Names must be unique.
 type Settings struct {
 	Engines  []engine.Settings  `json:"engines"`
 	Services []service.Settings `json:"services"`
 }
 
-// anyPort lets the system choose a port for each stand-in.
+// anyPort is the address of every server: the operating system chooses a free loopback port.
 const anyPort = "127.0.0.1:0"
 
-// Serve starts all, prints one ready line to out and serves until ctx ends. A
-// request that crashes one engine ends them all.
+// Serve starts all engines and services, prints one ready line to out and serves until ctx ends.
+// A request that crashes one engine ends the process and so all of them.
 func Serve(ctx context.Context, s Settings, c *clock.Clock, out io.Writer) (err error) {
 	var servers []listen.Server
 	var closers []io.Closer
--- a/emulator/ledger/ledger.go
+++ b/emulator/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger appends what a stand-in executed to a file, a line of JSON an
-// entry, so that the record outlives a process that is killed.
+// Package ledger records the requests that an emulated engine or service executed. It appends each
+// entry as a line of JSON to a file, so that the record survives if the process is killed.
 package ledger
 
 import (
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// Journal is an open file of entries; the zero path makes one that keeps nothing.
+// Journal appends entries to a file. It is safe for concurrent use.
 type Journal struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// Open opens path for appending; an empty path is no error and keeps nothing.
+// Open opens the file at path for appending. With an empty path the journal discards all entries.
 func Open(path string) (*Journal, error) {
 	if path == "" {
 		return &Journal{}, nil
@@ -26,21 +26,22 @@
 	return &Journal{file: f}, nil
 }
 
-// Write appends one entry. It is not buffered: the line is the system's before Write returns.
+// Write appends one entry. Write is not buffered: the line has been passed to the operating system
+// before Write returns, so a kill of the process does not lose it. Write errors are ignored.
 func (j *Journal) Write(entry any) {
 	if j.file == nil {
 		return
 	}
 	line, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // entries are plain structs of the stand-ins
+		panic(err) // entries are plain structs, which always marshal
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	_, _ = j.file.Write(append(line, '\n'))
 }
 
-// Close closes the file.
+// Close closes the file, if there is one.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
--- a/emulator/listen/listen.go
+++ b/emulator/listen/listen.go
@@ -1,5 +1,5 @@
-// Package listen runs stand-ins as a process: it listens, prints a ready line
-// and stops on the end of its context.
+// Package listen runs the HTTP servers of an emulator process. It listens, prints a ready line and
+// shuts down when its context ends.
 package listen
 
 import (
@@ -15,25 +15,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// headerLimit is how long a caller may take over a request's header, so that a
-// stand-in is not held open by a half-sent one.
-const headerLimit = 10 * time.Second
+// headerTimeout is how long a client may take to send a request's header. It keeps a connection
+// with an incomplete header from staying open without limit.
+const headerTimeout = 10 * time.Second
 
-// shutdownLimit bounds the wait for open answers after the stop.
-const shutdownLimit = 5 * time.Second
+// shutdownTimeout limits the wait for open requests at shutdown. Afterwards their connections are
+// closed.
+const shutdownTimeout = 5 * time.Second
 
-// Ready is the one line that a process prints once it takes connections.
+// Ready is the line that a process prints to its standard output once it accepts connections.
 type Ready struct {
 	Ready   bool   `json:"ready"`
 	Program string `json:"program"`
 	Name    string `json:"name"`
-	// Address is host:port, with the port that the system chose for port 0.
+	// Address is host:port with the actual port, which the operating system chose if the server
+	// was configured with port 0.
 	Address string `json:"address"`
-	// Addresses are those of all stand-ins by name, where the process runs several.
+	// Addresses maps server names to host:port in a process that runs several servers.
 	Addresses map[string]string `json:"addresses,omitempty"`
 }
 
-// Print writes the line.
+// Print writes r to out as one line of JSON.
 func (r Ready) Print(out io.Writer) error {
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -43,23 +45,25 @@
 	return err
 }
 
-// Server is one stand-in to run.
+// Server describes one HTTP server to run.
 type Server struct {
+	// Program and Name are printed in the ready line.
 	Program, Name string
-	// Address is host:port; port 0 lets the system choose.
+	// Address is host:port. With port 0 the operating system chooses a port.
 	Address string
 	Handler http.Handler
-	// Drain, if set, runs between the stop and the closing of the listener.
+	// Drain, if set, is called when the context ends and may block. The listener is closed after
+	// it returns.
 	Drain func()
 }
 
-// Listener is a server that takes connections once it runs.
+// Listener is a server with an open listening socket. It accepts connections once Run is called.
 type Listener struct {
 	server Server
 	net    net.Listener
 }
 
-// Open starts to listen.
+// Open opens the listening socket of a server.
 func Open(ctx context.Context, s Server) (*Listener, error) {
 	var lc net.ListenConfig
 	n, err := lc.Listen(ctx, "tcp", s.Address)
@@ -69,16 +73,17 @@
 	return &Listener{s, n}, nil
 }
 
-// Address is host:port.
+// Address returns host:port with the actual port.
 func (l *Listener) Address() string { return l.net.Addr().String() }
 
-// Run serves until ctx ends. Handlers see the end of their request's context once the drain is over.
+// Run serves until ctx ends, then drains and shuts down. The contexts of open requests are canceled
+// after Drain has returned.
 func (l *Listener) Run(ctx context.Context) error {
-	base, cut := context.WithCancel(context.Background())
-	defer cut()
+	base, cancelRequests := context.WithCancel(context.Background())
+	defer cancelRequests()
 	srv := &http.Server{
 		Handler:           l.server.Handler,
-		ReadHeaderTimeout: headerLimit,
+		ReadHeaderTimeout: headerTimeout,
 		BaseContext:       func(net.Listener) context.Context { return base },
 	}
 	g, ctx := errgroup.WithContext(ctx)
@@ -93,7 +98,7 @@
 		if l.server.Drain != nil {
 			l.server.Drain()
 		}
-		cut()
+		cancelRequests()
 		return shutdown(srv)
 	})
 	return g.Wait()
@@ -113,7 +118,7 @@
 }
 
 func shutdown(srv *http.Server) error {
-	limit, cancel := context.WithTimeout(context.Background(), shutdownLimit)
+	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := srv.Shutdown(limit); err != nil {
 		return srv.Close()
--- a/emulator/proc/proc.go
+++ b/emulator/proc/proc.go
@@ -1,4 +1,4 @@
-// Package proc reads what a process uses from the system's process table.
+// Package proc reads the resource use of a process from the /proc file system of Linux.
 package proc
 
 import (
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// tick is the unit of processor time in the table, the same on all Linux systems that Go runs on.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of processor times in /proc/PID/stat. It is the same on all Linux systems that
+// Go supports.
+const clockTick = 10 * time.Millisecond
 
-// Positions in /proc/PID/stat, counted from the field after the program's name.
+// Indexes of fields in /proc/PID/stat, where 0 is the field after the program's name: user time and
+// system time in clock ticks, and resident memory in pages.
 const (
 	userField   = 11
 	systemField = 12
 	sizeField   = 21
 )
 
-// Use is what a process uses.
+// Use is the resource use of a process.
 type Use struct {
-	// Processor is processor time since the start.
+	// Processor is the user and system time since the start of the process.
 	Processor time.Duration `json:"processor"`
-	// Memory is resident memory in bytes.
+	// Memory is the resident memory in bytes.
 	Memory int64 `json:"memory"`
 }
 
-// Of reads the use of a process.
+// Of returns the resource use of the process with an ID.
 func Of(pid int) (Use, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -37,10 +39,10 @@
 }
 
 func parse(text string) (Use, error) {
-	// The name stands in parentheses and may hold spaces and parentheses itself.
+	// The program's name is in parentheses and can itself contain spaces and parentheses.
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= sizeField {
-		return Use{}, fmt.Errorf("process table entry has %d fields", len(fields))
+		return Use{}, fmt.Errorf("/proc/PID/stat has only %d fields after the program name", len(fields))
 	}
 	var n [3]int64
 	for i, f := range []int{userField, systemField, sizeField} {
@@ -51,7 +53,7 @@
 		n[i] = v
 	}
 	return Use{
-		Processor: time.Duration(n[0]+n[1]) * tick,
+		Processor: time.Duration(n[0]+n[1]) * clockTick,
 		Memory:    n[2] * int64(os.Getpagesize()),
 	}, nil
 }
--- a/emulator/proc/proc_test.go
+++ b/emulator/proc/proc_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOfThisProcess(t *testing.T) {
+func TestUsageOfThisProcess(t *testing.T) {
 	u, err := Of(os.Getpid())
 	require.NoError(t, err)
 	require.Greater(t, u.Memory, int64(1<<20))
@@ -16,7 +16,7 @@
 	require.Error(t, err)
 }
 
-func TestParseTakesAnyName(t *testing.T) {
+func TestParseAcceptsAnyProgramName(t *testing.T) {
 	u, err := parse("7 (a) b) S 1 2 3 4 5 6 7 8 9 10 50 25 0 0 0 0 0 0 0 0 3 0")
 	require.NoError(t, err)
 	require.Equal(t, 750*time.Millisecond, u.Processor)
--- a/emulator/settings/settings.go
+++ b/emulator/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a stand-in: JSON with comments from a
-// file, then single fields from the command line.
+// Package settings reads the settings of an emulator command: JSON with comments from a file, then
+// single fields from the command line.
 package settings
 
 import (
@@ -12,8 +12,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load fills into from file, if it is not empty, then from sets, each "field=value".
-// A value that is no JSON is taken as a string. Unknown fields are errors.
+// Load decodes the file, unless its path is empty, and then sets, each "field=value", into the struct
+// to which into points. A value that is not valid JSON is used as a string. Unknown fields are errors.
+// Fields that are not set keep their value.
 func Load(file string, sets []string, into any) error {
 	if file != "" {
 		text, err := os.ReadFile(file)
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// Parse reads JSON with comments strictly.
+// Parse decodes JSON with comments into the struct to which into points. Unknown fields are errors.
 func Parse(text []byte, into any) error {
 	plain, err := hujson.Standardize(text)
 	if err != nil {
@@ -44,7 +45,7 @@
 func set(pair string, into any) error {
 	field, value, ok := strings.Cut(pair, "=")
 	if !ok {
-		return fmt.Errorf("setting %q is not field=value", pair)
+		return fmt.Errorf("setting %q does not have the form field=value", pair)
 	}
 	raw := json.RawMessage(value)
 	if !json.Valid(raw) {
--- a/emulator/settings/settings_test.go
+++ b/emulator/settings/settings_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, Load("", nil, &s))
 }
 
-func TestLoadRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestLoadRejectsUnknownFieldsAndInvalidValues(t *testing.T) {
 	var s sample
 	require.ErrorContains(t, Load("", []string{"number=2"}, &s), "number")
 	require.ErrorContains(t, Load("", []string{"count"}, &s), "field=value")
