--- a/emulator/caller/request.go
+++ b/emulator/caller/request.go
@@ -36,10 +36,11 @@
 	Deadline, Allowed, Slack clock.Milli
 	// Pause is the wait after each event of a stream, to emulate a slow reader.
 	Pause clock.Milli
-	// Direct sends the request to an engine or service without a daemon, with ID as the
-	// X-Request-Id header, which otherwise the daemon sets.
+	// Direct is set if the request goes to an engine or service without a daemon. ID is then
+	// sent as the X-Request-Id header, which otherwise the daemon sets.
 	Direct bool
-	ID     string
+	// ID identifies the request within a run.
+	ID string
 	// First, if set, is called when the first token of a stream arrives.
 	First func()
 	// After is the send time, as an offset from the start of the run.
