--- a/daemon/caller/body_test.go
+++ b/daemon/caller/body_test.go
@@ -25,9 +25,9 @@
 	require.Contains(t, string(q.body), `"a < b\u00e9"`)
 	require.Contains(t, string(q.body), `"seed":1e3`)
 
-	read, e := openai.Read([]byte(body), true)
+	read, e := openai.ParseRequest([]byte(body), true)
 	require.Nil(t, e)
-	require.Equal(t, "a < bé\n"+`[{"type":"text","text":"boil"}]`+"\n\n", string(read.Text))
+	require.Equal(t, "a < bé\n"+`[{"type":"text","text":"boil"}]`+"\n\n", string(read.Prompt))
 }
 
 func smallIndex(t testing.TB) *document.Index {
--- a/daemon/caller/budget.go
+++ b/daemon/caller/budget.go
@@ -8,8 +8,8 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Budgets is the retry budget of each pool, kept by each gate for its own requests.
-type Budgets struct {
+// RetryBudgets is the retry budget of each pool, kept by each gate for its own requests.
+type RetryBudgets struct {
 	clock *clock.Clock
 
 	mu sync.Mutex
@@ -17,27 +17,27 @@
 	pools map[peer.PoolID]*gate.Budget
 }
 
-// NewBudgets returns budgets with the library's defaults.
-func NewBudgets(c *clock.Clock) *Budgets {
-	return &Budgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
+// NewRetryBudgets returns budgets with the library's defaults.
+func NewRetryBudgets(c *clock.Clock) *RetryBudgets {
+	return &RetryBudgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
 }
 
-// Succeeded implements Retries.
-func (b *Budgets) Succeeded(id peer.PoolID) {
+// RecordSuccess implements Retries.
+func (b *RetryBudgets) RecordSuccess(id peer.PoolID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(id).Succeed(b.clock.Now())
 }
 
 // Allow implements Retries.
-func (b *Budgets) Allow(id peer.PoolID) bool {
+func (b *RetryBudgets) Allow(id peer.PoolID) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(id).Retry(b.clock.Now())
 }
 
 // of needs mu.
-func (b *Budgets) of(id peer.PoolID) *gate.Budget {
+func (b *RetryBudgets) of(id peer.PoolID) *gate.Budget {
 	x, ok := b.pools[id]
 	if !ok {
 		x = gate.NewBudget(0, 0, 0)
--- a/daemon/caller/claim.go
+++ b/daemon/caller/claim.go
@@ -89,6 +89,6 @@
 	})
 }
 
-// Settle waits until the ends of all claims are recorded, grants returned and engines told, or
+// WaitBackground waits until the ends of all claims are recorded, grants returned and engines told, or
 // each was given up. It is called when no request is in work any more.
-func (g *Gate) Settle() { g.settling.Wait() }
+func (g *Gate) WaitBackground() { g.settling.Wait() }
--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -26,8 +26,8 @@
 	"snipeshift.example/lib/timeline"
 )
 
-// Book gives the configuration in force; false while there is none yet.
-type Book interface {
+// Registry gives the configuration in force; false while there is none yet.
+type Registry interface {
 	Index() (*document.Index, bool)
 }
 
@@ -37,8 +37,8 @@
 	Owners(id peer.PoolID) []peer.Member
 	// Summary is the newest word on a pool; false when none was heard.
 	Summary(id peer.PoolID) (decide.Summary, bool)
-	// Heard takes the word on a pool that came with its owner's answer.
-	Heard(id peer.PoolID, s decide.Summary)
+	// RecordSummary takes the word on a pool that came with its owner's answer.
+	RecordSummary(id peer.PoolID, s decide.Summary)
 }
 
 // Peers calls methods of other daemons.
@@ -63,8 +63,8 @@
 
 // Retries is the retry budget of pools.
 type Retries interface {
-	// Succeeded notes a request that ended well; it earns a part of a retry.
-	Succeeded(id peer.PoolID)
+	// RecordSuccess notes a request that ended well; it earns a part of a retry.
+	RecordSuccess(id peer.PoolID)
 	// Allow takes a retry from the budget; false when there is none.
 	Allow(id peer.PoolID) bool
 }
@@ -89,17 +89,17 @@
 	Refund(w decide.WorkspaceID, t decide.Tokens)
 }
 
-// Needs are the parts that a gate is built from.
-type Needs struct {
-	Clock   *clock.Clock
-	Log     *log.Logger
-	Book    Book
-	Members Members
-	Peers   Peers
-	Engines *engine.Client
-	Claims  Claims
-	Meter   Meter
-	Events  *timeline.Ring
+// Dependencies are the parts that a gate is built from.
+type Dependencies struct {
+	Clock    *clock.Clock
+	Log      *log.Logger
+	Registry Registry
+	Members  Members
+	Peers    Peers
+	Engines  *engine.Client
+	Claims   Claims
+	Meter    Meter
+	Events   *timeline.Ring
 	// Retries bounds how much work failures of upstreams may add.
 	Retries Retries
 	// Suspects remembers requests that killed upstreams.
@@ -109,7 +109,7 @@
 
 // Gate takes requests of callers.
 type Gate struct {
-	Needs
+	Dependencies
 	vm          peer.VM
 	domain      peer.Domain
 	incarnation peer.Incarnation
@@ -150,9 +150,9 @@
 }
 
 // New returns a gate of one life of a VM.
-func New(n Needs, vm peer.VM, domain peer.Domain, i peer.Incarnation) *Gate {
+func New(n Dependencies, vm peer.VM, domain peer.Domain, i peer.Incarnation) *Gate {
 	return &Gate{
-		Needs: n, vm: vm, domain: domain, incarnation: i, held: map[decide.RequestID]*hold{}, metrics: newMetrics(),
+		Dependencies: n, vm: vm, domain: domain, incarnation: i, held: map[decide.RequestID]*hold{}, metrics: newMetrics(),
 		heard: statements.New(n.Clock, n.Log),
 	}
 }
@@ -163,8 +163,8 @@
 // Stop makes every further answer close its connection, so that callers move to other VMs.
 func (g *Gate) Stop() { g.stopping.Store(true) }
 
-// Busy counts requests in work.
-func (g *Gate) Busy() int {
+// InFlight counts requests in work.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.held)
@@ -181,9 +181,9 @@
 	return g.checkHeader(m)
 }
 
-// HeaderLimit is the longest header of a request in bytes. The server's own bound must
+// MaxHeaderBytes is the longest header of a request in bytes. The server's own bound must
 // be above it: what the server refuses gets no error kind.
-const HeaderLimit = 32 << 10
+const MaxHeaderBytes = 32 << 10
 
 // checkHeader refuses a request whose header is over the limit, before anything reads it.
 func (g *Gate) checkHeader(next http.Handler) http.Handler {
@@ -194,9 +194,9 @@
 				size += len(name) + len(v)
 			}
 		}
-		if size > HeaderLimit {
+		if size > MaxHeaderBytes {
 			w.Header().Set("Connection", "close")
-			g.refuse(w, g.newID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", HeaderLimit))
+			g.refuse(w, g.newID(g.Clock.Now()), fault.New(fault.Header, "the header is over %d bytes", MaxHeaderBytes))
 			return
 		}
 		next.ServeHTTP(w, r)
--- a/daemon/caller/gate_test.go
+++ b/daemon/caller/gate_test.go
@@ -246,12 +246,12 @@
 	b := newBench(t, wholeAnswer)
 	a := b.post("/v1/chat/completions", ask, headerKind, "send", headerKey, "k1")
 	require.Contains(t, a.body, "[DONE]")
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	require.Len(t, b.fakes.settled, 1)
 	require.Zero(t, b.fakes.settled[0].Status, "nothing was kept, so nothing may be replayed")
 
 	b.post("/v1/chat/completions", strings.Replace(ask, `"stream":true`, `"stream":false`, 1), headerKind, "send", headerKey, "k2")
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	require.Equal(t, 200, b.fakes.settled[1].Status)
 	require.NotEmpty(t, b.fakes.settled[1].Answer)
 }
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -32,7 +32,7 @@
 
 // generate serves chat completions and completions.
 func (g *Gate) generate(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
@@ -127,8 +127,8 @@
 		idle = defaultIdle
 	}
 	call := engine.Call{
-		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeat, Request: x.q.id,
-		Priority: gr.grant.Priority, Reserve: gr.grant.Reserved, Grant: gr.grant.ID, Group: gr.grant.Upstreams, Key: x.q.key,
+		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeatable, Request: x.q.id,
+		Priority: gr.grant.Priority, Reserve: gr.grant.Reserved, Grant: gr.grant.ID, Group: gr.grant.Upstreams, IdempotencyKey: x.q.key,
 	}
 	// A long prompt may be silent for as long as its prefill takes, so a kept connection
 	// that has gone silent would show only at its deadline; a dial costs it nothing.
@@ -261,7 +261,7 @@
 	case x.gate.died(u.Address):
 		r.outcome = decide.Lost
 		r.fault = fault.New(fault.Upstream, "upstream %s died", u.Name)
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		x.gate.Engines.CloseIdle()
 		r.fault = fault.New(fault.Upstream, "upstream %s went silent", u.Name)
 	default:
@@ -272,7 +272,7 @@
 	} else {
 		r.fault = r.fault.WithRan(fault.RanMaybe)
 	}
-	if !x.q.kind.Repeat && usage.Output == 0 {
+	if !x.q.kind.Repeatable && usage.Output == 0 {
 		r.fault = fault.New(fault.Indeterminate, "sent to upstream %s, and its outcome is not known: %s", u.Name, r.fault.Text)
 	}
 	return r
@@ -281,9 +281,9 @@
 // reason tells a caller why a stream stopped, without the upstream's address.
 func reason(err error) string {
 	switch {
-	case engine.ErrForeign.Has(err):
+	case engine.ErrMismatch.Has(err):
 		return "it was mixed up with another"
-	case engine.ErrSilent.Has(err):
+	case engine.ErrIdleTimeout.Has(err):
 		return "it went silent"
 	}
 	return "the connection broke"
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -133,10 +133,10 @@
 func (f *fakes) Claim(_ context.Context, w decide.WorkspaceID, key, nonce string) (claim.Ticket, peer.ClaimReply) {
 	return claim.Ticket{Workspace: w, Key: key, Nonce: nonce}, f.claim
 }
-func (f *fakes) Succeeded(peer.PoolID)  {}
-func (f *fakes) Allow(peer.PoolID) bool { return true }
+func (f *fakes) RecordSuccess(peer.PoolID) {}
+func (f *fakes) Allow(peer.PoolID) bool    { return true }
 
-func (f *fakes) Heard(peer.PoolID, decide.Summary) {}
+func (f *fakes) RecordSummary(peer.PoolID, decide.Summary) {}
 
 func (f *fakes) Settle(_ context.Context, t claim.Ticket, status int, answer []byte) error {
 	return f.end(peer.SettleArgs{Key: t.Key, Status: status, Answer: answer})
@@ -201,12 +201,12 @@
 	text := fmt.Sprintf(`{"models":[{"name":"drafter","context":1000000}],"services":[{"name":"sms","kind":"send"}],
 		"kinds":[{"name":"draft","urgency":1,"allowed":20000,"output":64,"repeat":true},{"name":"send","urgency":0,"allowed":3000,"output":1,"repeat":false}],
 		"workspaces":[{"name":"wards","weight":1,"keys":[%q]},{"name":"desk","weight":1,"keys":[%q],"kinds":["send"]}],
-		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.Hash(key), document.Hash(deskKey), strings.Join(ups, ","))
+		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.HashKey(key), document.HashKey(deskKey), strings.Join(ups, ","))
 	d, ps := document.Parse([]byte(text), "test")
 	require.NoError(t, ps.Err())
 	b := &bench{t: t, fakes: f, index: document.NewIndex(d)}
-	b.gate = New(Needs{
-		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Book: fixedBook{b.index}, Members: f, Peers: f,
+	b.gate = New(Dependencies{
+		Clock: clock.New(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Registry: fixedBook{b.index}, Members: f, Peers: f,
 		Engines: engine.NewClient(time.Second), Claims: f, Meter: f, Retries: f, Suspects: f, Limits: f,
 	}, "vm-1", "hall", 7)
 	b.server = httptest.NewServer(b.gate.Handler())
@@ -243,7 +243,7 @@
 // idle waits until the gate holds nothing.
 func (b *bench) idle() {
 	b.t.Helper()
-	require.Eventually(b.t, func() bool { return b.gate.Busy() == 0 }, 5*time.Second, 5*time.Millisecond)
+	require.Eventually(b.t, func() bool { return b.gate.InFlight() == 0 }, 5*time.Second, 5*time.Millisecond)
 }
 
 const ask = `{"model":"drafter","messages":[{"role":"user","content":"boil water"}],"stream":true}`
--- a/daemon/caller/models.go
+++ b/daemon/caller/models.go
@@ -22,7 +22,7 @@
 
 // models lists the models of the configuration in force.
 func (g *Gate) models(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
@@ -34,7 +34,7 @@
 	}
 	l := modelList{Object: "list", Data: []model{}}
 	for _, m := range c.Document().Models {
-		if !q.workspace.Reaches(m.Name) {
+		if !q.workspace.AllowsModel(m.Name) {
 			continue
 		}
 		l.Data = append(l.Data, model{ID: m.Name, Object: "model", Owner: "snipeshift"})
--- a/daemon/caller/refuse.go
+++ b/daemon/caller/refuse.go
@@ -60,7 +60,7 @@
 	if e.Key != "" {
 		h.Set(headerKnown, string(e.Key))
 	}
-	if a.Again && e.Ran == fault.RanNo {
+	if a.Retryable && e.Ran == fault.RanNo {
 		h.Set(headerRetry, strconv.FormatInt(seconds(e.Retry), 10))
 	} else {
 		h.Set(headerAgain, "false")
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -70,7 +70,7 @@
 	if !ok || key == "" {
 		return q, fault.New(fault.Unauthorized, "send the workspace's key as Authorization: Bearer KEY")
 	}
-	w, ok := c.Key(key)
+	w, ok := c.WorkspaceByKey(key)
 	if !ok {
 		return q, fault.New(fault.Unauthorized, "no workspace holds this key")
 	}
@@ -91,7 +91,7 @@
 	if !ok {
 		return q, fault.New(fault.Unknown, "no request kind %q", kind)
 	}
-	if !q.workspace.Allows(k.Name) {
+	if !q.workspace.AllowsKind(k.Name) {
 		return q, fault.New(fault.Forbidden, "workspace %s may not send kind %s", q.workspace.Name, k.Name)
 	}
 	q.kind = *k
@@ -105,7 +105,7 @@
 	if len(q.key) > maxKey || !utf8.ValidString(q.key) {
 		return q, fault.New(fault.Malformed, "%s is at most %d bytes of UTF-8", headerKey, maxKey)
 	}
-	if !k.Repeat && q.key == "" {
+	if !k.Repeatable && q.key == "" {
 		return q, fault.New(fault.Keyless, "kind %s must not be repeated: send %s", k.Name, headerKey)
 	}
 	return q, nil
@@ -120,13 +120,13 @@
 func allowedTime(r *http.Request, k document.Kind) (clock.Milli, *fault.Error) {
 	s := r.Header.Get(headerAllowed)
 	if s == "" {
-		return k.Allowed, nil
+		return k.TimeLimit, nil
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n < 1 {
 		return 0, fault.New(fault.Malformed, "%s is a time in milliseconds, 1 or more", headerAllowed)
 	}
-	return min(clock.Milli(n), k.Allowed), nil
+	return min(clock.Milli(n), k.TimeLimit), nil
 }
 
 // read reads a body within its limits of size and time.
@@ -167,7 +167,7 @@
 
 // parse reads a generation request and makes the body that goes to the engine.
 func (q *request) parse(b []byte, c *document.Index) *fault.Error {
-	x, e := openai.Read(b, q.chat)
+	x, e := openai.ParseRequest(b, q.chat)
 	if e != nil {
 		return e
 	}
@@ -175,21 +175,21 @@
 	if !ok {
 		return fault.New(fault.Unknown, "no model %q", x.Model)
 	}
-	if !q.workspace.Reaches(m.Name) {
+	if !q.workspace.AllowsModel(m.Name) {
 		return fault.New(fault.Forbidden, "workspace %s may not use model %s", q.workspace.Name, m.Name)
 	}
-	q.target, q.stream, q.usage = m.Name, x.Stream, x.Usage
-	q.prompt = decide.Tokens((len(x.Text) + bytesPerToken - 1) / bytesPerToken)
+	q.target, q.stream, q.usage = m.Name, x.Stream, x.IncludeUsage
+	q.prompt = decide.Tokens((len(x.Prompt) + bytesPerToken - 1) / bytesPerToken)
 	q.output = q.kind.Output
-	if x.Limit > 0 {
-		q.output = x.Limit
+	if x.MaxTokens > 0 {
+		q.output = x.MaxTokens
 	}
 	if m.Context > 0 && q.prompt+q.output > m.Context {
 		return fault.New(fault.Oversize, "prompt and output need %d tokens, model %s takes %d", q.prompt+q.output, m.Name, m.Context)
 	}
-	q.prefixes = prefixes(x.Text)
+	q.prefixes = prefixes(x.Prompt)
 	q.fingerprint = xxhash.Sum64(b)
-	q.body = x.ForEngine(q.output)
+	q.body = x.EngineBody(q.output)
 	return nil
 }
 
--- a/daemon/caller/rest.go
+++ b/daemon/caller/rest.go
@@ -19,10 +19,10 @@
 // It binds this VM alone: others may have sent less.
 func (g *Gate) hear(target string, u decide.UpstreamID, err error) bool {
 	var status *engine.StatusError
-	if !errors.As(err, &status) || status.Rest <= 0 {
+	if !errors.As(err, &status) || status.RetryAfter <= 0 {
 		return false
 	}
-	g.wantsRest(target, u, status.Rest)
+	g.wantsRest(target, u, status.RetryAfter)
 	return true
 }
 
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -96,7 +96,7 @@
 			}
 			return ranSoFar(e, runs)
 		}
-		if !q.kind.Repeat && !claimed {
+		if !q.kind.Repeatable && !claimed {
 			if e := g.claim(ctx, q); e != nil {
 				g.giveBack(gr, q, result{outcome: decide.Unused})
 				return e
@@ -107,7 +107,7 @@
 		r.first = clock.Milli(h.first.Load())
 		g.giveBack(gr, q, r)
 		if r.fault == nil {
-			g.Retries.Succeeded(gr.pool)
+			g.Retries.RecordSuccess(gr.pool)
 			whole, spent = true, max(spent, used(q, r.usage))
 			return nil
 		}
@@ -142,7 +142,7 @@
 	if r.unsent {
 		return unsent < maxUnsent
 	}
-	if !q.kind.Repeat || runs >= maxRuns || r.outcome == decide.Canceled {
+	if !q.kind.Repeatable || runs >= maxRuns || r.outcome == decide.Canceled {
 		return false
 	}
 	return g.Retries.Allow(pool)
@@ -280,7 +280,7 @@
 // A prompt that only the engines of one pool can take is not too long because those
 // of the others are small.
 func hopeful(e, than *fault.Error) bool {
-	a, b := fault.Lookup(e.Kind).Again, fault.Lookup(than.Kind).Again
+	a, b := fault.Lookup(e.Kind).Retryable, fault.Lookup(than.Kind).Retryable
 	if a != b {
 		return a
 	}
@@ -294,7 +294,7 @@
 	if ctx.Err() != nil {
 		e = ended(ctx).WithRan(fault.RanNo)
 	}
-	if !q.kind.Repeat && q.ticket == nil {
+	if !q.kind.Repeatable && q.ticket == nil {
 		e = e.WithKey(fault.KeyUnknown)
 	}
 	return e
@@ -306,7 +306,7 @@
 		if i == maxOwners {
 			break
 		}
-		args := peer.AcquireArgs{Stamp: g.Events.Send(), Pool: id, Serial: g.asks.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.describe(q, avoid)}
+		args := peer.AcquireArgs{Stamp: g.Events.SendStamp(), Pool: id, Serial: g.asks.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.describe(q, avoid)}
 		var reply peer.AcquireReply
 		err := g.Peers.Call(ctx, m.Address, "Pool.Acquire", args, &reply)
 		if err != nil {
@@ -317,8 +317,8 @@
 			}
 			continue
 		}
-		g.Events.Receive(reply.Stamp)
-		g.Members.Heard(id, reply.Summary)
+		g.Events.ReceiveStamp(reply.Stamp)
+		g.Members.RecordSummary(id, reply.Summary)
 		if reply.Fault == nil {
 			return granted{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
 		}
@@ -337,7 +337,7 @@
 func (g *Gate) describe(q *request, avoid []decide.UpstreamID) decide.Request {
 	return decide.Request{
 		ID: q.id, Workspace: decide.WorkspaceID(q.workspace.Name), Gate: g.ID(), Urgency: q.kind.Urgency,
-		Prompt: q.prompt, Output: q.output, Prefixes: q.prefixes, Repeatable: q.kind.Repeat,
+		Prompt: q.prompt, Output: q.output, Prefixes: q.prefixes, Repeatable: q.kind.Repeatable,
 		Avoid: avoid, Fingerprint: q.fingerprint, Suspect: g.Suspects.Check(q.fingerprint) == gate.Suspected,
 	}
 }
@@ -382,7 +382,7 @@
 
 // giveBack returns a grant in the background; the caller's answer does not wait for it.
 func (g *Gate) giveBack(gr granted, q *request, r result) {
-	args := peer.ReturnArgs{Stamp: g.Events.Send(), Pool: gr.pool, Gate: g.ID(), Grant: gr.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.first}
+	args := peer.ReturnArgs{Stamp: g.Events.SendStamp(), Pool: gr.pool, Gate: g.ID(), Grant: gr.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.first}
 	g.tell(gr.owner, "Pool.Return", args)
 	// The pool may have another owner by now, to which the grant was presented.
 	if owners := g.Members.Owners(gr.pool); len(owners) > 0 && owners[0].Address != gr.owner {
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -54,7 +54,7 @@
 	u.Name, u.Address = "away", address
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedBook{b.index}
+	b.gate.Registry = fixedBook{b.index}
 	return u.Name
 }
 
@@ -67,10 +67,10 @@
 	u.Name, u.Domain = "small", "cellar"
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedBook{b.index}
+	b.gate.Registry = fixedBook{b.index}
 	b.fakes.pools = map[peer.PoolID]*peer.Fault{
-		"drafter@hall":   peer.Wire(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
-		"drafter@cellar": peer.Wire(fault.New(fault.Oversize, "too long")),
+		"drafter@hall":   peer.NewFault(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
+		"drafter@cellar": peer.NewFault(fault.New(fault.Oversize, "too long")),
 	}
 	a := b.post("/v1/chat/completions", ask)
 	require.Equal(t, "overloaded", a.kind())
@@ -84,14 +84,14 @@
 	b := newBench(t, wholeAnswer)
 	b.post("/v1/chat/completions", ask)
 	b.idle()
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	b.fakes.mu.Lock()
 	require.Len(t, b.fakes.returned, 1)
 	b.fakes.owner = "successor"
 	b.fakes.mu.Unlock()
 	b.post("/v1/chat/completions", ask)
 	b.idle()
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	b.fakes.mu.Lock()
 	defer b.fakes.mu.Unlock()
 	require.Len(t, b.fakes.returned, 3)
@@ -129,7 +129,7 @@
 		a := b.post("/v1/chat/completions", ask)
 		require.Equal(t, "no", a.ran())
 		require.Less(t, time.Since(start), 15*time.Second, "20 s are allowed")
-		b.gate.Settle()
+		b.gate.WaitBackground()
 		require.NotZero(t, freed.Load())
 	}
 }
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -26,7 +26,7 @@
 
 // service serves requests to plain services, any method, the body passed through.
 func (g *Gate) service(w http.ResponseWriter, r *http.Request) {
-	c, ok := g.Book.Index()
+	c, ok := g.Registry.Index()
 	if !ok {
 		g.refuse(w, g.newID(g.Clock.Now()), noDocument())
 		return
@@ -214,7 +214,7 @@
 	switch {
 	case r.unsent:
 		r.fault = r.fault.WithRan(fault.RanNo)
-	case !x.q.kind.Repeat:
+	case !x.q.kind.Repeatable:
 		r.fault = fault.New(fault.Indeterminate, "sent to upstream %s, and its outcome is not known: %s", u.Name, r.fault.Text)
 	}
 	return r
--- a/daemon/caller/service_test.go
+++ b/daemon/caller/service_test.go
@@ -21,7 +21,7 @@
 	u := document.Upstream{Name: "sms-1", Service: "sms", Domain: "hall", Address: strings.TrimPrefix(s.URL, "http://"), Slots: 8}
 	d.Upstreams = append(append([]document.Upstream(nil), d.Upstreams...), u)
 	b.index = document.NewIndex(&d)
-	b.gate.Book = fixedBook{b.index}
+	b.gate.Registry = fixedBook{b.index}
 	b.fakes.upstream = []string{u.Name}
 }
 
--- a/daemon/caller/slow_test.go
+++ b/daemon/caller/slow_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 12)) // the answer has begun
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return b.gate.Busy() == 0 }, 12*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return b.gate.InFlight() == 0 }, 12*time.Second, 20*time.Millisecond)
 }
 
 // Something between gate and engine forgets the connections that are open, and new ones
--- a/daemon/caller/whole.go
+++ b/daemon/caller/whole.go
@@ -15,7 +15,7 @@
 	w    http.ResponseWriter
 	q    *request
 	// got is what came of the answer so far; it is made anew for each attempt.
-	got   openai.Answer
+	got   openai.Collector
 	sent  []byte
 	wrote bool
 }
@@ -23,7 +23,7 @@
 // begin drops the part of an answer that an upstream left when it failed. The
 // next one starts from the first token; with the part kept, the caller would read
 // the beginning twice in an answer that says it is whole.
-func (s *wholeSink) begin() { s.got = openai.Answer{} }
+func (s *wholeSink) begin() { s.got = openai.Collector{} }
 
 func (s *wholeSink) started() bool  { return s.wrote }
 func (s *wholeSink) answer() []byte { return s.sent }
@@ -33,7 +33,7 @@
 }
 
 func (s *wholeSink) done() error {
-	out, err := s.got.Whole(s.q.chat)
+	out, err := s.got.Response(s.q.chat)
 	if err != nil {
 		return engine.ErrBroken.Wrap(err)
 	}
--- a/daemon/caller/whole_test.go
+++ b/daemon/caller/whole_test.go
@@ -80,7 +80,7 @@
 	r.Header.Set(headerKind, "send")
 	r.Header.Set(headerKey, "k1")
 	b.gate.Handler().ServeHTTP(deaf{httptest.NewRecorder()}, r)
-	b.gate.Settle()
+	b.gate.WaitBackground()
 	require.Len(t, b.fakes.settled, 1)
 	require.Equal(t, http.StatusOK, b.fakes.settled[0].Status)
 	require.Contains(t, string(b.fakes.settled[0].Answer), "boil all water")
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,7 +42,7 @@
 	headerTimeout = 5 * time.Second
 	// headerLimit is where the server stops reading a header; up to there the
 	// gate refuses one over its own limit with the error kind.
-	headerLimit = 4 * caller.HeaderLimit
+	headerLimit = 4 * caller.MaxHeaderBytes
 	// idleTimeout closes callers' idle connections, so that a stopping daemon has few.
 	idleTimeout = 2 * time.Minute
 	// dutyEvery is the time between two looks at which pools are owned here.
@@ -63,7 +63,7 @@
 	dialer      *peer.Dialer
 	store       *store
 	members     *member.Members
-	pause       *member.Pause
+	pause       *member.PauseDetector
 	directory   *directory
 	owner       *pool.Owner
 	gate        *caller.Gate
@@ -108,22 +108,22 @@
 		peers:  peer.NewServer(),
 	}
 	d.work, d.endWork = context.WithCancel(context.Background())
-	d.ring = timeline.New("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
-	d.store = &store{Client: platform.New(s.Platform, platform.DefaultTimeouts), ring: d.ring}
+	d.ring = timeline.NewRing("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
+	d.store = &store{Client: platform.NewClient(s.Platform, platform.DefaultTimeouts), ring: d.ring}
 	self := peer.Member{VM: s.Name, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Advertise, Operator: s.Contact}
-	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewList(s.Peers, d.store), k)
+	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewSeedList(s.Peers, d.store), k)
 	d.directory = newDirectory(d.members, k, d.ring)
 	d.engines = engine.NewClient(dialTimeout)
-	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.paused)
+	d.pause = member.NewPauseDetector(k, member.WallClock{}, pool.Lease, d.paused)
 	d.leases = lease.New(d.store, k, lease.DefaultRules, d.pause, self)
 	d.orders = orders.New(d.work, d.log, d.ring, d.book, d.engines, d.leases)
 	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.book, pool.NewGateClient(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
 	d.quarantine = quarantine.New(k, d.members, d.dialer)
 	d.limits = limit.New(k, d.directory, d.dialer, peer.Gate(s.Name, d.incarnation))
 	d.state = newState(d)
-	d.gate = caller.New(caller.Needs{
-		Clock: k, Log: d.log, Book: d.book, Members: d.directory, Peers: d.dialer, Engines: d.engines,
-		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewBudgets(k), Suspects: d.quarantine, Limits: d.limits,
+	d.gate = caller.New(caller.Dependencies{
+		Clock: k, Log: d.log, Registry: d.book, Members: d.directory, Peers: d.dialer, Engines: d.engines,
+		Claims: d.state.claims, Meter: d.state, Events: d.ring, Retries: caller.NewRetryBudgets(k), Suspects: d.quarantine, Limits: d.limits,
 	}, s.Name, s.Domain, d.incarnation)
 	d.members.Add(d.directory, d.state.follower, d.state.counters, d.quarantine)
 	d.directory.summaries = d.owner.Summaries
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -114,8 +114,8 @@
 	return h.summary, true
 }
 
-// Heard implements caller.Members.
-func (d *directory) Heard(id peer.PoolID, s decide.Summary) {
+// RecordSummary implements caller.Members.
+func (d *directory) RecordSummary(id peer.PoolID, s decide.Summary) {
 	d.learn([]peer.PoolSummary{{Pool: id, Summary: s}})
 }
 
@@ -134,7 +134,7 @@
 
 // Fill implements member.Part: a beat carries the summaries of the pools owned here.
 func (d *directory) Fill(_ peer.VM, b *peer.BeatArgs) {
-	b.Stamp = d.ring.Send()
+	b.Stamp = d.ring.SendStamp()
 	ps := d.summaries()
 	b.Pools = append(b.Pools, ps...)
 	d.learn(ps)
@@ -142,7 +142,7 @@
 
 // Learn implements member.Part.
 func (d *directory) Learn(b *peer.BeatArgs, _ bool) {
-	d.ring.Receive(b.Stamp)
+	d.ring.ReceiveStamp(b.Stamp)
 	d.learn(b.Pools)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/daemon/insight/insight.go
+++ b/daemon/insight/insight.go
@@ -34,16 +34,16 @@
 
 // Sources are the parts of the daemon that are asked. All are needed.
 type Sources struct {
-	VM       peer.VM
-	Clock    Clock
-	Gate     *relay.Gate
-	Registry *registry.Registry
-	Members  Members
-	Holders  *placer.Holders
-	Placer   *placer.Client
-	Owner    *placer.Owner
-	Store    Store
-	Lines    *logline.Writer
+	VM        peer.VM
+	Clock     Clock
+	Gate      *relay.Gate
+	Registry  *registry.Registry
+	Members   Members
+	Holders   *placer.Holders
+	Placer    *placer.Client
+	Owner     *placer.Owner
+	Store     Store
+	LogWriter *logline.Writer
 }
 
 // Page answers on the metrics address.
@@ -65,13 +65,13 @@
 
 func (p *Page) services(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(p.Relay()) // an error means that the operator went away
+	_ = json.NewEncoder(w).Encode(p.Status()) // an error means that the operator went away
 }
 
-// Relay is what this VM knows of services now.
-func (p *Page) Relay() answers.Relay {
+// Status is what this VM knows of services now.
+func (p *Page) Status() answers.RelayStatus {
 	now, v := p.Clock.Now(), p.Registry.View()
-	r := answers.Relay{VM: p.VM, Era: p.Registry.Era(), Services: []answers.Service{}, Statements: []answers.Statement{}}
+	r := answers.RelayStatus{VM: p.VM, Era: p.Registry.Era(), Services: []answers.Service{}, Statements: []answers.Statement{}}
 	known := map[route.ServiceID]bool{}
 	for s := range v.Upstreams {
 		known[s] = true
--- a/daemon/insight/metrics.go
+++ b/daemon/insight/metrics.go
@@ -55,6 +55,6 @@
 	gauge("snipeshift_store_era", float64(p.Registry.Era()))
 	vm.WriteCounterUint64(w, "snipeshift_store_eras_total", p.Registry.EraChanges())
 	vm.WriteCounterUint64(w, "snipeshift_entries_unusable_total", p.Registry.UnusableCount())
-	vm.WriteCounterUint64(w, "snipeshift_log_dropped_total", p.Lines.Dropped())
+	vm.WriteCounterUint64(w, "snipeshift_log_dropped_total", p.LogWriter.Dropped())
 	vm.WriteProcessMetrics(w)
 }
--- a/daemon/openai/answer.go
+++ b/daemon/openai/answer.go
@@ -8,8 +8,8 @@
 // errNoChunk is an answer that ended before its first chunk.
 var errNoChunk = errors.New("an answer without a chunk")
 
-// Answer is the part of a streamed answer that came. Its zero value is empty.
-type Answer struct {
+// Collector is the part of a streamed answer that came. Its zero value is empty.
+type Collector struct {
 	// head is the first chunk; nil before it came. Its Tier, Print and Usage are the newest ones.
 	head *chunkBody
 	// text, refused and reasoning are content that came in pieces.
@@ -96,7 +96,7 @@
 }
 
 // Add takes the next chunk of the stream.
-func (a *Answer) Add(chunk string) error {
+func (a *Collector) Add(chunk string) error {
 	var b chunkBody
 	if err := json.Unmarshal([]byte(chunk), &b); err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Whole is the answer in one piece, for a chat completion or a completion.
-func (a *Answer) Whole(chat bool) ([]byte, error) {
+// Response is the answer in one piece, for a chat completion or a completion.
+func (a *Collector) Response(chat bool) ([]byte, error) {
 	b := a.head
 	if b == nil {
 		return nil, errNoChunk
@@ -145,7 +145,7 @@
 func given(j json.RawMessage) bool { return len(j) > 0 && string(j) != "null" }
 
 // add takes the next piece of the one choice.
-func (a *Answer) add(x choicePart) {
+func (a *Collector) add(x choicePart) {
 	a.text = append(a.text, x.Text...)
 	a.text = append(a.text, x.Delta.Content...)
 	a.refused = append(a.refused, x.Delta.Refusal...)
@@ -168,7 +168,7 @@
 }
 
 // tool adds a part of a tool call to the call of its index.
-func (a *Answer) tool(t toolPart) {
+func (a *Collector) tool(t toolPart) {
 	for i := range a.tools {
 		if a.tools[i].index == t.Index {
 			a.tools[i].Function.Arguments += t.Function.Arguments
@@ -180,7 +180,7 @@
 }
 
 // choice is the one choice of the whole answer.
-func (a *Answer) choice(chat bool) wholeChoice {
+func (a *Collector) choice(chat bool) wholeChoice {
 	c := wholeChoice{Finish: a.end, Stop: a.stop, Probs: a.probs}
 	text := string(a.text)
 	if !chat {
--- a/daemon/openai/body.go
+++ b/daemon/openai/body.go
@@ -20,24 +20,24 @@
 // and no engine has the memory.
 const maxOutput decide.Tokens = 1 << 30
 
-// Body is a generation request as a gate reads it.
-type Body struct {
+// Request is a generation request as a gate reads it.
+type Request struct {
 	Model  string
 	Stream bool
-	// Usage tells whether the caller wants the chunk that reports usage.
-	Usage bool
-	// Limit is the caller's limit of output tokens, zero for none.
-	Limit decide.Tokens
-	// Text is the prompt in the order in which an engine reads it.
-	Text []byte
+	// IncludeUsage tells whether the caller wants the chunk that reports usage.
+	IncludeUsage bool
+	// MaxTokens is the caller's limit of output tokens, zero for none.
+	MaxTokens decide.Tokens
+	// Prompt is the prompt in the order in which an engine reads it.
+	Prompt []byte
 
 	fields fields
 	size   int
 }
 
-// Read reads the body of a chat completion, or of a completion. Its faults are
+// ParseRequest reads the body of a chat completion, or of a completion. Its faults are
 // Malformed and Oversize.
-func Read(b []byte, chat bool) (*Body, *fault.Error) {
+func ParseRequest(b []byte, chat bool) (*Request, *fault.Error) {
 	if len(b) == 0 {
 		return nil, fault.New(fault.Malformed, "the request has no body")
 	}
@@ -63,7 +63,7 @@
 	if e != nil {
 		return nil, e
 	}
-	return &Body{Model: x.Model, Stream: x.Stream, Usage: x.Usage, Limit: limit, Text: text, fields: f, size: len(b)}, nil
+	return &Request{Model: x.Model, Stream: x.Stream, IncludeUsage: x.Usage, MaxTokens: limit, Prompt: text, fields: f, size: len(b)}, nil
 }
 
 // limit is the caller's limit of output tokens, zero for none.
@@ -197,16 +197,16 @@
 	return out, nil
 }
 
-// ForEngine is the body that asks the engine for a stream that reports usage, whatever the caller
+// EngineBody is the body that asks the engine for a stream that reports usage, whatever the caller
 // asked for: only a stream shows that an engine went silent. A request without a
 // limit of its own gets limit, the one that memory is reserved for: some client libraries
 // send null for a limit that was not set, and passed on it would let the engine
 // write for as long as it likes in memory reserved for less.
-func (b *Body) ForEngine(limit decide.Tokens) []byte {
+func (b *Request) EngineBody(limit decide.Tokens) []byte {
 	f := b.fields
 	f["stream"] = json.RawMessage("true")
 	f["stream_options"] = json.RawMessage(`{"include_usage":true}`)
-	if b.Limit == 0 {
+	if b.MaxTokens == 0 {
 		f["max_tokens"] = json.RawMessage(strconv.FormatInt(int64(limit), 10))
 	}
 	return join(f, b.size)
--- a/daemon/openai/body_test.go
+++ b/daemon/openai/body_test.go
@@ -26,7 +26,7 @@
 		`{"model":`:                                "the body is not a JSON object: unexpected end of JSON input",
 		`{"n":` + "1" + strings.Repeat("0", 60) + `,"x":1}`: "n is a whole number, not this number",
 	} {
-		_, err := Read([]byte(body), true)
+		_, err := ParseRequest([]byte(body), true)
 		require.NotNil(t, err, body)
 		require.Equal(t, fault.Malformed, err.Kind, body)
 		require.Contains(t, err.Text, want, body)
--- a/daemon/operator/door.go
+++ b/daemon/operator/door.go
@@ -38,7 +38,7 @@
 
 // Usage lists every counter that this daemon knows, its own and others'.
 type Usage interface {
-	Usage() []answers.Counter
+	Usage() []answers.UsageCounter
 }
 
 // Documents gives the document in force; revision zero when there is none.
@@ -83,17 +83,17 @@
 	Metrics   []Metrics
 }
 
-// Door serves the operator address.
-type Door struct {
+// Server serves the operator address.
+type Server struct {
 	sources Sources
 	log     *log.Logger
 }
 
 // New returns a door over the daemon's parts. The logger is the one whose level operators change.
-func New(s Sources, l *log.Logger) *Door { return &Door{sources: s, log: l} }
+func New(s Sources, l *log.Logger) *Server { return &Server{sources: s, log: l} }
 
 // Handler serves all pages.
-func (d *Door) Handler() http.Handler {
+func (d *Server) Handler() http.Handler {
 	s := &d.sources
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+answers.PathLive, d.live)
@@ -103,7 +103,7 @@
 	m.HandleFunc("GET "+answers.PathPools, page(func() []answers.Pool { return s.Pools.Pools() }))
 	m.HandleFunc("GET "+answers.PathUpstreams, page(func() []answers.Upstream { return s.Pools.Upstreams() }))
 	m.HandleFunc("GET "+answers.PathGrants, page(func() []answers.Grant { return s.Pools.Grants() }))
-	m.HandleFunc("GET "+answers.PathUsage, page(func() []answers.Counter { return s.Usage.Usage() }))
+	m.HandleFunc("GET "+answers.PathUsage, page(func() []answers.UsageCounter { return s.Usage.Usage() }))
 	m.HandleFunc("GET "+answers.PathDocument, d.document)
 	m.HandleFunc("GET "+answers.PathTimeline, d.timeline)
 	m.HandleFunc("GET "+answers.PathLevel, d.level)
--- a/daemon/operator/door_test.go
+++ b/daemon/operator/door_test.go
@@ -40,8 +40,10 @@
 func (f *daemon) Upstreams() []answers.Upstream {
 	return []answers.Upstream{{Name: "u", Pool: "m@d", State: answers.Draining, Used: 7}}
 }
-func (f *daemon) Grants() []answers.Grant          { return nil }
-func (f *daemon) Usage() []answers.Counter         { return []answers.Counter{{VM: "vm-1", Workspace: "w"}} }
+func (f *daemon) Grants() []answers.Grant { return nil }
+func (f *daemon) Usage() []answers.UsageCounter {
+	return []answers.UsageCounter{{VM: "vm-1", Workspace: "w"}}
+}
 func (f *daemon) Newest() (peer.Revision, []byte)  { return 7, []byte("{}") }
 func (f *daemon) Drain()                           { f.draining = true }
 func (f *daemon) Draining() (began bool, left int) { return f.draining, 2 }
@@ -61,7 +63,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{
-		t: t, daemon: &daemon{}, ring: timeline.New("snipeshiftd", "vm-1", 1, 16, wall{}),
+		t: t, daemon: &daemon{}, ring: timeline.NewRing("snipeshiftd", "vm-1", 1, 16, wall{}),
 		log: &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: io.Discard}},
 	}
 	set := metrics.NewSet()
@@ -95,7 +97,7 @@
 	require.Equal(t, f.daemon.Members(), get[[]answers.Member](f, "/members"))
 	require.Equal(t, f.daemon.Pools(), get[[]answers.Pool](f, "/pools"))
 	require.Equal(t, f.daemon.Upstreams(), get[[]answers.Upstream](f, "/upstreams"))
-	require.Equal(t, f.daemon.Usage(), get[[]answers.Counter](f, "/usage"))
+	require.Equal(t, f.daemon.Usage(), get[[]answers.UsageCounter](f, "/usage"))
 	require.Equal(t, "[]\n", f.call(http.MethodGet, "/grants", "").Body.String())
 	require.Equal(t, "live\n", f.call(http.MethodGet, "/live", "").Body.String())
 
--- a/daemon/operator/metrics.go
+++ b/daemon/operator/metrics.go
@@ -14,7 +14,7 @@
 // metrics writes the daemon's own sets, and gauges read at the time of asking.
 // Labels hold names of the document and of VMs only, which bounds their number;
 // request ids and keys never become labels.
-func (d *Door) metrics(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	b := bufio.NewWriter(w)
 	for _, m := range d.sources.Metrics {
@@ -57,7 +57,7 @@
 // states are all states, so that one that nobody is in is written as zero.
 var states = []answers.State{answers.Serving, answers.Draining, answers.Silent, answers.Gone}
 
-func (d *Door) writeMembers(w io.Writer) {
+func (d *Server) writeMembers(w io.Writer) {
 	counts := map[answers.State]uint64{}
 	for _, m := range d.sources.Members.Members() {
 		counts[m.State]++
@@ -67,7 +67,7 @@
 	}
 }
 
-func (d *Door) writeStore(w io.Writer) {
+func (d *Server) writeStore(w io.Writer) {
 	c := d.sources.Store.Counts()
 	for _, call := range []struct {
 		name  string
--- a/daemon/operator/pages.go
+++ b/daemon/operator/pages.go
@@ -22,12 +22,12 @@
 )
 
 // live answers as long as this process can answer at all.
-func (d *Door) live(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) live(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, "live\n")
 }
 
 // ready tells the balancer whether to send callers here.
-func (d *Door) ready(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	reasons := d.sources.Health.Unready()
 	status := http.StatusOK
 	if len(reasons) > 0 {
@@ -36,7 +36,7 @@
 	write(w, status, answers.Readiness{Ready: len(reasons) == 0, Reasons: reasons})
 }
 
-func (d *Door) document(w http.ResponseWriter, r *http.Request) {
+func (d *Server) document(w http.ResponseWriter, r *http.Request) {
 	revision, text := d.sources.Documents.Newest()
 	sum := sha256.Sum256(text)
 	a := answers.Document{Revision: revision, Sum: "sha256:" + hex.EncodeToString(sum[:]), Size: len(text)}
@@ -48,7 +48,7 @@
 
 // timeline answers with JSON lines: a whole ring can be megabytes, and a reader
 // that is cut off can use the lines it has.
-func (d *Door) timeline(w http.ResponseWriter, r *http.Request) {
+func (d *Server) timeline(w http.ResponseWriter, r *http.Request) {
 	f, err := filter(r.URL.Query())
 	if err != nil {
 		fail(w, http.StatusBadRequest, err.Error())
@@ -94,16 +94,16 @@
 // levels are the names of log levels, lowest first.
 var levels = []string{"trace", "debug", "info", "warn", "error"}
 
-func (d *Door) level(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) level(w http.ResponseWriter, _ *http.Request) {
 	write(w, http.StatusOK, answers.Level{Level: d.present().String()})
 }
 
 // present reads the level as SetLevel writes it, while other goroutines log.
-func (d *Door) present() log.Level {
+func (d *Server) present() log.Level {
 	return log.Level(atomic.LoadUint32((*uint32)(&d.log.Level)))
 }
 
-func (d *Door) setLevel(w http.ResponseWriter, r *http.Request) {
+func (d *Server) setLevel(w http.ResponseWriter, r *http.Request) {
 	var a answers.Level
 	if !read(w, r, &a) {
 		return
@@ -117,14 +117,14 @@
 	d.level(w, r)
 }
 
-func (d *Door) drain(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) drain(w http.ResponseWriter, _ *http.Request) {
 	began, requests := d.sources.Stopper.Draining()
 	write(w, http.StatusOK, answers.Drain{Draining: began, Requests: requests})
 }
 
 // startDrain begins the planned stop. It answers at once, since the requests in
 // work may take as long as their allowed time.
-func (d *Door) startDrain(w http.ResponseWriter, r *http.Request) {
+func (d *Server) startDrain(w http.ResponseWriter, r *http.Request) {
 	var a answers.Drain
 	if !read(w, r, &a) {
 		return
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -32,7 +32,7 @@
 // heartbeat brings the fingerprints of requests that kill upstreams. A caller that
 // repeats such a request through the new VM in between costs a third engine.
 func (d *daemon) unheard() bool {
-	return d.members.Reached() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < hearFor
+	return d.members.LastContact() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < hearFor
 }
 
 // views shows the daemon's parts in the answers that operators read.
@@ -58,7 +58,7 @@
 
 // Draining implements operator.Stopper.
 func (v views) Draining() (began bool, requests int) {
-	return v.daemon.stopping.Load(), v.daemon.gate.Busy()
+	return v.daemon.stopping.Load(), v.daemon.gate.InFlight()
 }
 
 // Members implements operator.Members.
@@ -82,7 +82,7 @@
 	switch {
 	case m.Stopping:
 		return answers.Draining
-	case m.Health == peer.Doubted:
+	case m.Health == peer.Suspected:
 		return answers.Silent
 	case m.Health == peer.Gone:
 		return answers.Gone
@@ -157,10 +157,10 @@
 }
 
 // Usage implements operator.Usage.
-func (v views) Usage() []answers.Counter {
-	var out []answers.Counter
+func (v views) Usage() []answers.UsageCounter {
+	var out []answers.UsageCounter
 	for _, u := range v.daemon.state.usage() {
-		out = append(out, answers.Counter{
+		out = append(out, answers.UsageCounter{
 			VM: u.VM, Incarnation: u.Incarnation, Workspace: u.Workspace,
 			Usage: answers.Usage{Requests: u.Usage.Requests, Prompt: u.Usage.Prompt, Cached: u.Usage.Cached, Output: u.Usage.Output},
 		})
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -67,10 +67,10 @@
 // doubt than among domains that lose each other.
 var relayRules = func() member.Rules {
 	r := member.DefaultRules
-	r.Near, r.Misses, r.Doubt, r.Seeds = 400, 2, 2, 2*clock.Second
+	r.MeshPeriod, r.MaxMisses, r.RefutePeriods, r.MeshSeedPeriod = 400, 2, 2, 2*clock.Second
 	// All VMs may start at once after a loss of power. Until they know each other
 	// each places by itself, and all on the same engines.
-	r.Alone = 100
+	r.IsolatedSeedPeriod = 100
 	return r
 }()
 
@@ -108,7 +108,7 @@
 func newRelayed(s *settings.Relay) (*relayed, error) {
 	lines := logline.NewWriter(os.Stdout, logQueue)
 	d := &relayed{
-		settings: s, lines: lines, log: relayLogger(s, lines), dialer: peer.NewDialer(dialPeer).Within(peerDial), peers: peer.NewServer(),
+		settings: s, lines: lines, log: relayLogger(s, lines), dialer: peer.NewDialer(dialPeer).WithOpenTimeout(peerDial), peers: peer.NewServer(),
 		store: platform.NewStore(s.Store), stopping: make(chan struct{}),
 	}
 	d.born = d.clock.Now()
@@ -125,10 +125,10 @@
 	d.holders = placer.NewHolders(d.members, d.clock, d.log)
 	d.members.Add(d.registry, q, d.holders)
 	kept := upstreamTransport()
-	engines := platform.NewEngines(kept)
+	engines := platform.NewEngineClient(kept)
 	id := peer.Gate(s.Name, incarnation)
 	d.owner = placer.NewOwner(placer.OwnerNeeds{
-		Clock: d.clock, Knowledge: d.registry, Reports: engines, Gate: id, Name: string(s.Name), Alone: func() bool { return d.members.Reached() == 0 },
+		Clock: d.clock, Knowledge: d.registry, Reports: engines, Gate: id, Name: string(s.Name), Alone: func() bool { return d.members.LastContact() == 0 },
 		Holders: d.holders, Members: d.members, Peers: d.dialer, Log: d.log,
 	}, placer.Budget{
 		Share: budgetShare * s.Budget.Share, Floor: budgetShare * s.Budget.Floor, Window: s.Budget.Window,
@@ -149,7 +149,7 @@
 }
 
 // hedged opens connections to peers.
-var hedged = dial.Hedged((&net.Dialer{}).DialContext, dial.Again)
+var hedged = dial.Hedged((&net.Dialer{}).DialContext, dial.HedgeDelay)
 
 // dialPeer implements peer.Dial.
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
@@ -173,7 +173,7 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.Again)),
+		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDial}).DialContext, dial.HedgeDelay)),
 		DisableCompression: true, MaxIdleConnsPerHost: keptEach, IdleConnTimeout: upstreamIdle,
 		WriteBufferSize: 16 << 10,
 	}
@@ -295,7 +295,7 @@
 func (d *relayed) insight() *insight.Page {
 	return insight.New(insight.Sources{
 		VM: d.settings.Name, Clock: d.clock, Gate: d.gate, Registry: d.registry, Members: d.members, Holders: d.holders,
-		Placer: d.placer, Owner: d.owner, Store: d.store, Lines: d.lines,
+		Placer: d.placer, Owner: d.owner, Store: d.store, LogWriter: d.lines,
 	})
 }
 
--- a/daemon/pool/poll.go
+++ b/daemon/pool/poll.go
@@ -236,7 +236,7 @@
 	defer cancel()
 	var err error
 	if s.handle != "" {
-		err = p.owner.engines.Drop(ctx, s.upstream.Address, s.handle)
+		err = p.owner.engines.DeleteExport(ctx, s.upstream.Address, s.handle)
 	} else {
 		err = p.owner.engines.Cancel(ctx, s.upstream.Address, s.request)
 	}
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -33,7 +33,7 @@
 
 func (unreachableEngines) Cancel(context.Context, string, decide.RequestID) error { return errNoAnswer }
 
-func (unreachableEngines) Drop(context.Context, string, string) error { return errNoAnswer }
+func (unreachableEngines) DeleteExport(context.Context, string, string) error { return errNoAnswer }
 
 type fixedRegistry struct{ index *document.Index }
 
--- a/daemon/roster.go
+++ b/daemon/roster.go
@@ -37,7 +37,7 @@
 		if !known || again {
 			add(timeline.Joined, m)
 		}
-		if m.Health == peer.Doubted && (again || old.Health != peer.Doubted) {
+		if m.Health == peer.Suspected && (again || old.Health != peer.Suspected) {
 			add(timeline.Silent, m)
 		}
 	}
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -24,7 +24,7 @@
 // refusal names its kind, and no goroutine stays behind to pile up to an outage.
 func TestServerLetsGoOfBadHeaders(t *testing.T) {
 	d := &daemon{log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}}
-	g := caller.New(caller.Needs{Clock: clock.New()}, "vm-1", "hall", 1)
+	g := caller.New(caller.Dependencies{Clock: clock.New()}, "vm-1", "hall", 1)
 	s := d.server(g.Handler())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	defer func() { require.NoError(t, s.Close()) }()
 	before := runtime.NumGoroutine()
 
-	for _, size := range []int{caller.HeaderLimit + 1, 2 * headerLimit} {
+	for _, size := range []int{caller.MaxHeaderBytes + 1, 2 * headerLimit} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		// The server may close before it has read all, so an error here says nothing.
--- a/daemon/settings/relay.go
+++ b/daemon/settings/relay.go
@@ -56,28 +56,28 @@
 }
 
 var relayFields = strict.Table{
-	"name":          {Need: true, Text: "name of this VM"},
-	"domain":        {Need: true, Min: 1, Max: maxName, Text: "failure domain of this VM"},
-	"caller":        {Need: true, Text: "where callers connect, IP number and port"},
-	"ready":         {Need: true, Text: "where the balancer asks whether this VM takes callers, IP number and port"},
-	"peer":          {Need: true, Text: "where other daemons connect, IP number and port; the network between VMs is trusted"},
-	"advertise":     {Text: "what other daemons connect to, where it differs from peer"},
-	"metrics":       {Text: "where metrics and profiles (/debug/pprof/) are served, IP number and port; empty for nowhere"},
-	"store":         {Need: true, Text: "the platform's store, IP number and port"},
-	"peers":         {Text: "peers to try first"},
-	"first":         {Text: "true at the first start of all VMs of the deployment, when no caller is there yet"},
-	"memory":        {Unit: "megabytes", Min: 64, Max: 1 << 20, Default: 256, Text: "memory that the process may use"},
-	"cores":         {Min: 0, Max: 1024, Text: "the VM's share of the processor, in cores; those with the most decide for others, where nobody says all alike"},
-	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Text: "the VM's network link; goes with cores"},
-	"level":         {Only: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Text: "lowest level of log lines"},
-	"bounds":        {Text: "what the operators promise"},
-	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Text: "time within which a document is in force"},
-	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Text: "time within which a withdrawn key is refused"},
-	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Text: "time between the word to stop and the end of the process"},
-	"budget":        {Text: "bounds of what is sent again, over all VMs"},
-	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Text: "part of the requests that may be sent again"},
-	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Text: "how many more may be sent again"},
-	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Text: "time over which both count"},
+	"name":          {Required: true, Description: "name of this VM"},
+	"domain":        {Required: true, Min: 1, Max: maxName, Description: "failure domain of this VM"},
+	"caller":        {Required: true, Description: "where callers connect, IP number and port"},
+	"ready":         {Required: true, Description: "where the balancer asks whether this VM takes callers, IP number and port"},
+	"peer":          {Required: true, Description: "where other daemons connect, IP number and port; the network between VMs is trusted"},
+	"advertise":     {Description: "what other daemons connect to, where it differs from peer"},
+	"metrics":       {Description: "where metrics and profiles (/debug/pprof/) are served, IP number and port; empty for nowhere"},
+	"store":         {Required: true, Description: "the platform's store, IP number and port"},
+	"peers":         {Description: "peers to try first"},
+	"first":         {Description: "true at the first start of all VMs of the deployment, when no caller is there yet"},
+	"memory":        {Unit: "megabytes", Min: 64, Max: 1 << 20, Default: 256, Description: "memory that the process may use"},
+	"cores":         {Min: 0, Max: 1024, Description: "the VM's share of the processor, in cores; those with the most decide for others, where nobody says all alike"},
+	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Description: "the VM's network link; goes with cores"},
+	"level":         {Enum: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Description: "lowest level of log lines"},
+	"bounds":        {Description: "what the operators promise"},
+	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Description: "time within which a document is in force"},
+	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Description: "time within which a withdrawn key is refused"},
+	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Description: "time between the word to stop and the end of the process"},
+	"budget":        {Description: "bounds of what is sent again, over all VMs"},
+	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Description: "part of the requests that may be sent again"},
+	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Description: "how many more may be sent again"},
+	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Description: "time over which both count"},
 }
 
 // ReadRelay reads a file and checks it.
@@ -93,7 +93,7 @@
 func ParseRelay(text []byte, name string) (*Relay, error) {
 	s := &Relay{}
 	src := strict.Read(text, name, s, relayFields)
-	if !src.Faulty("") {
+	if !src.HasProblem("") {
 		s.check(src)
 	}
 	if err := src.Problems().Err(); err != nil {
@@ -103,8 +103,8 @@
 }
 
 func (s *Relay) check(src *strict.Source) {
-	if !vmName.MatchString(string(s.Name)) && !src.Faulty("name") {
-		src.Add("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
+	if !vmName.MatchString(string(s.Name)) && !src.HasProblem("name") {
+		src.AddProblem("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"ready", s.Ready}, {"peer", s.Peer}, {"store", s.Store},
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -66,7 +66,7 @@
 func Parse(text []byte, name string) (*Settings, error) {
 	s := &Settings{}
 	src := strict.Read(text, name, s, fields)
-	if !src.Faulty("") {
+	if !src.HasProblem("") {
 		s.check(src)
 	}
 	if err := src.Problems().Err(); err != nil {
@@ -91,8 +91,8 @@
 var vmName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 func (s *Settings) check(src *strict.Source) {
-	if !vmName.MatchString(string(s.Name)) && !src.Faulty("name") {
-		src.Add("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
+	if !vmName.MatchString(string(s.Name)) && !src.HasProblem("name") {
+		src.AddProblem("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"operator", s.Operator}, {"peer", s.Peer}, {"platform", s.Platform},
@@ -109,10 +109,10 @@
 
 func (t TLS) check(src *strict.Source) {
 	if (t.CA == "") != (t.Cert == "") || (t.CA == "") != (t.Key == "") {
-		src.Add("tls", "ca, cert and key go together: name all three or none")
+		src.AddProblem("tls", "ca, cert and key go together: name all three or none")
 	}
 	if (t.CallerCert == "") != (t.CallerKey == "") {
-		src.Add("tls", "callercert and callerkey go together: name both or none")
+		src.AddProblem("tls", "callercert and callerkey go together: name both or none")
 	}
 }
 
@@ -125,13 +125,13 @@
 func advertised(src *strict.Source, field, named, door, listens string) {
 	if named != "" {
 		address(src, field, named)
-		if wild(named) && !src.Faulty(field) {
-			src.Add(field, "is what others connect to: use the IP number and port by which they reach this VM")
+		if wild(named) && !src.HasProblem(field) {
+			src.AddProblem(field, "is what others connect to: use the IP number and port by which they reach this VM")
 		}
 		return
 	}
-	if wild(listens) && !src.Faulty(door) {
-		src.Add(field, "is needed, since %s is %s: give the IP number and port by which others reach this VM", door, listens)
+	if wild(listens) && !src.HasProblem(door) {
+		src.AddProblem(field, "is needed, since %s is %s: give the IP number and port by which others reach this VM", door, listens)
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func address(src *strict.Source, field, a string) {
-	if _, err := netip.ParseAddrPort(a); err != nil && !src.Faulty(field) {
-		src.Add(field, `must be an IP number and a port, such as "10.0.0.7:7000"`)
+	if _, err := netip.ParseAddrPort(a); err != nil && !src.HasProblem(field) {
+		src.AddProblem(field, `must be an IP number and a port, such as "10.0.0.7:7000"`)
 	}
 }
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -42,7 +42,7 @@
 func (s *state) flush(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.daemon.gate.Settle()
+		s.daemon.gate.WaitBackground()
 		close(done)
 	}()
 	if err := s.counters.Flush(ctx); err != nil {
--- a/emulator/call.go
+++ b/emulator/call.go
@@ -28,7 +28,7 @@
 			&cli.StringFlag{Name: "kind", Usage: "request kind"},
 			&cli.StringFlag{Name: "prompt", Value: "ward 7", Usage: "prompt, or a service's body"},
 			&cli.IntFlag{Name: "tokens", Usage: "repeat the prompt up to so many tokens"},
-			&cli.IntFlag{Name: "output", Value: expect.Default, Usage: "length of the answer in tokens"},
+			&cli.IntFlag{Name: "output", Value: expect.DefaultTokens, Usage: "length of the answer in tokens"},
 			&cli.BoolFlag{Name: "whole", Usage: "ask for a whole answer in place of a stream"},
 			&cli.IntFlag{Name: "deadline", Usage: "allowed time in `MILLISECONDS`, sent along"},
 			&cli.IntFlag{Name: "wait", Value: 60_000, Usage: "longest wait in `MILLISECONDS`"},
--- a/emulator/caller/call.go
+++ b/emulator/caller/call.go
@@ -241,7 +241,7 @@
 
 func (q *Request) outputTokens() int {
 	if q.Output == 0 {
-		return expect.Default
+		return expect.DefaultTokens
 	}
 	return q.Output
 }
@@ -323,7 +323,7 @@
 // concludePartial checks the text of a response that ended early. The outcome is Wrong if the
 // text is not a prefix of the expected response; otherwise concludePartial returns err.
 func (r *Result) concludePartial(q Request, err error) error {
-	if want := expect.Of(q.Prompt).Answer(q.outputTokens()); !strings.HasPrefix(want, r.Text) {
+	if want := expect.SeedOf(q.Prompt).Answer(q.outputTokens()); !strings.HasPrefix(want, r.Text) {
 		return r.conclude(errors.New("partial response is not a prefix of the expected one"))
 	}
 	return err
--- a/emulator/caller/call_test.go
+++ b/emulator/caller/call_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestCompletionsAreChecked(t *testing.T) {
-	own := expect.Of("p").Answer(2)
+	own := expect.SeedOf("p").Answer(2)
 	answer := `{"id":"x","choices":[{"message":{"content":%q}}],"usage":{"completion_tokens":%d}}`
 	require.Equal(t, Finished, send(t, Request{}, fmt.Sprintf(answer, own, 2)).Outcome)
 	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, own, 3)).Outcome)
@@ -41,7 +41,7 @@
 // A stream that ends early must not count as finished. It has to end with an error event, or at
 // least without an end marker.
 func TestStreamsAreChecked(t *testing.T) {
-	s := expect.Of("p")
+	s := expect.SeedOf("p")
 	event := func(id string, i int) string {
 		return fmt.Sprintf("data: {\"id\":%q,\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", id, s.Token(i))
 	}
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return Pair{}, err
 	}
-	mixed, err := r.measureLevel(ctx, rate, r.load.Long)
+	mixed, err := r.measureLevel(ctx, rate, r.load.LongFraction)
 	if err != nil {
 		return Pair{}, err
 	}
@@ -110,7 +110,7 @@
 
 func (r *runner) measureLevel(ctx context.Context, rate, long float64) (Level, error) {
 	s := r.load
-	s.Rate, s.Long = rate, long
+	s.Rate, s.LongFraction = rate, long
 	s.Seed += uint64(rate * 1000)
 	before, err := r.readUsage(ctx)
 	if err != nil {
--- a/emulator/experiment/path.go
+++ b/emulator/experiment/path.go
@@ -29,8 +29,8 @@
 // Path is the cost of one request through a daemon.
 type Path struct {
 	// Target is the name of the model or service.
-	Target   string        `json:"target"`
-	Compared load.Compared `json:"compared"`
+	Target   string                `json:"target"`
+	Compared load.ComparisonResult `json:"compared"`
 	// Allocs and Allocated are the number and the bytes of heap allocations in all daemons for
 	// one request.
 	Allocs    float64 `json:"allocs"`
@@ -135,7 +135,7 @@
 
 const kilobyte = 1 << 10
 
-func writeSideRow(b *strings.Builder, target, way string, s load.Side) {
+func writeSideRow(b *strings.Builder, target, way string, s load.PathResult) {
 	fmt.Fprintf(b, "| %s | %s | %d of %d | %.2f | %.2f | %.2f | %.2f |\n",
 		target, way, s.Outcomes["finished"], s.Sent, s.First.P50, s.First.P99, s.Total.P50, s.Total.P99)
 }
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -43,7 +43,7 @@
 // more tells whether the run has another request.
 func (p *planner) more() bool {
 	s := &p.settings
-	return (s.Count == 0 || p.number < s.Count) && (s.Span == 0 || p.after < s.Span.Duration())
+	return (s.Count == 0 || p.number < s.Count) && (s.RunTime == 0 || p.after < s.RunTime.Duration())
 }
 
 // next makes the next request. Arrivals at a rate are independent of each
@@ -62,7 +62,7 @@
 		Kind:      k.Name,
 		Tokens:    p.length(k),
 		Output:    k.Output,
-		Stream:    p.random.Float64() < s.Stream || s.Direct, // one draw in any case
+		Stream:    p.random.Float64() < s.StreamFraction || s.Direct, // one draw in any case
 		Allowed:   k.Allowed,
 		Slack:     s.Slack,
 		Pause:     k.Pause,
@@ -122,7 +122,7 @@
 }
 
 func (p *planner) kind() Kind {
-	if len(p.long) > 0 && (len(p.normal) == 0 || p.random.Float64() < p.settings.Long) {
+	if len(p.long) > 0 && (len(p.normal) == 0 || p.random.Float64() < p.settings.LongFraction) {
 		return p.long[p.random.IntN(len(p.long))]
 	}
 	total := 0.0
@@ -165,9 +165,9 @@
 // prompt begins with text that the kind and workspace share, and ends with
 // text of its own, so that its answer is its own too.
 func (p *planner) prompt(r *caller.Request) string {
-	shared := int(float64(r.Tokens) * p.settings.Shared)
+	shared := int(float64(r.Tokens) * p.settings.SharedFraction)
 	b := make([]byte, 0, r.Tokens*expect.TokenBytes)
-	common := expect.Of(r.Workspace + "/" + r.Kind)
+	common := expect.SeedOf(r.Workspace + "/" + r.Kind)
 	for i := range shared {
 		b = common.Append(b, i)
 	}
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -36,9 +36,9 @@
 		return nil
 	})
 	if s.Rate > 0 {
-		open(ctx, s.Callers, p, requests, start)
+		open(ctx, s.MaxOpen, p, requests, start)
 	} else {
-		closed(ctx, s.Callers, p, requests)
+		closed(ctx, s.MaxOpen, p, requests)
 	}
 	took := time.Since(start)
 	cancel()
@@ -48,10 +48,10 @@
 
 // productionOf ends the plan of a closed loop by the clock; that of an open one ends by its own times.
 func productionOf(ctx context.Context, s Settings, start time.Time) (context.Context, context.CancelFunc) {
-	if s.Rate > 0 || s.Span == 0 {
+	if s.Rate > 0 || s.RunTime == 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithDeadline(ctx, start.Add(s.Span.Duration()))
+	return context.WithDeadline(ctx, start.Add(s.RunTime.Duration()))
 }
 
 func produce(ctx context.Context, p *planner, out chan<- caller.Request) {
--- a/emulator/local/document_test.go
+++ b/emulator/local/document_test.go
@@ -41,7 +41,7 @@
 
 func allRepeat(doc document.Document) bool {
 	for _, k := range doc.Kinds {
-		if !k.Repeat {
+		if !k.Repeatable {
 			return false
 		}
 	}
--- a/emulator/local/upstreams.go
+++ b/emulator/local/upstreams.go
@@ -98,13 +98,13 @@
 	s.Name, s.Model = u.Name, u.Model
 	s.Slots, s.Memory = u.Slots, u.Memory
 	s.Prefill, s.Decode = u.Prefill, u.Decode
-	s.Fenced = u.Fenced
+	s.CheckFence = u.Fenced
 	if err := settings.Load("", l.options.Sets, &s); err != nil {
 		return s, err
 	}
 	u.Slots, u.Memory = s.Slots, s.Memory
 	u.Prefill, u.Decode = s.Prefill, s.Decode
-	u.Fenced = s.Fenced
+	u.Fenced = s.CheckFence
 	return s, nil
 }
 
--- a/emulator/streams.go
+++ b/emulator/streams.go
@@ -35,7 +35,7 @@
 const settleTime = 3 * time.Second
 
 func runStreams(ctx context.Context, c *cli.Command) error {
-	h, err := load.Hold(ctx, load.Streams{
+	h, err := load.MeasureStreams(ctx, load.StreamsSetup{
 		Address: c.String("address"),
 		Pid:     c.Int("pid"),
 		Count:   c.Int("count"),
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -26,10 +26,10 @@
 	ErrNotSent = errs.Class("engine not reached")
 	// ErrBroken is a connection that was cut, or whose bytes make no sense.
 	ErrBroken = errs.Class("engine stream broken")
-	// ErrSilent is a stream on which nothing came for longer than allowed.
-	ErrSilent = errs.Class("engine stream silent")
-	// ErrForeign is a chunk that belongs to another request, or out of order.
-	ErrForeign = errs.Class("engine chunk of another request")
+	// ErrIdleTimeout is a stream on which nothing came for longer than allowed.
+	ErrIdleTimeout = errs.Class("engine stream silent")
+	// ErrMismatch is a chunk that belongs to another request, or out of order.
+	ErrMismatch = errs.Class("engine chunk of another request")
 )
 
 // Headers that an engine reads.
@@ -111,8 +111,8 @@
 	Grant    decide.GrantID
 	// Group names the engines of a prompt that spans several, leader first.
 	Group []decide.UpstreamID
-	// Key is the caller's idempotency key, if any.
-	Key string
+	// IdempotencyKey is the caller's idempotency key, if any.
+	IdempotencyKey string
 }
 
 // Start posts a generation and returns its stream. Idle is the longest silence
@@ -127,7 +127,7 @@
 	// Without GetBody net/http cannot send the body a second time on its own.
 	req.GetBody = nil
 	setHeaders(req, call)
-	w := newWatchdog(first, func() { cancel(ErrSilent.New("no event in time")) })
+	w := newWatchdog(first, func() { cancel(ErrIdleTimeout.New("no event in time")) })
 	resp, err := c.Do(req, call.Once)
 	if err != nil {
 		w.stop()
@@ -158,14 +158,14 @@
 		}
 		h.Set(HeaderGroup, strings.Join(names, ","))
 	}
-	if call.Key != "" {
-		h.Set("Idempotency-Key", call.Key)
+	if call.IdempotencyKey != "" {
+		h.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 }
 
 // silentOr names the watchdog as the cause where it ended the call.
 func silentOr(ctx context.Context, err error) error {
-	if cause := context.Cause(ctx); cause != nil && ErrSilent.Has(cause) {
+	if cause := context.Cause(ctx); cause != nil && ErrIdleTimeout.Has(cause) {
 		return cause
 	}
 	return err
@@ -176,7 +176,7 @@
 	resp.Body.Close()
 	e := &StatusError{Status: resp.StatusCode, Text: strings.TrimSpace(string(b))}
 	if retryafter.IsRejection(e.Status) {
-		e.Rest, _ = retryafter.Parse(resp.Header)
+		e.RetryAfter, _ = retryafter.Parse(resp.Header)
 	}
 	return e
 }
@@ -186,8 +186,8 @@
 	Status int
 	// Text is the start of the engine's answer.
 	Text string
-	// Rest is for how long an engine that turned the request away wants none; zero where it does not say.
-	Rest clock.Milli
+	// RetryAfter is for how long an engine that turned the request away wants none; zero where it does not say.
+	RetryAfter clock.Milli
 }
 
 // Error implements error.
@@ -203,8 +203,8 @@
 	return c.small(ctx, http.MethodPost, address, "/v1/kv", reservation{Request: id, Tokens: n}, nil)
 }
 
-// Drop deletes an export.
-func (c *Client) Drop(ctx context.Context, address, handle string) error {
+// DeleteExport deletes an export.
+func (c *Client) DeleteExport(ctx context.Context, address, handle string) error {
 	return c.small(ctx, http.MethodDelete, address, "/v1/kv/"+handle, nil, nil)
 }
 
--- a/lib/engine/stream.go
+++ b/lib/engine/stream.go
@@ -132,16 +132,16 @@
 		return c, false, ErrBroken.Wrap(err)
 	}
 	if h.ID != s.request {
-		return c, false, ErrForeign.New("chunk of %q in the stream of %q", h.ID, s.request)
+		return c, false, ErrMismatch.New("chunk of %q in the stream of %q", h.ID, s.request)
 	}
 	if n+1 == s.next && e.Data != s.last {
-		return c, false, ErrForeign.New("event %d came twice with different data", n)
+		return c, false, ErrMismatch.New("event %d came twice with different data", n)
 	}
 	if n < s.next {
 		return c, true, nil
 	}
 	if n > s.next {
-		return c, false, ErrForeign.New("event %d where %d was due", n, s.next)
+		return c, false, ErrMismatch.New("event %d where %d was due", n, s.next)
 	}
 	s.next++
 	s.last = e.Data
--- a/lib/operator/answers.go
+++ b/lib/operator/answers.go
@@ -124,9 +124,9 @@
 	Left  clock.Milli `json:"left"`
 }
 
-// Counter is the absolute usage of one workspace through one life of one VM.
+// UsageCounter is the absolute usage of one workspace through one life of one VM.
 // The same counter may be known to several daemons; the largest is the newest.
-type Counter struct {
+type UsageCounter struct {
 	VM          peer.VM            `json:"vm"`
 	Incarnation peer.Incarnation   `json:"incarnation"`
 	Workspace   decide.WorkspaceID `json:"workspace"`
--- a/lib/operator/relay.go
+++ b/lib/operator/relay.go
@@ -10,8 +10,8 @@
 // PathServices is the page of a relaying VM, on its metrics address, with what it knows of services.
 const PathServices = "/services"
 
-// Relay is what one relaying VM knows of services.
-type Relay struct {
+// RelayStatus is what one relaying VM knows of services.
+type RelayStatus struct {
 	VM peer.VM `json:"vm"`
 	// Era is that of the platform's store: it rises each time the store comes back from an older copy.
 	Era        route.Era   `json:"era"`
--- a/lib/operator/usage.go
+++ b/lib/operator/usage.go
@@ -21,9 +21,9 @@
 	workspace   decide.WorkspaceID
 }
 
-// Sum adds up counters that several daemons told, each counter once. Counters
+// SumUsage adds up counters that several daemons told, each counter once. Counters
 // only rise, so the larger of two readings is the newer one.
-func Sum(readings []Counter) []Total {
+func SumUsage(readings []UsageCounter) []Total {
 	newest := map[life]Usage{}
 	for _, c := range readings {
 		l := life{c.VM, c.Incarnation, c.Workspace}
--- a/lib/operator/usage_test.go
+++ b/lib/operator/usage_test.go
@@ -10,7 +10,7 @@
 // was restarted. Adding all up would charge a team twice; keeping one counter
 // a VM would forget what it used before the restart.
 func TestSumCountsEachLifeOnce(t *testing.T) {
-	got := Sum([]Counter{
+	got := SumUsage([]UsageCounter{
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 5, Prompt: 50, Output: 9}},
 		{VM: "a", Incarnation: 1, Workspace: "w", Usage: Usage{Requests: 7, Prompt: 70, Output: 11}},
 		{VM: "a", Incarnation: 2, Workspace: "w", Usage: Usage{Requests: 1, Prompt: 10, Cached: 4}},
--- a/operator/commands/services.go
+++ b/operator/commands/services.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		return err
 	}
-	relays := []answers.Relay{}
+	relays := []answers.RelayStatus{}
 	var silent error
 	for _, a := range addresses {
-		r, err := daemon.Get[answers.Relay](ctx, k, a, answers.PathServices)
+		r, err := daemon.Get[answers.RelayStatus](ctx, k, a, answers.PathServices)
 		if err != nil {
 			silent = err
 			continue
@@ -54,7 +54,7 @@
 }
 
 // showRelays writes a table of services and, where upstreams have said anything, one of that.
-func showRelays(c *cli.Command, relays []answers.Relay) error {
+func showRelays(c *cli.Command, relays []answers.RelayStatus) error {
 	if asJSON(c) {
 		return showJSON(c, relays)
 	}
--- a/operator/commands/usage.go
+++ b/operator/commands/usage.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		return err
 	}
-	counters, misses := daemon.Collect[answers.Counter](ctx, f, answers.PathUsage)
-	if err := show(c, answers.Sum(counters), table.Totals); err != nil {
+	counters, misses := daemon.Collect[answers.UsageCounter](ctx, f, answers.PathUsage)
+	if err := show(c, answers.SumUsage(counters), table.Totals); err != nil {
 		return err
 	}
 	return partial(misses, len(f.Members))
