--- a/emulator/caller/call.go
+++ b/emulator/caller/call.go
@@ -30,7 +30,7 @@
 	Refused  Outcome = "refused"  // error response declaring that the request did not run
 	Failed   Outcome = "failed"   // error response declaring that the request ran or may have run
 	Broken   Outcome = "broken"   // no connection, or it ended without an error event or end marker
-	Overdue  Outcome = "overdue"  // response not complete within Request.Allowed plus Request.Slack
+	Overdue  Outcome = "overdue"  // response not complete within Request.TimeLimit plus Request.Slack
 	Wrong    Outcome = "wrong"    // content not expected for the prompt, or truncated but marked complete
 )
 
@@ -38,22 +38,22 @@
 type Result struct {
 	Outcome Outcome `json:"outcome"`
 	Status  int     `json:"status"`
-	// Kind is the error type, Ran the declaration whether the request ran ("no", "yes" or
-	// "maybe"), and Retry the Retry-After header in seconds. All are empty without an error.
-	Kind  string `json:"kind,omitempty"`
-	Ran   string `json:"ran,omitempty"`
-	Retry int    `json:"retry,omitempty"`
+	// ErrorKind is the error type, Ran the declaration whether the request ran ("no", "yes" or
+	// "maybe"), and RetryAfter the Retry-After header in seconds. All are empty without an error.
+	ErrorKind  string `json:"kind,omitempty"`
+	Ran        string `json:"ran,omitempty"`
+	RetryAfter int    `json:"retry,omitempty"`
 	// Request is the request ID that the daemon assigned. Reason describes the error if the
 	// outcome is not Finished.
 	Request string `json:"request"`
 	Reason  string `json:"reason,omitempty"`
 	// Text is the received part of the response text.
 	Text string `json:"text"`
-	// First is the time from start to the first token, Total the time to the end of the
-	// response, and Gaps the times between successive tokens. Without tokens First is Total.
-	First time.Duration   `json:"first"`
-	Total time.Duration   `json:"total"`
-	Gaps  []time.Duration `json:"-"`
+	// FirstToken is the time from start to the first token, Total the time to the end of the
+	// response, and Gaps the times between successive tokens. Without tokens FirstToken is Total.
+	FirstToken time.Duration   `json:"first"`
+	Total      time.Duration   `json:"total"`
+	Gaps       []time.Duration `json:"-"`
 }
 
 // Client sends requests over its own pool of HTTP connections.
@@ -77,16 +77,16 @@
 // Do sends a request and checks the response. Times in the result, and the time allowed for
 // the request, are measured from start.
 func (c *Client) Do(ctx context.Context, q Request, start time.Time) Result {
-	if q.Allowed > 0 {
+	if q.TimeLimit > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, start.Add((q.Allowed + q.Slack).Duration()))
+		ctx, cancel = context.WithDeadline(ctx, start.Add((q.TimeLimit + q.Slack).Duration()))
 		defer cancel()
 	}
 	r := Result{}
 	err := c.exchange(ctx, q, start, &r)
 	r.Total = time.Since(start)
-	if r.First == 0 {
-		r.First = r.Total
+	if r.FirstToken == 0 {
+		r.FirstToken = r.Total
 	}
 	if err != nil && r.Outcome == "" {
 		r.Reason = err.Error()
@@ -137,8 +137,8 @@
 	if q.Kind != "" {
 		req.Header.Set("Snipeshift-Kind", q.Kind)
 	}
-	if q.Once != "" {
-		req.Header.Set("Idempotency-Key", q.Once)
+	if q.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", q.IdempotencyKey)
 	}
 	if q.Deadline > 0 {
 		req.Header.Set("Snipeshift-Deadline", strconv.FormatInt(int64(q.Deadline), 10))
@@ -162,12 +162,12 @@
 	if err != nil {
 		return err
 	}
-	r.Kind = resp.Header.Get("Snipeshift-Error")
-	if r.Kind == "" {
-		r.Kind = "http-" + strconv.Itoa(resp.StatusCode)
+	r.ErrorKind = resp.Header.Get("Snipeshift-Error")
+	if r.ErrorKind == "" {
+		r.ErrorKind = "http-" + strconv.Itoa(resp.StatusCode)
 	}
 	r.Ran = resp.Header.Get("Snipeshift-Ran")
-	r.Retry, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
+	r.RetryAfter, _ = strconv.Atoi(resp.Header.Get("Retry-After"))
 	r.Reason = string(text[:min(len(text), maxReasonBytes)])
 	r.setOutcomeFromRan()
 	return nil
@@ -190,7 +190,7 @@
 		return err
 	}
 	r.Text = string(text)
-	var resp service.Answer
+	var resp service.Response
 	if err := json.Unmarshal(text, &resp); err != nil {
 		return r.conclude(fmt.Errorf("malformed service response: %w", err))
 	}
@@ -240,10 +240,10 @@
 }
 
 func (q *Request) outputTokens() int {
-	if q.Output == 0 {
+	if q.OutputTokens == 0 {
 		return expect.DefaultTokens
 	}
-	return q.Output
+	return q.OutputTokens
 }
 
 func (r *Result) checkAnswer(q Request, usageCorrect bool) error {
@@ -275,7 +275,7 @@
 		if done, err := r.handleEvent(q, &s, e.Data, start); done || err != nil {
 			return err
 		}
-		time.Sleep(q.Pause.Duration())
+		time.Sleep(q.ReadPause.Duration())
 	}
 	return r.concludePartial(q, io.ErrUnexpectedEOF)
 }
@@ -287,7 +287,7 @@
 		return true, r.conclude(fmt.Errorf("malformed event %.100q", data))
 	}
 	if c.Error != nil {
-		r.Kind, r.Ran, r.Reason = c.Error.Type, c.Error.Ran, c.Error.Message
+		r.ErrorKind, r.Ran, r.Reason = c.Error.Type, c.Error.Ran, c.Error.Message
 		r.setOutcomeFromRan()
 		return true, r.concludePartial(q, nil)
 	}
@@ -301,8 +301,8 @@
 		s.usageWrong = c.Usage.Output != q.outputTokens()
 	}
 	if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
-		if r.First == 0 && q.First != nil {
-			q.First()
+		if r.FirstToken == 0 && q.OnFirstToken != nil {
+			q.OnFirstToken()
 		}
 		r.recordToken(s, start)
 		r.Text += c.Choices[0].Delta.Content
@@ -312,8 +312,8 @@
 
 func (r *Result) recordToken(s *streamState, start time.Time) {
 	now := time.Now()
-	if r.First == 0 {
-		r.First = now.Sub(start)
+	if r.FirstToken == 0 {
+		r.FirstToken = now.Sub(start)
 	} else {
 		r.Gaps = append(r.Gaps, now.Sub(s.lastToken))
 	}
--- a/emulator/caller/request.go
+++ b/emulator/caller/request.go
@@ -11,9 +11,9 @@
 type Request struct {
 	// Number is the position of the request in a run.
 	Number int
-	// Choice selects one of the daemons that are ready when the request is sent: it is an
+	// DaemonIndex selects one of the daemons that are ready when the request is sent: it is an
 	// index modulo their number.
-	Choice int
+	DaemonIndex int
 	// Address is host:port of the server.
 	Address string
 	// Path is the URL path at a daemon or, if Direct is set, at the engine or service.
@@ -21,30 +21,30 @@
 	Workspace string
 	Key       string
 	Kind      string
-	// Once is the idempotency key; empty for none.
-	Once string
+	// IdempotencyKey is the idempotency key; empty for none.
+	IdempotencyKey string
 	// Service is set for a call of a plain service, whose response contains the hash of Body.
 	Service bool
 	Prompt  string
 	Body    []byte
-	// Tokens is the length of the prompt and Output the length of the response, in tokens.
-	// Output 0 stands for the default of the emulated engines.
-	Tokens, Output int
-	Stream         bool
-	// Deadline is sent as the Snipeshift-Deadline header unless it is zero. Allowed plus Slack
-	// is the time after which the client gives up; there is no limit if Allowed is zero.
-	Deadline, Allowed, Slack clock.Milli
-	// Pause is the wait after each event of a stream, to emulate a slow reader.
-	Pause clock.Milli
+	// PromptTokens is the length of the prompt and OutputTokens the length of the
+	// response. OutputTokens 0 stands for the default of the emulated engines.
+	PromptTokens, OutputTokens int
+	Stream                     bool
+	// Deadline is sent as the Snipeshift-Deadline header unless it is zero. TimeLimit plus
+	// Slack is the time after which the client gives up; there is no limit if TimeLimit is zero.
+	Deadline, TimeLimit, Slack clock.Milli
+	// ReadPause is the wait after each event of a stream, to emulate a slow reader.
+	ReadPause clock.Milli
 	// Direct is set if the request goes to an engine or service without a daemon. ID is then
 	// sent as the X-Request-Id header, which otherwise the daemon sets.
 	Direct bool
 	// ID identifies the request within a run.
 	ID string
-	// First, if set, is called when the first token of a stream arrives.
-	First func()
-	// After is the send time, as an offset from the start of the run.
-	After time.Duration
+	// OnFirstToken, if set, is called when the first token of a stream arrives.
+	OnFirstToken func()
+	// SendOffset is the send time, as an offset from the start of the run.
+	SendOffset time.Duration
 }
 
 // ChatPath is the URL path of chat completions.
--- a/emulator/compare.go
+++ b/emulator/compare.go
@@ -22,7 +22,7 @@
 			&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests per second"},
 			&cli.DurationFlag{Name: "slice", Value: defaultSlice, Usage: "time on each path before switching to the other"},
 			&cli.IntFlag{Name: "rounds", Value: 10, Usage: "number of slices of each path"},
-			&cli.StringFlag{Name: "key", Value: local.KeyOf("thiruvananthapuram"), Usage: "API key"},
+			&cli.StringFlag{Name: "key", Value: local.APIKey("thiruvananthapuram"), Usage: "API key"},
 			&cli.StringFlag{Name: "model", Value: "notice-drafter", Usage: "model"},
 			&cli.StringFlag{Name: "kind", Value: "ward-notice", Usage: "request kind"},
 			&cli.StringFlag{Name: "service", Usage: "compare calls of this plain service instead of the model"},
--- a/emulator/experiment/experiment.go
+++ b/emulator/experiment/experiment.go
@@ -29,8 +29,8 @@
 	Rates []float64
 }
 
-// Level is the measurement of one load run.
-type Level struct {
+// LoadResult is the measurement of one load run.
+type LoadResult struct {
 	// Rate is in requests per second.
 	Rate float64 `json:"rate"`
 	// Long is set if the load contained long prompts.
@@ -45,11 +45,11 @@
 	Writes float64 `json:"writes"`
 }
 
-// Pair is the measurement at one rate, once without long prompts (Short) and once with them
+// RatePair is the measurement at one rate, once without long prompts (Short) and once with them
 // (Mixed). The short requests of both runs have the same distribution.
-type Pair struct {
-	Short Level `json:"short"`
-	Mixed Level `json:"mixed"`
+type RatePair struct {
+	Short LoadResult `json:"short"`
+	Mixed LoadResult `json:"mixed"`
 	// P50 and P95 are the slowdown of prompts under 4 k tokens by long prompts: the ratio of the
 	// mixed to the short run's time to the first token, at that percentile. Both are zero if
 	// the short run has no such time.
@@ -59,14 +59,14 @@
 
 // Run starts the deployment, runs the load at every rate without and with long prompts, and stops
 // the deployment. On an error the pairs measured so far are returned with it.
-func Run(ctx context.Context, o Options) (pairs []Pair, err error) {
+func Run(ctx context.Context, o Options) (pairs []RatePair, err error) {
 	l, err := local.Start(ctx, o.Local)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, l.Stop()) }()
 	r := &runner{ready: l.Ready(), load: o.Load}
-	r.load.Addresses, r.load.Operators = r.ready.Callers, r.ready.Operators
+	r.load.Addresses, r.load.Operators = r.ready.ClientAddresses, r.ready.OperatorAddresses
 	for _, rate := range o.Rates {
 		p, err := r.measurePair(ctx, rate)
 		if err != nil {
@@ -83,16 +83,16 @@
 	load  load.Settings
 }
 
-func (r *runner) measurePair(ctx context.Context, rate float64) (Pair, error) {
+func (r *runner) measurePair(ctx context.Context, rate float64) (RatePair, error) {
 	short, err := r.measureLevel(ctx, rate, 0)
 	if err != nil {
-		return Pair{}, err
+		return RatePair{}, err
 	}
 	mixed, err := r.measureLevel(ctx, rate, r.load.LongFraction)
 	if err != nil {
-		return Pair{}, err
+		return RatePair{}, err
 	}
-	p := Pair{Short: short, Mixed: mixed}
+	p := RatePair{Short: short, Mixed: mixed}
 	a, b := short.Report.Bands[load.ShortBand].First, mixed.Report.Bands[load.ShortBand].First
 	if a.P50 > 0 && a.P95 > 0 {
 		p.P50, p.P95 = b.P50/a.P50, b.P95/a.P95
@@ -108,23 +108,23 @@
 	reads, writes int
 }
 
-func (r *runner) measureLevel(ctx context.Context, rate, long float64) (Level, error) {
+func (r *runner) measureLevel(ctx context.Context, rate, long float64) (LoadResult, error) {
 	s := r.load
 	s.Rate, s.LongFraction = rate, long
 	s.Seed += uint64(rate * 1000)
 	before, err := r.readUsage(ctx)
 	if err != nil {
-		return Level{}, err
+		return LoadResult{}, err
 	}
 	report, err := load.Run(ctx, s)
 	if err != nil {
-		return Level{}, err
+		return LoadResult{}, err
 	}
 	after, err := r.readUsage(ctx)
 	if err != nil {
-		return Level{}, err
+		return LoadResult{}, err
 	}
-	return Level{
+	return LoadResult{
 		Rate:   rate,
 		Long:   long > 0,
 		Report: report,
@@ -141,14 +141,14 @@
 		if !strings.HasPrefix(name, local.DaemonPrefix) {
 			continue
 		}
-		p, err := proc.Of(pid)
+		p, err := proc.ReadUsage(pid)
 		if err != nil {
 			return u, fmt.Errorf("%s: %w", name, err)
 		}
 		u.processor += p.Processor
 		u.memory = max(u.memory, p.Memory)
 	}
-	c, err := platformCalls(ctx, r.ready.Platform)
+	c, err := platformCalls(ctx, r.ready.PlatformAddress)
 	u.reads, u.writes = c.Reads+c.Watches, c.Writes
 	return u, err
 }
--- a/emulator/experiment/idle.go
+++ b/emulator/experiment/idle.go
@@ -26,8 +26,8 @@
 	return z, nil
 }
 
-// Idle is the resource use of one daemon in a deployment that serves no requests.
-type Idle struct {
+// IdleUsage is the resource use of one daemon in a deployment that serves no requests.
+type IdleUsage struct {
 	Size
 	// Core is the mean processor use of a daemon, in cores.
 	Core float64 `json:"core"`
@@ -42,12 +42,12 @@
 	Out float64 `json:"out"`
 }
 
-// RunIdle measures each size in a separate deployment. After the deployment is ready it waits for
+// MeasureIdle measures each size in a separate deployment. After the deployment is ready it waits for
 // settle, and then measures for duration.
-func RunIdle(ctx context.Context, o local.Options, sizes []Size, settle, duration time.Duration) ([]Idle, error) {
-	var rows []Idle
+func MeasureIdle(ctx context.Context, o local.Options, sizes []Size, settle, duration time.Duration) ([]IdleUsage, error) {
+	var rows []IdleUsage
 	for _, z := range sizes {
-		o.Packed = true
+		o.SingleProcess = true
 		o.Engines, o.Daemons = z.Engines, z.Daemons
 		row, err := measureIdle(ctx, o, settle, duration)
 		if err != nil {
@@ -59,7 +59,7 @@
 	return rows, nil
 }
 
-func measureIdle(ctx context.Context, o local.Options, settle, duration time.Duration) (i Idle, err error) {
+func measureIdle(ctx context.Context, o local.Options, settle, duration time.Duration) (i IdleUsage, err error) {
 	l, err := local.Start(ctx, o)
 	if err != nil {
 		return i, err
@@ -88,7 +88,7 @@
 	daemonSeconds := time.Since(start).Seconds() * float64(o.Daemons)
 	countersAfter, err := readCounters(ctx, r.ready)
 	perDaemonSecond := countersAfter.increasePer(countersBefore, daemonSeconds)
-	return Idle{
+	return IdleUsage{
 		Core:   (after.processor - before.processor).Seconds() / daemonSeconds,
 		Memory: after.memory,
 		Reads:  float64(after.reads-before.reads) / daemonSeconds,
@@ -110,7 +110,7 @@
 }
 
 // IdleTable writes the rows as a Markdown table.
-func IdleTable(rows []Idle, out io.Writer) error {
+func IdleTable(rows []IdleUsage, out io.Writer) error {
 	var b strings.Builder
 	b.WriteString("| engines | daemons | % of a core | MB | reads/s | writes/s | B/s in | B/s out |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
--- a/emulator/experiment/meter.go
+++ b/emulator/experiment/meter.go
@@ -26,7 +26,7 @@
 // readCounters reads the metrics of all daemons at their operator addresses.
 func readCounters(ctx context.Context, r local.Ready) (counters, error) {
 	m := counters{bytesIn: 0, bytesOut: 0, allocs: 0, allocated: 0, cpu: 0}
-	for _, a := range r.Operators {
+	for _, a := range r.OperatorAddresses {
 		if err := m.addDaemon(ctx, a); err != nil {
 			return m, err
 		}
--- a/emulator/experiment/path.go
+++ b/emulator/experiment/path.go
@@ -12,8 +12,8 @@
 	"snipeshift.example/emulator/local"
 )
 
-// PathOptions are the options of a measurement of the overhead that a daemon adds to a request.
-type PathOptions struct {
+// RequestCostOptions are the options of a measurement of the overhead that a daemon adds to a request.
+type RequestCostOptions struct {
 	// Local describes the deployment. Its engine should be fast enough not to be the bottleneck.
 	Local local.Options
 	// Model is the comparison to run; its fields Direct, Through and Service are replaced.
@@ -26,8 +26,8 @@
 	Settle, Idle time.Duration
 }
 
-// Path is the cost of one request through a daemon.
-type Path struct {
+// RequestCost is the cost of one request through a daemon.
+type RequestCost struct {
 	// Target is the name of the model or service.
 	Target   string                `json:"target"`
 	Compared load.ComparisonResult `json:"compared"`
@@ -41,9 +41,9 @@
 	Peer float64 `json:"peer"`
 }
 
-// RunPath measures streams of a model and then calls of a plain service, each directly and
+// MeasureRequestCost measures streams of a model and then calls of a plain service, each directly and
 // through a daemon.
-func RunPath(ctx context.Context, o PathOptions) (ps []Path, err error) {
+func MeasureRequestCost(ctx context.Context, o RequestCostOptions) (ps []RequestCost, err error) {
 	l, err := local.Start(ctx, o.Local)
 	if err != nil {
 		return nil, err
@@ -68,8 +68,8 @@
 
 // measurePath measures one target. It first measures the resource use of the idle daemons and
 // subtracts that from their use during the comparison.
-func measurePath(ctx context.Context, r local.Ready, c load.Comparison, idleTime time.Duration) (Path, error) {
-	p := Path{Target: c.Model}
+func measurePath(ctx context.Context, r local.Ready, c load.Comparison, idleTime time.Duration) (RequestCost, error) {
+	p := RequestCost{Target: c.Model}
 	if c.Service != "" {
 		p.Target = c.Service
 	}
@@ -115,8 +115,8 @@
 	return after.increasePer(before, duration.Seconds()), err
 }
 
-// PathTable writes the rows as Markdown tables.
-func PathTable(ps []Path, out io.Writer) error {
+// RequestCostTable writes the rows as Markdown tables.
+func RequestCostTable(ps []RequestCost, out io.Writer) error {
 	var b strings.Builder
 	b.WriteString("| target | way | finished | first p50 ms | p99 | total p50 | p99 |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, p := range ps {
--- a/emulator/experiment/table.go
+++ b/emulator/experiment/table.go
@@ -16,7 +16,7 @@
 const megabyte = 1 << 20
 
 // Table writes the pairs as a Markdown table with times in milliseconds.
-func Table(pairs []Pair, out io.Writer) error {
+func Table(pairs []RatePair, out io.Writer) error {
 	var b strings.Builder
 	b.WriteString(tableHeader)
 	for _, p := range pairs {
@@ -27,7 +27,7 @@
 	return err
 }
 
-func (l *Level) writeRow(b *strings.Builder, p50, p95 string) {
+func (l *LoadResult) writeRow(b *strings.Builder, p50, p95 string) {
 	o := l.Report.Outcomes
 	short, long := l.Report.Bands[load.ShortBand].First, l.Report.Bands[load.LongBand].First
 	service := l.Report.Bands[load.ServiceBand].Total
@@ -41,8 +41,8 @@
 		p50, p95, l.Cores, l.Memory/megabyte, l.Reads, l.Writes)
 }
 
-// Wrong returns the number of wrong responses in all runs.
-func Wrong(pairs []Pair) int {
+// CountWrong returns the number of wrong responses in all runs.
+func CountWrong(pairs []RatePair) int {
 	n := 0
 	for _, p := range pairs {
 		n += p.Short.Report.Outcomes[caller.Wrong] + p.Mixed.Report.Outcomes[caller.Wrong]
--- a/emulator/fake_test.go
+++ b/emulator/fake_test.go
@@ -23,7 +23,7 @@
 // runFakeDaemon emulates a daemon until SIGTERM. It is always ready and answers clients with an
 // emulated engine and service in its own process.
 func runFakeDaemon() {
-	var s local.Daemon
+	var s local.DaemonSettings
 	if err := settings.Load(os.Args[2], nil, &s); err != nil {
 		panic(err)
 	}
--- a/emulator/load/compare.go
+++ b/emulator/load/compare.go
@@ -119,9 +119,9 @@
 		qs = append(qs, p.planner.next())
 	}
 	var g errgroup.Group
-	start := time.Now().Add(-qs[0].After)
+	start := time.Now().Add(-qs[0].SendOffset)
 	for _, q := range qs {
-		if !sleepUntil(ctx, start.Add(q.After)) {
+		if !sleepUntil(ctx, start.Add(q.SendOffset)) {
 			break
 		}
 		g.Go(func() error {
@@ -140,7 +140,7 @@
 	p.tally.mu.Lock()
 	defer p.tally.mu.Unlock()
 	if r.Outcome == caller.Finished {
-		record(p.histograms.first, r.First)
+		record(p.histograms.first, r.FirstToken)
 		record(p.histograms.total, r.Total)
 	}
 }
--- a/emulator/load/load_test.go
+++ b/emulator/load/load_test.go
@@ -80,7 +80,7 @@
 		require.Equal(t, r, q.next())
 		kinds[r.Kind]++
 		if r.Kind == "certificate-check" {
-			require.NotEmpty(t, r.Once)
+			require.NotEmpty(t, r.IdempotencyKey)
 		}
 	}
 	require.Len(t, kinds, 5)
@@ -226,7 +226,7 @@
 		require.NoError(t, err)
 		require.Equal(t, []ErrorCount{{"k", ran, 2}}, r.Faults)
 		require.Equal(t, 2, r.Outcomes[want])
-		require.Equal(t, 3, r.Examples[0].Result.Retry)
+		require.Equal(t, 3, r.Examples[0].Result.RetryAfter)
 	}
 }
 
@@ -305,7 +305,7 @@
 	for range 1000 {
 		q := p.next()
 		sent[q.Workspace]++
-		if q.After%time.Second < time.Second/burstDivisor {
+		if q.SendOffset%time.Second < time.Second/burstDivisor {
 			early++
 		}
 	}
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -53,27 +53,27 @@
 	workspace := p.workspace()
 	choice := p.random.IntN(maxChoice)
 	r := caller.Request{
-		Number:    p.number,
-		Choice:    choice,
-		Address:   s.Addresses[choice%len(s.Addresses)],
-		Workspace: workspace,
-		Key:       s.Keys[workspace],
-		Kind:      k.Name,
-		Tokens:    p.promptLength(k),
-		Output:    k.Output,
-		Stream:    p.random.Float64() < s.StreamFraction || s.Direct, // always draws, so that Direct changes no other choice
-		Allowed:   k.Allowed,
-		Slack:     s.Slack,
-		Pause:     k.Pause,
-		Direct:    s.Direct,
-		ID:        fmt.Sprintf("load-%d-%d", s.Seed, p.number),
-		After:     p.offset,
+		Number:       p.number,
+		DaemonIndex:  choice,
+		Address:      s.Addresses[choice%len(s.Addresses)],
+		Workspace:    workspace,
+		Key:          s.Keys[workspace],
+		Kind:         k.Name,
+		PromptTokens: p.promptLength(k),
+		OutputTokens: k.Output,
+		Stream:       p.random.Float64() < s.StreamFraction || s.Direct, // always draws, so that Direct changes no other choice
+		TimeLimit:    k.Allowed,
+		Slack:        s.Slack,
+		ReadPause:    k.Pause,
+		Direct:       s.Direct,
+		ID:           fmt.Sprintf("load-%d-%d", s.Seed, p.number),
+		SendOffset:   p.offset,
 	}
 	if k.Deadline {
 		r.Deadline = k.Allowed
 	}
 	if k.Once {
-		r.Once = r.ID
+		r.IdempotencyKey = r.ID
 	}
 	p.fillBody(&r, k)
 	p.number++
@@ -158,20 +158,20 @@
 		return
 	}
 	r.Path = caller.ChatPath
-	r.Body = caller.ChatBody(p.settings.Model, r.Prompt, r.Output, r.Stream)
+	r.Body = caller.ChatBody(p.settings.Model, r.Prompt, r.OutputTokens, r.Stream)
 }
 
 // prompt generates a prompt that begins with text common to all prompts of the kind and workspace and
 // ends with random text. The random text makes the prompt, and therefore its answer, unique.
 func (p *planner) prompt(r *caller.Request) string {
-	shared := int(float64(r.Tokens) * p.settings.SharedFraction)
-	b := make([]byte, 0, r.Tokens*expect.TokenBytes)
+	shared := int(float64(r.PromptTokens) * p.settings.SharedFraction)
+	b := make([]byte, 0, r.PromptTokens*expect.TokenBytes)
 	common := expect.SeedOf(r.Workspace + "/" + r.Kind)
 	for i := range shared {
 		b = common.Append(b, i)
 	}
 	own := expect.Seed(p.random.Uint64())
-	for i := range r.Tokens - shared {
+	for i := range r.PromptTokens - shared {
 		b = own.Append(b, i)
 	}
 	return string(b)
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -72,7 +72,7 @@
 	var g errgroup.Group
 	g.SetLimit(concurrency)
 	for q := range requests {
-		scheduled := start.Add(q.After)
+		scheduled := start.Add(q.SendOffset)
 		if !sleepUntil(ctx, scheduled) {
 			break
 		}
@@ -128,14 +128,14 @@
 }
 
 func (c retryingClient) do(ctx context.Context, q caller.Request, start time.Time) caller.Result {
-	q.Address = c.balancer.pick(q.Choice)
+	q.Address = c.balancer.pick(q.DaemonIndex)
 	r := c.client.Do(ctx, q, start)
-	for i := 1; i <= c.retries && r.Outcome == caller.Refused && r.Retry > 0; i++ {
-		retryAt := time.Now().Add(time.Duration(r.Retry) * time.Second)
-		if q.Allowed > 0 && retryAt.After(start.Add(q.Allowed.Duration())) || !sleepUntil(ctx, retryAt) {
+	for i := 1; i <= c.retries && r.Outcome == caller.Refused && r.RetryAfter > 0; i++ {
+		retryAt := time.Now().Add(time.Duration(r.RetryAfter) * time.Second)
+		if q.TimeLimit > 0 && retryAt.After(start.Add(q.TimeLimit.Duration())) || !sleepUntil(ctx, retryAt) {
 			return r
 		}
-		q.Address = c.balancer.pick(q.Choice + i)
+		q.Address = c.balancer.pick(q.DaemonIndex + i)
 		c.tally.retry()
 		r = c.client.Do(ctx, q, start)
 	}
--- a/emulator/load/settings.go
+++ b/emulator/load/settings.go
@@ -127,7 +127,7 @@
 	}
 	for _, w := range doc.Workspaces {
 		if len(w.Kinds) == 0 {
-			s.Keys[w.Name] = local.KeyOf(w.Name)
+			s.Keys[w.Name] = local.APIKey(w.Name)
 			s.Shares[w.Name] = w.Weight
 		}
 	}
--- a/emulator/load/streams.go
+++ b/emulator/load/streams.go
@@ -40,7 +40,7 @@
 // MeasureStreams measures the daemon's memory, opens the streams, waits until each has received its
 // first token and measures again. Then it closes the streams.
 func MeasureStreams(ctx context.Context, s StreamsSetup) (StreamMemory, error) {
-	before, err := proc.Of(s.Pid)
+	before, err := proc.ReadUsage(s.Pid)
 	if err != nil {
 		return StreamMemory{}, err
 	}
@@ -52,11 +52,11 @@
 	c := caller.New()
 	for i := range s.Count {
 		q := s.request(i)
-		q.First = func() { first <- struct{}{} }
+		q.OnFirstToken = func() { first <- struct{}{} }
 		open.Go(func() { ended <- c.Do(ctx, q, time.Now()) })
 	}
 	h.await(ctx, s, first, ended)
-	during, err := proc.Of(s.Pid)
+	during, err := proc.ReadUsage(s.Pid)
 	cancel()
 	open.Wait()
 	c.Close()
@@ -87,7 +87,7 @@
 		case <-first:
 			h.Open++
 		case r := <-ended:
-			h.Reason = string(r.Outcome) + ": " + r.Kind + " " + r.Reason
+			h.Reason = string(r.Outcome) + ": " + r.ErrorKind + " " + r.Reason
 			return
 		case <-ctx.Done():
 			return
--- a/emulator/load/tally.go
+++ b/emulator/load/tally.go
@@ -42,7 +42,7 @@
 		return ServiceBand
 	}
 	for _, b := range bands {
-		if q.Tokens < b.to {
+		if q.PromptTokens < b.to {
 			return b.name
 		}
 	}
@@ -85,7 +85,7 @@
 
 func (g *histograms) add(q caller.Request, r caller.Result) {
 	if q.Stream {
-		record(g.first, r.First)
+		record(g.first, r.FirstToken)
 	}
 	record(g.total, r.Total)
 	for _, d := range r.Gaps {
@@ -152,8 +152,8 @@
 	}
 	s.Finished++
 	if !q.Service {
-		s.Prompt += q.Tokens
-		s.Output += q.Output
+		s.Prompt += q.PromptTokens
+		s.Output += q.OutputTokens
 	}
 	return s
 }
@@ -210,15 +210,15 @@
 	t.report.Sent++
 	t.report.Outcomes[r.Outcome]++
 	t.report.Workspaces[q.Workspace] = t.report.Workspaces[q.Workspace].with(q, r)
-	if r.Kind != "" || r.Ran != "" {
-		t.faults[ErrorCount{Kind: r.Kind, Ran: r.Ran}]++
+	if r.ErrorKind != "" || r.Ran != "" {
+		t.faults[ErrorCount{Kind: r.ErrorKind, Ran: r.Ran}]++
 	}
 	if r.Outcome != caller.Finished {
 		t.addExample(q, r)
 		return
 	}
 	if !q.Service {
-		t.report.Output += q.Output
+		t.report.Output += q.OutputTokens
 	}
 	histogramsOf(t.bands, bandOf(q)).add(q, r)
 	histogramsOf(t.kinds, q.Kind).add(q, r)
--- a/emulator/local/local.go
+++ b/emulator/local/local.go
@@ -25,21 +25,21 @@
 // Options are the options of a deployment.
 type Options struct {
 	Deployment Deployment
-	// Bin is the directory of the daemon's executable, and Program the emulator's executable.
-	Bin, Program string
+	// BinDir is the directory of the daemon's executable, and EmulatorProgram the emulator's executable.
+	BinDir, EmulatorProgram string
 	// Engines, Services and Daemons are the numbers of processes of each.
 	Engines, Services, Daemons int
-	// Caller is host:port at which the first daemon accepts client requests. If it is empty or
+	// ClientAddress is host:port at which the first daemon accepts client requests. If it is empty or
 	// its port is 0, a free port is chosen.
-	Caller string
-	// Logs is the directory for log files. If it is empty, the logs are written to a temporary
+	ClientAddress string
+	// LogDir is the directory for log files. If it is empty, the logs are written to a temporary
 	// directory that Stop removes.
-	Logs string
-	// Packed runs all engines and services in one process, for deployments too large for a
+	LogDir string
+	// SingleProcess runs all engines and services in one process, for deployments too large for a
 	// process for each.
-	Packed bool
-	// Sets are settings that apply to every engine, each "field=value".
-	Sets []string
+	SingleProcess bool
+	// EngineSettings are settings that apply to every engine, each "field=value".
+	EngineSettings []string
 }
 
 // The tiers of processes, in start order. They are stopped in reverse order.
@@ -50,8 +50,8 @@
 	tierCount
 )
 
-// DaemonName is the file name of the daemon's executable.
-const DaemonName = "snipeshiftd"
+// DaemonProgram is the file name of the daemon's executable.
+const DaemonProgram = "snipeshiftd"
 
 // DaemonPrefix is the prefix of the name of every daemon.
 const DaemonPrefix = "vm-"
@@ -64,13 +64,13 @@
 	Ready   bool   `json:"ready"`
 	Program string `json:"program"`
 	Name    string `json:"name"`
-	// Address is host:port at which the first daemon accepts client requests. Callers and
-	// Operators are the addresses of all daemons for clients and operators, and Platform is the
-	// address of the emulated platform.
-	Address   string   `json:"address"`
-	Callers   []string `json:"callers"`
-	Operators []string `json:"operators"`
-	Platform  string   `json:"platform"`
+	// Address is host:port at which the first daemon accepts client requests. ClientAddresses
+	// and OperatorAddresses are the addresses of all daemons for clients and operators, and
+	// PlatformAddress is the address of the emulated platform.
+	Address           string   `json:"address"`
+	ClientAddresses   []string `json:"callers"`
+	OperatorAddresses []string `json:"operators"`
+	PlatformAddress   string   `json:"platform"`
 	// Upstreams maps upstream names to addresses, Pids process names to process IDs, and Keys
 	// workspace names to API keys.
 	Upstreams map[string]string `json:"upstreams"`
@@ -78,8 +78,8 @@
 	Keys      map[string]string `json:"keys"`
 }
 
-// Daemon is the content of one daemon's settings file.
-type Daemon struct {
+// DaemonSettings is the content of one daemon's settings file.
+type DaemonSettings struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	// Caller, Operator and Peer are the listening addresses for clients, operators and other
@@ -98,7 +98,7 @@
 	document document.Document
 	dir      string
 	ready    Ready
-	daemons  []Daemon
+	daemons  []DaemonSettings
 	// children holds the processes by tier. Processes depend only on those of earlier tiers.
 	children [tierCount][]*process
 }
@@ -146,8 +146,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Logs == "" {
-		o.Logs = dir
+	if o.LogDir == "" {
+		o.LogDir = dir
 	}
 	l := &Local{options: o, document: resize(doc, o.Engines, o.Services), dir: dir}
 	l.ready = Ready{
@@ -159,7 +159,7 @@
 		Keys:      map[string]string{},
 	}
 	for _, w := range doc.Workspaces {
-		l.ready.Keys[w.Name] = KeyOf(w.Name)
+		l.ready.Keys[w.Name] = APIKey(w.Name)
 	}
 	return l, nil
 }
@@ -181,7 +181,7 @@
 }
 
 func (l *Local) startProcess(tier int, name, program string, args ...string) (*process, error) {
-	p, err := startChild(l.options.Logs, name, program, args...)
+	p, err := startChild(l.options.LogDir, name, program, args...)
 	if err != nil {
 		return nil, err
 	}
@@ -191,11 +191,11 @@
 }
 
 func (l *Local) startPlatform(ctx context.Context) error {
-	p, err := l.startProcess(platformTier, "platform", l.options.Program, "platform")
+	p, err := l.startProcess(platformTier, "platform", l.options.EmulatorProgram, "platform")
 	if err != nil {
 		return err
 	}
-	l.ready.Platform, err = p.awaitAddress(ctx)
+	l.ready.PlatformAddress, err = p.awaitAddress(ctx)
 	return err
 }
 
@@ -231,7 +231,7 @@
 }
 
 func (l *Local) putToPlatform(ctx context.Context, path string, body []byte) error {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+l.ready.Platform+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+l.ready.PlatformAddress+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -257,11 +257,11 @@
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":32,"messages":[{"role":"user","content":"Draft a short notice."}]}`,
 		l.document.Models[0].Name)
 	_, err = fmt.Fprintf(out, "%s\ncurl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '%s'\n",
-		line, l.ready.Address, KeyOf(w.Name), body)
+		line, l.ready.Address, APIKey(w.Name), body)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "export SNIPESHIFT_DAEMON=%s SNIPESHIFT_STORE=%s\n", strings.Join(l.ready.Operators, ","), l.ready.Platform)
+	_, err = fmt.Fprintf(out, "export SNIPESHIFT_DAEMON=%s SNIPESHIFT_STORE=%s\n", strings.Join(l.ready.OperatorAddresses, ","), l.ready.PlatformAddress)
 	return err
 }
 
--- a/emulator/local/upstreams.go
+++ b/emulator/local/upstreams.go
@@ -13,7 +13,7 @@
 // startUpstreams starts all engines and services in parallel and then sets their addresses in the
 // document.
 func (l *Local) startUpstreams(ctx context.Context) error {
-	if l.options.Packed {
+	if l.options.SingleProcess {
 		return l.startFleet(ctx)
 	}
 	started := make([]*process, len(l.document.Upstreams))
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		if started[i], err = l.startProcess(upstreamTier, u.Name, l.options.Program, args...); err != nil {
+		if started[i], err = l.startProcess(upstreamTier, u.Name, l.options.EmulatorProgram, args...); err != nil {
 			return err
 		}
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := l.startProcess(upstreamTier, "fleet", l.options.Program, args...)
+	p, err := l.startProcess(upstreamTier, "fleet", l.options.EmulatorProgram, args...)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 }
 
 // engineSettings returns the settings of an emulated engine. They are taken from u and overridden by
-// Options.Sets, and the overridden values are written back to u so that the document matches the
+// Options.EngineSettings, and the overridden values are written back to u so that the document matches the
 // engine.
 func (l *Local) engineSettings(u *document.Upstream) (engine.Settings, error) {
 	s := engine.Defaults()
@@ -99,7 +99,7 @@
 	s.Slots, s.Memory = u.Slots, u.Memory
 	s.Prefill, s.Decode = u.Prefill, u.Decode
 	s.CheckFence = u.Fenced
-	if err := settings.Load("", l.options.Sets, &s); err != nil {
+	if err := settings.Load("", l.options.EngineSettings, &s); err != nil {
 		return s, err
 	}
 	u.Slots, u.Memory = s.Slots, s.Memory
--- a/emulator/proc/proc.go
+++ b/emulator/proc/proc.go
@@ -21,38 +21,38 @@
 	sizeField   = 21
 )
 
-// Use is the resource use of a process.
-type Use struct {
+// Usage is the resource use of a process.
+type Usage struct {
 	// Processor is the user and system time since the start of the process.
 	Processor time.Duration `json:"processor"`
 	// Memory is the resident memory in bytes.
 	Memory int64 `json:"memory"`
 }
 
-// Of returns the resource use of the process with an ID.
-func Of(pid int) (Use, error) {
+// ReadUsage returns the resource use of the process with an ID.
+func ReadUsage(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return Use{}, err
+		return Usage{}, err
 	}
 	return parse(string(text))
 }
 
-func parse(text string) (Use, error) {
+func parse(text string) (Usage, error) {
 	// The program's name is in parentheses and can itself contain spaces and parentheses.
 	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 	if len(fields) <= sizeField {
-		return Use{}, fmt.Errorf("/proc/PID/stat has only %d fields after the program name", len(fields))
+		return Usage{}, fmt.Errorf("/proc/PID/stat has only %d fields after the program name", len(fields))
 	}
 	var n [3]int64
 	for i, f := range []int{userField, systemField, sizeField} {
 		v, err := strconv.ParseInt(fields[f], 10, 64)
 		if err != nil {
-			return Use{}, err
+			return Usage{}, err
 		}
 		n[i] = v
 	}
-	return Use{
+	return Usage{
 		Processor: time.Duration(n[0]+n[1]) * clockTick,
 		Memory:    n[2] * int64(os.Getpagesize()),
 	}, nil
--- a/emulator/service/service.go
+++ b/emulator/service/service.go
@@ -71,9 +71,9 @@
 	Outcome string `json:"outcome"`
 }
 
-// Answer is the body of every successful response. It describes the received call, so that the client
+// Response is the body of every successful response. It describes the received call, so that the client
 // can check that the response belongs to its request.
-type Answer struct {
+type Response struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
@@ -114,7 +114,7 @@
 // ServeHTTP implements http.Handler.
 func (v *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { v.mux.ServeHTTP(w, r) }
 
-// Hash returns the xxhash64 of a body in hexadecimal, as in Call.Hash and Answer.Hash.
+// Hash returns the xxhash64 of a body in hexadecimal, as in Call.Hash and Response.Hash.
 func Hash(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
 func (v *Service) call(w http.ResponseWriter, r *http.Request) {
@@ -187,7 +187,7 @@
 
 func (v *Service) writeResponse(w http.ResponseWriter, c *Call) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Answer{
+	_ = json.NewEncoder(w).Encode(Response{
 		Service: v.settings.Name,
 		Method:  c.Method,
 		Path:    c.Path,
--- a/emulator/streams.go
+++ b/emulator/streams.go
@@ -21,7 +21,7 @@
 			&cli.StringFlag{Name: "address", Required: true, Usage: "`HOST:PORT` of a daemon"},
 			&cli.IntFlag{Name: "pid", Required: true, Usage: "process ID of the daemon"},
 			&cli.IntFlag{Name: "count", Value: 1000, Usage: "number of streams"},
-			&cli.StringFlag{Name: "key", Value: local.KeyOf("thiruvananthapuram"), Usage: "API key"},
+			&cli.StringFlag{Name: "key", Value: local.APIKey("thiruvananthapuram"), Usage: "API key"},
 			&cli.StringFlag{Name: "model", Value: "notice-drafter", Usage: "model"},
 			&cli.StringFlag{Name: "kind", Value: "ward-notice", Usage: "request kind"},
 			&cli.IntFlag{Name: "output", Value: 2000, Usage: "length of each answer in tokens"},
