--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -1,4 +1,4 @@
-// Package load makes the requests of the two deployments, seeded and repeatable.
+// Package load generates the requests of the two modelled deployments from a seed.
 package load
 
 import (
@@ -9,20 +9,22 @@
 	"snipeshift.example/bench/engine"
 )
 
-// Kind is a kind of request.
+// Kind is a class of requests with the same urgency, sizes and time limit.
 type Kind struct {
 	Name    string
 	Urgency int
-	// Share is its part of all requests.
+	// Share is the fraction of all requests that are of this kind.
 	Share float64
-	// Shortest and Longest bound the prompt in tokens, log-uniform between.
+	// Shortest and Longest bound the prompt length in tokens; lengths are log-uniform between them.
 	Shortest, Longest int64
-	Output            int64
-	// Allowed is in milliseconds.
+	// Output scales the response length in tokens: lengths are uniform between a third of it and
+	// all of it, plus one.
+	Output int64
+	// Allowed is the time limit of a request in milliseconds.
 	Allowed float64
 }
 
-// Deployment is the fleet and the mix of one user.
+// Deployment is a fleet of equal engines and the mix of requests that it serves.
 type Deployment struct {
 	Name       string
 	Engines    int
@@ -31,12 +33,13 @@
 	Kinds      []Kind
 }
 
-// fleetEngine is one engine of either deployment: a prompt of a million tokens
-// takes fifty seconds and needs the memory of three.
+// fleetEngine is one engine of either deployment: the prefill of a prompt of a million tokens takes
+// 50 s and needs the memory of three engines.
 var fleetEngine = engine.Spec{Memory: 450_000, Slots: 64, Prefill: 20, Decode: 0.05}
 
-// Deployments are the two of the brief: about 20 runners of the large model and
-// 3 of the other, ten workspaces; one request in fifty is over 100,000 tokens.
+// Deployments are the two modelled deployments. Each has the total number of engines of a real one,
+// about 20 for its large model and 3 for a smaller one, and ten workspaces; one request in fifty
+// has a prompt of more than 100,000 tokens.
 var Deployments = []Deployment{
 	{
 		Name: "directorate", Engines: 23, Engine: fleetEngine, Workspaces: 10,
@@ -59,41 +62,43 @@
 	},
 }
 
-// Request is one request of a run, with what became of it.
+// Request is one request of a run and its outcome.
 type Request struct {
 	ID        int
 	Name      string
 	Workspace int
 	Kind      *Kind
-	// At, Deadline, First and Done are instants in milliseconds; First and Done
-	// are negative until they happen.
+	// At (arrival), Deadline, First (first token) and Done are instants in milliseconds; First and
+	// Done are negative until they happen.
 	At, Deadline, First, Done float64
 	Prompt, Output            int64
 	Prefixes                  []engine.Prefix
-	// Cached and Prefilled are tokens.
+	// Cached is the part of the prompt found in the prefix cache, Prefilled the part computed, both
+	// in tokens.
 	Cached    int64
 	Prefilled float64
 	Refused   bool
-	// Retry is what a refusal said, in milliseconds.
+	// Retry is the retry delay of a refusal in milliseconds.
 	Retry float64
-	// Dropped is set where it was admitted and given up.
+	// Dropped is set if the request was canceled after it was accepted, by the policy or at its
+	// deadline.
 	Dropped bool
 }
 
 // Scenario varies the arrivals and the fleet.
 type Scenario struct {
 	Name string
-	// Burst is how many times the mean rate the bursts reach; 0 or 1 for none.
+	// Burst is the rate during bursts as a multiple of the mean rate; 0 or 1 for no bursts.
 	Burst float64
-	// Skew is how many times the others' rate the first workspace sends.
+	// Skew is the rate of the first workspace as a multiple of each other workspace's.
 	Skew float64
-	// Slow is how many times slower one engine is.
+	// Slow is the factor by which one engine is slower than the others.
 	Slow float64
-	// Full fills the fleet with long prompts at the start.
+	// Full adds two requests of the last kind, the longest, per engine at the start.
 	Full bool
 }
 
-// Scenarios are the ones of the issue.
+// Scenarios are the measured scenarios.
 var Scenarios = []Scenario{
 	{Name: "mix", Skew: 1, Slow: 1},
 	{Name: "bursts", Burst: 3, Skew: 1, Slow: 1},
@@ -103,16 +108,18 @@
 }
 
 const (
-	burstEvery, burstLong = 60_000.0, 10_000.0
-	// shared is the chance that a prompt starts like others of its workspace and kind.
-	shared = 0.5
-	// again is the chance that a long prompt repeats an earlier one of its workspace.
-	again = 0.2
-	// LongPrompt is where long work begins in the tables.
+	// Each burstPeriod starts with a burst of burstDuration, both in milliseconds.
+	burstPeriod, burstDuration = 60_000.0, 10_000.0
+	// sharedPrefixChance is the probability that a short prompt starts with a prefix shared by
+	// others of its workspace and kind.
+	sharedPrefixChance = 0.5
+	// repeatChance is the probability that a long prompt repeats a recent one of its workspace.
+	repeatChance = 0.2
+	// LongPrompt is the length in tokens from which the results count a prompt as long.
 	LongPrompt = 100_000
 )
 
-// MeanPrompt is the mean prompt length of a deployment.
+// MeanPrompt returns the mean prompt length in tokens.
 func (d *Deployment) MeanPrompt() float64 {
 	mean := 0.0
 	for _, k := range d.Kinds {
@@ -122,19 +129,21 @@
 	return mean
 }
 
-// packing is the part of the memory that can be filled, for a prompt of half an
-// engine's memory and one of two thirds cannot share it.
-const packing = 0.8
+// packingEfficiency is the fraction of the engines' memory that can be filled. It is below one
+// because reservations leave gaps: for example, a prompt of half an engine's memory and one of two
+// thirds cannot share an engine.
+const packingEfficiency = 0.8
 
-// Rate is the arrivals per millisecond at a load of one: where the engines either
-// prefill all the time or have no memory left, whichever comes first.
+// Rate returns the arrivals per millisecond at a load of one: the rate at which the engines either
+// prefill all the time or have no memory left, whichever is reached first.
 func (d *Deployment) Rate() float64 {
 	n := float64(d.Engines)
-	return min(n*d.Engine.Prefill/d.MeanPrompt(), n*float64(d.Engine.Memory)*packing/d.meanHold())
+	return min(n*d.Engine.Prefill/d.MeanPrompt(), n*float64(d.Engine.Memory)*packingEfficiency/d.meanMemoryTime())
 }
 
-// meanHold is the mean of a request's memory times its duration.
-func (d *Deployment) meanHold() float64 {
+// meanMemoryTime returns the mean of a request's memory multiplied by its duration, in tokens times
+// milliseconds.
+func (d *Deployment) meanMemoryTime() float64 {
 	mean := 0.0
 	for _, k := range d.Kinds {
 		a, b := float64(k.Shortest), float64(k.Longest)
@@ -145,8 +154,8 @@
 	return mean
 }
 
-// Generate makes the requests of one run of length span milliseconds.
-func (d *Deployment) Generate(seed uint64, s Scenario, load, span float64) []*Request {
+// Generate returns the requests of one run in which requests arrive for duration milliseconds.
+func (d *Deployment) Generate(seed uint64, s Scenario, load, duration float64) []*Request {
 	g := &generator{d: d, s: s, r: rand.New(rand.NewPCG(seed, 1)), recent: map[int][]*Request{}}
 	if s.Full {
 		for range 2 * d.Engines {
@@ -154,30 +163,32 @@
 		}
 	}
 	rate := d.Rate() * load
-	for at := 0.0; at < span; {
-		at += g.r.ExpFloat64() / (rate * g.intensity(at))
+	for at := 0.0; at < duration; {
+		at += g.r.ExpFloat64() / (rate * g.rateFactor(at))
 		g.add(at, g.kind())
 	}
 	return g.out
 }
 
 type generator struct {
-	d      *Deployment
-	s      Scenario
-	r      *rand.Rand
-	out    []*Request
+	d   *Deployment
+	s   Scenario
+	r   *rand.Rand
+	out []*Request
+	// recent holds the latest long requests of each workspace.
 	recent map[int][]*Request
 }
 
-// intensity keeps the mean at one.
-func (g *generator) intensity(at float64) float64 {
+// rateFactor returns the arrival rate at an instant as a multiple of the mean rate; its mean over a
+// burst period is one.
+func (g *generator) rateFactor(at float64) float64 {
 	if g.s.Burst <= 1 {
 		return 1
 	}
-	if math.Mod(at, burstEvery) < burstLong {
+	if math.Mod(at, burstPeriod) < burstDuration {
 		return g.s.Burst
 	}
-	return (burstEvery - g.s.Burst*burstLong) / (burstEvery - burstLong)
+	return (burstPeriod - g.s.Burst*burstDuration) / (burstPeriod - burstDuration)
 }
 
 func (g *generator) kind() *Kind {
@@ -211,15 +222,16 @@
 	g.out = append(g.out, q)
 }
 
-// prefixes gives a request the hashes of 1, 2, 4, ... blocks of 1024 tokens.
+// prefixes sets the prefix hashes of a request: one for each leading 1024, 2048, 4096, ... tokens
+// of its prompt.
 func (g *generator) prefixes(q *Request) {
 	long := q.Kind.Longest > LongPrompt
 	key, common := uint64(q.ID)+1<<40, int64(0)
-	if !long && g.r.Float64() < shared {
+	if !long && g.r.Float64() < sharedPrefixChance {
 		common = 1024 << (q.ID % 2)
 	}
 	old := g.recent[q.Workspace]
-	if long && len(old) > 0 && g.r.Float64() < again {
+	if long && len(old) > 0 && g.r.Float64() < repeatChance {
 		o := old[g.r.IntN(len(old))]
 		q.Prompt = o.Prompt
 		q.Prefixes = o.Prefixes
