--- a/bench/engine/engine.go
+++ b/bench/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine models a model engine as far as decisions under load depend on
-// it: continuous batching, prefill that interferes with decoding, KV memory, a
-// prefix cache in what memory is left, priorities. Times are milliseconds.
+// Package engine models an inference engine in the respects that matter for scheduling under load:
+// continuous batching, prefill that slows down decoding, KV memory, a prefix cache in the memory
+// left free, and priorities. Times are milliseconds.
 //
-// It is a fluid model: between two events everything advances at a steady rate.
+// It is a fluid model: between two events, all work advances at constant rates.
 package engine
 
 import (
@@ -11,81 +11,87 @@
 )
 
 const (
-	// interference is how much longer a decoding step takes while a prompt is
-	// prefilled beside it.
-	interference = 0.5
-	// batchCost is how much longer a decoding step takes for each further request
-	// in the batch, prefillCost how much slower prefill is for each.
-	batchCost, prefillCost = 0.004, 0.003
+	// prefillInterference is the fraction by which a decoding step takes longer while a prompt is
+	// prefilled at the same time.
+	prefillInterference = 0.5
+	// decodeBatchCost is the fraction by which each further request in the batch lengthens a
+	// decoding step, prefillBatchCost that by which each decoding request slows down prefill.
+	decodeBatchCost, prefillBatchCost = 0.004, 0.003
 )
 
-// Spec is the rated size of an engine.
+// Spec is the rated capacity of an engine.
 type Spec struct {
-	// Memory is in tokens, Slots in requests.
+	// Memory is the KV memory in tokens, Slots the most requests that run at the same time.
 	Memory int64
 	Slots  int
-	// Prefill and Decode are tokens per millisecond.
+	// Prefill and Decode are rates of a single request in tokens per millisecond.
 	Prefill, Decode float64
 }
 
-// Job is one request on an engine. A job of a group is led by one engine;
-// the others lend memory.
+// Job is one request on an engine or on a group of engines. The first member is the leader, which
+// does all of the job's work; the others only provide memory.
 type Job struct {
 	ID       int
 	Priority int
-	// Prompt, Output and Share (memory on each member) are in tokens.
+	// Prompt, Output and Share (the memory reserved on each member) are in tokens. A lower Priority
+	// value is prefilled first.
 	Prompt, Output, Share int64
 	Prefixes              []Prefix
 	Members               []*Engine
-	// Cached is the part of the prompt found in the prefix cache.
+	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int64
-	// Done is how much was prefilled, in tokens.
+	// Done is the number of prompt tokens prefilled.
 	Done     float64
 	admitted bool
 	first    bool
-	finish   float64
-	order    int
+	// finishAt is the engine's decodedPerJob at which the job ends.
+	finishAt float64
+	// sequence is the order of arrival on the engine.
+	sequence int
 }
 
-// Prefix is a leading part of a prompt.
+// Prefix identifies the leading tokens of a prompt.
 type Prefix struct {
 	Hash   uint64
 	Tokens int64
 }
 
-// Event tells of a job's first token or its end.
+// Event is the first token of a job or, if Last is set, its end.
 type Event struct {
 	Job  *Job
 	Last bool
 }
 
-// Engine is one engine.
+// Engine is the simulated state of one engine.
 type Engine struct {
 	Spec Spec
-	// Slow multiplies every duration.
+	// Slow is a factor on the duration of all work; 1 is the rated speed.
 	Slow  float64
 	Index int
 	// Shortest makes the engine admit and prefill the shortest prompt first.
 	Shortest bool
-	// Cache holds prefixes in the memory that jobs leave free.
+	// Cache is the prefix cache.
 	Cache Cache
-	// OnCache is told of each change of the cache.
+	// OnCache, if set, is called on each change of the prefix cache.
 	OnCache func(hash uint64, evicted bool)
 
 	used    int64
 	running int
-	// frozen is the waiting group head that keeps this member from admitting others.
-	frozen *Job
-	// freezer is the engine's own head that froze others.
-	freezer  *Job
-	held     []*Job
-	waiting  []*Job
-	prefill  []*Job
-	decoding []*Job
-	// virtual counts tokens that each decoding job has got since the beginning.
-	virtual float64
-	now     float64
-	orders  int
+	// blockedBy is the waiting group job that keeps this engine, one of its members, from admitting
+	// other jobs.
+	blockedBy *Job
+	// blockingHead is the group job at the head of this engine's own queue that blocks other
+	// engines.
+	blockingHead *Job
+	admitted     []*Job
+	waiting      []*Job
+	prefill      []*Job
+	decoding     []*Job
+	// decodedPerJob is the number of tokens that a job decoding since the start would have
+	// produced; it measures progress for all decoding jobs at once.
+	decodedPerJob float64
+	now           float64
+	lastSequence  int
 }
 
 // New returns an idle engine.
@@ -95,35 +101,36 @@
 	return e
 }
 
-// Used is the memory in use, Load the number of requests, waiting ones included.
+// Used returns the memory in use, in tokens.
 func (e *Engine) Used() int64 { return e.used }
 
-// Load counts requests on the engine, waiting ones included.
+// Load returns the number of jobs on the engine, waiting ones included.
 func (e *Engine) Load() int { return len(e.waiting) + e.running }
 
-// Held lists the jobs that hold memory on the engine.
-func (e *Engine) Held() []*Job { return e.held }
+// Held returns the admitted jobs that hold memory on the engine.
+func (e *Engine) Held() []*Job { return e.admitted }
 
 func (e *Engine) prefillRate() float64 {
-	return e.Spec.Prefill / e.Slow / (1 + prefillCost*float64(len(e.decoding)))
+	return e.Spec.Prefill / e.Slow / (1 + prefillBatchCost*float64(len(e.decoding)))
 }
 
 func (e *Engine) decodeRate() float64 {
-	rate := e.Spec.Decode / e.Slow / (1 + batchCost*float64(max(len(e.decoding)-1, 0)))
+	rate := e.Spec.Decode / e.Slow / (1 + decodeBatchCost*float64(max(len(e.decoding)-1, 0)))
 	if len(e.prefill) > 0 {
-		rate /= 1 + interference
+		rate /= 1 + prefillInterference
 	}
 	return rate
 }
 
-// Alone is the time to first token and the whole time of a job on an idle
-// engine that has cached tokens of its prompt.
+// Alone returns the time to first token and the total time of a job on an idle engine whose prefix
+// cache holds the given number of tokens of its prompt.
 func Alone(s Spec, prompt, cached, output int64) (first, whole float64) {
 	first = float64(prompt-cached) / s.Prefill
 	return first, first + float64(output)/s.Decode
 }
 
-// Next is when the next event happens if nothing changes.
+// Next returns the instant of the engine's next event if no job is added or canceled before;
+// infinity if it has no work.
 func (e *Engine) Next() float64 {
 	next := math.Inf(1)
 	if len(e.prefill) > 0 {
@@ -133,80 +140,83 @@
 	if len(e.decoding) > 0 {
 		left := math.Inf(1)
 		for _, j := range e.decoding {
-			left = min(left, j.finish-e.virtual)
+			left = min(left, j.finishAt-e.decodedPerJob)
 		}
 		next = min(next, e.now+left/e.decodeRate())
 	}
 	return next
 }
 
-const tiny = 1e-6
+// epsilon is the rounding tolerance, in milliseconds of prefill.
+const epsilon = 1e-6
 
-// Advance moves on to now, which must not be past Next, and appends what happened.
+// Advance simulates the engine up to now, which must not be later than Next, and appends the events
+// that occur to out.
 func (e *Engine) Advance(now float64, out []Event) []Event {
-	span := now - e.now
-	if span > 0 {
+	elapsed := now - e.now
+	if elapsed > 0 {
 		pre, dec := e.prefillRate(), e.decodeRate()
 		if len(e.prefill) > 0 {
-			e.prefill[0].Done += span * pre
+			e.prefill[0].Done += elapsed * pre
 		}
 		if len(e.decoding) > 0 {
-			e.virtual += span * dec
+			e.decodedPerJob += elapsed * dec
 		}
 	}
 	e.now = now
 	if len(e.prefill) > 0 {
 		j := e.prefill[0]
-		if j.Done >= float64(j.Prompt-j.Cached)-tiny*e.Spec.Prefill-1e-3 {
+		if j.Done >= float64(j.Prompt-j.Cached)-epsilon*e.Spec.Prefill-1e-3 {
 			e.prefill = e.prefill[1:]
 			j.first = true
-			j.finish = e.virtual + float64(j.Output)
+			j.finishAt = e.decodedPerJob + float64(j.Output)
 			e.decoding = append(e.decoding, j)
-			e.keep(j)
+			e.cachePrefixes(j)
 			out = append(out, Event{Job: j})
 		}
 	}
 	for i := len(e.decoding) - 1; i >= 0; i-- {
-		if j := e.decoding[i]; j.finish <= e.virtual+1e-6 {
+		if j := e.decoding[i]; j.finishAt <= e.decodedPerJob+1e-6 {
 			e.decoding = slices.Delete(e.decoding, i, i+1)
-			e.free(j)
+			e.release(j)
 			out = append(out, Event{Job: j, Last: true})
 		}
 	}
 	return out
 }
 
-func (e *Engine) keep(j *Job) {
+// cachePrefixes adds the prefixes of a job's prompt to the prefix cache.
+func (e *Engine) cachePrefixes(j *Job) {
 	for _, p := range j.Prefixes {
 		e.Cache.add(e, p)
 	}
 }
 
-// Submit queues a job; Admit starts what fits.
+// Submit queues a job. Admit starts it once it fits.
 func (e *Engine) Submit(j *Job) {
-	e.orders++
-	j.order = e.orders
+	e.lastSequence++
+	j.sequence = e.lastSequence
 	e.waiting = append(e.waiting, j)
 	if e.Shortest {
 		slices.SortStableFunc(e.waiting, func(a, b *Job) int { return int(a.Prompt - b.Prompt) })
 	}
 }
 
-// Admit starts waiting jobs in order while memory and slots last. A head that
-// waits for a group freezes its members, so that it is not starved.
+// Admit starts waiting jobs in order until the next one does not fit. If that is a group job, it
+// blocks all of its members for other jobs, so that it is not starved.
 func (e *Engine) Admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
-		if e.freezer != nil && e.freezer != j {
-			e.freezer.thaw() // a shorter one came before it
-			e.freezer = nil
+		if e.blockingHead != nil && e.blockingHead != j {
+			e.blockingHead.unblockMembers() // a job with a shorter prompt was queued ahead of it
+			e.blockingHead = nil
 		}
 		if !j.fits() {
-			e.freezer = j
-			j.freeze()
+			e.blockingHead = j
+			j.blockMembers()
 			return
 		}
-		e.freezer = nil
+		e.blockingHead = nil
 		e.waiting = e.waiting[1:]
 		e.start(j)
 	}
@@ -217,7 +227,7 @@
 		if m.used+j.Share > m.Spec.Memory || m.running >= m.Spec.Slots {
 			return false
 		}
-		if m.frozen != nil && m.frozen != j {
+		if m.blockedBy != nil && m.blockedBy != j {
 			return false
 		}
 	}
@@ -228,65 +238,67 @@
 	for _, m := range j.Members {
 		m.used += j.Share
 		m.running++
-		m.held = append(m.held, j)
+		m.admitted = append(m.admitted, j)
 		m.Cache.trim(m)
 	}
-	j.thaw()
+	j.unblockMembers()
 	j.admitted = true
-	j.Cached = e.Cache.longest(j)
+	j.Cached = e.Cache.longestPrefix(j)
 	e.prefill = append(e.prefill, j)
-	slices.SortStableFunc(e.prefill, e.before)
+	slices.SortStableFunc(e.prefill, e.comparePrefill)
 }
 
-// freeze keeps the members of a waiting group from admitting others. The earlier job
-// wins, so that two groups never wait for each other.
-func (j *Job) freeze() {
+// blockMembers keeps the members of a waiting group job from admitting other jobs. If two group
+// jobs compete for a member, the one with the lower ID, which arrived first, gets it, so that they
+// never wait for each other.
+func (j *Job) blockMembers() {
 	if len(j.Members) == 1 {
 		return
 	}
 	for _, m := range j.Members {
-		if m.frozen == nil || j.ID < m.frozen.ID {
-			m.frozen = j
+		if m.blockedBy == nil || j.ID < m.blockedBy.ID {
+			m.blockedBy = j
 		}
 	}
 }
 
-func (j *Job) thaw() {
+func (j *Job) unblockMembers() {
 	for _, m := range j.Members {
-		if m.frozen == j {
-			m.frozen = nil
+		if m.blockedBy == j {
+			m.blockedBy = nil
 		}
 	}
 }
 
-// before is the order of prefill: by priority and then by arrival. Only engines that
-// are given unlike priorities interrupt a prompt for another.
-func (e *Engine) before(a, b *Job) int {
+// comparePrefill orders jobs for prefill: by priority, then by arrival or, with Shortest, by prompt
+// length among jobs not yet begun. A prompt whose prefill has begun is interrupted only for a job
+// of another priority.
+func (e *Engine) comparePrefill(a, b *Job) int {
 	if a.Priority != b.Priority {
 		return a.Priority - b.Priority
 	}
 	if e.Shortest && a.Done == 0 && b.Done == 0 {
 		return int(a.Prompt - b.Prompt)
 	}
-	return a.order - b.order
+	return a.sequence - b.sequence
 }
 
-func (e *Engine) free(j *Job) {
+func (e *Engine) release(j *Job) {
 	for _, m := range j.Members {
 		m.used -= j.Share
 		m.running--
-		m.held = slices.DeleteFunc(m.held, func(o *Job) bool { return o == j })
+		m.admitted = slices.DeleteFunc(m.admitted, func(o *Job) bool { return o == j })
 	}
 	j.admitted = false
 }
 
-// Cancel takes a job off the engine.
+// Cancel removes a job from the engine and releases its memory.
 func (e *Engine) Cancel(j *Job) {
 	if i := slices.Index(e.waiting, j); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
-		j.thaw()
-		if e.freezer == j {
-			e.freezer = nil
+		j.unblockMembers()
+		if e.blockingHead == j {
+			e.blockingHead = nil
 		}
 		return
 	}
@@ -297,11 +309,12 @@
 		e.decoding = slices.Delete(e.decoding, i, i+1)
 	}
 	if j.admitted {
-		e.free(j)
+		e.release(j)
 	}
 }
 
-// Backlog is the prompt tokens still to be prefilled, waiting jobs included.
+// Backlog returns the number of prompt tokens that still have to be prefilled, those of waiting
+// jobs included.
 func (e *Engine) Backlog() int64 {
 	sum := int64(0)
 	for _, j := range e.waiting {
@@ -313,5 +326,5 @@
 	return sum
 }
 
-// Waits tells whether jobs wait to be admitted.
+// Waits reports whether jobs wait to be admitted.
 func (e *Engine) Waits() bool { return len(e.waiting) > 0 }
