--- a/bench/policy/baseline.go
+++ b/bench/policy/baseline.go
@@ -7,29 +7,29 @@
 	"snipeshift.example/bench/load"
 )
 
-// Rule picks an engine for a request by what was reported.
+// Rule is how a baseline picks the engine for a request from the engines' last reports.
 type Rule uint8
 
-// The baselines. None refuses, none tells engines a priority; every engine
-// admits its own queue in order, and callers give up at their deadline.
+// The baselines. They refuse no request and set no priorities; each engine admits its own queue in
+// order, and requests are canceled at their deadlines.
 const (
-	RoundRobin    Rule = iota // next engine, FIFO
-	LeastReported             // least reported backlog, FIFO
-	TwoChoices                // the less loaded of two at random, FIFO
-	ShortestFirst             // least reported backlog, shortest prompt first
+	RoundRobin    Rule = iota // the next engine in turn, FIFO
+	LeastReported             // smallest reported backlog, FIFO
+	TwoChoices                // of two random engines the one with the smaller reported backlog, FIFO
+	ShortestFirst             // smallest reported backlog, shortest prompt first
 )
 
 type baseline struct {
 	fleet  Fleet
 	rule   Rule
 	memory int64
-	// backlog is the last report of each engine.
+	// backlog is the prefill backlog in tokens that each engine reported last.
 	backlog []int64
 	next    int
 	random  *rand.Rand
 }
 
-// NewBaseline returns a baseline over n engines of equal memory.
+// NewBaseline returns a baseline for n engines, each with memory for that many tokens.
 func NewBaseline(f Fleet, rule Rule, n int, memory int64) Policy {
 	return &baseline{fleet: f, rule: rule, memory: memory, backlog: make([]int64, n), random: rand.New(rand.NewPCG(3, 4))}
 }
@@ -59,11 +59,12 @@
 		}
 		return i
 	default:
-		return b.least()
+		return b.leastBacklog()
 	}
 }
 
-func (b *baseline) least() int {
+// leastBacklog returns an engine with the smallest reported backlog, chosen at random among equals.
+func (b *baseline) leastBacklog() int {
 	low := int64(math.MaxInt64)
 	var equal []int
 	for i, l := range b.backlog {
--- a/bench/policy/pool.go
+++ b/bench/policy/pool.go
@@ -8,140 +8,144 @@
 	"snipeshift.example/lib/decide"
 )
 
-// start keeps the library's instants away from zero.
-const start clock.Milli = 1_000_000
+// clockOffset is added to the simulated time, so that no instant passed to the library is near
+// zero.
+const clockOffset clock.Milli = 1_000_000
 
 const (
-	lease      = 5 * clock.Second
-	renewEvery = clock.Second
+	leaseTime   = 5 * clock.Second
+	renewPeriod = clock.Second
 )
 
-// pool drives the decision library as a daemon would.
-type pool struct {
-	fleet    Fleet
-	pool     *decide.Pool
-	requests map[decide.RequestID]*load.Request
-	grants   map[int]decide.GrantID
-	index    map[decide.UpstreamID]int
-	ids      []decide.UpstreamID
-	renew    clock.Milli
-	due      clock.Milli
+// poolPolicy places requests with the pool of lib/decide and calls it as a daemon would.
+type poolPolicy struct {
+	fleet       Fleet
+	pool        *decide.Pool
+	requests    map[decide.RequestID]*load.Request
+	grants      map[int]decide.GrantID
+	engineIndex map[decide.UpstreamID]int
+	upstreamIDs []decide.UpstreamID
+	// nextRenewal is when all grants are renewed next, nextTick when the pool has to be ticked
+	// next.
+	nextRenewal clock.Milli
+	nextTick    clock.Milli
 }
 
-// NewPool returns the project's policy over n engines.
+// NewPool returns the project's policy for the engines of a deployment.
 func NewPool(f Fleet, d *load.Deployment) Policy {
-	p := &pool{
-		fleet:    f,
-		pool:     decide.New(decide.Config{Epoch: 1, Lease: lease}),
-		requests: map[decide.RequestID]*load.Request{},
-		grants:   map[int]decide.GrantID{},
-		index:    map[decide.UpstreamID]int{},
+	p := &poolPolicy{
+		fleet:       f,
+		pool:        decide.New(decide.Config{Epoch: 1, Lease: leaseTime}),
+		requests:    map[decide.RequestID]*load.Request{},
+		grants:      map[int]decide.GrantID{},
+		engineIndex: map[decide.UpstreamID]int{},
 	}
 	for i := range d.Engines {
 		id := decide.UpstreamID(fmt.Sprintf("e%04d", i))
-		p.index[id] = i
-		p.ids = append(p.ids, id)
-		p.pool.SetUpstream(start, decide.Upstream{
+		p.engineIndex[id] = i
+		p.upstreamIDs = append(p.upstreamIDs, id)
+		p.pool.SetUpstream(clockOffset, decide.Upstream{
 			ID: id, Memory: decide.Tokens(d.Engine.Memory), Slots: d.Engine.Slots,
 			Prefill: decide.Rate(d.Engine.Prefill * 1000), Decode: decide.Rate(d.Engine.Decode * 1000),
 		})
 	}
 	for i := range d.Workspaces {
-		p.pool.SetWorkspace(start, decide.Workspace{ID: workspace(i), Weight: 1})
+		p.pool.SetWorkspace(clockOffset, decide.Workspace{ID: workspaceID(i), Weight: 1})
 	}
 	return p
 }
 
-func workspace(i int) decide.WorkspaceID { return decide.WorkspaceID(fmt.Sprintf("w%d", i)) }
+func workspaceID(i int) decide.WorkspaceID { return decide.WorkspaceID(fmt.Sprintf("w%d", i)) }
 
-func milli(now float64) clock.Milli { return start + clock.Milli(now) }
+// instant converts a simulated time in milliseconds to an instant of the library's clock.
+func instant(now float64) clock.Milli { return clockOffset + clock.Milli(now) }
 
 // Arrive implements Policy.
-func (p *pool) Arrive(now float64, q *load.Request) {
+func (p *poolPolicy) Arrive(now float64, q *load.Request) {
 	r := decide.Request{
-		ID: decide.RequestID(q.Name), Workspace: workspace(q.Workspace), Urgency: decide.Urgency(q.Kind.Urgency),
-		Deadline: milli(q.Deadline), Prompt: decide.Tokens(q.Prompt), Output: decide.Tokens(q.Output), Repeatable: true,
+		ID: decide.RequestID(q.Name), Workspace: workspaceID(q.Workspace), Urgency: decide.Urgency(q.Kind.Urgency),
+		Deadline: instant(q.Deadline), Prompt: decide.Tokens(q.Prompt), Output: decide.Tokens(q.Output), Repeatable: true,
 	}
 	for _, x := range q.Prefixes {
 		r.Prefixes = append(r.Prefixes, decide.PrefixHash(x.Hash))
 	}
 	p.requests[r.ID] = q
-	p.pool.Submit(milli(now), r)
+	p.pool.Submit(instant(now), r)
 	p.tick(now)
 }
 
-func (p *pool) tick(now float64) {
-	for _, d := range p.pool.Tick(milli(now)) {
+func (p *poolPolicy) tick(now float64) {
+	for _, d := range p.pool.Tick(instant(now)) {
 		q := p.requests[d.Request]
 		switch d.Action {
 		case decide.Granted:
-			p.granted(q, d.Grant)
+			p.handleGrant(q, d.Grant)
 		case decide.Refused:
-			p.refused(now, q, d)
+			p.handleRefusal(now, q, d)
 		case decide.Lapsed, decide.Ordered:
 		}
 	}
-	p.due = p.pool.Next(milli(now))
+	p.nextTick = p.pool.Next(instant(now))
 }
 
-func (p *pool) granted(q *load.Request, g decide.Grant) {
+func (p *poolPolicy) handleGrant(q *load.Request, g decide.Grant) {
 	p.grants[q.ID] = g.ID
 	members := make([]int, len(g.Upstreams))
 	for i, u := range g.Upstreams {
-		members[i] = p.index[u]
+		members[i] = p.engineIndex[u]
 	}
 	p.fleet.Dispatch(q, members, int(g.Priority), int64(g.Reserved))
 }
 
-func (p *pool) refused(now float64, q *load.Request, d decide.Decision) {
+func (p *poolPolicy) handleRefusal(now float64, q *load.Request, d decide.Decision) {
 	delete(p.requests, d.Request)
 	if q.At < now {
-		p.fleet.Drop(q) // admitted before and given up now
+		p.fleet.Drop(q) // it was accepted when it arrived and is refused now
 		return
 	}
 	p.fleet.Refuse(q, float64(d.Retry))
 }
 
 // First implements Policy.
-func (p *pool) First(now float64, q *load.Request) {
-	p.pool.Progress(milli(now), p.grants[q.ID], true, 1)
+func (p *poolPolicy) First(now float64, q *load.Request) {
+	p.pool.Progress(instant(now), p.grants[q.ID], true, 1)
 	p.tick(now)
 }
 
 // Done implements Policy.
-func (p *pool) Done(now float64, q *load.Request) { p.finish(now, q, decide.Done) }
+func (p *poolPolicy) Done(now float64, q *load.Request) { p.finish(now, q, decide.Done) }
 
 // Gone implements Policy.
-func (p *pool) Gone(now float64, q *load.Request) {
-	p.pool.Withdraw(milli(now), decide.RequestID(q.Name))
+func (p *poolPolicy) Gone(now float64, q *load.Request) {
+	p.pool.Withdraw(instant(now), decide.RequestID(q.Name))
 	p.finish(now, q, decide.Canceled)
 }
 
-func (p *pool) finish(now float64, q *load.Request, o decide.Outcome) {
-	p.pool.Finish(milli(now), p.grants[q.ID], o)
+func (p *poolPolicy) finish(now float64, q *load.Request, o decide.Outcome) {
+	p.pool.Finish(instant(now), p.grants[q.ID], o)
 	delete(p.grants, q.ID)
 	delete(p.requests, decide.RequestID(q.Name))
 	p.tick(now)
 }
 
 // Report implements Policy.
-func (p *pool) Report(now float64, r Report) {
-	e := decide.Report{At: milli(now), Used: decide.Tokens(r.Used)}
+func (p *poolPolicy) Report(now float64, r Report) {
+	e := decide.Report{At: instant(now), Used: decide.Tokens(r.Used)}
 	for _, q := range r.Running {
 		e.Running = append(e.Running, decide.RequestID(q.Name))
 	}
-	p.pool.Report(milli(now), p.ids[r.Engine], e)
+	p.pool.Report(instant(now), p.upstreamIDs[r.Engine], e)
 }
 
 // Hint implements Policy.
-func (p *pool) Hint(now float64, h Hint) {
-	p.pool.Hint(milli(now), p.ids[h.Engine], decide.Hint{Seq: h.Seq, Prefix: decide.PrefixHash(h.Hash), Evicted: h.Evicted})
+func (p *poolPolicy) Hint(now float64, h Hint) {
+	p.pool.Hint(instant(now), p.upstreamIDs[h.Engine], decide.Hint{Seq: h.Seq, Prefix: decide.PrefixHash(h.Hash), Evicted: h.Evicted})
 }
 
 // Wake implements Policy.
-func (p *pool) Wake(now float64) {
-	if n := milli(now); n >= p.renew {
-		p.renew = n + renewEvery
+func (p *poolPolicy) Wake(now float64) {
+	if n := instant(now); n >= p.nextRenewal {
+		p.nextRenewal = n + renewPeriod
 		for _, g := range p.grants {
 			p.pool.Renew(n, g)
 		}
@@ -150,4 +154,6 @@
 }
 
 // Next implements Policy.
-func (p *pool) Next(float64) float64 { return float64(min(p.due, p.renew) - start) }
+func (p *poolPolicy) Next(float64) float64 {
+	return float64(min(p.nextTick, p.nextRenewal) - clockOffset)
+}
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -1,4 +1,4 @@
-// Package policy runs a policy against the engines in simulated time.
+// Package policy runs scheduling policies against the engine model in simulated time.
 package policy
 
 import (
@@ -11,46 +11,57 @@
 )
 
 const (
-	// hop is the time in milliseconds between daemon and engine, one way.
+	// hop is the one-way network delay between daemon and engine, in milliseconds.
 	hop = 3
-	// Trip is the way to the engine and back.
+	// Trip is the round trip between daemon and engine, in milliseconds.
 	Trip = 2 * hop
-	// reportEvery and reportLag are how often engines report and how late it arrives.
-	reportEvery, reportLag = 500, 250
-	// hintLag is how late cache events arrive, hintLoss how many are lost.
-	hintLag, hintLoss = 500, 0.02
+	// reportPeriod is the time between two load reports of an engine, reportLag the delay before
+	// the policy receives one, both in milliseconds.
+	reportPeriod, reportLag = 500, 250
+	// hintLag is the delay of cache events in milliseconds, hintLossRate the fraction that is lost.
+	hintLag, hintLossRate = 500, 0.02
 )
 
-// Policy decides. All times are milliseconds.
+// Policy places requests on engines. All times are milliseconds of simulated time.
 type Policy interface {
+	// Arrive is called when a request arrives.
 	Arrive(now float64, q *load.Request)
+	// First is called when the first token of a response arrives, Done when its last one does.
 	First(now float64, q *load.Request)
 	Done(now float64, q *load.Request)
-	// Gone tells that the caller gave up at its deadline.
+	// Gone is called when a request is canceled at its deadline.
 	Gone(now float64, q *load.Request)
+	// Report is called when a load report of an engine arrives, Hint when a cache event does.
 	Report(now float64, r Report)
 	Hint(now float64, h Hint)
-	// Wake is called at Next; Next is infinite for a policy without timers.
+	// Wake is called at the instant that Next returns; Next returns infinity for a policy without
+	// timers.
 	Wake(now float64)
 	Next(now float64) float64
 }
 
-// Fleet is what a policy acts on.
+// Fleet carries out the decisions of a policy.
 type Fleet interface {
+	// Dispatch sends a request to engines, the leader of the group first; each reserves share
+	// tokens of memory. A lower priority value is prefilled first.
 	Dispatch(q *load.Request, members []int, priority int, share int64)
+	// Refuse refuses a request on arrival, with a retry delay in milliseconds.
 	Refuse(q *load.Request, retry float64)
+	// Drop cancels a request that was accepted before.
 	Drop(q *load.Request)
 }
 
-// Report is an engine's word on its load.
+// Report is an engine's load report.
 type Report struct {
-	Engine  int
+	Engine int
+	// Backlog is the prompt tokens not yet prefilled, Used the memory in use in tokens.
 	Backlog int64
 	Used    int64
 	Running []*load.Request
 }
 
-// Hint is a cache event.
+// Hint reports a change of an engine's prefix cache. Seq counts the events of the engine, so that a
+// lost one leaves a gap.
 type Hint struct {
 	Engine  int
 	Seq     uint64
@@ -64,7 +75,7 @@
 	arrival eventKind = iota
 	dispatched
 	engineDue
-	firstSeen
+	firstTokenSeen
 	doneSeen
 	deadline
 	reportDue
@@ -79,28 +90,29 @@
 	q      *load.Request
 	job    *engine.Job
 	engine *engine.Engine
-	// version tells a timer that was overtaken.
+	// version is the engine's timer version when the event was scheduled; a later version makes the
+	// event obsolete.
 	version int
 	report  Report
 	hint    Hint
 }
 
-type events []*event
+type eventHeap []*event
 
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].seq < h[j].seq
 }
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *events) Push(x any) { *h = append(*h, x.(*event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(*event)) }
 
 // Pop implements heap.Interface.
-func (h *events) Pop() any {
+func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
 	(*h)[last] = nil
@@ -110,37 +122,41 @@
 
 // Run is one run of a policy over a list of requests.
 type Run struct {
-	engines  []*engine.Engine
-	versions []int
-	requests []*load.Request
-	jobs     []*engine.Job
-	policy   Policy
-	events   events
-	seq      int
-	now      float64
-	open     int
-	hints    []uint64
-	random   *rand.Rand
-	happened []engine.Event
-	wake     float64
+	engines []*engine.Engine
+	// timerVersions counts the timers set for each engine; only the last one is valid.
+	timerVersions []int
+	requests      []*load.Request
+	jobs          []*engine.Job
+	policy        Policy
+	events        eventHeap
+	seq           int
+	now           float64
+	// unfinished counts the requests that are neither done, refused nor dropped.
+	unfinished int
+	// hintSeq is the number of cache events of each engine so far.
+	hintSeq      []uint64
+	random       *rand.Rand
+	engineEvents []engine.Event
+	nextWake     float64
 }
 
-// New sets up a run; make builds the policy on the run's fleet.
-func New(d *load.Deployment, s load.Scenario, requests []*load.Request, shortest bool, build func(Fleet) Policy) *Run {
+// New sets up a run. shortestFirst makes the engines admit and prefill the shortest prompt first;
+// build creates the policy on the run as its fleet.
+func New(d *load.Deployment, s load.Scenario, requests []*load.Request, shortestFirst bool, build func(Fleet) Policy) *Run {
 	r := &Run{
-		requests: requests, jobs: make([]*engine.Job, len(requests)), open: len(requests),
-		hints: make([]uint64, d.Engines), versions: make([]int, d.Engines),
+		requests: requests, jobs: make([]*engine.Job, len(requests)), unfinished: len(requests),
+		hintSeq: make([]uint64, d.Engines), timerVersions: make([]int, d.Engines),
 		random: rand.New(rand.NewPCG(9, 9)),
 	}
 	for i := range d.Engines {
 		e := engine.New(i, d.Engine)
-		e.Shortest = shortest
+		e.Shortest = shortestFirst
 		if i == min(slowEngine, d.Engines-1) && s.Slow > 1 {
 			e.Slow = s.Slow
 		}
 		e.OnCache = func(hash uint64, evicted bool) { r.cacheChanged(i, hash, evicted) }
 		r.engines = append(r.engines, e)
-		r.push(&event{at: float64(i) * reportEvery / float64(d.Engines), kind: reportDue, engine: e})
+		r.push(&event{at: float64(i) * reportPeriod / float64(d.Engines), kind: reportDue, engine: e})
 	}
 	for _, q := range requests {
 		r.push(&event{at: q.At, kind: arrival, q: q})
@@ -149,7 +165,7 @@
 	return r
 }
 
-// slowEngine is the one that a slow scenario slows down.
+// slowEngine is the index of the engine that is slowed down if the scenario has a slow one.
 const slowEngine = 5
 
 func (r *Run) push(e *event) {
@@ -159,32 +175,32 @@
 }
 
 func (r *Run) cacheChanged(i int, hash uint64, evicted bool) {
-	r.hints[i]++
-	if r.random.Float64() < hintLoss {
+	r.hintSeq[i]++
+	if r.random.Float64() < hintLossRate {
 		return
 	}
-	h := Hint{Engine: i, Seq: r.hints[i], Hash: hash, Evicted: evicted}
+	h := Hint{Engine: i, Seq: r.hintSeq[i], Hash: hash, Evicted: evicted}
 	r.push(&event{at: r.now + hintLag, kind: hintSeen, hint: h})
 }
 
 // Play runs until every request has ended.
 func (r *Run) Play() {
-	r.wake = r.policy.Next(0)
-	for r.open > 0 {
+	r.nextWake = r.policy.Next(0)
+	for r.unfinished > 0 {
 		next := r.events[0].at
-		if r.wake <= next {
-			r.now = max(r.wake, r.now)
+		if r.nextWake <= next {
+			r.now = max(r.nextWake, r.now)
 			r.policy.Wake(r.now)
 		} else {
 			e := heap.Pop(&r.events).(*event)
 			r.now = e.at
-			r.handle(e)
+			r.dispatch(e)
 		}
-		r.wake = r.policy.Next(r.now)
+		r.nextWake = r.policy.Next(r.now)
 	}
 }
 
-func (r *Run) handle(e *event) {
+func (r *Run) dispatch(e *event) {
 	switch e.kind {
 	case arrival:
 		r.push(&event{at: e.q.Deadline, kind: deadline, q: e.q})
@@ -192,18 +208,18 @@
 	case dispatched:
 		r.submit(e.job)
 	case engineDue:
-		if e.version == r.versions[e.engine.Index] {
+		if e.version == r.timerVersions[e.engine.Index] {
 			r.advance(e.engine)
 			r.admit()
 		}
-	case firstSeen:
+	case firstTokenSeen:
 		if e.q.Done < 0 && !e.q.Dropped {
 			r.policy.First(r.now, e.q)
 		}
 	case doneSeen:
 		r.policy.Done(r.now, e.q)
 	case deadline:
-		r.giveUp(e.q)
+		r.handleDeadline(e.q)
 	case reportDue:
 		r.report(e.engine)
 	case reportSeen:
@@ -213,32 +229,34 @@
 	}
 }
 
-// advance brings one engine to now and tells what happened on it.
+// advance simulates one engine up to now and schedules the notifications of its events to the
+// policy.
 func (r *Run) advance(en *engine.Engine) {
-	r.happened = en.Advance(r.now, r.happened[:0])
-	for _, h := range r.happened {
+	r.engineEvents = en.Advance(r.now, r.engineEvents[:0])
+	for _, h := range r.engineEvents {
 		q := r.requests[h.Job.ID]
 		if !h.Last {
 			q.First = r.now + hop
-			r.push(&event{at: r.now + hop, kind: firstSeen, q: q})
+			r.push(&event{at: r.now + hop, kind: firstTokenSeen, q: q})
 			continue
 		}
 		q.Done = r.now + hop
-		r.settle(q)
-		r.open--
+		r.recordPrefill(q)
+		r.unfinished--
 		r.push(&event{at: r.now + hop, kind: doneSeen, q: q})
 	}
 	r.schedule(en)
 }
 
+// schedule sets the engine's timer to its next event and invalidates the previous timer.
 func (r *Run) schedule(en *engine.Engine) {
-	r.versions[en.Index]++
+	r.timerVersions[en.Index]++
 	if next := en.Next(); !math.IsInf(next, 1) {
-		r.push(&event{at: max(next, r.now), kind: engineDue, engine: en, version: r.versions[en.Index]})
+		r.push(&event{at: max(next, r.now), kind: engineDue, engine: en, version: r.timerVersions[en.Index]})
 	}
 }
 
-// admit lets every engine start what fits now.
+// admit starts the waiting jobs that now fit, on every engine.
 func (r *Run) admit() {
 	for _, en := range r.engines {
 		if en.Waits() {
@@ -258,36 +276,40 @@
 	r.admit()
 }
 
-func (r *Run) settle(q *load.Request) {
+// recordPrefill copies the numbers of cached and prefilled tokens from the request's job.
+func (r *Run) recordPrefill(q *load.Request) {
 	if j := r.jobs[q.ID]; j != nil {
 		q.Cached, q.Prefilled = j.Cached, j.Done
 	}
 }
 
-// giveUp cancels a request whose deadline came.
-func (r *Run) giveUp(q *load.Request) {
+// handleDeadline cancels a request that has not ended by its deadline.
+func (r *Run) handleDeadline(q *load.Request) {
 	if q.Done >= 0 || q.Refused || q.Dropped {
 		return
 	}
-	r.end(q)
+	r.abort(q)
 	r.policy.Gone(r.now, q)
 }
 
-func (r *Run) end(q *load.Request) {
+// abort marks a request as dropped and cancels its job, if it has one.
+func (r *Run) abort(q *load.Request) {
 	q.Dropped = true
-	r.open--
+	r.unfinished--
 	j := r.jobs[q.ID]
 	if j == nil {
 		return
 	}
 	lead := j.Members[0]
 	r.advance(lead)
-	r.settle(q)
+	r.recordPrefill(q)
 	lead.Cancel(j)
 	r.schedule(lead)
 	r.admit()
 }
 
+// report takes a load report of an engine, to be delivered after reportLag, and schedules the next
+// one.
 func (r *Run) report(en *engine.Engine) {
 	r.advance(en)
 	rep := Report{Engine: en.Index, Backlog: en.Backlog(), Used: en.Used()}
@@ -295,7 +317,7 @@
 		rep.Running = append(rep.Running, r.requests[j.ID])
 	}
 	r.push(&event{at: r.now + reportLag, kind: reportSeen, report: rep})
-	r.push(&event{at: r.now + reportEvery, kind: reportDue, engine: en})
+	r.push(&event{at: r.now + reportPeriod, kind: reportDue, engine: en})
 }
 
 // Dispatch implements Fleet.
@@ -313,8 +335,8 @@
 // Refuse implements Fleet.
 func (r *Run) Refuse(q *load.Request, retry float64) {
 	q.Refused, q.Retry = true, retry
-	r.open--
+	r.unfinished--
 }
 
-// Drop implements Fleet: an admitted request is given up.
-func (r *Run) Drop(q *load.Request) { r.end(q) }
+// Drop implements Fleet.
+func (r *Run) Drop(q *load.Request) { r.abort(q) }
