--- a/bench/measure/measure.go
+++ b/bench/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure works out what callers saw in one run.
+// Package measure computes latencies, deadline misses and goodput of one run.
 package measure
 
 import (
@@ -10,10 +10,11 @@
 	"snipeshift.example/bench/policy"
 )
 
-// Bands are the prompt-length bands of the tables: up to each bound.
+// Bands are the bands of prompt lengths in the tables.
 var Bands = []Band{{"<4k", 4_096}, {"4k-32k", 32_768}, {"32k-100k", 100_000}, {">100k", math.MaxInt64}}
 
-// Band is one range of prompt lengths.
+// Band is one range of prompt lengths, from the bound of the previous band up to, but not
+// including, Below tokens.
 type Band struct {
 	Name  string
 	Below int64
@@ -22,33 +23,36 @@
 // Quantiles are p50, p95 and p99.
 type Quantiles struct{ P50, P95, P99 float64 }
 
-// Result is what callers of one run saw. Times are milliseconds.
+// Result is the outcome of one run for its clients. Times are milliseconds.
 type Result struct {
-	// First is the time to first token by band; a request that never got
-	// one counts with the time until its caller gave up.
+	// First is the time to first token by band. A request without a first token counts with the
+	// time until its deadline.
 	First [4]Quantiles
-	// Urgent is the time to first token of urgent kinds.
+	// Urgent is the time to first token of requests of urgent kinds (urgency 0).
 	Urgent Quantiles
-	// Slowdown is the time to the whole answer of urgent requests over that on an
-	// idle engine, FirstSlowdown the same for the first token.
+	// Slowdown is the total time of urgent requests divided by the time on an idle engine,
+	// FirstSlowdown the same for the time to first token.
 	Slowdown, FirstSlowdown Quantiles
-	// Requests, InTime, Refused and Missed count; Missed were admitted.
+	// Requests, InTime, Refused and Missed count requests; Missed are those admitted that did not
+	// end by their deadline.
 	Requests, InTime, Refused, Missed int
-	// Long requests, the same; LongAdmitted leaves out the refused.
+	// Long, LongInTime and LongAdmitted count requests with long prompts: all, those in time, and
+	// those not refused.
 	Long, LongInTime, LongAdmitted int
-	// Goodput is the tokens of requests that ended in time within the window, over
-	// what a load of one offers in it.
+	// Goodput is the tokens of requests that ended by their deadline within the measured window,
+	// divided by the tokens that a load of one offers in it.
 	Goodput float64
-	// Wasted is tokens prefilled for requests that did not end in time, over all prefilled.
+	// Wasted is the fraction of all prefilled tokens that belongs to requests which did not end in
+	// time.
 	Wasted float64
-	// Shares is each workspace's part of the goodput, Kept the part of its own
-	// offered tokens that was served in time.
+	// Shares is each workspace's fraction of all tokens served in time, Kept the fraction of the
+	// tokens which the workspace itself offered that was served in time.
 	Shares, Kept []float64
 }
 
-// Of works out the result; requests that came before from are left out. Work that ends
-// after the arrivals do is no goodput: an overloaded policy could else count
-// what it does once the load is gone.
+// Of computes the result for the window between from and to. Requests that arrived before from
+// count only toward Goodput. Work that ends after to is no goodput: otherwise an overloaded policy
+// would be credited with work that it completes after the load has ended.
 func Of(d *load.Deployment, requests []*load.Request, from, to float64) Result {
 	c := collector{d: d, from: from, to: to, served: make([]int64, d.Workspaces), offered: make([]int64, d.Workspaces)}
 	for _, q := range requests {
@@ -56,21 +60,21 @@
 			c.add(q)
 		}
 		if q.Done >= from && q.Done <= min(to, q.Deadline) {
-			c.good += q.Prompt + q.Output
+			c.goodTokens += q.Prompt + q.Output
 		}
 	}
 	return c.result()
 }
 
 type collector struct {
-	d                 *load.Deployment
-	r                 Result
-	first             [4][]float64
-	urgent, slow, ttf []float64
-	prefilled, wasted float64
-	served, offered   []int64
-	from, to          float64
-	good              int64
+	d                                           *load.Deployment
+	r                                           Result
+	firstTimes                                  [4][]float64
+	urgentFirstTimes, slowdowns, firstSlowdowns []float64
+	prefilled, wasted                           float64
+	served, offered                             []int64
+	from, to                                    float64
+	goodTokens                                  int64
 }
 
 func (c *collector) add(q *load.Request) {
@@ -91,7 +95,7 @@
 	if long {
 		r.LongAdmitted++
 	}
-	c.times(q)
+	c.addLatencies(q)
 	if !inTime {
 		r.Missed++
 		c.wasted += q.Prefilled
@@ -104,8 +108,9 @@
 	}
 }
 
-// times collects the waits of an admitted request.
-func (c *collector) times(q *load.Request) {
+// addLatencies records the latencies of an admitted request; a missing instant counts as the
+// deadline.
+func (c *collector) addLatencies(q *load.Request) {
 	first, done := q.First, q.Done
 	if first < 0 {
 		first = q.Deadline
@@ -114,17 +119,18 @@
 		done = q.Deadline
 	}
 	i := band(q.Prompt)
-	c.first[i] = append(c.first[i], first-q.At)
+	c.firstTimes[i] = append(c.firstTimes[i], first-q.At)
 	if q.Kind.Urgency > 0 {
 		return
 	}
-	c.urgent = append(c.urgent, first-q.At)
+	c.urgentFirstTimes = append(c.urgentFirstTimes, first-q.At)
 	aloneFirst, alone := engine.Alone(c.d.Engine, q.Prompt, q.Cached, q.Output)
 	aloneFirst, alone = aloneFirst+policy.Trip, alone+policy.Trip
-	c.slow = append(c.slow, (done-q.At)/alone)
-	c.ttf = append(c.ttf, (first-q.At)/aloneFirst)
+	c.slowdowns = append(c.slowdowns, (done-q.At)/alone)
+	c.firstSlowdowns = append(c.firstSlowdowns, (first-q.At)/aloneFirst)
 }
 
+// band returns the index of the band of a prompt length.
 func band(prompt int64) int {
 	for i, b := range Bands {
 		if prompt < b.Below {
@@ -136,13 +142,13 @@
 
 func (c *collector) result() Result {
 	r := c.r
-	for i := range c.first {
-		r.First[i] = quantiles(c.first[i])
+	for i := range c.firstTimes {
+		r.First[i] = quantiles(c.firstTimes[i])
 	}
-	r.Urgent = quantiles(c.urgent)
-	r.Slowdown = quantiles(c.slow)
-	r.FirstSlowdown = quantiles(c.ttf)
-	r.Goodput = float64(c.good) / (c.d.Rate() * c.d.MeanPrompt() * (c.to - c.from))
+	r.Urgent = quantiles(c.urgentFirstTimes)
+	r.Slowdown = quantiles(c.slowdowns)
+	r.FirstSlowdown = quantiles(c.firstSlowdowns)
+	r.Goodput = float64(c.goodTokens) / (c.d.Rate() * c.d.MeanPrompt() * (c.to - c.from))
 	sum := int64(0)
 	for _, s := range c.served {
 		sum += s
