--- a/bench/passes/engine.go
+++ b/bench/passes/engine.go
@@ -1,7 +1,8 @@
-// Package passes is a model of engines that work in passes, after their published
-// figures: each step of a pass writes one token of every stream and reads a piece of
-// the prompts that wait. It plays a load against the pool of lib/decide/span in
-// simulated time, seeded, thousands of requests a second.
+// Package passes simulates engines that work in passes (batch iterations), with published timing
+// figures: each step of a pass decodes one token of every stream and prefills a chunk of the
+// waiting prompts. The engines serve a load under the placement decisions of the pool in
+// lib/decide/span, in simulated time and from a seed; the simulation is fast enough for thousands
+// of requests a second.
 package passes
 
 import (
@@ -10,104 +11,111 @@
 	"snipeshift.example/lib/route"
 )
 
-// chunk is the most prompt tokens that one step reads.
-const chunk = 2048
+// maxStepTokens is the most prompt tokens that one step prefills.
+const maxStepTokens = 2048
 
-// part is one engine's share of a prompt.
+// part is the part of a prompt that one engine prefills.
 type part struct {
 	job *job
-	// tokens are left to be read, at a cost in milliseconds each.
-	tokens, cost float64
+	// tokensLeft is the number of tokens still to prefill, costPerToken the time for each in
+	// milliseconds.
+	tokensLeft, costPerToken float64
 }
 
-// engine is one engine of the model.
+// engine is the state of one simulated engine.
 type engine struct {
-	spec    *route.Engine
+	spec *route.Engine
+	// parts are the prompt parts to prefill, in order; streams are the responses being decoded.
 	parts   []*part
-	writers []*job
-	// busy is set while a pass is under way.
+	streams []*job
+	// busy is set during a pass.
 	busy bool
-	// used sums the time of its passes, read the part that was reading.
-	used, read float64
-	// idle is its time without work, idleWaiting that while something waited for a place.
-	idle, idleWaiting float64
+	// passTime is the total time of the passes, prefillTime the part of it spent on prefill, in
+	// milliseconds.
+	passTime, prefillTime float64
+	// idleTime is the time without work while no request was queued, idleQueuedTime that while one
+	// was.
+	idleTime, idleQueuedTime float64
 }
 
-// pass plans the next pass: how long it takes, and which parts it finishes. Without
-// writers it is a single step.
-func (e *engine) pass() (length float64, finished []*job) {
+// runPass simulates the next pass and returns its length in milliseconds and the jobs whose prefill
+// it completes. A pass has Stride steps while any stream is decoded, otherwise a single step.
+func (e *engine) runPass() (length float64, finished []*job) {
 	steps := 1
-	if len(e.writers) > 0 {
+	if len(e.streams) > 0 {
 		steps = e.spec.Stride
 	}
 	step := e.spec.Step
-	for _, w := range e.writers {
+	for _, w := range e.streams {
 		step += e.spec.Writer + e.spec.Context*w.context()/1000
 		if w.members > 1 {
 			step += e.spec.Hop
 		}
 	}
 	length = step * float64(steps)
-	for _, w := range e.writers {
-		w.written += length / float64(len(e.writers))
+	for _, w := range e.streams {
+		w.decodeTime += length / float64(len(e.streams))
 	}
-	room := float64(steps * chunk)
+	room := float64(steps * maxStepTokens)
 	var left []*part
 	for _, p := range e.parts {
-		n := min(p.tokens, room)
+		n := min(p.tokensLeft, room)
 		room -= n
-		p.tokens -= n
-		length += n * p.cost
-		p.job.reading += n * p.cost
-		e.read += n * p.cost
-		if p.tokens > 0 {
+		p.tokensLeft -= n
+		length += n * p.costPerToken
+		p.job.prefillTime += n * p.costPerToken
+		e.prefillTime += n * p.costPerToken
+		if p.tokensLeft > 0 {
 			left = append(left, p)
 			continue
 		}
-		if p.job.parts--; p.job.parts == 0 {
+		if p.job.partsLeft--; p.job.partsLeft == 0 {
 			finished = append(finished, p.job)
 		}
 	}
 	e.parts = left
-	e.used += length
+	e.passTime += length
 	return length, finished
 }
 
-// job is one request in the model.
+// job is one request in the simulation.
 type job struct {
 	kind   *Kind
 	prompt decide.Tokens
-	// events are left to be written, of perEvent tokens each.
-	events  int
+	// eventsLeft is the number of response events still to be produced, of Stride tokens each.
+	eventsLeft int
+	// members is the number of engines that share the prefill.
 	members int
-	// parts are not read yet.
-	parts  int
-	leader *engine
-	// arrived, first and last are instants in milliseconds; first is zero before it came.
+	// partsLeft is the number of prompt parts whose prefill is not complete.
+	partsLeft int
+	leader    *engine
+	// arrived, first and last are the instants in milliseconds of the arrival, the first and the
+	// latest event; first is zero before the first event.
 	arrived, first, last float64
-	pause                float64
+	longestPause         float64
 	id                   decide.RequestID
-	// output is the most tokens that the answer may have, due how long after its arrival it is due.
-	output  decide.Tokens
-	due     clock.Milli
-	urgency decide.Urgency
-	// refused names the rule that refused it.
+	// output is the token limit of the response, timeLimit the time from arrival to the deadline.
+	output    decide.Tokens
+	timeLimit clock.Milli
+	urgency   decide.Urgency
+	// refused is the reason of the refusal; empty if the request was not refused.
 	refused string
-	// reading and written are the engines' time in milliseconds that it took.
-	reading, written float64
+	// prefillTime and decodeTime are the engine time that the job took, in milliseconds.
+	prefillTime, decodeTime float64
 }
 
-// end is how it ended.
-func (j *job) end() Request {
-	r := Request{Pause: j.pause, Whole: j.first > 0 && j.events <= 0, Refused: j.refused}
+// response returns the outcome of the request for its client.
+func (j *job) response() Request {
+	r := Request{Pause: j.longestPause, Whole: j.first > 0 && j.eventsLeft <= 0, Refused: j.refused}
 	if j.first > 0 {
 		r.First = j.first - j.arrived
 	}
 	return r
 }
 
-// worth is what an answer in time is worth.
+// worth returns the value of a response in time.
 func (j *job) worth() float64 { return j.kind.Of(j.prompt) }
 
-// context is the tokens whose attention the leader pays at each step.
+// context returns the number of tokens of the job's context that the leader attends to at each
+// step: an equal share with the other members of the group.
 func (j *job) context() float64 { return float64(j.prompt) / float64(max(j.members, 1)) }
--- a/bench/passes/play.go
+++ b/bench/passes/play.go
@@ -17,97 +17,111 @@
 // Kind is one kind of request of a load.
 type Kind struct {
 	Name string
-	// Rate is requests a second.
+	// Rate is in requests a second.
 	Rate float64
-	// Mean and Spread shape the log-normal length of prompts, cut at Most tokens.
+	// Prompt lengths in tokens are log-normal with mean Mean and standard deviation Spread of the
+	// logarithm, limited to Most.
 	Mean, Spread, Most float64
-	// Events and EventSpread shape the number of events of an answer.
+	// Events and EventSpread are the same two parameters for the number of events of a response.
 	Events, EventSpread float64
-	// Aim, Gap and Time are milliseconds.
+	// Aim is the target time to the first event, Gap the longest tolerated pause between events,
+	// Time the time for the whole response, all in milliseconds. The simulation does not read Time.
 	Aim, Gap, Time clock.Milli
-	// Worth is what an answer in time is worth at the mean size; a late one is worth a quarter.
+	// Worth is the value of a response in time to a prompt of the mean length; a late response has
+	// a quarter of its value.
 	Worth float64
 }
 
-// patience is how long a caller waits for the first event.
+// patience returns how long a client waits for the first event before it gives up.
 func (k *Kind) patience() clock.Milli { return max(2000, 4*k.Aim, 8*k.Gap) }
 
-// Load is a series of phases over kinds.
+// Load describes arrivals and the engines that serve them.
 type Load struct {
 	Kinds []Kind
-	// Phases multiply the rates, in turn, each for PhaseTime milliseconds.
+	// Phases are factors on the rates of the kinds. Each applies for PhaseTime milliseconds, in
+	// turn and over again; none means a factor of 1.
 	Phases    [][]float64
 	PhaseTime float64
-	// Scale multiplies all rates.
+	// Scale is a factor on all rates.
 	Scale   float64
 	Engines int
 	Engine  route.Engine
-	// Length is the time of arrivals in milliseconds.
+	// Length is how long requests arrive, in milliseconds.
 	Length float64
 }
 
-// delay is the way from a gate to an engine or back, in milliseconds.
-const delay = 1.5
+// hopDelay is the one-way network delay between a gate (the VM that holds the client's connection)
+// and an engine, in milliseconds.
+const hopDelay = 1.5
 
-// KindResult is what the callers of one kind got.
+// KindResult is the outcome for one kind of request. Asked counts all requests, InTime, Late and
+// Lost those with each ending, Paused those with an event pause longer than tolerated.
 type KindResult struct {
 	Asked, InTime, Late, Lost int
-	// Held is the worth that was lost by holding requests that were then refused:
-	// none up to an eighth of their aim, all of it from three quarters of their time on.
-	Held                       float64
-	Worth, Most                float64
+	// Held is the value lost by queueing requests that were refused in the end: nothing for those
+	// refused within an eighth of their aim, rising to the whole value at three quarters of the
+	// client's patience.
+	Held float64
+	// Worth is the value of the responses, Most the value if all had come in time.
+	Worth, Most float64
+	// FirstP50 and FirstP99 are percentiles of the time to the first event, in milliseconds.
 	FirstP50, FirstP99, Paused float64
 }
 
-// Result is the outcome of one play.
+// Result is the outcome of one simulation.
 type Result struct {
 	Kinds map[string]*KindResult
-	// Worth is the share of the worth that was asked, Net the same less what was
-	// lost by holding requests in vain.
+	// Worth is the value of all responses divided by their value if all had come in time. Net is
+	// the same less the value lost by queueing requests that were refused in the end.
 	Worth, Net float64
-	// Busy is the share of the engines' time in passes, Reading in reading.
+	// Busy is the fraction of the engines' time spent in passes, Reading that spent on prefill.
 	Busy, Reading float64
-	// Requests are the ends of all arrivals, in their order.
+	// Requests are the outcomes of all arrivals, in the order of the arrivals.
 	Requests []Request
-	// Time is what the engines' time went to.
+	// Time is the engines' time by use.
 	Time Account
 }
 
 // Arrival is one request of a load.
 type Arrival struct {
 	Kind *Kind
-	// At is when it comes, in milliseconds from the start of the load.
+	// At is the instant of arrival, in milliseconds from the start of the load.
 	At     float64
 	Prompt decide.Tokens
-	// Events is how many events its answer has; Output the most tokens that it may have, zero for those of Events.
+	// Events is the number of events of the response, Output its token limit; zero stands for the
+	// tokens of Events.
 	Events int
 	Output decide.Tokens
-	// Due is how long after its arrival the whole answer is due; zero for as long as the caller waits for the first event.
+	// Due is the time from arrival to the deadline of the whole response; zero stands for the time
+	// that the client waits for the first event.
 	Due     clock.Milli
 	Urgency decide.Urgency
 }
 
-// Request is the end of one arrival.
+// Request is the outcome of one arrival.
 type Request struct {
-	// First and Pause are the time to the first event and the longest pause after it, in milliseconds. First is zero if none came.
+	// First is the time to the first event, zero if none came, and Pause the longest pause after
+	// it, both in milliseconds.
 	First, Pause float64
-	// Whole is set if the last event came.
+	// Whole is set if the response is complete.
 	Whole bool
-	// Refused names the rule that refused it; empty if none did.
+	// Refused is the reason of the refusal; empty if the request was not refused.
 	Refused string
 }
 
-// Ending is what a request is worth to its caller.
+// Ending rates the outcome of a request for its client.
 type Ending uint8
 
-// The closed list of endings.
+// All values of Ending: a response that met its targets, one that missed its aim or a pause limit,
+// and none that is of use.
 const (
 	InTime Ending = iota
 	Late
 	Lost
 )
 
-// Ending judges a request of a kind: an answer that begins after its caller has left, or does not end, is lost.
+// Ending rates the outcome of a request of kind k. A response that begins after the client has
+// given up, or that is not complete, is lost.
 func (r *Request) Ending(k *Kind) Ending {
 	switch {
 	case r.First == 0 || !r.Whole || r.First > float64(k.patience()):
@@ -119,71 +133,73 @@
 	}
 }
 
-// Of is what the engine's answer to an arrival is worth, if it is in time: it grows with the prompt, up to four times the usual.
+// Of returns the value of a response in time to a prompt. It grows with the prompt length, up to
+// four times the value at the mean length.
 func (k *Kind) Of(prompt decide.Tokens) float64 {
 	return k.Worth * min(4, 0.3+0.7*float64(prompt)/k.Mean)
 }
 
-// LateShare is the part of its worth that a late answer has.
+// LateShare is the fraction of its value that a late response has.
 const LateShare = 0.25
 
-// event is something that happens at an instant.
+// event is an action scheduled for an instant; seq keeps the order of events at the same instant.
 type event struct {
 	at  float64
 	seq int
 	do  func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// play is one run of the model.
-type play struct {
+// simulation is the state of one simulation.
+type simulation struct {
 	load    *Load
 	now     float64
 	seq     int
-	agenda  events
+	queue   eventHeap
 	pool    *span.Pool
 	engines map[decide.UpstreamID]*engine
-	// rows are the engines in their order.
-	rows []*engine
-	jobs map[decide.RequestID]*job
-	// waiting holds the jobs that are neither refused nor begun to be answered.
-	waiting map[decide.RequestID]*job
-	order   []*job
-	results map[string]*KindResult
-	firsts  map[string][]float64
+	// engineList holds the engines in a fixed order.
+	engineList []*engine
+	jobs       map[decide.RequestID]*job
+	// waiting holds the jobs that are neither refused nor have produced their first event.
+	waiting    map[decide.RequestID]*job
+	jobList    []*job
+	results    map[string]*KindResult
+	firstTimes map[string][]float64
 }
 
-// start shifts the model's clock away from zero, which the pool takes for "never".
-const start = 1000
+// clockOffset shifts the simulated time away from zero, which the pool reads as "never".
+const clockOffset = 1000
 
-// Play runs a load against a pool with rules, the same for the same seed.
+// Play simulates a load under the pool's decisions with the given rules. The same seed gives the
+// same result.
 func Play(l *Load, r span.Rules, seed uint64) Result { return PlayArrivals(l, r, Draw(l, seed)) }
 
-// PlayArrivals runs given arrivals on a load's engines.
+// PlayArrivals simulates the given arrivals on the engines of a load.
 func PlayArrivals(l *Load, r span.Rules, as []Arrival) Result {
-	p := &play{
-		load: l, now: start,
+	p := &simulation{
+		load: l, now: clockOffset,
 		pool:    span.New(r, gate.NewBudget(0.2, 100, 10*clock.Second)),
 		engines: map[decide.UpstreamID]*engine{}, jobs: map[decide.RequestID]*job{}, waiting: map[decide.RequestID]*job{},
-		results: map[string]*KindResult{}, firsts: map[string][]float64{},
+		results: map[string]*KindResult{}, firstTimes: map[string][]float64{},
 	}
 	spec := l.Engine
 	var us []route.Upstream
@@ -191,60 +207,62 @@
 		id := decide.UpstreamID("e" + strconv.Itoa(10_000+i))
 		us = append(us, route.Upstream{ID: id, Service: "s", Address: string(id), Slots: spec.Slots})
 		p.engines[id] = &engine{spec: &spec}
-		p.rows = append(p.rows, p.engines[id])
+		p.engineList = append(p.engineList, p.engines[id])
 	}
 	p.pool.SetUpstreams(&route.Service{ID: "s", Engine: &spec}, us)
 	for i := range l.Kinds {
 		p.results[l.Kinds[i].Name] = &KindResult{}
 	}
 	for i := range as {
-		p.arrival(&as[i])
+		p.scheduleArrival(&as[i])
 	}
-	p.every(tickTime, func() {
+	p.scheduleEvery(tickPeriod, func() {
 		p.tick()
-		p.idle()
+		p.countIdle()
 	})
-	p.every(500, func() { p.present() })
-	for len(p.agenda) > 0 && p.now < start+l.Length+20_000 {
-		e := heap.Pop(&p.agenda).(event)
+	p.scheduleEvery(500, func() { p.renewQueued() })
+	for len(p.queue) > 0 && p.now < clockOffset+l.Length+20_000 {
+		e := heap.Pop(&p.queue).(event)
 		p.now = e.at
 		e.do()
 	}
 	return p.result()
 }
 
-func (p *play) at(at float64, do func()) {
+// schedule runs do at the given instant.
+func (p *simulation) schedule(at float64, do func()) {
 	p.seq++
-	heap.Push(&p.agenda, event{at, p.seq, do})
+	heap.Push(&p.queue, event{at, p.seq, do})
 }
 
-func (p *play) every(period float64, do func()) {
-	p.at(p.now+period, func() {
+// scheduleEvery runs do once every period until no other event is left.
+func (p *simulation) scheduleEvery(period float64, do func()) {
+	p.schedule(p.now+period, func() {
 		do()
-		if len(p.agenda) > 1 {
-			p.every(period, do)
+		if len(p.queue) > 1 {
+			p.scheduleEvery(period, do)
 		}
 	})
 }
 
-// Draw draws the arrivals of a load, the same for the same seed.
+// Draw draws the arrivals of a load. The same seed gives the same arrivals.
 func Draw(l *Load, seed uint64) []Arrival {
-	d := drawing{load: l, rng: rand.New(rand.NewPCG(seed, 1))}
+	d := generator{load: l, rng: rand.New(rand.NewPCG(seed, 1))}
 	for i := range l.Kinds {
 		d.arrivals(&l.Kinds[i], i)
 	}
 	return d.out
 }
 
-// drawing is a draw of arrivals.
-type drawing struct {
+// generator draws arrivals.
+type generator struct {
 	load *Load
 	rng  *rand.Rand
 	out  []Arrival
 }
 
 // arrivals draws the requests of one kind.
-func (d *drawing) arrivals(k *Kind, index int) {
+func (d *generator) arrivals(k *Kind, index int) {
 	phase := func(t float64) float64 {
 		if len(d.load.Phases) == 0 {
 			return 1
@@ -264,44 +282,48 @@
 	}
 }
 
-func (d *drawing) lognormal(mean, spread float64) float64 {
+// lognormal draws a number from the log-normal distribution with that mean; spread is the standard
+// deviation of its logarithm.
+func (d *generator) lognormal(mean, spread float64) float64 {
 	return math.Exp(math.Log(mean) - spread*spread/2 + spread*d.rng.NormFloat64())
 }
 
-// arrival schedules one request.
-func (p *play) arrival(a *Arrival) {
-	j := &job{kind: a.Kind, arrived: start + a.At, prompt: a.Prompt, events: a.Events, output: a.Output, due: a.Due, urgency: a.Urgency}
+// scheduleArrival creates the job of an arrival and schedules it.
+func (p *simulation) scheduleArrival(a *Arrival) {
+	j := &job{kind: a.Kind, arrived: clockOffset + a.At, prompt: a.Prompt, eventsLeft: a.Events, output: a.Output, timeLimit: a.Due, urgency: a.Urgency}
 	if j.output == 0 {
 		j.output = decide.Tokens(a.Events * p.load.Engine.Stride)
 	}
-	if j.due == 0 {
-		j.due = a.Kind.patience()
+	if j.timeLimit == 0 {
+		j.timeLimit = a.Kind.patience()
 	}
-	j.id = decide.RequestID(a.Kind.Name + strconv.FormatInt(int64(len(p.order)), 10))
+	j.id = decide.RequestID(a.Kind.Name + strconv.FormatInt(int64(len(p.jobList)), 10))
 	p.jobs[j.id] = j
-	p.order = append(p.order, j)
-	p.at(j.arrived, func() { p.arrive(j) })
+	p.jobList = append(p.jobList, j)
+	p.schedule(j.arrived, func() { p.arrive(j) })
 }
 
-func (p *play) arrive(j *job) {
+// arrive asks the pool for a placement.
+func (p *simulation) arrive(j *job) {
 	now := clock.Milli(j.arrived)
 	p.waiting[j.id] = j
 	p.pool.Ask(now, span.Ask{
 		ID: j.id, Gate: "g", Prompt: j.prompt, Output: j.output, Urgency: j.urgency,
-		Aim: now + j.kind.Aim, Patience: now + j.kind.patience(), Deadline: now + j.due, Gap: j.kind.Gap, Stream: true,
+		Aim: now + j.kind.Aim, Patience: now + j.kind.patience(), Deadline: now + j.timeLimit, Gap: j.kind.Gap, Stream: true,
 	})
 	p.tick()
 }
 
-// present renews everything, as gates do.
-func (p *play) present() {
+// renewQueued presents all waiting requests to the pool again, as gates do.
+func (p *simulation) renewQueued() {
 	now := clock.Milli(p.now)
 	for id, j := range p.waiting {
 		p.pool.Ask(now, span.Ask{ID: id, Gate: "g", Deadline: now - 1, Prompt: j.prompt})
 	}
 }
 
-func (p *play) tick() {
+// tick carries out the pool's pending decisions.
+func (p *simulation) tick() {
 	for _, d := range p.pool.Tick(clock.Milli(p.now)) {
 		j := p.jobs[d.Request]
 		if d.Action == span.Refused {
@@ -314,104 +336,106 @@
 			}
 			continue
 		}
-		p.at(p.now+delay, func() { p.begin(j, d.Grant) })
+		p.schedule(p.now+hopDelay, func() { p.startPrefill(j, d.Grant) })
 	}
 }
 
-// begin hands the parts of a prompt to engines.
-func (p *play) begin(j *job, g span.Grant) {
+// startPrefill distributes the parts of a prompt over the granted engines. On a helper engine the
+// part goes ahead of the engine's own prompts, on the leader behind them.
+func (p *simulation) startPrefill(j *job, g span.Grant) {
 	places := append([]span.Placement{g.Leader}, g.Helpers...)
-	j.members, j.parts = len(places), len(places)
+	j.members, j.partsLeft = len(places), len(places)
 	j.leader = p.engines[g.Leader.Upstream]
 	tokens := float64(j.prompt) / float64(len(places))
 	cost := p.load.Engine.PrefillTime(j.prompt) / float64(j.prompt)
 	for _, pl := range places {
 		e := p.engines[pl.Upstream]
-		pt := &part{job: j, tokens: tokens, cost: cost}
+		pt := &part{job: j, tokensLeft: tokens, costPerToken: cost}
 		if pl.Upstream == g.Leader.Upstream {
 			e.parts = append(e.parts, pt)
 		} else {
 			e.parts = append([]*part{pt}, e.parts...)
 		}
-		p.wake(e)
+		p.startPass(e)
 	}
 }
 
-// wake starts a pass on an idle engine that has work.
-func (p *play) wake(e *engine) {
-	if e.busy || len(e.parts)+len(e.writers) == 0 {
+// startPass starts a pass on an engine that is idle and has work.
+func (p *simulation) startPass(e *engine) {
+	if e.busy || len(e.parts)+len(e.streams) == 0 {
 		return
 	}
 	e.busy = true
-	writers := append([]*job(nil), e.writers...)
-	length, finished := e.pass()
-	p.at(p.now+length, func() {
+	writers := append([]*job(nil), e.streams...)
+	length, finished := e.runPass()
+	p.schedule(p.now+length, func() {
 		e.busy = false
 		for _, j := range writers {
-			p.write(j)
+			p.writeEvent(j)
 		}
 		for _, j := range finished {
-			p.first(j)
+			p.firstEvent(j)
 		}
-		p.wake(e)
+		p.startPass(e)
 	})
 }
 
-// first is the first event of an answer, at the end of the pass that read its prompt.
-func (p *play) first(j *job) {
-	j.leader.writers = append(j.leader.writers, j)
-	p.write(j)
-	p.at(p.now+delay, func() {
+// firstEvent starts the decoding of a job at the end of the pass that completed its prefill, and
+// produces its first event.
+func (p *simulation) firstEvent(j *job) {
+	j.leader.streams = append(j.leader.streams, j)
+	p.writeEvent(j)
+	p.schedule(p.now+hopDelay, func() {
 		p.pool.First(clock.Milli(p.now), j.id)
 		p.tick()
 	})
-	p.wake(j.leader)
+	p.startPass(j.leader)
 }
 
-// write is one event of an answer.
-func (p *play) write(j *job) {
+// writeEvent produces one event of a response; the last one ends the stream.
+func (p *simulation) writeEvent(j *job) {
 	if j.first == 0 {
-		j.first = p.now + delay
+		j.first = p.now + hopDelay
 		delete(p.waiting, j.id)
 	} else {
-		j.pause = max(j.pause, p.now+delay-j.last)
+		j.longestPause = max(j.longestPause, p.now+hopDelay-j.last)
 	}
-	j.last = p.now + delay
-	if j.events--; j.events > 0 {
+	j.last = p.now + hopDelay
+	if j.eventsLeft--; j.eventsLeft > 0 {
 		return
 	}
-	ws := j.leader.writers
+	ws := j.leader.streams
 	for i := range ws {
 		if ws[i] == j {
-			j.leader.writers = append(append([]*job(nil), ws[:i]...), ws[i+1:]...)
+			j.leader.streams = append(append([]*job(nil), ws[:i]...), ws[i+1:]...)
 			break
 		}
 	}
-	p.at(p.now+delay, func() {
+	p.schedule(p.now+hopDelay, func() {
 		p.pool.End(clock.Milli(p.now), j.id, span.Done, "")
 		p.tick()
 	})
 }
 
-// result sums up.
-func (p *play) result() Result {
+// result summarizes the simulation.
+func (p *simulation) result() Result {
 	r := Result{Kinds: p.results}
 	var got, most float64
-	for _, j := range p.order {
+	for _, j := range p.jobList {
 		k := p.results[j.kind.Name]
 		k.Asked++
 		worth := j.worth()
 		k.Most += worth
 		most += worth
-		end := j.end()
+		end := j.response()
 		r.Requests = append(r.Requests, end)
 		ending := end.Ending(j.kind)
 		r.Time.note(j, ending)
 		if ending == Lost {
 			continue
 		}
-		p.firsts[j.kind.Name] = append(p.firsts[j.kind.Name], end.First)
-		if j.pause > float64(j.kind.Gap) {
+		p.firstTimes[j.kind.Name] = append(p.firstTimes[j.kind.Name], end.First)
+		if j.longestPause > float64(j.kind.Gap) {
 			k.Paused++
 		}
 		if ending == Late {
@@ -423,7 +447,7 @@
 		k.Worth += worth
 		got += worth
 	}
-	for n, fs := range p.firsts {
+	for n, fs := range p.firstTimes {
 		sort.Float64s(fs)
 		p.results[n].FirstP50 = fs[len(fs)/2]
 		p.results[n].FirstP99 = fs[len(fs)*99/100]
@@ -433,16 +457,17 @@
 		r.Net += k.Held
 	}
 	r.Net = (got - r.Net) / max(most, 1e-9)
-	for _, e := range p.rows {
-		r.Time.Idle += e.idle
-		r.Time.IdleWaiting += e.idleWaiting
-		r.Busy += e.used / (p.load.Length * float64(p.load.Engines))
-		r.Reading += e.read / (p.load.Length * float64(p.load.Engines))
+	for _, e := range p.engineList {
+		r.Time.Idle += e.idleTime
+		r.Time.IdleWaiting += e.idleQueuedTime
+		r.Busy += e.passTime / (p.load.Length * float64(p.load.Engines))
+		r.Reading += e.prefillTime / (p.load.Length * float64(p.load.Engines))
 	}
 	return r
 }
 
-// Add sums the results of several plays; quantiles are summed for a mean.
+// Add adds the result of another simulation. Percentiles are summed as well, for the caller to
+// divide into a mean.
 func (k *KindResult) Add(o *KindResult) {
 	k.Asked += o.Asked
 	k.InTime += o.InTime
--- a/bench/passes/play_test.go
+++ b/bench/passes/play_test.go
@@ -8,11 +8,11 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// seeds is how many seeds a mean is of.
+// seeds is the number of seeds over which results are averaged.
 const seeds = 5
 
-// mean plays a load on some seeds and returns the mean share of worth and the share of
-// each kind that came in time.
+// mean simulates a load with several seeds and returns the mean fraction of the value, and the
+// fraction of each kind's requests that were served in time.
 func mean(l *Load, r span.Rules) (worth float64, inTime map[string]float64) {
 	asked, got := map[string]int{}, map[string]int{}
 	for s := range seeds {
@@ -30,13 +30,13 @@
 	return worth, inTime
 }
 
-func TestTheSameSeedPlaysTheSame(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	l := Loads()["shift18"]
 	require.Equal(t, Play(l, span.DefaultRules, 3), Play(l, span.DefaultRules, 3))
 }
 
-// Long prompts press for ten seconds, then short ones, then long ones again. A boundary that
-// moves slowly leaves one of them late in each phase.
+// Long prompts prevail for 10 s, then short ones, then long ones again. If the boundary between
+// engines for short and for long prompts moves too slowly, one of the two is late in each phase.
 func TestShiftingPhasesAreServedInTime(t *testing.T) {
 	worth, inTime := mean(Loads()["shift18"], span.DefaultRules)
 	require.Greater(t, worth, 0.95)
@@ -45,9 +45,9 @@
 	require.Greater(t, inTime["history"], 0.90)
 }
 
-// A prompt of two hundred thousand tokens is due in three seconds and takes one engine
-// 2.8 s. Read by one engine each, most are late after any wait.
-func TestSpreadingIsWhatServesLongPrompts(t *testing.T) {
+// A prompt of 200,000 tokens has an aim of 3 s, and its prefill takes one engine 2.8 s. If each is
+// prefilled by a single engine, most are late after any queueing.
+func TestGroupedPrefillServesLongPromptsInTime(t *testing.T) {
 	alone := span.DefaultRules
 	alone.MaxGroup = 1
 	l := Loads()["steady18"]
@@ -55,12 +55,12 @@
 	without, inTimeAlone := mean(l, alone)
 	require.Greater(t, with, without+0.08)
 	require.Greater(t, inTime["history"], inTimeAlone["history"]+0.3)
-	require.Greater(t, inTime["note"], 0.98, "short work pays nothing for it")
+	require.Greater(t, inTime["note"], 0.98, "short requests are not slowed down by grouped prefill")
 }
 
-// All kinds come three times as often as usual for ten seconds, more than the engines
-// can do. Short work must come through, and nothing may be held in vain.
-func TestAFloodLeavesShortWorkInTime(t *testing.T) {
+// All kinds arrive at three times their usual rate for 10 s, more than the engines can serve. Short
+// requests must still be served in time.
+func TestFloodLeavesShortRequestsInTime(t *testing.T) {
 	_, inTime := mean(Loads()["flood14"], span.DefaultRules)
 	require.Greater(t, inTime["note"], 0.9)
 }
