--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -10,100 +10,112 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// slot is the step of time in milliseconds by which the upper bound counts. Windows are widened to whole slots, so a longer one errs high.
-const slot = 100.0
-
-// work is what one request takes of the engines, within a window of slots.
-type work struct {
-	first, last int // the slots of its window, both included
+// timeStep is the length in milliseconds of the time steps of the upper bound. Windows are extended
+// to whole steps, so longer steps can only raise the bound.
+const timeStep = 100.0
+
+// demand is engine time that a request takes within a window of time steps.
+type demand struct {
+	first, last int // the first and the last step of the window
+	// cost is the engine time in milliseconds, worth the value of the request for all of it.
 	cost, worth float64
 }
 
-// Most is a share of worth that no planner exceeds on a day's engines, also one that knows all arrivals: all engines work as one, at any split,
-// without gaps of memory or slots; only a prompt that is too long for all that may read it is not in time. It is the lower of two such
-// relaxations: in the first a request is in time if its prompt is read by its aim; in the second it gets a part of its worth for its
-// reading by then, and the other part for its writing by the end of the longest pauses that it bears, each for what is done.
-// Whatever is not in time counts as late.
+// Most returns an upper bound on the fraction of the value that any scheduler can reach on the
+// engines, even one that knows all arrivals in advance. It assumes that all engines work as one,
+// that work can be split at will, and that no memory or slots stay unused; a request is out of
+// reach only if its prompt is too long for the most engines that may prefill it. The bound is the
+// lower of two such relaxations.
+//
+// In the first, a request is in time if its prefill is complete by its aim. In the second, it earns
+// a part of its value for the prefill done by its aim, and the rest for the decoding done by the
+// end of the longest pauses that it tolerates, each in proportion to the work done. All other value
+// counts as that of late responses.
 func (d *Day) Most() float64 {
 	all := 0.0
 	for i := range d.Arrivals {
 		all += d.Arrivals[i].Kind.Of(d.Arrivals[i].Prompt)
 	}
-	inTime := min(d.most(false), d.most(true))
+	inTime := min(d.relaxedBound(false), d.relaxedBound(true))
 	return (inTime + passes.LateShare*(all-inTime)) / max(all, 1e-9)
 }
 
-// mostEngines is how many engines read one prompt at most: the one that answers, and those that it lists.
-const mostEngines = 17
+// maxPrefillEngines is the most engines that prefill one prompt: the leader, which produces the
+// response, and the helpers that its request lists.
+const maxPrefillEngines = 17
 
-// works lists what a request takes: its reading, and its writing if that is wanted too, each with its part of the worth.
-func (d *Day) works(a *passes.Arrival, writes bool) []work {
+// demands returns the engine time that a request takes: its prefill and, if withDecode is set, its
+// decoding, each with its part of the value. It returns none if the prefill can't be complete by
+// the aim.
+func (d *Day) demands(a *passes.Arrival, withDecode bool) []demand {
 	e := &d.Load.Engine
 	aim := float64(a.Kind.Aim)
-	read := work{first: int(a.At / slot), last: int((a.At + aim) / slot), cost: e.PrefillTime(a.Prompt), worth: a.Kind.Of(a.Prompt)}
+	prefill := demand{first: int(a.At / timeStep), last: int((a.At + aim) / timeStep), cost: e.PrefillTime(a.Prompt), worth: a.Kind.Of(a.Prompt)}
 	switch n := float64(a.Events - 1); {
-	case read.cost > aim*float64(min(mostEngines, d.Load.Engines)):
+	case prefill.cost > aim*float64(min(maxPrefillEngines, d.Load.Engines)):
 		return nil
-	case !writes || n <= 0:
-		return []work{read}
+	case !withDecode || n <= 0:
+		return []demand{prefill}
 	default:
-		// Each event takes its part of the steps of a full engine at least.
+		// The cheapest event is one on a full engine, where all streams share the base time of a step.
 		step := e.Step/float64(max(e.Slots, 1)) + e.Writer
-		write := work{first: read.first, last: int((a.At + aim + n*float64(a.Kind.Gap)) / slot), cost: n * step * float64(e.Stride)}
-		write.worth = read.worth * write.cost / (read.cost + write.cost)
-		read.worth -= write.worth
-		return []work{read, write}
+		decode := demand{first: prefill.first, last: int((a.At + aim + n*float64(a.Kind.Gap)) / timeStep), cost: n * step * float64(e.Stride)}
+		decode.worth = prefill.worth * decode.cost / (prefill.cost + decode.cost)
+		prefill.worth -= decode.worth
+		return []demand{prefill, decode}
 	}
 }
 
-// most is the worth that is in time in a relaxation. What of each work is done within its window forms a polymatroid, on which the greedy
-// choice by worth for its cost is the best one.
-func (d *Day) most(writes bool) float64 {
-	var works []work
-	slots := 0
+// relaxedBound returns the value that is earned in time in one of the two relaxations. The amounts
+// of each demand that can be served within their windows form a polymatroid, on which the greedy
+// choice by value per cost is optimal.
+func (d *Day) relaxedBound(withDecode bool) float64 {
+	var demands []demand
+	steps := 0
 	for i := range d.Arrivals {
-		for _, w := range d.works(&d.Arrivals[i], writes) {
-			works = append(works, w)
-			slots = max(slots, w.last+1)
+		for _, w := range d.demands(&d.Arrivals[i], withDecode) {
+			demands = append(demands, w)
+			steps = max(steps, w.last+1)
 		}
 	}
-	slices.SortStableFunc(works, func(x, y work) int { return cmp.Compare(y.worth*x.cost, x.worth*y.cost) })
-	f := newFluid(slots, float64(d.Load.Engines)*slot)
+	slices.SortStableFunc(demands, func(x, y demand) int { return cmp.Compare(y.worth*x.cost, x.worth*y.cost) })
+	f := newWindowCapacity(steps, float64(d.Load.Engines)*timeStep)
 	sum := 0.0
-	for _, w := range works {
+	for _, w := range demands {
 		sum += w.worth * f.add(w) / max(w.cost, 1e-9)
 	}
 	return sum
 }
 
-// fluid keeps what is left in each span of slots for work whose window lies within it.
-type fluid struct {
-	slots int
+// windowCapacity is the engine time that is left for demands, by window. For the steps a to b,
+// left[a*steps+b] is what remains for demands whose windows lie within them.
+type windowCapacity struct {
+	steps int
 	left  []float64
 }
 
-func newFluid(slots int, capacity float64) *fluid {
-	f := &fluid{slots: slots, left: make([]float64, slots*slots)}
-	for a := range slots {
-		for b := a; b < slots; b++ {
-			f.left[a*slots+b] = capacity * float64(b-a+1)
+func newWindowCapacity(steps int, capacity float64) *windowCapacity {
+	f := &windowCapacity{steps: steps, left: make([]float64, steps*steps)}
+	for a := range steps {
+		for b := a; b < steps; b++ {
+			f.left[a*steps+b] = capacity * float64(b-a+1)
 		}
 	}
 	return f
 }
 
-// add does as much of a work as there is room for.
-func (f *fluid) add(w work) float64 {
+// add serves as much of a demand as the remaining capacity allows and returns that amount.
+func (f *windowCapacity) add(w demand) float64 {
 	done := w.cost
 	for a := range w.first + 1 {
-		done = min(done, slices.Min(f.left[a*f.slots+w.last:(a+1)*f.slots]))
+		done = min(done, slices.Min(f.left[a*f.steps+w.last:(a+1)*f.steps]))
 	}
 	done = max(done, 0)
 	if done == 0 {
 		return 0
 	}
 	for a := range w.first + 1 {
-		row := f.left[a*f.slots+w.last : (a+1)*f.slots]
+		row := f.left[a*f.steps+w.last : (a+1)*f.steps]
 		for i := range row {
 			row[i] -= done
 		}
@@ -111,31 +123,34 @@
 	return done
 }
 
-// Found is the best share of worth that a search finds for the same engines, and how each request ended in that play: plays of the model, in
-// which a planner that knows how each of them ended changes the rules or turns some requests away at once. Each is a play, so it never errs high.
+// Found searches for the best schedule on the same engines and returns its fraction of the value
+// and the ending of each request in it. Each try is a simulation in which one of the rules is
+// changed, or some requests are refused at once, given how they ended in the best simulation so
+// far. As each result comes from a simulation, it can be reached.
 func (d *Day) Found(tries int, seed uint64) (float64, []passes.Ending) {
 	rules := span.DefaultRules
-	best, ends := d.share(rules, nil)
+	best, ends := d.playSubset(rules, nil)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	dropped := make([]bool, len(d.Arrivals))
 	for try := range tries {
 		if try%4 == 3 {
-			r := varied(rules, rng)
-			if share, es := d.share(r, dropped); share > best {
+			r := varyRule(rules, rng)
+			if share, es := d.playSubset(r, dropped); share > best {
 				best, ends, rules = share, es, r
 			}
 			continue
 		}
-		next := d.drop(dropped, ends, rng)
-		if share, es := d.share(rules, next); share > best {
+		next := d.toggleDropped(dropped, ends, rng)
+		if share, es := d.playSubset(rules, next); share > best {
 			best, ends, dropped = share, es, next
 		}
 	}
 	return best, ends
 }
 
-// share plays what is not dropped, and returns how each request ended.
-func (d *Day) share(rules span.Rules, dropped []bool) (float64, []passes.Ending) {
+// playSubset simulates the requests that are not dropped and returns the fraction of the value of
+// all requests, and how each of them ended.
+func (d *Day) playSubset(rules span.Rules, dropped []bool) (float64, []passes.Ending) {
 	var kept []passes.Arrival
 	var index []int
 	for i := range d.Arrivals {
@@ -154,27 +169,29 @@
 	for n, e := range passes.PlayArrivals(&d.Load, rules, kept).Requests {
 		a := &kept[n]
 		ends[index[n]] = e.Ending(a.Kind)
-		sum += got(a.Kind, a.Prompt, ends[index[n]])
+		sum += worthOf(a.Kind, a.Prompt, ends[index[n]])
 	}
 	return sum / max(all, 1e-9), ends
 }
 
-// dropShare is the part of the requests that were not in time which one try turns away, or takes back.
-const dropShare = 0.15
+// toggleChance is the probability with which one try drops a request that was not in time, or
+// restores a dropped one.
+const toggleChance = 0.15
 
-// drop turns some requests away that were not in time, and takes some back that were turned away.
-func (d *Day) drop(dropped []bool, ends []passes.Ending, rng *rand.Rand) []bool {
+// toggleDropped drops some of the requests that were not in time, and restores some of the dropped
+// ones.
+func (d *Day) toggleDropped(dropped []bool, ends []passes.Ending, rng *rand.Rand) []bool {
 	next := slices.Clone(dropped)
 	for i := range next {
-		if ends[i] != passes.InTime && rng.Float64() < dropShare {
+		if ends[i] != passes.InTime && rng.Float64() < toggleChance {
 			next[i] = !next[i]
 		}
 	}
 	return next
 }
 
-// varied changes one of the rules.
-func varied(r span.Rules, rng *rand.Rand) span.Rules {
+// varyRule changes one of the rules by a random factor between 0.5 and 2.
+func varyRule(r span.Rules, rng *rand.Rand) span.Rules {
 	by := math.Exp2(rng.Float64()*2 - 1)
 	switch rng.IntN(4) {
 	case 0:
--- a/bench/whatif/day.go
+++ b/bench/whatif/day.go
@@ -14,37 +14,38 @@
 	"snipeshift.example/lib/route"
 )
 
-// tokens makes a count of a log's number.
-func tokens(n int64) decide.Tokens { return decide.Tokens(n) }
+// tokenCount converts a number in a log to a count of tokens.
+func tokenCount(n int64) decide.Tokens { return decide.Tokens(n) }
 
-// Change is what differs from the day that was.
+// Change is what differs in a simulation from the logged requests and engines.
 type Change struct {
-	// Engines is how many there are; zero for as many as were.
+	// Engines is the number of engines; zero for the number in the logs.
 	Engines int
-	// Mix multiplies the requests of kinds, by their aims.
+	// Mix holds factors on the number of requests, by their aims.
 	Mix map[clock.Milli]float64
-	// Seed draws which requests of a changed mix come, and when.
+	// Seed determines which requests of a changed mix arrive, and when.
 	Seed uint64
-	// Worth is what an answer in time is worth, by aim; one for kinds that are not named.
+	// Worth is the value of a response in time, by aim; 1 for aims not listed.
 	Worth map[clock.Milli]float64
 }
 
-// Day is the requests of one service with engines, ready for the model.
+// Day holds the logged requests of one service with inference engines, prepared for the simulation.
 type Day struct {
 	Service route.ServiceID
 	Load    passes.Load
-	// Played are the requests as they were served, Arrivals the same ones, unless a Change made them others.
+	// Played are the requests as logged. Arrivals are the same requests for the simulation, as
+	// altered by a Change.
 	Played   []Request
 	Arrivals []passes.Arrival
-	// Turned counts requests that were answered before they asked for a place.
+	// Turned is the number of requests that were answered before a placement was requested.
 	Turned int
 }
 
-// Days returns a day for each service of a log that has engines.
+// Days returns one Day for each service in a log that has inference engines and requests.
 func Days(l *Log, c Change) ([]Day, error) {
 	var out []Day
 	for _, s := range slices.Sorted(maps.Keys(l.Engines)) {
-		d, err := day(l, s, c)
+		d, err := newTrace(l, s, c)
 		if err != nil {
 			return nil, err
 		}
@@ -53,15 +54,15 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, Class.New("no request of a service with engines asked for a place")
+		return nil, Class.New("no request to a service with engines reached its placement: nothing to simulate")
 	}
 	return out, nil
 }
 
-func day(l *Log, s route.ServiceID, c Change) (Day, error) {
+func newTrace(l *Log, s route.ServiceID, c Change) (Day, error) {
 	d := Day{Service: s, Load: passes.Load{Engines: cmp.Or(c.Engines, l.Upstreams[s]), Engine: l.Engines[s]}}
 	if d.Load.Engines == 0 {
-		return d, Class.New("the log does not tell how many engines %s has; say so", s)
+		return d, Class.New("the logs do not show how many engines service %s has: set --engines", s)
 	}
 	for _, r := range l.Requests {
 		switch {
@@ -84,7 +85,7 @@
 		a.At = float64(clock.Of(r.Arrived.Sub(from)))
 		for range copies(c.Mix, *r.Aim, rng) {
 			d.Arrivals = append(d.Arrivals, a)
-			a.At += copyApart * rng.Float64()
+			a.At += maxCopyGap * rng.Float64()
 		}
 		d.Load.Length = max(d.Load.Length, a.At)
 	}
@@ -95,10 +96,11 @@
 	return d, nil
 }
 
-// copyApart is how far apart in milliseconds the copies of one request come at most.
-const copyApart = 200
+// maxCopyGap is the longest time in milliseconds between two successive copies of a request in a
+// changed mix.
+const maxCopyGap = 200
 
-// copies is how often a request of a kind comes in a changed mix.
+// copies returns how many times a request with that aim arrives in a changed mix.
 func copies(mix map[clock.Milli]float64, aim clock.Milli, rng *rand.Rand) int {
 	f, changed := mix[aim]
 	if !changed {
@@ -111,7 +113,8 @@
 	return n
 }
 
-// kindsOf groups requests by their aims: requests of one kind have many routes.
+// kindsOf groups requests into kinds by their aims alone, as requests of one kind arrive on many
+// routes.
 func kindsOf(rs []Request, worth map[clock.Milli]float64) map[clock.Milli]*passes.Kind {
 	kinds := map[clock.Milli]*passes.Kind{}
 	counts, whole := map[clock.Milli]float64{}, map[clock.Milli]float64{}
@@ -127,7 +130,7 @@
 		}
 		counts[*r.Aim]++
 		k.Mean += float64(r.Prompt)
-		if r.whole() {
+		if r.complete() {
 			whole[*r.Aim]++
 			k.Events += float64(r.Events)
 		}
@@ -141,10 +144,11 @@
 	return kinds
 }
 
-// arrival is a request for the model. How long an answer would have been that was not whole nobody knows: it has the mean of its kind.
+// arrival converts a logged request for the simulation. The full length of an incomplete response
+// is unknown, so it is taken to be the mean of its kind, within the token limit of the request.
 func arrival(r *Request, k *passes.Kind, stride int) passes.Arrival {
-	a := passes.Arrival{Kind: k, Prompt: tokens(r.Prompt), Events: r.Events, Output: tokens(r.Output), Due: r.Due, Urgency: decide.Urgency(r.Urgency)}
-	if !r.whole() {
+	a := passes.Arrival{Kind: k, Prompt: tokenCount(r.Prompt), Events: r.Events, Output: tokenCount(r.Output), Due: r.Due, Urgency: decide.Urgency(r.Urgency)}
+	if !r.complete() {
 		a.Events = int(k.Events)
 		if r.Output > 0 && stride > 0 {
 			a.Events = min(a.Events, int(r.Output)/stride)
@@ -154,19 +158,19 @@
 	return a
 }
 
-// whole reports whether the caller got the whole answer.
-func (r *Request) whole() bool { return r.Outcome == "ok" && r.First > 0 }
+// complete reports whether the client received the complete response.
+func (r *Request) complete() bool { return r.Outcome == "ok" && r.First > 0 }
 
-// ended is how the request ended, in the terms of the model.
-func (r *Request) ended() passes.Request {
-	e := passes.Request{First: float64(r.First), Pause: float64(r.Pause), Whole: r.whole()}
+// response returns the outcome of a logged request in the form of the simulation.
+func (r *Request) response() passes.Request {
+	e := passes.Request{First: float64(r.First), Pause: float64(r.Pause), Whole: r.complete()}
 	if !e.Whole && r.Sends == "" {
 		e.Refused = r.Reason
 	}
 	return e
 }
 
-// Play plays a day through the decisions by rules.
+// Play simulates the arrivals under the scheduling decisions with the given rules.
 func (d *Day) Play(rules span.Rules) passes.Result {
 	return passes.PlayArrivals(&d.Load, rules, d.Arrivals)
 }
--- a/bench/whatif/phases.go
+++ b/bench/whatif/phases.go
@@ -10,17 +10,23 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Phase is a span of a day's arrivals with what its requests got, as shares of all that they were worth.
+// Phase is one interval of the arrivals with its results, as fractions of the value of its requests
+// if all had been in time.
 type Phase struct {
-	// From is its begin, from the first arrival.
+	// From is the start of the interval, measured from the first arrival.
 	From  clock.Milli
 	Asked int
-	// Served is as it was, Modelled a play of the model, Found the best play of a search; zero where none was made.
+	// Served is the result in the logs, Modelled that of the simulation, Found that of the best
+	// simulation of a search; zero if there was no search.
 	Served, Modelled, Found float64
-	most, mostPlayed        float64
+	// maxWorth and maxRecordedWorth are the values of the simulated and of the logged requests if
+	// all had been in time.
+	maxWorth, maxRecordedWorth float64
 }
 
-// Phases cuts a day of one request or more into spans of a length. Found are the ends of a search's best play; nil for none.
+// Phases divides the arrivals, of which there must be at least one, into intervals of the given
+// length. r is the result of a simulation, found the endings in the best simulation of a search;
+// nil for no search.
 func (d *Day) Phases(r *passes.Result, found []passes.Ending, length clock.Milli) []Phase {
 	last := d.Played[len(d.Played)-1].Arrived.Sub(d.Played[0].Arrived).Milliseconds()
 	if n := len(d.Arrivals); n > 0 {
@@ -38,31 +44,31 @@
 		q := &d.Played[i]
 		at := clock.Of(q.Arrived.Sub(d.Played[0].Arrived))
 		p := &phases[at/length]
-		k, e := kinds[*q.Aim], q.ended()
-		p.mostPlayed += k.Of(tokens(q.Prompt))
-		p.Served += got(k, tokens(q.Prompt), e.Ending(k))
+		k, e := kinds[*q.Aim], q.response()
+		p.maxRecordedWorth += k.Of(tokenCount(q.Prompt))
+		p.Served += worthOf(k, tokenCount(q.Prompt), e.Ending(k))
 	}
 	for i := range d.Arrivals {
 		a := &d.Arrivals[i]
 		p := &phases[clock.Milli(a.At)/length]
 		p.Asked++
-		p.most += a.Kind.Of(a.Prompt)
-		p.Modelled += got(a.Kind, a.Prompt, r.Requests[i].Ending(a.Kind))
+		p.maxWorth += a.Kind.Of(a.Prompt)
+		p.Modelled += worthOf(a.Kind, a.Prompt, r.Requests[i].Ending(a.Kind))
 		if found != nil {
-			p.Found += got(a.Kind, a.Prompt, found[i])
+			p.Found += worthOf(a.Kind, a.Prompt, found[i])
 		}
 	}
 	for i := range phases {
 		p := &phases[i]
-		p.Served /= max(p.mostPlayed, 1e-9)
-		p.Modelled /= max(p.most, 1e-9)
-		p.Found /= max(p.most, 1e-9)
+		p.Served /= max(p.maxRecordedWorth, 1e-9)
+		p.Modelled /= max(p.maxWorth, 1e-9)
+		p.Found /= max(p.maxWorth, 1e-9)
 	}
 	return phases
 }
 
-// got is the worth of an answer that ended in a way.
-func got(k *passes.Kind, prompt decide.Tokens, e passes.Ending) float64 {
+// worthOf returns the value of a response with the given ending.
+func worthOf(k *passes.Kind, prompt decide.Tokens, e passes.Ending) float64 {
 	switch e {
 	case passes.InTime:
 		return k.Of(prompt)
@@ -73,10 +79,10 @@
 	}
 }
 
-// PrintPhases writes a table of phases.
+// PrintPhases writes a table of the phases that have arrivals.
 func PrintPhases(out io.Writer, phases []Phase) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "from s\tasked\tserved\tmodel\tsearch\tmodel of search\t")
+	fmt.Fprintln(w, "from s\trequests\tlogged\tsimulated\tsearch\tsimulated/search\t")
 	for i := range phases {
 		p := &phases[i]
 		if p.Asked == 0 {
@@ -88,5 +94,5 @@
 		}
 		fmt.Fprintf(w, "%.1f\t%d\t%.3f\t%.3f\t%s\t%s\t\n", p.From.Duration().Seconds(), p.Asked, p.Served, p.Modelled, search, share)
 	}
-	_ = w.Flush() // what cannot be written to the terminal has nobody to tell
+	_ = w.Flush() // an error of the terminal can't be reported anywhere else
 }
--- a/bench/whatif/read.go
+++ b/bench/whatif/read.go
@@ -1,4 +1,6 @@
-// Package whatif plays the requests of a day, read from the logs of its VMs, through the decisions again, on a model of the engines.
+// Package whatif replays requests from the logs of VMs against the scheduling decisions, with
+// simulated engines in place of the real ones, and shows what other engines, rules or mixes of
+// requests would have changed.
 package whatif
 
 import (
@@ -20,14 +22,14 @@
 // Class is the error class of this package.
 var Class = errs.Class("whatif")
 
-// line is what is read of one line of a log. Spans are in milliseconds.
+// line holds the fields that are read of one line of a log. Durations are in milliseconds.
 type line struct {
 	Time    time.Time `json:"time"`
 	VM      string    `json:"vm"`
 	Event   string    `json:"event"`
 	Service string    `json:"service"`
 
-	// Fields of a request. Aim is missing in lines of versions that did not write it.
+	// Fields of a request. Aim is nil in lines of versions that did not log it.
 	ID      string       `json:"id"`
 	Prompt  int64        `json:"prompt"`
 	Output  int64        `json:"output"`
@@ -45,15 +47,15 @@
 	Total   clock.Milli  `json:"total"`
 	Outcome string       `json:"outcome"`
 
-	// Count is that of the first list of upstreams.
+	// Count is the number of upstreams that a VM found when it started.
 	Count int `json:"count"`
-	// Fields of an upstream.
+	// Fields of a change of an upstream.
 	Upstream string `json:"upstream"`
 	New      bool   `json:"new"`
 	Gone     bool   `json:"gone"`
 	Leaving  bool   `json:"leaving"`
 
-	// Fields of a service's engines.
+	// Fields of the description of a service's engines.
 	Slots   int     `json:"slots"`
 	Memory  int64   `json:"memory"`
 	Step    float64 `json:"step"`
@@ -65,64 +67,71 @@
 	Hop     float64 `json:"hop"`
 }
 
-// Log is what the logs of a day tell, in the order of the requests' arrivals.
+// Log is the content of the logs. Its requests are in the order of their arrivals.
 type Log struct {
 	Requests []Request
-	// Engines describes the engines of each service that has any, Upstreams counts them.
+	// Engines describes the engines of each service that has any, Upstreams is their number.
 	Engines   map[route.ServiceID]route.Engine
 	Upstreams map[route.ServiceID]int
 	Gaps
 }
 
-// Gaps are what the logs lack.
+// Gaps describes what is missing from the logs, or was left out.
 type Gaps struct {
-	// Skipped counts lines that are none of a daemon's, or are cut off; Older requests of a version that did not write their aims; Twice lines
-	// that stand in several logs.
+	// Skipped counts lines that are truncated or not written by a daemon, Older the requests logged
+	// by a version that did not log aims, Twice the requests that occur in several logs.
 	Skipped, Older, Twice int
-	// Headless names VMs whose logs have no start: they may have been cut there.
+	// Headless are the VMs whose logs lack the line of their start. The beginning of these logs may
+	// be missing.
 	Headless []string
-	// Unlisted is set if no log names the upstreams of its first list: they are counted by the requests that were sent to them.
+	// Unlisted is set if every VM already had upstreams when it started, which the logs do not
+	// name. These upstreams are counted from the requests sent to them.
 	Unlisted bool
 }
 
-// Request is one request as it was served.
+// Request is one logged request.
 type Request struct {
 	VM, ID  string
 	Service route.ServiceID
-	// Arrived is the instant of its arrival, by its VM's clock.
+	// Arrived is the instant of its arrival by the clock of its VM.
 	Arrived time.Time
 	line
 }
 
-// identity tells the ends of requests apart: an id may come twice, if a caller sends it again.
+// identity identifies the log line of a request. The time is needed because a request ID occurs
+// again when a client resends the request.
 type identity struct {
 	vm, id string
 	at     time.Time
 }
 
-// reader collects what logs tell.
+// reader collects the content of the logs.
 type reader struct {
-	log     Log
-	seen    map[identity]bool
-	vms     map[string]bool
-	service map[string]route.ServiceID
-	present map[route.ServiceID]map[string]bool
-	// led holds the upstreams that requests were sent to, fresh those that a log tells the coming of, lists how many first lists there
-	// are, and empty how many of them were empty.
-	led          map[route.ServiceID]map[string]bool
-	fresh        map[string]bool
-	lists, empty int
+	log Log
+	// seen holds the requests read so far, startSeen whether each VM's start was logged.
+	seen      map[identity]bool
+	startSeen map[string]bool
+	// serviceOf is the service of each upstream, present the upstreams that a service has at the
+	// current line.
+	serviceOf map[string]route.ServiceID
+	present   map[route.ServiceID]map[string]bool
+	// sentTo holds the upstreams that requests were sent to, announced those whose addition is
+	// logged. upstreamLists is the number of logged start-up lists of upstreams, emptyLists the
+	// number of those that were empty.
+	sentTo                    map[route.ServiceID]map[string]bool
+	announced                 map[string]bool
+	upstreamLists, emptyLists int
 }
 
-// Read reads the logs of one or more VMs, each in any order.
+// Read reads the logs of one or more VMs. The lines of a log may be in any order.
 func Read(logs ...io.Reader) (*Log, error) {
 	r := &reader{
 		log:  Log{Engines: map[route.ServiceID]route.Engine{}, Upstreams: map[route.ServiceID]int{}},
-		seen: map[identity]bool{}, vms: map[string]bool{}, service: map[string]route.ServiceID{}, present: map[route.ServiceID]map[string]bool{},
-		led: map[route.ServiceID]map[string]bool{}, fresh: map[string]bool{},
+		seen: map[identity]bool{}, startSeen: map[string]bool{}, serviceOf: map[string]route.ServiceID{}, present: map[route.ServiceID]map[string]bool{},
+		sentTo: map[route.ServiceID]map[string]bool{}, announced: map[string]bool{},
 	}
 	for _, l := range logs {
-		skipped, err := logline.Scan(l, r.take)
+		skipped, err := logline.Scan(l, r.readLine)
 		if err != nil {
 			return nil, Class.Wrap(err)
 		}
@@ -131,35 +140,35 @@
 	return r.finish()
 }
 
-// take takes one line.
-func (r *reader) take(object []byte) bool {
+// readLine processes one line and reports whether it is a log line of a daemon.
+func (r *reader) readLine(object []byte) bool {
 	var l line
 	if json.Unmarshal(object, &l) != nil || l.Event == "" {
 		return false
 	}
 	started := l.Event == logline.Started
-	r.vms[l.VM] = r.vms[l.VM] || started
+	r.startSeen[l.VM] = r.startSeen[l.VM] || started
 	s := route.ServiceID(l.Service)
 	switch l.Event {
 	case logline.Request:
-		r.request(&l)
+		r.readRequest(&l)
 	case logline.Engine:
 		r.log.Engines[s] = route.Engine{
-			Slots: l.Slots, Memory: tokens(l.Memory), Step: l.Step, Writer: l.Writer, Context: l.Context,
+			Slots: l.Slots, Memory: tokenCount(l.Memory), Step: l.Step, Writer: l.Writer, Context: l.Context,
 			Read: l.Speed, Pairs: l.Pairs, Stride: l.Stride, Hop: l.Hop,
 		}
 	case logline.Upstream:
-		r.upstream(&l)
+		r.readUpstream(&l)
 	case logline.Upstreams:
-		r.lists++
+		r.upstreamLists++
 		if l.Count == 0 {
-			r.empty++
+			r.emptyLists++
 		}
 	}
 	return true
 }
 
-func (r *reader) request(l *line) {
+func (r *reader) readRequest(l *line) {
 	key := identity{l.VM, l.ID, l.Time}
 	if r.seen[key] {
 		r.log.Twice++
@@ -170,53 +179,54 @@
 		r.log.Older++
 		return
 	}
-	r.leads(l)
+	r.recordSends(l)
 	r.log.Requests = append(r.log.Requests, Request{
 		VM: l.VM, ID: l.ID, Service: route.ServiceID(l.Service), Arrived: l.Time.Add(-l.Total.Duration()), line: *l,
 	})
 }
 
-// leads notes the upstreams that a request was sent to.
-func (r *reader) leads(l *line) {
+// recordSends records the upstreams that a request was sent to.
+func (r *reader) recordSends(l *line) {
 	s := route.ServiceID(l.Service)
-	if r.led[s] == nil {
-		r.led[s] = map[string]bool{}
+	if r.sentTo[s] == nil {
+		r.sentTo[s] = map[string]bool{}
 	}
 	for send := range strings.SplitSeq(l.Sends, "; ") {
 		if id, _, ok := strings.Cut(send, "+"); ok {
-			r.led[s][id] = true
+			r.sentTo[s][id] = true
 		}
 	}
 }
 
-// upstream counts the most that a service had at any time, as the VMs together saw it.
-func (r *reader) upstream(l *line) {
+// readUpstream tracks the upstreams of a service over all VMs, and counts the most that were
+// present at the same time.
+func (r *reader) readUpstream(l *line) {
 	if l.Service != "" {
-		r.service[l.Upstream] = route.ServiceID(l.Service)
+		r.serviceOf[l.Upstream] = route.ServiceID(l.Service)
 	}
-	s := r.service[l.Upstream]
+	s := r.serviceOf[l.Upstream]
 	if r.present[s] == nil {
 		r.present[s] = map[string]bool{}
 	}
 	if l.Gone || l.Leaving {
 		delete(r.present[s], l.Upstream)
 	} else if l.New {
-		r.present[s][l.Upstream], r.fresh[l.Upstream] = true, true
+		r.present[s][l.Upstream], r.announced[l.Upstream] = true, true
 	}
 	r.log.Upstreams[s] = max(r.log.Upstreams[s], len(r.present[s]))
 }
 
 func (r *reader) finish() (*Log, error) {
 	l := &r.log
-	for _, vm := range slices.Sorted(maps.Keys(r.vms)) {
-		if !r.vms[vm] {
+	for _, vm := range slices.Sorted(maps.Keys(r.startSeen)) {
+		if !r.startSeen[vm] {
 			l.Headless = append(l.Headless, vm)
 		}
 	}
-	if l.Unlisted = r.empty == 0; l.Unlisted {
-		for s, ids := range r.led {
+	if l.Unlisted = r.emptyLists == 0; l.Unlisted {
+		for s, ids := range r.sentTo {
 			for id := range ids {
-				if !r.fresh[id] {
+				if !r.announced[id] {
 					l.Upstreams[s]++
 				}
 			}
@@ -225,16 +235,16 @@
 	slices.SortStableFunc(l.Requests, func(a, b Request) int { return a.Arrived.Compare(b.Arrived) })
 	switch {
 	case len(l.Requests) == 0 && l.Older > 0:
-		return nil, Class.New("%d lines of requests have no aim: the log is of a version that did not write it", l.Older)
+		return nil, Class.New("%d requests have no aim: the log is of a version that did not write it", l.Older)
 	case len(l.Requests) == 0:
 		return nil, Class.New("no line of a request in the log (%d lines skipped)", l.Skipped)
 	case len(l.Engines) == 0:
-		return nil, Class.New("no line describes engines: the log is cut at its start, or has no service with engines")
+		return nil, Class.New("no line describes engines: the start of the log is missing, or no service has engines")
 	}
 	return l, nil
 }
 
-// String tells of the gaps, in a line each; empty for none.
+// String describes the gaps, one line each; it is empty if there are none.
 func (g *Gaps) String() string {
 	text := ""
 	add := func(n int, what string) {
@@ -242,14 +252,14 @@
 			text += fmt.Sprintf("gap: %d %s\n", n, what)
 		}
 	}
-	add(g.Skipped, "lines are none of a daemon's or cut off")
-	add(g.Older, "requests are of a version that did not write their aims; left out")
-	add(g.Twice, "lines stand in several logs; taken once")
+	add(g.Skipped, "lines skipped: truncated or not written by a daemon")
+	add(g.Older, "requests left out: logged by a version that did not write their aims")
+	add(g.Twice, "requests occur in several logs: counted once")
 	if len(g.Headless) > 0 {
-		text += fmt.Sprintf("gap: the logs of %v have no start\n", g.Headless)
+		text += fmt.Sprintf("gap: the logs of %v lack the line of the VM's start: earlier lines may be missing\n", g.Headless)
 	}
 	if g.Unlisted {
-		text += "gap: no log names the first upstreams; those that no request was sent to are not counted\n"
+		text += "gap: no log names the upstreams present at the start of its VM: those that received no request are not counted\n"
 	}
 	return text
 }
--- a/bench/whatif/table.go
+++ b/bench/whatif/table.go
@@ -11,15 +11,16 @@
 	"snipeshift.example/bench/passes"
 )
 
-// Tally is what the callers of one kind got.
+// Tally is the outcome for the requests of one kind.
 type Tally struct {
 	Asked, InTime, Late, Lost int
-	// Worth is what they got, Most what all answers in time would have been worth.
+	// Worth is the value of the responses, Most the value if all had been in time.
 	Worth, Most float64
 	firsts      []float64
 }
 
-// Median is the middle time to the first event in milliseconds, of those that got one.
+// Median returns the median time to the first event in milliseconds, over the requests that had
+// one.
 func (t *Tally) Median() float64 {
 	if len(t.firsts) == 0 {
 		return 0
@@ -28,8 +29,8 @@
 	return t.firsts[len(t.firsts)/2]
 }
 
-// note adds one request.
-func (t *Tally) note(k *passes.Kind, worth float64, e passes.Request) {
+// add counts one request.
+func (t *Tally) add(k *passes.Kind, worth float64, e passes.Request) {
 	t.Asked++
 	t.Most += worth
 	switch e.Ending(k) {
@@ -47,17 +48,17 @@
 	}
 }
 
-// Tallies are those of all kinds, by name.
+// Tallies are the tallies of all kinds by name.
 type Tallies map[string]*Tally
 
-func (ts Tallies) note(k *passes.Kind, a *passes.Arrival, e passes.Request) {
+func (ts Tallies) add(k *passes.Kind, a *passes.Arrival, e passes.Request) {
 	if ts[k.Name] == nil {
 		ts[k.Name] = &Tally{}
 	}
-	ts[k.Name].note(k, k.Of(a.Prompt), e)
+	ts[k.Name].add(k, k.Of(a.Prompt), e)
 }
 
-// Share is the part of all worth that was got.
+// Share returns the value of all responses divided by the value if all had been in time.
 func (ts Tallies) Share() float64 {
 	got, most := 0.0, 0.0
 	for _, t := range ts {
@@ -67,16 +68,16 @@
 	return got / max(most, 1e-9)
 }
 
-// Modelled are the tallies of a play.
+// Modelled returns the tallies of a simulation.
 func (d *Day) Modelled(r *passes.Result) Tallies {
 	ts := Tallies{}
 	for i := range d.Arrivals {
-		ts.note(d.Arrivals[i].Kind, &d.Arrivals[i], r.Requests[i])
+		ts.add(d.Arrivals[i].Kind, &d.Arrivals[i], r.Requests[i])
 	}
 	return ts
 }
 
-// Served are the tallies of the day as it was.
+// Served returns the tallies of the requests as logged.
 func (d *Day) Served() Tallies {
 	ts := Tallies{}
 	kinds := map[string]*passes.Kind{}
@@ -86,15 +87,15 @@
 	for i := range d.Played {
 		r := &d.Played[i]
 		k := kinds[fmt.Sprintf("aim%d", *r.Aim)]
-		ts.note(k, &passes.Arrival{Prompt: tokens(r.Prompt)}, r.ended())
+		ts.add(k, &passes.Arrival{Prompt: tokenCount(r.Prompt)}, r.response())
 	}
 	return ts
 }
 
-// Reason is why a request missed its aim.
+// Reason is why a logged request was not in time.
 type Reason string
 
-// The closed list of reasons.
+// All values of Reason.
 const (
 	Refused   Reason = "refused"
 	SentAgain Reason = "sent again"
@@ -105,9 +106,9 @@
 	Gone      Reason = "caller gone"
 )
 
-// reason is why a request as it was served missed its aim; empty if it did not.
+// reason returns why a logged request was not in time; it is empty for one that was.
 func (r *Request) reason(k *passes.Kind) Reason {
-	e := r.ended()
+	e := r.response()
 	switch {
 	case e.Ending(k) == passes.InTime:
 		return ""
@@ -128,7 +129,7 @@
 	}
 }
 
-// Reasons count why requests as they were served missed their aims, by kind.
+// Reasons counts the reasons why logged requests were not in time, by kind.
 func (d *Day) Reasons() map[string]map[Reason]int {
 	out := map[string]map[Reason]int{}
 	for i := range d.Load.Kinds {
@@ -145,23 +146,23 @@
 	return out
 }
 
-// percent is a part of all, in hundredths.
+// percent returns part as a percentage of all.
 func percent(part, all int) float64 { return 100 * float64(part) / float64(max(all, 1)) }
 
-// Print writes a table of the day as it was, beside a play of it.
+// Print writes a table that compares the logged requests with a simulation.
 func (d *Day) Print(out io.Writer, r *passes.Result) {
 	served, modelled := d.Served(), d.Modelled(r)
-	fmt.Fprintf(out, "service %s: %d engines, %d requests in %.1f s; %d answered before they asked for a place\n",
+	fmt.Fprintf(out, "service %s: %d engines, %d requests in %.1f s; %d more answered before placement\n",
 		d.Service, d.Load.Engines, len(d.Played), d.Load.Length/1000, d.Turned)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "kind\t\tasked\tin time %\tlate %\tlost %\tfirst p50 ms\tworth")
+	fmt.Fprintln(w, "kind\t\trequests\tin time %\tlate %\tlost %\tfirst event p50 ms\tworth")
 	for _, n := range slices.Sorted(maps.Keys(modelled)) {
-		printTally(w, n, "served", served[n])
-		printTally(w, n, "model", modelled[n])
+		printTally(w, n, "logged", served[n])
+		printTally(w, n, "simulated", modelled[n])
 	}
-	fmt.Fprintf(w, "all\tserved\t\t\t\t\t\t%.3f\n", served.Share())
-	fmt.Fprintf(w, "all\tmodel\t\t\t\t\t\t%.3f\n", modelled.Share())
-	_ = w.Flush() // what cannot be written to the terminal has nobody to tell
+	fmt.Fprintf(w, "all\tlogged\t\t\t\t\t\t%.3f\n", served.Share())
+	fmt.Fprintf(w, "all\tsimulated\t\t\t\t\t\t%.3f\n", modelled.Share())
+	_ = w.Flush() // an error of the terminal can't be reported anywhere else
 	d.printReasons(out)
 	printTime(out, &r.Time)
 }
@@ -178,14 +179,14 @@
 	reasons := d.Reasons()
 	for _, n := range slices.Sorted(maps.Keys(reasons)) {
 		for _, why := range slices.Sorted(maps.Keys(reasons[n])) {
-			fmt.Fprintf(out, "%s missed its aim, %s: %d\n", n, why, reasons[n][why])
+			fmt.Fprintf(out, "%s not in time, %s: %d\n", n, why, reasons[n][why])
 		}
 	}
 }
 
-// printTime writes what the engines of the model did with their time.
+// printTime writes how the simulated engines spent their time.
 func printTime(out io.Writer, a *passes.Account) {
 	all := max(a.Sum(), 1e-9) / 100
-	fmt.Fprintf(out, "engine time of the model, %%: reading in time %.1f, late %.1f, for nobody %.1f; writing short %.1f, long %.1f; idle while something waited %.1f, idle %.1f\n",
+	fmt.Fprintf(out, "simulated engine time, %%: prefill for responses in time %.1f, late %.1f, lost %.1f; decoding with short pauses %.1f, other %.1f; idle with requests queued %.1f, idle without %.1f\n",
 		a.InTime/all, a.Late/all, a.Nobody/all, a.Short/all, a.Long/all, a.IdleWaiting/all, a.Idle/all)
 }
--- a/bench/whatif/whatif_test.go
+++ b/bench/whatif/whatif_test.go
@@ -17,13 +17,16 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// start is when the made logs begin.
-var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+// logStart is the time of the first line of the generated logs.
+var logStart = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// made writes a log of short requests on some engines, one each 20 ms.
-func made(vm string, engines, requests int) string {
+// shortRequestLog returns the log of a VM that adds some engines and then serves a short request
+// every 20 ms.
+func shortRequestLog(vm string, engines, requests int) string {
 	var b strings.Builder
-	at := func(ms int) string { return start.Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano) }
+	at := func(ms int) string {
+		return logStart.Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
+	}
 	fmt.Fprintf(&b, `{"time":%q,"vm":%q,"event":"started"}`+"\n", at(0), vm)
 	fmt.Fprintf(&b, `{"time":%q,"vm":%q,"event":"engine","service":"m","slots":16,"memory":450000,"step":0.925,"writer":0.00483,"context":0.00254,"speed":256,"pairs":0.0917,"stride":46,"hop":0.1}`+"\n", at(1), vm)
 	fmt.Fprintf(&b, `{"time":%q,"vm":%q,"event":"upstreams","count":0}`+"\n", at(2), vm)
@@ -45,8 +48,8 @@
 	return rs
 }
 
-// only returns the one day of a log.
-func only(t *testing.T, c Change, texts ...string) *Day {
+// singleTrace returns the one Day of the logs.
+func singleTrace(t *testing.T, c Change, texts ...string) *Day {
 	t.Helper()
 	l, err := Read(logs(texts...)...)
 	require.NoError(t, err)
@@ -56,8 +59,8 @@
 	return &days[0]
 }
 
-func TestTheModelServesWhatWasServed(t *testing.T) {
-	d := only(t, Change{}, made("a", 8, 300))
+func TestModelReproducesLoggedResults(t *testing.T) {
+	d := singleTrace(t, Change{}, shortRequestLog("a", 8, 300))
 	r := d.Play(span.DefaultRules)
 	require.InDelta(t, 1, d.Served().Share(), 0)
 	require.InDelta(t, 1, d.Modelled(&r).Share(), 0.03)
@@ -65,9 +68,10 @@
 	require.Equal(t, 300, d.Modelled(&r)["aim300"].Asked)
 }
 
-// Logs of several VMs are put together in any order, and one of them twice. Requests must come once each, by the time of their arrival.
-func TestLogsMayComeInAnyOrder(t *testing.T) {
-	a, b := made("a", 4, 50), made("b", 4, 50)
+// The lines of two VMs' logs are shuffled, and one of the logs is read twice. Each request must be
+// read once, ordered by arrival.
+func TestLogLinesInAnyOrder(t *testing.T) {
+	a, b := shortRequestLog("a", 4, 50), shortRequestLog("b", 4, 50)
 	lines := strings.Split(strings.TrimSpace(a+b), "\n")
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(lines), func(i, j int) { lines[i], lines[j] = lines[j], lines[i] })
 	l, err := Read(logs(strings.Join(lines, "\n"), a)...)
@@ -79,9 +83,10 @@
 	}
 }
 
-// A log is cut in the middle of a line, or at its start. Played as if it were whole, its table would be of another day.
-func TestACutLogSaysSo(t *testing.T) {
-	whole := made("a", 4, 50)
+// A log is truncated in the middle of its last line, or lacks its first lines. If that were not
+// reported, the results would be taken for those of the complete log.
+func TestTruncatedLogIsReported(t *testing.T) {
+	whole := shortRequestLog("a", 4, 50)
 	l, err := Read(logs(whole[:len(whole)-40])...)
 	require.NoError(t, err)
 	require.Equal(t, 1, l.Skipped)
@@ -98,21 +103,23 @@
 	require.ErrorContains(t, err, "no line of a request")
 }
 
-// Lines of an earlier version have no aim. Taken for aims of zero, every answer would be late.
-func TestALogOfAnEarlierVersionIsAnError(t *testing.T) {
-	_, err := Read(logs(strings.ReplaceAll(made("a", 4, 50), `"aim":300,`, ""))...)
+// Request lines of an earlier version have no aim. If they were read with an aim of zero, every
+// response would count as late.
+func TestLogWithoutAimsIsRejected(t *testing.T) {
+	_, err := Read(logs(strings.ReplaceAll(shortRequestLog("a", 4, 50), `"aim":300,`, ""))...)
 	require.ErrorContains(t, err, "of a version that did not write it")
 }
 
-func TestAChangedDayIsAnotherDay(t *testing.T) {
-	d := only(t, Change{Engines: 2, Mix: map[clock.Milli]float64{300: 2.5}, Seed: 3}, made("a", 4, 300))
+func TestChangeOverridesEnginesAndMix(t *testing.T) {
+	d := singleTrace(t, Change{Engines: 2, Mix: map[clock.Milli]float64{300: 2.5}, Seed: 3}, shortRequestLog("a", 4, 300))
 	require.Equal(t, 2, d.Load.Engines)
 	require.InDelta(t, 750, len(d.Arrivals), 40)
 	require.Len(t, d.Played, 300)
 }
 
-// A search that finds more than the bound allows, or less than the play that it begins with, is wrong.
-func TestTheTruthLiesBetweenSearchAndBound(t *testing.T) {
+// The search starts from the simulation with the default rules, so it must not find less, and it
+// must not exceed the upper bound.
+func TestSearchStaysBetweenModelAndBound(t *testing.T) {
 	for _, name := range []string{"over18", "shift18"} {
 		load := *passes.Loads()[name]
 		load.Length = 12_000
@@ -127,16 +134,17 @@
 	}
 }
 
-// Four times what all engines can read is asked. A bound that does not see it would tell nothing.
-func TestTheBoundSeesWhatEnginesCannotRead(t *testing.T) {
+// The requests need four times the prefill that the engines can do. The upper bound must reflect
+// that.
+func TestBoundAccountsForPrefillCapacity(t *testing.T) {
 	load := *passes.Loads()["over18"]
 	load.Length, load.Engines = 12_000, 3
 	d := Day{Load: load, Arrivals: passes.Draw(&load, 1)}
 	require.Less(t, d.Most(), 0.9)
 }
 
-// The logs in testdata are of two VMs of a small fleet.
-func TestLogsOfVMsAreRead(t *testing.T) {
+// The logs in testdata are from two VMs of a small fleet.
+func TestRecordedLogsOfTwoVMs(t *testing.T) {
 	var readers []io.Reader
 	for _, name := range []string{"testdata/vm-1.log", "testdata/vm-2.log"} {
 		text, err := os.ReadFile(name)
@@ -145,11 +153,11 @@
 	}
 	l, err := Read(readers...)
 	require.NoError(t, err)
-	require.True(t, l.Unlisted, "these VMs found the upstreams there when they started")
+	require.True(t, l.Unlisted, "the upstreams were present when these VMs started")
 	days, err := Days(l, Change{Mix: map[clock.Milli]float64{3000: 0}})
 	require.NoError(t, err)
 	require.Len(t, days, 1)
-	require.Equal(t, 3, days[0].Load.Engines, "nothing was sent to the fourth")
+	require.Equal(t, 3, days[0].Load.Engines, "the fourth engine received no request")
 	r := days[0].Play(span.DefaultRules)
 	var out strings.Builder
 	days[0].Print(&out, &r)
@@ -157,7 +165,7 @@
 	require.InDelta(t, days[0].Served()["aim300"].Worth, days[0].Modelled(&r)["aim300"].Worth, 3)
 }
 
-// A day of 60 engines is to take 2 s at most, one of 1,300 a minute.
+// The requirement is at most 2 s for 60 engines and at most a minute for 1,300.
 func BenchmarkDay(b *testing.B) {
 	for _, engines := range []int{60, 1300} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -173,9 +181,10 @@
 	}
 }
 
-// What the phases of a day got must add up to what the day got, or a loss is looked for in the wrong one.
-func TestPhasesAddUpToTheDay(t *testing.T) {
-	d := only(t, Change{}, made("a", 2, 400))
+// The results of the phases must add up to the results of the whole log; otherwise a loss would be
+// attributed to the wrong phase.
+func TestPhasesAddUpToWholeTrace(t *testing.T) {
+	d := singleTrace(t, Change{}, shortRequestLog("a", 2, 400))
 	r := d.Play(span.DefaultRules)
 	_, ends := d.Found(4, 1)
 	phases := d.Phases(&r, ends, 2*clock.Second)
@@ -183,9 +192,9 @@
 	asked, served, modelled, all := 0, 0.0, 0.0, 0.0
 	for _, p := range phases {
 		asked += p.Asked
-		all += p.most
-		served += p.Served * p.mostPlayed
-		modelled += p.Modelled * p.most
+		all += p.maxWorth
+		served += p.Served * p.maxRecordedWorth
+		modelled += p.Modelled * p.maxWorth
 		require.Positive(t, p.Found)
 	}
 	require.Equal(t, 400, asked)
