--- a/bench/bars.go
+++ b/bench/bars.go
@@ -6,64 +6,68 @@
 	"io"
 )
 
-// The bars that the decisions are held to, in the long/short mix.
+// Targets for the measured results. The slowdown, first-token and long-prompt targets apply to the
+// mix of long and short prompts, the goodput target to every scenario at a load of 1.5, the limit
+// on missed deadlines to every run.
 const (
-	calmSlowdown, pressedSlowdown = 1.2, 1.5
-	firstTokenGain                = 5
-	longInTime                    = 0.99
-	goodputShare                  = 0.95
-	missedMost                    = 0.001
+	maxSlowdownAt80Percent, maxSlowdownAtOverload = 1.2, 1.5
+	minFirstTokenGain                             = 5
+	minLongInTime                                 = 0.99
+	minGoodputRatio                               = 0.95
+	maxMissed                                     = 0.001
 )
 
-// bars prints which bars the runs reached. Runs without baselines have none to compare with.
-func bars(out io.Writer, cells []*cell) error {
+// printTargets prints which targets the runs reached. Targets relative to a baseline are left out
+// if no baseline was run.
+func printTargets(out io.Writer, cells []*cell) error {
 	var w bytes.Buffer
-	fmt.Fprintf(&w, "\nbars\n\n| deployment | scenario | load | bar | measured | |\n| --- | --- | --- | --- | --- | --- |\n")
+	fmt.Fprintf(&w, "\ntargets\n\n| deployment | scenario | load | target | measured | |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range cells {
-		if c.contender.name == ours {
-			c.bars(&w, rivals(cells, c))
+		if c.candidate.name == projectPolicy {
+			c.checkTargets(&w, baselines(cells, c))
 		}
 	}
 	_, err := w.WriteTo(out)
 	return err
 }
 
-// rivals are the baselines' runs on the same requests.
-func rivals(cells []*cell, c *cell) []*cell {
+// baselines returns the runs of the baseline policies on the same requests as c.
+func baselines(cells []*cell, c *cell) []*cell {
 	var list []*cell
 	for _, o := range cells {
-		same := o.deployment == c.deployment && o.scenario.Name == c.scenario.Name && o.load == c.load
-		if same && o.contender.name != ours {
+		same := o.deployment == c.deployment && o.scenario.Name == c.scenario.Name && o.loadFactor == c.loadFactor
+		if same && o.candidate.name != projectPolicy {
 			list = append(list, o)
 		}
 	}
 	return list
 }
 
-func (c *cell) bars(w *bytes.Buffer, rivals []*cell) {
+func (c *cell) checkTargets(w *bytes.Buffer, baselines []*cell) {
 	r := &c.result
 	missed := float64(r.Missed) / float64(max(r.Requests, 1))
-	c.bar(w, "missed < 0.1%", fmt.Sprintf("%.3f%%", 100*missed), missed < missedMost)
+	c.printTarget(w, "missed < 0.1%", fmt.Sprintf("%.3f%%", 100*missed), missed < maxMissed)
 	mix := c.scenario.Name == "mix"
-	if mix && c.load == 0.8 {
-		c.bar(w, "urgent p99 slowdown <= 1.2", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= calmSlowdown)
+	if mix && c.loadFactor == 0.8 {
+		c.printTarget(w, "urgent p99 slowdown <= 1.2", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= maxSlowdownAt80Percent)
 		part := float64(r.LongInTime) / float64(max(r.LongAdmitted, 1))
-		c.bar(w, "admitted long in time >= 99%", fmt.Sprintf("%.1f%%", 100*part), part >= longInTime)
+		c.printTarget(w, "admitted long in time >= 99%", fmt.Sprintf("%.1f%%", 100*part), part >= minLongInTime)
 	}
-	if mix && c.load == 1.5 {
-		c.bar(w, "urgent p99 slowdown <= 1.5", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= pressedSlowdown)
+	if mix && c.loadFactor == 1.5 {
+		c.printTarget(w, "urgent p99 slowdown <= 1.5", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= maxSlowdownAtOverload)
 	}
-	if mix && (c.load == 0.8 || c.load == 1.5) && len(rivals) > 0 {
-		c.gain(w, rivals)
+	if mix && (c.loadFactor == 0.8 || c.loadFactor == 1.5) && len(baselines) > 0 {
+		c.checkFirstTokenGain(w, baselines)
 	}
-	if c.load == 1.5 && len(rivals) > 0 {
-		c.goodput(w, rivals)
+	if c.loadFactor == 1.5 && len(baselines) > 0 {
+		c.checkGoodput(w, baselines)
 	}
 }
 
-// gain compares the first token of urgent requests with the best baseline that ends as
-// many long ones in time, or with the best of all if none does.
-func (c *cell) gain(w *bytes.Buffer, rivals []*cell) {
+// checkFirstTokenGain compares the 99th percentile of the time to first token of urgent requests
+// with that of the best baseline that finishes at least as many long requests in time, or of the
+// best of all baselines if none does.
+func (c *cell) checkFirstTokenGain(w *bytes.Buffer, rivals []*cell) {
 	best, all := "", true
 	least := 0.0
 	for _, equal := range []bool{true, false} {
@@ -72,7 +76,7 @@
 				continue
 			}
 			if p := o.result.Urgent.P99; best == "" || p < least {
-				best, least, all = o.contender.name, p, equal
+				best, least, all = o.candidate.name, p, equal
 			}
 		}
 		if best != "" {
@@ -82,12 +86,12 @@
 	gain := least / c.result.Urgent.P99
 	note := ""
 	if !all {
-		note = ", which ends fewer long ones"
+		note = ", which finishes fewer long requests in time"
 	}
-	c.bar(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.Urgent.P99, least), gain >= firstTokenGain)
+	c.printTarget(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.Urgent.P99, least), gain >= minFirstTokenGain)
 }
 
-func (c *cell) goodput(w *bytes.Buffer, rivals []*cell) {
+func (c *cell) checkGoodput(w *bytes.Buffer, rivals []*cell) {
 	best := rivals[0]
 	for _, o := range rivals {
 		if o.result.Goodput > best.result.Goodput {
@@ -95,13 +99,13 @@
 		}
 	}
 	part := c.result.Goodput / best.result.Goodput
-	c.bar(w, "goodput >= 95% of the best", fmt.Sprintf("%.1f%% of %s", 100*part, best.contender.name), part >= goodputShare)
+	c.printTarget(w, "goodput >= 95% of the best", fmt.Sprintf("%.1f%% of %s", 100*part, best.candidate.name), part >= minGoodputRatio)
 }
 
-func (c *cell) bar(w *bytes.Buffer, name, measured string, reached bool) {
+func (c *cell) printTarget(w *bytes.Buffer, name, measured string, reached bool) {
 	verdict := "reached"
 	if !reached {
 		verdict = "**missed**"
 	}
-	fmt.Fprintf(w, "| %s | %s | %.1f | %s | %s | %s |\n", c.deployment.Name, c.scenario.Name, c.load, name, measured, verdict)
+	fmt.Fprintf(w, "| %s | %s | %.1f | %s | %s | %s |\n", c.deployment.Name, c.scenario.Name, c.loadFactor, name, measured, verdict)
 }
--- a/bench/decide.go
+++ b/bench/decide.go
@@ -17,94 +17,99 @@
 	"snipeshift.example/bench/policy"
 )
 
-// warmup is left out of the results, in milliseconds.
+// warmup is the time at the start of a run that is left out of the results, in milliseconds.
 const warmup = 60_000
 
-var loads = []float64{0.5, 0.8, 1.0, 1.5}
+// loadFactors are the offered loads as multiples of the rate that the fleet can just serve.
+var loadFactors = []float64{0.5, 0.8, 1.0, 1.5}
 
-// contender is one policy of the tables.
-type contender struct {
-	name     string
+// candidate is one of the compared policies.
+type candidate struct {
+	name string
+	// shortest makes the engines admit and prefill the shortest prompt first.
 	shortest bool
-	build    func(d *load.Deployment) func(policy.Fleet) policy.Policy
+	// build returns the constructor of the policy for a deployment.
+	build func(d *load.Deployment) func(policy.Fleet) policy.Policy
 }
 
-const ours = "snipeshift"
+// projectPolicy names the policy of this project, as opposed to the baselines.
+const projectPolicy = "snipeshift"
 
-func baseline(name string, rule policy.Rule) contender {
-	return contender{name, rule == policy.ShortestFirst, func(d *load.Deployment) func(policy.Fleet) policy.Policy {
+func newBaseline(name string, rule policy.Rule) candidate {
+	return candidate{name, rule == policy.ShortestFirst, func(d *load.Deployment) func(policy.Fleet) policy.Policy {
 		return func(f policy.Fleet) policy.Policy { return policy.NewBaseline(f, rule, d.Engines, d.Engine.Memory) }
 	}}
 }
 
-var contenders = []contender{
-	{ours, false, func(d *load.Deployment) func(policy.Fleet) policy.Policy {
+var candidates = []candidate{
+	{projectPolicy, false, func(d *load.Deployment) func(policy.Fleet) policy.Policy {
 		return func(f policy.Fleet) policy.Policy { return policy.NewPool(f, d) }
 	}},
-	baseline("round robin", policy.RoundRobin),
-	baseline("least reported", policy.LeastReported),
-	baseline("two choices", policy.TwoChoices),
-	baseline("shortest first", policy.ShortestFirst),
+	newBaseline("round robin", policy.RoundRobin),
+	newBaseline("least reported", policy.LeastReported),
+	newBaseline("two choices", policy.TwoChoices),
+	newBaseline("shortest first", policy.ShortestFirst),
 }
 
-// cell is one run of the matrix.
+// cell is one combination of deployment, scenario, load and policy, with the result of its run.
 type cell struct {
 	deployment *load.Deployment
 	scenario   load.Scenario
-	load       float64
-	contender  contender
+	loadFactor float64
+	candidate  candidate
 	result     measure.Result
 }
 
+// options selects the combinations to run; an empty string or zero does not restrict them.
 type options struct {
-	seed                       uint64
-	span                       float64
-	workers                    int
-	deployment, scenario, only string
-	load                       float64
-	engines                    int
+	seed                         uint64
+	duration                     float64
+	workers                      int
+	deployment, scenario, policy string
+	loadFactor                   float64
+	engines                      int
 }
 
 func decideCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "decide",
-		Usage: "runs the decision library and the baselines on the same seeds",
+		Usage: "runs the decision library and the baseline policies on the same seeded requests",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.FloatFlag{Name: "minutes", Value: 30, Usage: "length of the arrivals"},
+			&cli.FloatFlag{Name: "minutes", Value: 30, Usage: "how long requests arrive, in minutes of simulated time"},
 			&cli.IntFlag{Name: "workers", Value: min(4, runtime.NumCPU())},
 			&cli.StringFlag{Name: "deployment"},
 			&cli.StringFlag{Name: "scenario"},
 			&cli.StringFlag{Name: "policy"},
 			&cli.FloatFlag{Name: "load"},
-			&cli.IntFlag{Name: "engines", Usage: "size of the fleet instead of the deployment's; the load goes with it"},
+			&cli.IntFlag{Name: "engines", Usage: "size of the fleet, in place of the deployment's; the request rate scales with it"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			cells := matrix(options{
-				seed: c.Uint64("seed"), span: c.Float("minutes") * 60_000, workers: c.Int("workers"),
-				deployment: c.String("deployment"), scenario: c.String("scenario"), only: c.String("policy"), load: c.Float("load"),
+			cells := runMatrix(options{
+				seed: c.Uint64("seed"), duration: c.Float("minutes") * 60_000, workers: c.Int("workers"),
+				deployment: c.String("deployment"), scenario: c.String("scenario"), policy: c.String("policy"), loadFactor: c.Float("load"),
 				engines: c.Int("engines"),
 			})
-			if err := tables(os.Stdout, cells); err != nil {
+			if err := printTables(os.Stdout, cells); err != nil {
 				return err
 			}
-			return bars(os.Stdout, cells)
+			return printTargets(os.Stdout, cells)
 		},
 	}
 }
 
-// matrix runs every combination that the options leave, a few at a time.
-func matrix(o options) []*cell {
+// runMatrix runs every combination that the options select, several in parallel.
+func runMatrix(o options) []*cell {
 	var cells []*cell
 	for i := range load.Deployments {
 		if o.engines > 0 {
 			load.Deployments[i].Engines = o.engines
 		}
 		for _, s := range load.Scenarios {
-			for _, l := range loads {
-				for _, c := range contenders {
-					if o.picks(&load.Deployments[i], s, l, c) {
-						cells = append(cells, &cell{deployment: &load.Deployments[i], scenario: s, load: l, contender: c})
+			for _, l := range loadFactors {
+				for _, c := range candidates {
+					if o.selects(&load.Deployments[i], s, l, c) {
+						cells = append(cells, &cell{deployment: &load.Deployments[i], scenario: s, loadFactor: l, candidate: c})
 					}
 				}
 			}
@@ -127,44 +132,44 @@
 	return cells
 }
 
-func (o *options) picks(d *load.Deployment, s load.Scenario, l float64, c contender) bool {
+func (o *options) selects(d *load.Deployment, s load.Scenario, l float64, c candidate) bool {
 	return (o.deployment == "" || o.deployment == d.Name) && (o.scenario == "" || o.scenario == s.Name) &&
-		(o.load == 0 || o.load == l) && (o.only == "" || o.only == c.name)
+		(o.loadFactor == 0 || o.loadFactor == l) && (o.policy == "" || o.policy == c.name)
 }
 
 func (c *cell) run(o options) {
-	requests := c.deployment.Generate(o.seed, c.scenario, c.load, o.span)
-	run := policy.New(c.deployment, c.scenario, requests, c.contender.shortest, c.contender.build(c.deployment))
+	requests := c.deployment.Generate(o.seed, c.scenario, c.loadFactor, o.duration)
+	run := policy.New(c.deployment, c.scenario, requests, c.candidate.shortest, c.candidate.build(c.deployment))
 	run.Play()
 	from := float64(warmup)
 	if c.scenario.Full {
 		from = 0
 	}
-	c.result = measure.Of(c.deployment, requests, from, o.span)
+	c.result = measure.Of(c.deployment, requests, from, o.duration)
 }
 
-// tables prints one table a deployment and scenario.
-func tables(out io.Writer, cells []*cell) error {
+// printTables prints one table per deployment and scenario.
+func printTables(out io.Writer, cells []*cell) error {
 	var w bytes.Buffer
 	title := ""
 	for _, c := range cells {
 		if t := c.deployment.Name + ", " + c.scenario.Name; t != title {
 			title = t
-			fmt.Fprintf(&w, "\n%s\n\n%s\n%s\n", title, header, rule)
+			fmt.Fprintf(&w, "\n%s\n\n%s\n%s\n", title, tableHeader, tableSeparator)
 		}
-		c.row(&w)
+		c.printRow(&w)
 	}
 	_, err := w.WriteTo(out)
 	return err
 }
 
-const header = "| load | policy | TTFT ms p50/p95/p99 <4k | 4k-32k | 32k-100k | >100k | urgent slowdown p50/p95/p99 | first token | in time | refused | missed | long in time | goodput | wasted | shares |"
+const tableHeader = "| load | policy | TTFT ms p50/p95/p99 <4k | 4k-32k | 32k-100k | >100k | urgent slowdown p50/p95/p99 | first token | in time | refused | missed | long in time | goodput | wasted | shares |"
 
-var rule = "|" + strings.Repeat(" --- |", strings.Count(header, "|")-1)
+var tableSeparator = "|" + strings.Repeat(" --- |", strings.Count(tableHeader, "|")-1)
 
-func (c *cell) row(w *bytes.Buffer) {
+func (c *cell) printRow(w *bytes.Buffer) {
 	r := &c.result
-	fmt.Fprintf(w, "| %.1f | %s |", c.load, c.contender.name)
+	fmt.Fprintf(w, "| %.1f | %s |", c.loadFactor, c.candidate.name)
 	for _, q := range r.First {
 		fmt.Fprintf(w, " %.0f/%.0f/%.0f |", q.P50, q.P95, q.P99)
 	}
@@ -175,7 +180,8 @@
 		100*float64(r.Missed)/n, r.LongInTime, r.LongAdmitted, r.Long, 100*r.Goodput, 100*r.Wasted, shares(r))
 }
 
-// shares gives the first workspace's part and the least and largest of the others'.
+// shares formats the first workspace's share of the goodput and the range of the other workspaces'
+// shares.
 func shares(r *measure.Result) string {
 	low, high := 1.0, 0.0
 	for _, s := range r.Shares[1:] {
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,4 +1,5 @@
-// Command bench measures the decisions under load against baselines.
+// Command bench measures scheduling decisions under load, in a seeded simulation, and compares them
+// with baseline policies.
 package main
 
 import (
@@ -12,7 +13,7 @@
 func main() {
 	app := &cli.Command{
 		Name:     "bench",
-		Usage:    "measures snipeshift's decisions in a seeded model",
+		Usage:    "measures snipeshift's scheduling decisions in a seeded simulation",
 		Commands: []*cli.Command{decideCommand(), passesCommand(), whatifCommand()},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
--- a/bench/passes.go
+++ b/bench/passes.go
@@ -11,15 +11,15 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// passesCommand measures the placing of prompts that span engines.
+// passesCommand measures the placement of prompts whose prefill is split over several engines.
 func passesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "passes",
-		Usage: "plays seeded loads of short and very long prompts on engines that work in passes",
+		Usage: "runs seeded loads of short and very long prompts on simulated engines that work in passes (batch iterations)",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "play `N` seeds of each load"},
-			&cli.StringFlag{Name: "load", Usage: "only the load `NAME`"},
-			&cli.BoolFlag{Name: "alone", Usage: "each prompt is read by one engine, as a baseline"},
+			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "run each load with `N` seeds"},
+			&cli.StringFlag{Name: "load", Usage: "run only the load `NAME`"},
+			&cli.BoolFlag{Name: "alone", Usage: "prefill each prompt on a single engine, as a baseline"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			rules := span.DefaultRules
@@ -39,7 +39,7 @@
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	fmt.Printf("%-10s %6s %6s %5s %5s  %s\n", "load", "worth", "net", "busy", "read", "kind: in time, late, lost of 100; first byte p50 p99 ms; pauses too long")
+	fmt.Printf("%-10s %6s %6s %5s %5s  %s\n", "load", "worth", "net", "busy", "read", "kind: in time, late, lost %; first event p50 p99 ms; pause too long %")
 	for _, n := range names {
 		if only != "" && only != n {
 			continue
--- a/bench/whatif.go
+++ b/bench/whatif.go
@@ -16,24 +16,25 @@
 	"snipeshift.example/lib/decide/span"
 )
 
-// whatifCommand plays the requests of logs through the decisions again.
+// whatifCommand replays the requests of logs against the scheduling decisions, with simulated
+// engines.
 func whatifCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "whatif",
-		Usage:     "plays the requests of VMs' logs through the decisions again, on a model of the engines",
+		Usage:     "replays the requests in the logs of VMs against the scheduling decisions, with simulated engines",
 		ArgsUsage: "LOG...",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "engines", Usage: "`N` engines in place of those that were there"},
-			&cli.StringFlag{Name: "mix", Usage: "other numbers of requests by aim in ms, such as `300=1.5,3000=0.5`"},
-			&cli.StringFlag{Name: "worth", Usage: "what an answer in time is worth by aim in ms, such as `300=1.3,3000=22`; 1 where not named"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of a changed mix and of the search"},
-			&cli.BoolFlag{Name: "alone", Usage: "each prompt is read by one engine"},
-			&cli.BoolFlag{Name: "bound", Usage: "also print what no planner exceeds, and what a search finds"},
-			&cli.DurationFlag{Name: "phase", Usage: "also print what each `SPAN` of the day got"},
-			&cli.IntFlag{Name: "tries", Value: 40, Usage: "`N` plays of the search"},
+			&cli.IntFlag{Name: "engines", Usage: "simulate `N` engines in place of the number in the logs"},
+			&cli.StringFlag{Name: "mix", Usage: "factors for the number of requests by aim (target time to the first event) in ms, such as `300=1.5,3000=0.5`"},
+			&cli.StringFlag{Name: "worth", Usage: "value of a response in time by aim in ms, such as `300=1.3,3000=22`; 1 for aims not listed"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` for the changed mix and for the search"},
+			&cli.BoolFlag{Name: "alone", Usage: "prefill each prompt on a single engine"},
+			&cli.BoolFlag{Name: "bound", Usage: "also print an upper bound for any scheduler, and the best result of a search"},
+			&cli.DurationFlag{Name: "phase", Usage: "also print the results for each `SPAN` of the log"},
+			&cli.IntFlag{Name: "tries", Value: 40, Usage: "number `N` of simulations in the search"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			change, err := changeOf(c)
+			change, err := parseChange(c)
 			if err != nil {
 				return err
 			}
@@ -41,25 +42,25 @@
 			if err != nil {
 				return err
 			}
-			return printDays(c, l, change)
+			return printTraces(c, l, change)
 		},
 	}
 }
 
-func changeOf(c *cli.Command) (whatif.Change, error) {
-	mix, err := byAim(c.String("mix"))
+func parseChange(c *cli.Command) (whatif.Change, error) {
+	mix, err := parseByAim(c.String("mix"))
 	if err != nil {
 		return whatif.Change{}, fmt.Errorf("mix: %w", err)
 	}
-	worth, err := byAim(c.String("worth"))
+	worth, err := parseByAim(c.String("worth"))
 	if err != nil {
 		return whatif.Change{}, fmt.Errorf("worth: %w", err)
 	}
 	return whatif.Change{Engines: c.Int("engines"), Mix: mix, Worth: worth, Seed: c.Uint64("seed")}, nil
 }
 
-// byAim reads numbers by aim, such as 300=1.5,3000=0.5.
-func byAim(text string) (map[clock.Milli]float64, error) {
+// parseByAim parses numbers by aim in milliseconds, such as 300=1.5,3000=0.5.
+func parseByAim(text string) (map[clock.Milli]float64, error) {
 	out := map[clock.Milli]float64{}
 	if text == "" {
 		return out, nil
@@ -79,7 +80,7 @@
 	return out, nil
 }
 
-// readLogs reads files, or standard input where none is named.
+// readLogs reads the named files, or standard input if none is named.
 func readLogs(names []string) (*whatif.Log, error) {
 	if len(names) == 0 {
 		return whatif.Read(os.Stdin)
@@ -96,7 +97,7 @@
 	return whatif.Read(logs...)
 }
 
-func printDays(c *cli.Command, l *whatif.Log, change whatif.Change) error {
+func printTraces(c *cli.Command, l *whatif.Log, change whatif.Change) error {
 	fmt.Print(l.Gaps.String())
 	days, err := whatif.Days(l, change)
 	if err != nil {
@@ -115,7 +116,7 @@
 			share, most := d.Modelled(&r).Share(), d.Most()
 			var found float64
 			found, ends = d.Found(c.Int("tries"), c.Uint64("seed"))
-			fmt.Printf("bound: no planner exceeds %.3f; a search finds %.3f; the model's share of these is %.3f and %.3f\n",
+			fmt.Printf("upper bound for any scheduler %.3f, best of the search %.3f; the simulation reached %.3f and %.3f of these\n",
 				most, found, share/max(most, 1e-9), share/max(found, 1e-9))
 		}
 		if length := clock.Of(c.Duration("phase")); length > 0 {
