--- a/bench/passes/play.go
+++ b/bench/passes/play.go
@@ -420,43 +420,43 @@
 // result summarizes the simulation.
 func (p *simulation) result() Result {
 	r := Result{Kinds: p.results}
-	var got, most float64
+	var earned, maxWorth float64
 	for _, j := range p.jobList {
 		k := p.results[j.kind.Name]
 		k.Asked++
 		worth := j.worth()
 		k.Most += worth
-		most += worth
-		end := j.response()
-		r.Requests = append(r.Requests, end)
-		ending := end.Ending(j.kind)
-		r.Time.note(j, ending)
-		if ending == Lost {
+		maxWorth += worth
+		response := j.response()
+		r.Requests = append(r.Requests, response)
+		outcome := response.Ending(j.kind)
+		r.Time.note(j, outcome)
+		if outcome == Lost {
 			continue
 		}
-		p.firstTimes[j.kind.Name] = append(p.firstTimes[j.kind.Name], end.First)
+		p.firstTimes[j.kind.Name] = append(p.firstTimes[j.kind.Name], response.First)
 		if j.longestPause > float64(j.kind.Gap) {
 			k.Paused++
 		}
-		if ending == Late {
+		if outcome == Late {
 			k.Late++
 			worth *= LateShare
 		} else {
 			k.InTime++
 		}
 		k.Worth += worth
-		got += worth
+		earned += worth
 	}
 	for n, fs := range p.firstTimes {
 		sort.Float64s(fs)
 		p.results[n].FirstP50 = fs[len(fs)/2]
 		p.results[n].FirstP99 = fs[len(fs)*99/100]
 	}
-	r.Worth = got / max(most, 1e-9)
+	r.Worth = earned / max(maxWorth, 1e-9)
 	for _, k := range p.results {
 		r.Net += k.Held
 	}
-	r.Net = (got - r.Net) / max(most, 1e-9)
+	r.Net = (earned - r.Net) / max(maxWorth, 1e-9)
 	for _, e := range p.engineList {
 		r.Time.Idle += e.idleTime
 		r.Time.IdleWaiting += e.idleQueuedTime
--- a/bench/passes/play_test.go
+++ b/bench/passes/play_test.go
@@ -14,18 +14,18 @@
 // mean simulates a load with several seeds and returns the mean fraction of the value, and the
 // fraction of each kind's requests that were served in time.
 func mean(l *Load, r span.Rules) (worth float64, inTime map[string]float64) {
-	asked, got := map[string]int{}, map[string]int{}
+	requests, inTimeCount := map[string]int{}, map[string]int{}
 	for s := range seeds {
 		res := Play(l, r, uint64(s+1))
 		worth += res.Worth / float64(seeds)
 		for k, v := range res.Kinds {
-			asked[k] += v.Asked
-			got[k] += v.InTime
+			requests[k] += v.Asked
+			inTimeCount[k] += v.InTime
 		}
 	}
 	inTime = map[string]float64{}
-	for k, n := range asked {
-		inTime[k] = float64(got[k]) / float64(n)
+	for k, n := range requests {
+		inTime[k] = float64(inTimeCount[k]) / float64(n)
 	}
 	return worth, inTime
 }
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -18,8 +18,8 @@
 	// reportPeriod is the time between two load reports of an engine, reportLag the delay before
 	// the policy receives one, both in milliseconds.
 	reportPeriod, reportLag = 500, 250
-	// hintLag is the delay of cache events in milliseconds, hintLossRate the fraction that is lost.
-	hintLag, hintLossRate = 500, 0.02
+	// cacheEventLag is the delay of cache events in milliseconds, cacheEventLossRate the fraction that is lost.
+	cacheEventLag, cacheEventLossRate = 500, 0.02
 )
 
 // Policy places requests on engines. All times are milliseconds of simulated time.
@@ -74,13 +74,13 @@
 const (
 	arrival eventKind = iota
 	dispatched
-	engineDue
+	engineTimer
 	firstTokenSeen
-	doneSeen
+	lastTokenSeen
 	deadline
-	reportDue
+	reportTaken
 	reportSeen
-	hintSeen
+	cacheEventSeen
 )
 
 type event struct {
@@ -90,11 +90,11 @@
 	q      *load.Request
 	job    *engine.Job
 	engine *engine.Engine
-	// version is the engine's timer version when the event was scheduled; a later version makes the
+	// timerVersion is the engine's timer version when the event was scheduled; a later version makes the
 	// event obsolete.
-	version int
-	report  Report
-	hint    Hint
+	timerVersion int
+	report       Report
+	cacheEvent   Hint
 }
 
 type eventHeap []*event
@@ -133,11 +133,11 @@
 	now           float64
 	// unfinished counts the requests that are neither done, refused nor dropped.
 	unfinished int
-	// hintSeq is the number of cache events of each engine so far.
-	hintSeq      []uint64
-	random       *rand.Rand
-	engineEvents []engine.Event
-	nextWake     float64
+	// cacheEventSeq is the number of cache events of each engine so far.
+	cacheEventSeq []uint64
+	random        *rand.Rand
+	engineEvents  []engine.Event
+	nextWake      float64
 }
 
 // New sets up a run. shortestFirst makes the engines admit and prefill the shortest prompt first;
@@ -145,7 +145,7 @@
 func New(d *load.Deployment, s load.Scenario, requests []*load.Request, shortestFirst bool, build func(Fleet) Policy) *Run {
 	r := &Run{
 		requests: requests, jobs: make([]*engine.Job, len(requests)), unfinished: len(requests),
-		hintSeq: make([]uint64, d.Engines), timerVersions: make([]int, d.Engines),
+		cacheEventSeq: make([]uint64, d.Engines), timerVersions: make([]int, d.Engines),
 		random: rand.New(rand.NewPCG(9, 9)),
 	}
 	for i := range d.Engines {
@@ -156,7 +156,7 @@
 		}
 		e.OnCache = func(hash uint64, evicted bool) { r.cacheChanged(i, hash, evicted) }
 		r.engines = append(r.engines, e)
-		r.push(&event{at: float64(i) * reportPeriod / float64(d.Engines), kind: reportDue, engine: e})
+		r.push(&event{at: float64(i) * reportPeriod / float64(d.Engines), kind: reportTaken, engine: e})
 	}
 	for _, q := range requests {
 		r.push(&event{at: q.At, kind: arrival, q: q})
@@ -175,12 +175,12 @@
 }
 
 func (r *Run) cacheChanged(i int, hash uint64, evicted bool) {
-	r.hintSeq[i]++
-	if r.random.Float64() < hintLossRate {
+	r.cacheEventSeq[i]++
+	if r.random.Float64() < cacheEventLossRate {
 		return
 	}
-	h := Hint{Engine: i, Seq: r.hintSeq[i], Hash: hash, Evicted: evicted}
-	r.push(&event{at: r.now + hintLag, kind: hintSeen, hint: h})
+	h := Hint{Engine: i, Seq: r.cacheEventSeq[i], Hash: hash, Evicted: evicted}
+	r.push(&event{at: r.now + cacheEventLag, kind: cacheEventSeen, cacheEvent: h})
 }
 
 // Play runs until every request has ended.
@@ -207,8 +207,8 @@
 		r.policy.Arrive(r.now, e.q)
 	case dispatched:
 		r.submit(e.job)
-	case engineDue:
-		if e.version == r.timerVersions[e.engine.Index] {
+	case engineTimer:
+		if e.timerVersion == r.timerVersions[e.engine.Index] {
 			r.advance(e.engine)
 			r.admit()
 		}
@@ -216,16 +216,16 @@
 		if e.q.Done < 0 && !e.q.Dropped {
 			r.policy.First(r.now, e.q)
 		}
-	case doneSeen:
+	case lastTokenSeen:
 		r.policy.Done(r.now, e.q)
 	case deadline:
 		r.handleDeadline(e.q)
-	case reportDue:
+	case reportTaken:
 		r.report(e.engine)
 	case reportSeen:
 		r.policy.Report(r.now, e.report)
-	case hintSeen:
-		r.policy.Hint(r.now, e.hint)
+	case cacheEventSeen:
+		r.policy.Hint(r.now, e.cacheEvent)
 	}
 }
 
@@ -243,7 +243,7 @@
 		q.Done = r.now + hop
 		r.recordPrefill(q)
 		r.unfinished--
-		r.push(&event{at: r.now + hop, kind: doneSeen, q: q})
+		r.push(&event{at: r.now + hop, kind: lastTokenSeen, q: q})
 	}
 	r.schedule(en)
 }
@@ -252,7 +252,7 @@
 func (r *Run) schedule(en *engine.Engine) {
 	r.timerVersions[en.Index]++
 	if next := en.Next(); !math.IsInf(next, 1) {
-		r.push(&event{at: max(next, r.now), kind: engineDue, engine: en, version: r.timerVersions[en.Index]})
+		r.push(&event{at: max(next, r.now), kind: engineTimer, engine: en, timerVersion: r.timerVersions[en.Index]})
 	}
 }
 
@@ -317,7 +317,7 @@
 		rep.Running = append(rep.Running, r.requests[j.ID])
 	}
 	r.push(&event{at: r.now + reportLag, kind: reportSeen, report: rep})
-	r.push(&event{at: r.now + reportPeriod, kind: reportDue, engine: en})
+	r.push(&event{at: r.now + reportPeriod, kind: reportTaken, engine: en})
 }
 
 // Dispatch implements Fleet.
--- a/bench/whatif.go
+++ b/bench/whatif.go
@@ -99,7 +99,7 @@
 
 func printTraces(c *cli.Command, l *whatif.Log, change whatif.Change) error {
 	fmt.Print(l.Gaps.String())
-	days, err := whatif.Days(l, change)
+	traces, err := whatif.Days(l, change)
 	if err != nil {
 		return err
 	}
@@ -107,20 +107,20 @@
 	if c.Bool("alone") {
 		rules.MaxGroup = 1
 	}
-	for i := range days {
-		d := &days[i]
+	for i := range traces {
+		d := &traces[i]
 		r := d.Play(rules)
 		d.Print(os.Stdout, &r)
-		var ends []passes.Ending
+		var outcomes []passes.Ending
 		if c.Bool("bound") {
-			share, most := d.Modelled(&r).Share(), d.Most()
+			simulated, bound := d.Modelled(&r).Share(), d.Most()
 			var found float64
-			found, ends = d.Found(c.Int("tries"), c.Uint64("seed"))
+			found, outcomes = d.Found(c.Int("tries"), c.Uint64("seed"))
 			fmt.Printf("upper bound for any scheduler %.3f, best of the search %.3f; the simulation reached %.3f and %.3f of these\n",
-				most, found, share/max(most, 1e-9), share/max(found, 1e-9))
+				bound, found, simulated/max(bound, 1e-9), simulated/max(found, 1e-9))
 		}
 		if length := clock.Of(c.Duration("phase")); length > 0 {
-			whatif.PrintPhases(os.Stdout, d.Phases(&r, ends, length))
+			whatif.PrintPhases(os.Stdout, d.Phases(&r, outcomes, length))
 		}
 	}
 	return nil
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -129,23 +129,23 @@
 // far. As each result comes from a simulation, it can be reached.
 func (d *Day) Found(tries int, seed uint64) (float64, []passes.Ending) {
 	rules := span.DefaultRules
-	best, ends := d.playSubset(rules, nil)
+	best, outcomes := d.playSubset(rules, nil)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	dropped := make([]bool, len(d.Arrivals))
 	for try := range tries {
 		if try%4 == 3 {
 			r := varyRule(rules, rng)
-			if share, es := d.playSubset(r, dropped); share > best {
-				best, ends, rules = share, es, r
+			if share, triedOutcomes := d.playSubset(r, dropped); share > best {
+				best, outcomes, rules = share, triedOutcomes, r
 			}
 			continue
 		}
-		next := d.toggleDropped(dropped, ends, rng)
-		if share, es := d.playSubset(rules, next); share > best {
-			best, ends, dropped = share, es, next
+		next := d.toggleDropped(dropped, outcomes, rng)
+		if share, triedOutcomes := d.playSubset(rules, next); share > best {
+			best, outcomes, dropped = share, triedOutcomes, next
 		}
 	}
-	return best, ends
+	return best, outcomes
 }
 
 // playSubset simulates the requests that are not dropped and returns the fraction of the value of
@@ -158,9 +158,9 @@
 			kept, index = append(kept, d.Arrivals[i]), append(index, i)
 		}
 	}
-	ends := make([]passes.Ending, len(d.Arrivals))
-	for i := range ends {
-		ends[i] = passes.Lost
+	outcomes := make([]passes.Ending, len(d.Arrivals))
+	for i := range outcomes {
+		outcomes[i] = passes.Lost
 	}
 	sum, all := 0.0, 0.0
 	for i := range d.Arrivals {
@@ -168,10 +168,10 @@
 	}
 	for n, e := range passes.PlayArrivals(&d.Load, rules, kept).Requests {
 		a := &kept[n]
-		ends[index[n]] = e.Ending(a.Kind)
-		sum += worthOf(a.Kind, a.Prompt, ends[index[n]])
+		outcomes[index[n]] = e.Ending(a.Kind)
+		sum += worthOf(a.Kind, a.Prompt, outcomes[index[n]])
 	}
-	return sum / max(all, 1e-9), ends
+	return sum / max(all, 1e-9), outcomes
 }
 
 // toggleChance is the probability with which one try drops a request that was not in time, or
@@ -180,10 +180,10 @@
 
 // toggleDropped drops some of the requests that were not in time, and restores some of the dropped
 // ones.
-func (d *Day) toggleDropped(dropped []bool, ends []passes.Ending, rng *rand.Rand) []bool {
+func (d *Day) toggleDropped(dropped []bool, outcomes []passes.Ending, rng *rand.Rand) []bool {
 	next := slices.Clone(dropped)
 	for i := range next {
-		if ends[i] != passes.InTime && rng.Float64() < toggleChance {
+		if outcomes[i] != passes.InTime && rng.Float64() < toggleChance {
 			next[i] = !next[i]
 		}
 	}
--- a/bench/whatif/table.go
+++ b/bench/whatif/table.go
@@ -151,17 +151,17 @@
 
 // Print writes a table that compares the logged requests with a simulation.
 func (d *Day) Print(out io.Writer, r *passes.Result) {
-	served, modelled := d.Served(), d.Modelled(r)
+	logged, simulated := d.Served(), d.Modelled(r)
 	fmt.Fprintf(out, "service %s: %d engines, %d requests in %.1f s; %d more answered before placement\n",
 		d.Service, d.Load.Engines, len(d.Played), d.Load.Length/1000, d.Turned)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "kind\t\trequests\tin time %\tlate %\tlost %\tfirst event p50 ms\tworth")
-	for _, n := range slices.Sorted(maps.Keys(modelled)) {
-		printTally(w, n, "logged", served[n])
-		printTally(w, n, "simulated", modelled[n])
+	for _, n := range slices.Sorted(maps.Keys(simulated)) {
+		printTally(w, n, "logged", logged[n])
+		printTally(w, n, "simulated", simulated[n])
 	}
-	fmt.Fprintf(w, "all\tlogged\t\t\t\t\t\t%.3f\n", served.Share())
-	fmt.Fprintf(w, "all\tsimulated\t\t\t\t\t\t%.3f\n", modelled.Share())
+	fmt.Fprintf(w, "all\tlogged\t\t\t\t\t\t%.3f\n", logged.Share())
+	fmt.Fprintf(w, "all\tsimulated\t\t\t\t\t\t%.3f\n", simulated.Share())
 	_ = w.Flush() // an error of the terminal can't be reported anywhere else
 	d.printReasons(out)
 	printTime(out, &r.Time)
--- a/bench/whatif/whatif_test.go
+++ b/bench/whatif/whatif_test.go
@@ -53,10 +53,10 @@
 	t.Helper()
 	l, err := Read(logs(texts...)...)
 	require.NoError(t, err)
-	days, err := Days(l, c)
+	traces, err := Days(l, c)
 	require.NoError(t, err)
-	require.Len(t, days, 1)
-	return &days[0]
+	require.Len(t, traces, 1)
+	return &traces[0]
 }
 
 func TestModelReproducesLoggedResults(t *testing.T) {
@@ -154,19 +154,19 @@
 	l, err := Read(readers...)
 	require.NoError(t, err)
 	require.True(t, l.Unlisted, "the upstreams were present when these VMs started")
-	days, err := Days(l, Change{Mix: map[clock.Milli]float64{3000: 0}})
+	traces, err := Days(l, Change{Mix: map[clock.Milli]float64{3000: 0}})
 	require.NoError(t, err)
-	require.Len(t, days, 1)
-	require.Equal(t, 3, days[0].Load.Engines, "the fourth engine received no request")
-	r := days[0].Play(span.DefaultRules)
+	require.Len(t, traces, 1)
+	require.Equal(t, 3, traces[0].Load.Engines, "the fourth engine received no request")
+	r := traces[0].Play(span.DefaultRules)
 	var out strings.Builder
-	days[0].Print(&out, &r)
+	traces[0].Print(&out, &r)
 	require.Contains(t, out.String(), "aim300")
-	require.InDelta(t, days[0].Served()["aim300"].Worth, days[0].Modelled(&r)["aim300"].Worth, 3)
+	require.InDelta(t, traces[0].Served()["aim300"].Worth, traces[0].Modelled(&r)["aim300"].Worth, 3)
 }
 
 // The requirement is at most 2 s for 60 engines and at most a minute for 1,300.
-func BenchmarkDay(b *testing.B) {
+func BenchmarkTrace(b *testing.B) {
 	for _, engines := range []int{60, 1300} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			load := *passes.Loads()["long60"]
@@ -186,20 +186,20 @@
 func TestPhasesAddUpToWholeTrace(t *testing.T) {
 	d := singleTrace(t, Change{}, shortRequestLog("a", 2, 400))
 	r := d.Play(span.DefaultRules)
-	_, ends := d.Found(4, 1)
-	phases := d.Phases(&r, ends, 2*clock.Second)
+	_, outcomes := d.Found(4, 1)
+	phases := d.Phases(&r, outcomes, 2*clock.Second)
 	require.Len(t, phases, 4)
-	asked, served, modelled, all := 0, 0.0, 0.0, 0.0
+	requests, logged, simulated, all := 0, 0.0, 0.0, 0.0
 	for _, p := range phases {
-		asked += p.Asked
+		requests += p.Asked
 		all += p.maxWorth
-		served += p.Served * p.maxRecordedWorth
-		modelled += p.Modelled * p.maxWorth
+		logged += p.Served * p.maxRecordedWorth
+		simulated += p.Modelled * p.maxWorth
 		require.Positive(t, p.Found)
 	}
-	require.Equal(t, 400, asked)
-	require.InDelta(t, d.Served().Share(), served/all, 1e-9)
-	require.InDelta(t, d.Modelled(&r).Share(), modelled/all, 1e-9)
+	require.Equal(t, 400, requests)
+	require.InDelta(t, d.Served().Share(), logged/all, 1e-9)
+	require.InDelta(t, d.Modelled(&r).Share(), simulated/all, 1e-9)
 	var b bytes.Buffer
 	PrintPhases(&b, phases)
 	require.Len(t, strings.Split(strings.TrimSpace(b.String()), "\n"), 1+len(phases))
