--- a/bench/bars.go
+++ b/bench/bars.go
@@ -67,33 +67,33 @@
 // checkFirstTokenGain compares the 99th percentile of the time to first token of urgent requests
 // with that of the best baseline that finishes at least as many long requests in time, or of the
 // best of all baselines if none does.
-func (c *cell) checkFirstTokenGain(w *bytes.Buffer, rivals []*cell) {
-	best, all := "", true
-	least := 0.0
-	for _, equal := range []bool{true, false} {
-		for _, o := range rivals {
-			if equal && o.result.LongInTime < c.result.LongInTime {
+func (c *cell) checkFirstTokenGain(w *bytes.Buffer, baselines []*cell) {
+	best, comparable := "", true
+	lowest := 0.0
+	for _, sameLong := range []bool{true, false} {
+		for _, o := range baselines {
+			if sameLong && o.result.LongInTime < c.result.LongInTime {
 				continue
 			}
-			if p := o.result.Urgent.P99; best == "" || p < least {
-				best, least, all = o.candidate.name, p, equal
+			if p := o.result.Urgent.P99; best == "" || p < lowest {
+				best, lowest, comparable = o.candidate.name, p, sameLong
 			}
 		}
 		if best != "" {
 			break
 		}
 	}
-	gain := least / c.result.Urgent.P99
+	gain := lowest / c.result.Urgent.P99
 	note := ""
-	if !all {
+	if !comparable {
 		note = ", which finishes fewer long requests in time"
 	}
-	c.printTarget(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.Urgent.P99, least), gain >= minFirstTokenGain)
+	c.printTarget(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.Urgent.P99, lowest), gain >= minFirstTokenGain)
 }
 
-func (c *cell) checkGoodput(w *bytes.Buffer, rivals []*cell) {
-	best := rivals[0]
-	for _, o := range rivals {
+func (c *cell) checkGoodput(w *bytes.Buffer, baselines []*cell) {
+	best := baselines[0]
+	for _, o := range baselines {
 		if o.result.Goodput > best.result.Goodput {
 			best = o
 		}
--- a/bench/decide.go
+++ b/bench/decide.go
@@ -60,7 +60,8 @@
 	result     measure.Result
 }
 
-// options selects the combinations to run; an empty string or zero does not restrict them.
+// options are the options of the command. An empty name or a load of zero selects all, and zero
+// engines leave the size of the fleet as it is.
 type options struct {
 	seed                         uint64
 	duration                     float64
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -37,9 +37,9 @@
 // 50 s and needs the memory of three engines.
 var fleetEngine = engine.Spec{Memory: 450_000, Slots: 64, Prefill: 20, Decode: 0.05}
 
-// Deployments are the two modelled deployments. Each has the total number of engines of a real one,
-// about 20 for its large model and 3 for a smaller one, and ten workspaces; one request in fifty
-// has a prompt of more than 100,000 tokens.
+// Deployments are the two modelled deployments. Each has 23 engines, about 20 for a large model and
+// 3 for another one, and ten workspaces; one request in fifty has a prompt of more than 100,000
+// tokens.
 var Deployments = []Deployment{
 	{
 		Name: "directorate", Engines: 23, Engine: fleetEngine, Workspaces: 10,
@@ -223,7 +223,7 @@
 }
 
 // prefixes sets the prefix hashes of a request: one for each leading 1024, 2048, 4096, ... tokens
-// of its prompt.
+// of its prompt. A request that repeats an earlier one also gets its prompt length.
 func (g *generator) prefixes(q *Request) {
 	long := q.Kind.Longest > LongPrompt
 	key, common := uint64(q.ID)+1<<40, int64(0)
--- a/bench/passes/play.go
+++ b/bench/passes/play.go
@@ -235,7 +235,7 @@
 	heap.Push(&p.queue, event{at, p.seq, do})
 }
 
-// scheduleEvery runs do once every period until no other event is left.
+// scheduleEvery runs do once every period, until at most one other event is scheduled.
 func (p *simulation) scheduleEvery(period float64, do func()) {
 	p.schedule(p.now+period, func() {
 		do()
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -18,7 +18,8 @@
 	// reportPeriod is the time between two load reports of an engine, reportLag the delay before
 	// the policy receives one, both in milliseconds.
 	reportPeriod, reportLag = 500, 250
-	// cacheEventLag is the delay of cache events in milliseconds, cacheEventLossRate the fraction that is lost.
+	// cacheEventLag is the delay of cache events in milliseconds, cacheEventLossRate the fraction
+	// of them that is lost.
 	cacheEventLag, cacheEventLossRate = 500, 0.02
 )
 
@@ -90,8 +91,8 @@
 	q      *load.Request
 	job    *engine.Job
 	engine *engine.Engine
-	// timerVersion is the engine's timer version when the event was scheduled; a later version makes the
-	// event obsolete.
+	// timerVersion is the engine's timer version when the event was scheduled; a later version
+	// makes the event obsolete.
 	timerVersion int
 	report       Report
 	cacheEvent   Hint
@@ -194,13 +195,14 @@
 		} else {
 			e := heap.Pop(&r.events).(*event)
 			r.now = e.at
-			r.dispatch(e)
+			r.handleEvent(e)
 		}
 		r.nextWake = r.policy.Next(r.now)
 	}
 }
 
-func (r *Run) dispatch(e *event) {
+// handleEvent processes one event of the simulation.
+func (r *Run) handleEvent(e *event) {
 	switch e.kind {
 	case arrival:
 		r.push(&event{at: e.q.Deadline, kind: deadline, q: e.q})
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -23,9 +23,9 @@
 
 // Most returns an upper bound on the fraction of the value that any scheduler can reach on the
 // engines, even one that knows all arrivals in advance. It assumes that all engines work as one,
-// that work can be split at will, and that no memory or slots stay unused; a request is out of
-// reach only if its prompt is too long for the most engines that may prefill it. The bound is the
-// lower of two such relaxations.
+// that work can be split at will, and that memory and slots are never the limit; a request is out
+// of reach only if its prompt is too long for the most engines that may prefill it. The bound is
+// the lower of two such relaxations.
 //
 // In the first, a request is in time if its prefill is complete by its aim. In the second, it earns
 // a part of its value for the prefill done by its aim, and the rest for the decoding done by the
@@ -129,28 +129,28 @@
 // far. As each result comes from a simulation, it can be reached.
 func (d *Day) Found(tries int, seed uint64) (float64, []passes.Ending) {
 	rules := span.DefaultRules
-	best, outcomes := d.playSubset(rules, nil)
+	best, outcomes := d.simulateSubset(rules, nil)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	dropped := make([]bool, len(d.Arrivals))
 	for try := range tries {
 		if try%4 == 3 {
 			r := varyRule(rules, rng)
-			if share, triedOutcomes := d.playSubset(r, dropped); share > best {
+			if share, triedOutcomes := d.simulateSubset(r, dropped); share > best {
 				best, outcomes, rules = share, triedOutcomes, r
 			}
 			continue
 		}
 		next := d.toggleDropped(dropped, outcomes, rng)
-		if share, triedOutcomes := d.playSubset(rules, next); share > best {
+		if share, triedOutcomes := d.simulateSubset(rules, next); share > best {
 			best, outcomes, dropped = share, triedOutcomes, next
 		}
 	}
 	return best, outcomes
 }
 
-// playSubset simulates the requests that are not dropped and returns the fraction of the value of
+// simulateSubset simulates the requests that are not dropped and returns the fraction of the value of
 // all requests, and how each of them ended.
-func (d *Day) playSubset(rules span.Rules, dropped []bool) (float64, []passes.Ending) {
+func (d *Day) simulateSubset(rules span.Rules, dropped []bool) (float64, []passes.Ending) {
 	var kept []passes.Arrival
 	var index []int
 	for i := range d.Arrivals {
--- a/bench/whatif/phases.go
+++ b/bench/whatif/phases.go
@@ -19,9 +19,9 @@
 	// Served is the result in the logs, Modelled that of the simulation, Found that of the best
 	// simulation of a search; zero if there was no search.
 	Served, Modelled, Found float64
-	// maxWorth and maxRecordedWorth are the values of the simulated and of the logged requests if
+	// maxWorth and maxLoggedWorth are the values of the simulated and of the logged requests if
 	// all had been in time.
-	maxWorth, maxRecordedWorth float64
+	maxWorth, maxLoggedWorth float64
 }
 
 // Phases divides the arrivals, of which there must be at least one, into intervals of the given
@@ -45,7 +45,7 @@
 		at := clock.Of(q.Arrived.Sub(d.Played[0].Arrived))
 		p := &phases[at/length]
 		k, e := kinds[*q.Aim], q.response()
-		p.maxRecordedWorth += k.Of(tokenCount(q.Prompt))
+		p.maxLoggedWorth += k.Of(tokenCount(q.Prompt))
 		p.Served += worthOf(k, tokenCount(q.Prompt), e.Ending(k))
 	}
 	for i := range d.Arrivals {
@@ -60,7 +60,7 @@
 	}
 	for i := range phases {
 		p := &phases[i]
-		p.Served /= max(p.maxRecordedWorth, 1e-9)
+		p.Served /= max(p.maxLoggedWorth, 1e-9)
 		p.Modelled /= max(p.maxWorth, 1e-9)
 		p.Found /= max(p.maxWorth, 1e-9)
 	}
--- a/bench/whatif/read.go
+++ b/bench/whatif/read.go
@@ -84,8 +84,9 @@
 	// Headless are the VMs whose logs lack the line of their start. The beginning of these logs may
 	// be missing.
 	Headless []string
-	// Unlisted is set if every VM already had upstreams when it started, which the logs do not
-	// name. These upstreams are counted from the requests sent to them.
+	// Unlisted is set if no log contains an empty list of upstreams at the start of its VM: each VM
+	// already had upstreams, which the logs do not name. These are counted from the requests sent
+	// to them.
 	Unlisted bool
 }
 
--- a/bench/whatif/whatif_test.go
+++ b/bench/whatif/whatif_test.go
@@ -193,7 +193,7 @@
 	for _, p := range phases {
 		requests += p.Asked
 		all += p.maxWorth
-		logged += p.Served * p.maxRecordedWorth
+		logged += p.Served * p.maxLoggedWorth
 		simulated += p.Modelled * p.maxWorth
 		require.Positive(t, p.Found)
 	}
