--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -56,14 +56,14 @@
 		return f, err
 	}
 	for _, r := range f.Platform.Runners() {
-		l, err := f.relay(r.Listens())
+		l, err := f.relay(r.ListenAddress())
 		if err != nil {
 			return f, err
 		}
 		l.Name(nameWait)
 		f.upstreams[l.Address()] = l
-		r.Dies, r.Origin = f.Crash, l.Source
-		r.Move(l.Address())
+		r.OnCrash, r.ResolveVM = f.Crash, l.Source
+		r.RegisterAt(l.Address())
 	}
 	for i := range vms {
 		if err := f.add(fmt.Sprintf("vm-%d", i+1)); err != nil {
@@ -144,19 +144,19 @@
 }
 
 // Renew starts a runner with another id at the address of one that has ended.
-func (f *Fleet) Renew(old *standin.Runner) error { return f.follow(old, f.Platform.Renew) }
+func (f *Fleet) Renew(old *standin.Runner) error { return f.follow(old, f.Platform.ReplaceRunner) }
 
 // Revive starts the next life of a runner under its id, at the same address.
-func (f *Fleet) Revive(old *standin.Runner) error { return f.follow(old, f.Platform.Revive) }
+func (f *Fleet) Revive(old *standin.Runner) error { return f.follow(old, f.Platform.RestartRunner) }
 
 func (f *Fleet) follow(old *standin.Runner, start func(*standin.Runner) *standin.Runner) error {
 	l := f.Upstream(old)
 	r := start(old)
-	if err := l.Up(r.Listens()); err != nil {
+	if err := l.Up(r.ListenAddress()); err != nil {
 		return err
 	}
-	r.Dies, r.Origin = f.Crash, l.Source
-	r.Move(l.Address())
+	r.OnCrash, r.ResolveVM = f.Crash, l.Source
+	r.RegisterAt(l.Address())
 	return nil
 }
 
--- a/scenarios/world/answer.go
+++ b/scenarios/world/answer.go
@@ -171,7 +171,7 @@
 
 // own checks that a part of an answer is the start of the call's own.
 func (r *Result) own() {
-	want := expect.Of(r.Call.prompt()).Answer(r.Call.Output)
+	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.Output)
 	if !strings.HasPrefix(want, r.Text) {
 		r.ends(Wrong, fmt.Sprintf("part of an answer that is not its own: %q", r.Text))
 	}
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -123,7 +123,7 @@
 		if k.Name != c.Kind {
 			continue
 		}
-		c.Allowed, c.Once = k.Allowed, !k.Repeat
+		c.Allowed, c.Once = k.TimeLimit, !k.Repeatable
 		if c.Deadline > 0 {
 			c.Allowed = min(c.Allowed, c.Deadline)
 		}
