--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -35,7 +35,7 @@
 	require.GreaterOrEqual(t, r.LongInTime*100, r.LongAdmitted*99)
 	require.Less(t, r.Missed*1000, r.Requests)
 	b := runScenario(t, d, "mix", 0.8, 5, newBaseline("shortest first", policy.ShortestFirst))
-	require.Less(t, 5*r.Urgent.P99, b.Urgent.P99)
+	require.Less(t, 5*r.UrgentFirstToken.P99, b.UrgentFirstToken.P99)
 }
 
 // The offered load is 1.5 times the capacity of the fleet. Some requests must be refused; the
@@ -64,7 +64,7 @@
 			require.Less(t, r.Missed*1000, r.Requests)
 			require.GreaterOrEqual(t, r.InTime*100, r.Requests*97)
 			require.LessOrEqual(t, r.Slowdown.P99, 1.5)
-			for _, kept := range r.Kept {
+			for _, kept := range r.ServedFractions {
 				require.GreaterOrEqual(t, kept, 0.8, "at least 80% of each workspace's offered tokens are served in time")
 			}
 		})
--- a/bench/engine/cache.go
+++ b/bench/engine/cache.go
@@ -41,8 +41,8 @@
 	e.element = c.order.PushBack(e)
 	c.entries[p.Hash] = e
 	c.tokens += p.extraTokens()
-	if en.OnCache != nil {
-		en.OnCache(p.Hash, false)
+	if en.OnCacheChange != nil {
+		en.OnCacheChange(p.Hash, false)
 	}
 	c.trim(en)
 }
@@ -58,8 +58,8 @@
 		c.order.Remove(e.element)
 		delete(c.entries, e.prefix.Hash)
 		c.tokens -= e.prefix.extraTokens()
-		if en.OnCache != nil {
-			en.OnCache(e.prefix.Hash, true)
+		if en.OnCacheChange != nil {
+			en.OnCacheChange(e.prefix.Hash, true)
 		}
 	}
 }
--- a/bench/engine/engine.go
+++ b/bench/engine/engine.go
@@ -24,8 +24,8 @@
 	// Memory is the KV memory in tokens, Slots the most requests that run at the same time.
 	Memory int64
 	Slots  int
-	// Prefill and Decode are rates of a single request in tokens per millisecond.
-	Prefill, Decode float64
+	// PrefillRate and DecodeRate are rates of a single request in tokens per millisecond.
+	PrefillRate, DecodeRate float64
 }
 
 // Job is one request on an engine or on a group of engines. The first member is the leader, which
@@ -33,17 +33,17 @@
 type Job struct {
 	ID       int
 	Priority int
-	// Prompt, Output and Share (the memory reserved on each member) are in tokens. A lower Priority
+	// Prompt, Output and MemoryPerMember (reserved on each member) are in tokens. A lower Priority
 	// value is prefilled first.
-	Prompt, Output, Share int64
-	Prefixes              []Prefix
-	Members               []*Engine
+	Prompt, Output, MemoryPerMember int64
+	Prefixes                        []Prefix
+	Members                         []*Engine
 	// Cached is the number of prompt tokens found in the prefix cache.
 	Cached int64
-	// Done is the number of prompt tokens prefilled.
-	Done     float64
-	admitted bool
-	first    bool
+	// Prefilled is the number of prompt tokens prefilled.
+	Prefilled float64
+	admitted  bool
+	first     bool
 	// finishAt is the engine's decodedPerJob at which the job ends.
 	finishAt float64
 	// sequence is the order of arrival on the engine.
@@ -56,24 +56,24 @@
 	Tokens int64
 }
 
-// Event is the first token of a job or, if Last is set, its end.
+// Event is the first token of a job or, if Ended is set, its end.
 type Event struct {
-	Job  *Job
-	Last bool
+	Job   *Job
+	Ended bool
 }
 
 // Engine is the simulated state of one engine.
 type Engine struct {
 	Spec Spec
-	// Slow is a factor on the duration of all work; 1 is the rated speed.
-	Slow  float64
-	Index int
-	// Shortest makes the engine admit and prefill the shortest prompt first.
-	Shortest bool
+	// Slowdown is a factor on the duration of all work; 1 is the rated speed.
+	Slowdown float64
+	Index    int
+	// ShortestFirst makes the engine admit and prefill the shortest prompt first.
+	ShortestFirst bool
 	// Cache is the prefix cache.
 	Cache Cache
-	// OnCache, if set, is called on each change of the prefix cache.
-	OnCache func(hash uint64, evicted bool)
+	// OnCacheChange, if set, is called on each change of the prefix cache.
+	OnCacheChange func(hash uint64, evicted bool)
 
 	used    int64
 	running int
@@ -96,46 +96,46 @@
 
 // New returns an idle engine.
 func New(index int, s Spec) *Engine {
-	e := &Engine{Spec: s, Slow: 1, Index: index}
+	e := &Engine{Spec: s, Slowdown: 1, Index: index}
 	e.Cache.entries = map[uint64]*entry{}
 	return e
 }
 
-// Used returns the memory in use, in tokens.
-func (e *Engine) Used() int64 { return e.used }
+// UsedMemory returns the memory in use, in tokens.
+func (e *Engine) UsedMemory() int64 { return e.used }
 
-// Load returns the number of jobs on the engine, waiting ones included.
-func (e *Engine) Load() int { return len(e.waiting) + e.running }
+// JobCount returns the number of jobs on the engine, waiting ones included.
+func (e *Engine) JobCount() int { return len(e.waiting) + e.running }
 
-// Held returns the admitted jobs that hold memory on the engine.
-func (e *Engine) Held() []*Job { return e.admitted }
+// Admitted returns the admitted jobs that hold memory on the engine.
+func (e *Engine) Admitted() []*Job { return e.admitted }
 
 func (e *Engine) prefillRate() float64 {
-	return e.Spec.Prefill / e.Slow / (1 + prefillBatchCost*float64(len(e.decoding)))
+	return e.Spec.PrefillRate / e.Slowdown / (1 + prefillBatchCost*float64(len(e.decoding)))
 }
 
 func (e *Engine) decodeRate() float64 {
-	rate := e.Spec.Decode / e.Slow / (1 + decodeBatchCost*float64(max(len(e.decoding)-1, 0)))
+	rate := e.Spec.DecodeRate / e.Slowdown / (1 + decodeBatchCost*float64(max(len(e.decoding)-1, 0)))
 	if len(e.prefill) > 0 {
 		rate /= 1 + prefillInterference
 	}
 	return rate
 }
 
-// Alone returns the time to first token and the total time of a job on an idle engine whose prefix
-// cache holds the given number of tokens of its prompt.
-func Alone(s Spec, prompt, cached, output int64) (first, whole float64) {
-	first = float64(prompt-cached) / s.Prefill
-	return first, first + float64(output)/s.Decode
+// TimesOnIdle returns the time to first token and the total time of a job on an idle engine whose
+// prefix cache holds the given number of tokens of its prompt.
+func TimesOnIdle(s Spec, prompt, cached, output int64) (first, whole float64) {
+	first = float64(prompt-cached) / s.PrefillRate
+	return first, first + float64(output)/s.DecodeRate
 }
 
-// Next returns the instant of the engine's next event if no job is added or canceled before;
+// NextEvent returns the instant of the engine's next event if no job is added or canceled before;
 // infinity if it has no work.
-func (e *Engine) Next() float64 {
+func (e *Engine) NextEvent() float64 {
 	next := math.Inf(1)
 	if len(e.prefill) > 0 {
 		j := e.prefill[0]
-		next = e.now + (float64(j.Prompt-j.Cached)-j.Done)/e.prefillRate()
+		next = e.now + (float64(j.Prompt-j.Cached)-j.Prefilled)/e.prefillRate()
 	}
 	if len(e.decoding) > 0 {
 		left := math.Inf(1)
@@ -150,14 +150,14 @@
 // epsilon is the rounding tolerance, in milliseconds of prefill.
 const epsilon = 1e-6
 
-// Advance simulates the engine up to now, which must not be later than Next, and appends the events
-// that occur to out.
+// Advance simulates the engine up to now, which must not be later than NextEvent, and appends the
+// events that occur to out.
 func (e *Engine) Advance(now float64, out []Event) []Event {
 	elapsed := now - e.now
 	if elapsed > 0 {
 		pre, dec := e.prefillRate(), e.decodeRate()
 		if len(e.prefill) > 0 {
-			e.prefill[0].Done += elapsed * pre
+			e.prefill[0].Prefilled += elapsed * pre
 		}
 		if len(e.decoding) > 0 {
 			e.decodedPerJob += elapsed * dec
@@ -166,7 +166,7 @@
 	e.now = now
 	if len(e.prefill) > 0 {
 		j := e.prefill[0]
-		if j.Done >= float64(j.Prompt-j.Cached)-epsilon*e.Spec.Prefill-1e-3 {
+		if j.Prefilled >= float64(j.Prompt-j.Cached)-epsilon*e.Spec.PrefillRate-1e-3 {
 			e.prefill = e.prefill[1:]
 			j.first = true
 			j.finishAt = e.decodedPerJob + float64(j.Output)
@@ -179,7 +179,7 @@
 		if j := e.decoding[i]; j.finishAt <= e.decodedPerJob+1e-6 {
 			e.decoding = slices.Delete(e.decoding, i, i+1)
 			e.release(j)
-			out = append(out, Event{Job: j, Last: true})
+			out = append(out, Event{Job: j, Ended: true})
 		}
 	}
 	return out
@@ -197,7 +197,7 @@
 	e.lastSequence++
 	j.sequence = e.lastSequence
 	e.waiting = append(e.waiting, j)
-	if e.Shortest {
+	if e.ShortestFirst {
 		slices.SortStableFunc(e.waiting, func(a, b *Job) int { return int(a.Prompt - b.Prompt) })
 	}
 }
@@ -224,7 +224,7 @@
 
 func (j *Job) fits() bool {
 	for _, m := range j.Members {
-		if m.used+j.Share > m.Spec.Memory || m.running >= m.Spec.Slots {
+		if m.used+j.MemoryPerMember > m.Spec.Memory || m.running >= m.Spec.Slots {
 			return false
 		}
 		if m.blockedBy != nil && m.blockedBy != j {
@@ -236,7 +236,7 @@
 
 func (e *Engine) start(j *Job) {
 	for _, m := range j.Members {
-		m.used += j.Share
+		m.used += j.MemoryPerMember
 		m.running++
 		m.admitted = append(m.admitted, j)
 		m.Cache.trim(m)
@@ -270,14 +270,14 @@
 	}
 }
 
-// comparePrefill orders jobs for prefill: by priority, then by arrival or, with Shortest, by prompt
-// length among jobs not yet begun. A prompt whose prefill has begun is interrupted only for a job
-// of another priority.
+// comparePrefill orders jobs for prefill: by priority, then by arrival or, with ShortestFirst, by
+// prompt length among jobs not yet begun. A prompt whose prefill has begun is interrupted only for
+// a job of another priority.
 func (e *Engine) comparePrefill(a, b *Job) int {
 	if a.Priority != b.Priority {
 		return a.Priority - b.Priority
 	}
-	if e.Shortest && a.Done == 0 && b.Done == 0 {
+	if e.ShortestFirst && a.Prefilled == 0 && b.Prefilled == 0 {
 		return int(a.Prompt - b.Prompt)
 	}
 	return a.sequence - b.sequence
@@ -285,7 +285,7 @@
 
 func (e *Engine) release(j *Job) {
 	for _, m := range j.Members {
-		m.used -= j.Share
+		m.used -= j.MemoryPerMember
 		m.running--
 		m.admitted = slices.DeleteFunc(m.admitted, func(o *Job) bool { return o == j })
 	}
@@ -313,18 +313,18 @@
 	}
 }
 
-// Backlog returns the number of prompt tokens that still have to be prefilled, those of waiting
-// jobs included.
-func (e *Engine) Backlog() int64 {
+// PrefillBacklog returns the number of prompt tokens that still have to be prefilled, those of
+// waiting jobs included.
+func (e *Engine) PrefillBacklog() int64 {
 	sum := int64(0)
 	for _, j := range e.waiting {
 		sum += j.Prompt
 	}
 	for _, j := range e.prefill {
-		sum += j.Prompt - j.Cached - int64(j.Done)
+		sum += j.Prompt - j.Cached - int64(j.Prefilled)
 	}
 	return sum
 }
 
-// Waits reports whether jobs wait to be admitted.
-func (e *Engine) Waits() bool { return len(e.waiting) > 0 }
+// HasWaiting reports whether jobs wait to be admitted.
+func (e *Engine) HasWaiting() bool { return len(e.waiting) > 0 }
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -13,15 +13,16 @@
 type Kind struct {
 	Name    string
 	Urgency int
-	// Share is the fraction of all requests that are of this kind.
-	Share float64
-	// Shortest and Longest bound the prompt length in tokens; lengths are log-uniform between them.
-	Shortest, Longest int64
+	// Fraction is the fraction of all requests that are of this kind.
+	Fraction float64
+	// MinPrompt and MaxPrompt bound the prompt length in tokens; lengths are log-uniform between
+	// them.
+	MinPrompt, MaxPrompt int64
 	// Output scales the response length in tokens: lengths are uniform between a third of it and
 	// all of it, plus one.
 	Output int64
-	// Allowed is the time limit of a request in milliseconds.
-	Allowed float64
+	// TimeLimit is the time limit of a request in milliseconds.
+	TimeLimit float64
 }
 
 // Deployment is a fleet of equal engines and the mix of requests that it serves.
@@ -35,7 +36,7 @@
 
 // fleetEngine is one engine of either deployment: the prefill of a prompt of a million tokens takes
 // 50 s and needs the memory of three engines.
-var fleetEngine = engine.Spec{Memory: 450_000, Slots: 64, Prefill: 20, Decode: 0.05}
+var fleetEngine = engine.Spec{Memory: 450_000, Slots: 64, PrefillRate: 20, DecodeRate: 0.05}
 
 // Deployments are the two modelled deployments. Each has 23 engines, about 20 for a large model and
 // 3 for another one, and ten workspaces; one request in fifty has a prompt of more than 100,000
@@ -68,18 +69,18 @@
 	Name      string
 	Workspace int
 	Kind      *Kind
-	// At (arrival), Deadline, First (first token) and Done are instants in milliseconds; First and
-	// Done are negative until they happen.
-	At, Deadline, First, Done float64
-	Prompt, Output            int64
-	Prefixes                  []engine.Prefix
+	// Arrived, Deadline, FirstToken and Done are instants in milliseconds; FirstToken and Done are
+	// negative until they happen.
+	Arrived, Deadline, FirstToken, Done float64
+	Prompt, Output                      int64
+	Prefixes                            []engine.Prefix
 	// Cached is the part of the prompt found in the prefix cache, Prefilled the part computed, both
 	// in tokens.
 	Cached    int64
 	Prefilled float64
 	Refused   bool
-	// Retry is the retry delay of a refusal in milliseconds.
-	Retry float64
+	// RetryAfter is the retry delay of a refusal in milliseconds.
+	RetryAfter float64
 	// Dropped is set if the request was canceled after it was accepted, by the policy or at its
 	// deadline.
 	Dropped bool
@@ -88,23 +89,23 @@
 // Scenario varies the arrivals and the fleet.
 type Scenario struct {
 	Name string
-	// Burst is the rate during bursts as a multiple of the mean rate; 0 or 1 for no bursts.
-	Burst float64
-	// Skew is the rate of the first workspace as a multiple of each other workspace's.
-	Skew float64
-	// Slow is the factor by which one engine is slower than the others.
-	Slow float64
-	// Full adds two requests of the last kind, the longest, per engine at the start.
-	Full bool
+	// BurstFactor is the rate during bursts as a multiple of the mean rate; 0 or 1 for no bursts.
+	BurstFactor float64
+	// SkewFactor is the rate of the first workspace as a multiple of each other workspace's.
+	SkewFactor float64
+	// Slowdown is the factor by which one engine is slower than the others.
+	Slowdown float64
+	// StartsFull adds two requests of the last kind, the longest, per engine at the start.
+	StartsFull bool
 }
 
 // Scenarios are the measured scenarios.
 var Scenarios = []Scenario{
-	{Name: "mix", Skew: 1, Slow: 1},
-	{Name: "bursts", Burst: 3, Skew: 1, Slow: 1},
-	{Name: "skew", Skew: 10, Slow: 1},
-	{Name: "slow", Skew: 1, Slow: 4},
-	{Name: "saturation", Skew: 1, Slow: 1, Full: true},
+	{Name: "mix", SkewFactor: 1, Slowdown: 1},
+	{Name: "bursts", BurstFactor: 3, SkewFactor: 1, Slowdown: 1},
+	{Name: "skew", SkewFactor: 10, Slowdown: 1},
+	{Name: "slow", SkewFactor: 1, Slowdown: 4},
+	{Name: "saturation", SkewFactor: 1, Slowdown: 1, StartsFull: true},
 }
 
 const (
@@ -123,8 +124,8 @@
 func (d *Deployment) MeanPrompt() float64 {
 	mean := 0.0
 	for _, k := range d.Kinds {
-		a, b := float64(k.Shortest), float64(k.Longest)
-		mean += k.Share * (b - a) / math.Log(b/a)
+		a, b := float64(k.MinPrompt), float64(k.MaxPrompt)
+		mean += k.Fraction * (b - a) / math.Log(b/a)
 	}
 	return mean
 }
@@ -138,7 +139,7 @@
 // prefill all the time or have no memory left, whichever is reached first.
 func (d *Deployment) Rate() float64 {
 	n := float64(d.Engines)
-	return min(n*d.Engine.Prefill/d.MeanPrompt(), n*float64(d.Engine.Memory)*packingEfficiency/d.meanMemoryTime())
+	return min(n*d.Engine.PrefillRate/d.MeanPrompt(), n*float64(d.Engine.Memory)*packingEfficiency/d.meanMemoryTime())
 }
 
 // meanMemoryTime returns the mean of a request's memory multiplied by its duration, in tokens times
@@ -146,10 +147,10 @@
 func (d *Deployment) meanMemoryTime() float64 {
 	mean := 0.0
 	for _, k := range d.Kinds {
-		a, b := float64(k.Shortest), float64(k.Longest)
+		a, b := float64(k.MinPrompt), float64(k.MaxPrompt)
 		square := (b*b - a*a) / (2 * math.Log(b/a))
 		length := (b - a) / math.Log(b/a)
-		mean += k.Share * (square/d.Engine.Prefill + length*float64(k.Output)*2/3/d.Engine.Decode)
+		mean += k.Fraction * (square/d.Engine.PrefillRate + length*float64(k.Output)*2/3/d.Engine.DecodeRate)
 	}
 	return mean
 }
@@ -157,7 +158,7 @@
 // Generate returns the requests of one run in which requests arrive for duration milliseconds.
 func (d *Deployment) Generate(seed uint64, s Scenario, load, duration float64) []*Request {
 	g := &generator{d: d, s: s, r: rand.New(rand.NewPCG(seed, 1)), recent: map[int][]*Request{}}
-	if s.Full {
+	if s.StartsFull {
 		for range 2 * d.Engines {
 			g.add(0, &d.Kinds[len(d.Kinds)-1])
 		}
@@ -182,19 +183,19 @@
 // rateFactor returns the arrival rate at an instant as a multiple of the mean rate; its mean over a
 // burst period is one.
 func (g *generator) rateFactor(at float64) float64 {
-	if g.s.Burst <= 1 {
+	if g.s.BurstFactor <= 1 {
 		return 1
 	}
 	if math.Mod(at, burstPeriod) < burstDuration {
-		return g.s.Burst
+		return g.s.BurstFactor
 	}
-	return (burstPeriod - g.s.Burst*burstDuration) / (burstPeriod - burstDuration)
+	return (burstPeriod - g.s.BurstFactor*burstDuration) / (burstPeriod - burstDuration)
 }
 
 func (g *generator) kind() *Kind {
 	x := g.r.Float64()
 	for i := range g.d.Kinds {
-		if x -= g.d.Kinds[i].Share; x < 0 {
+		if x -= g.d.Kinds[i].Fraction; x < 0 {
 			return &g.d.Kinds[i]
 		}
 	}
@@ -203,19 +204,19 @@
 
 func (g *generator) workspace() int {
 	n := g.d.Workspaces
-	x := g.r.Float64() * (float64(n-1) + g.s.Skew)
-	if x < g.s.Skew {
+	x := g.r.Float64() * (float64(n-1) + g.s.SkewFactor)
+	if x < g.s.SkewFactor {
 		return 0
 	}
-	return min(1+int(x-g.s.Skew), n-1)
+	return min(1+int(x-g.s.SkewFactor), n-1)
 }
 
 func (g *generator) add(at float64, k *Kind) {
-	ratio := float64(k.Longest) / float64(k.Shortest)
-	prompt := int64(float64(k.Shortest) * math.Pow(ratio, g.r.Float64()))
+	ratio := float64(k.MaxPrompt) / float64(k.MinPrompt)
+	prompt := int64(float64(k.MinPrompt) * math.Pow(ratio, g.r.Float64()))
 	q := &Request{
 		ID: len(g.out), Name: fmt.Sprint(len(g.out)), Workspace: g.workspace(), Kind: k,
-		At: at, Deadline: at + k.Allowed, First: -1, Done: -1, Prompt: prompt,
+		Arrived: at, Deadline: at + k.TimeLimit, FirstToken: -1, Done: -1, Prompt: prompt,
 		Output: 1 + int64(float64(k.Output)*(0.5+g.r.Float64()))*2/3,
 	}
 	g.prefixes(q)
@@ -225,7 +226,7 @@
 // prefixes sets the prefix hashes of a request: one for each leading 1024, 2048, 4096, ... tokens
 // of its prompt. A request that repeats an earlier one also gets its prompt length.
 func (g *generator) prefixes(q *Request) {
-	long := q.Kind.Longest > LongPrompt
+	long := q.Kind.MaxPrompt > LongPrompt
 	key, common := uint64(q.ID)+1<<40, int64(0)
 	if !long && g.r.Float64() < sharedPrefixChance {
 		common = 1024 << (q.ID % 2)
@@ -240,7 +241,7 @@
 	for n := int64(1024); n <= q.Prompt; n *= 2 {
 		h := key*1_000_003 + uint64(n)
 		if n <= common {
-			h = (uint64(q.Workspace)*64+uint64(q.Kind.Shortest))*7919 + uint64(n)
+			h = (uint64(q.Workspace)*64+uint64(q.Kind.MinPrompt))*7919 + uint64(n)
 		}
 		q.Prefixes = append(q.Prefixes, engine.Prefix{Hash: h, Tokens: n})
 	}
--- a/bench/measure/measure.go
+++ b/bench/measure/measure.go
@@ -25,14 +25,14 @@
 
 // Result is the outcome of one run for its clients. Times are milliseconds.
 type Result struct {
-	// First is the time to first token by band. A request without a first token counts with the
-	// time until its deadline.
-	First [4]Quantiles
-	// Urgent is the time to first token of requests of urgent kinds (urgency 0).
-	Urgent Quantiles
+	// FirstToken is the time to first token by band. A request without a first token counts with
+	// the time until its deadline.
+	FirstToken [4]Quantiles
+	// UrgentFirstToken is the time to first token of requests of urgent kinds (urgency 0).
+	UrgentFirstToken Quantiles
 	// Slowdown is the total time of urgent requests divided by the time on an idle engine,
-	// FirstSlowdown the same for the time to first token.
-	Slowdown, FirstSlowdown Quantiles
+	// FirstTokenSlowdown the same for the time to first token.
+	Slowdown, FirstTokenSlowdown Quantiles
 	// Requests, InTime, Refused and Missed count requests; Missed are those admitted that did not
 	// end by their deadline.
 	Requests, InTime, Refused, Missed int
@@ -42,21 +42,21 @@
 	// Goodput is the tokens of requests that ended by their deadline within the measured window,
 	// divided by the tokens that a load of one offers in it.
 	Goodput float64
-	// Wasted is the fraction of all prefilled tokens that belongs to requests which did not end in
-	// time.
-	Wasted float64
-	// Shares is each workspace's fraction of all tokens served in time, Kept the fraction of the
-	// tokens which the workspace itself offered that was served in time.
-	Shares, Kept []float64
+	// WastedPrefill is the fraction of all prefilled tokens that belongs to requests which did not
+	// end in time.
+	WastedPrefill float64
+	// GoodputShares is each workspace's fraction of all tokens served in time, ServedFractions the
+	// fraction of the tokens offered by the workspace that was served in time.
+	GoodputShares, ServedFractions []float64
 }
 
-// Of computes the result for the window between from and to. Requests that arrived before from
-// count only toward Goodput. Work that ends after to is no goodput: otherwise an overloaded policy
-// would be credited with work that it completes after the load has ended.
-func Of(d *load.Deployment, requests []*load.Request, from, to float64) Result {
+// Evaluate computes the result for the window between from and to. Requests that arrived before
+// from count only toward Goodput. Work that ends after to is no goodput: otherwise an overloaded
+// policy would be credited with work that it completes after the load has ended.
+func Evaluate(d *load.Deployment, requests []*load.Request, from, to float64) Result {
 	c := collector{d: d, from: from, to: to, served: make([]int64, d.Workspaces), offered: make([]int64, d.Workspaces)}
 	for _, q := range requests {
-		if q.At >= from {
+		if q.Arrived >= from {
 			c.add(q)
 		}
 		if q.Done >= from && q.Done <= min(to, q.Deadline) {
@@ -111,7 +111,7 @@
 // addLatencies records the latencies of an admitted request; a missing instant counts as the
 // deadline.
 func (c *collector) addLatencies(q *load.Request) {
-	first, done := q.First, q.Done
+	first, done := q.FirstToken, q.Done
 	if first < 0 {
 		first = q.Deadline
 	}
@@ -119,15 +119,15 @@
 		done = q.Deadline
 	}
 	i := band(q.Prompt)
-	c.firstTimes[i] = append(c.firstTimes[i], first-q.At)
+	c.firstTimes[i] = append(c.firstTimes[i], first-q.Arrived)
 	if q.Kind.Urgency > 0 {
 		return
 	}
-	c.urgentFirstTimes = append(c.urgentFirstTimes, first-q.At)
-	aloneFirst, alone := engine.Alone(c.d.Engine, q.Prompt, q.Cached, q.Output)
-	aloneFirst, alone = aloneFirst+policy.Trip, alone+policy.Trip
-	c.slowdowns = append(c.slowdowns, (done-q.At)/alone)
-	c.firstSlowdowns = append(c.firstSlowdowns, (first-q.At)/aloneFirst)
+	c.urgentFirstTimes = append(c.urgentFirstTimes, first-q.Arrived)
+	aloneFirst, alone := engine.TimesOnIdle(c.d.Engine, q.Prompt, q.Cached, q.Output)
+	aloneFirst, alone = aloneFirst+policy.RoundTrip, alone+policy.RoundTrip
+	c.slowdowns = append(c.slowdowns, (done-q.Arrived)/alone)
+	c.firstSlowdowns = append(c.firstSlowdowns, (first-q.Arrived)/aloneFirst)
 }
 
 // band returns the index of the band of a prompt length.
@@ -143,20 +143,20 @@
 func (c *collector) result() Result {
 	r := c.r
 	for i := range c.firstTimes {
-		r.First[i] = quantiles(c.firstTimes[i])
+		r.FirstToken[i] = quantiles(c.firstTimes[i])
 	}
-	r.Urgent = quantiles(c.urgentFirstTimes)
+	r.UrgentFirstToken = quantiles(c.urgentFirstTimes)
 	r.Slowdown = quantiles(c.slowdowns)
-	r.FirstSlowdown = quantiles(c.firstSlowdowns)
+	r.FirstTokenSlowdown = quantiles(c.firstSlowdowns)
 	r.Goodput = float64(c.goodTokens) / (c.d.Rate() * c.d.MeanPrompt() * (c.to - c.from))
 	sum := int64(0)
 	for _, s := range c.served {
 		sum += s
 	}
-	r.Wasted = c.wasted / max(c.prefilled, 1)
+	r.WastedPrefill = c.wasted / max(c.prefilled, 1)
 	for i := range c.served {
-		r.Shares = append(r.Shares, float64(c.served[i])/float64(max(sum, 1)))
-		r.Kept = append(r.Kept, float64(c.served[i])/float64(max(c.offered[i], 1)))
+		r.GoodputShares = append(r.GoodputShares, float64(c.served[i])/float64(max(sum, 1)))
+		r.ServedFractions = append(r.ServedFractions, float64(c.served[i])/float64(max(c.offered[i], 1)))
 	}
 	return r
 }
--- a/bench/passes/account.go
+++ b/bench/passes/account.go
@@ -2,20 +2,20 @@
 
 import "snipeshift.example/lib/clock"
 
-// Account is the engines' time by use, in milliseconds summed over the engines.
-type Account struct {
-	// InTime, Late and Nobody are prefill time for responses that came in time, came late, or were
-	// lost.
-	InTime, Late, Nobody float64
-	// Short and Long are decode time of responses that tolerate only short pauses, and of all
-	// others.
-	Short, Long float64
-	// IdleWaiting is time without work while a request was queued, Idle that while none was.
-	IdleWaiting, Idle float64
+// EngineTime is the engines' time by use, in milliseconds summed over the engines.
+type EngineTime struct {
+	// PrefillInTime, PrefillLate and PrefillLost are prefill time for responses that came in time,
+	// came late, or were lost.
+	PrefillInTime, PrefillLate, PrefillLost float64
+	// DecodeShortGap and DecodeOther are decode time of responses that tolerate only short pauses,
+	// and of all others.
+	DecodeShortGap, DecodeOther float64
+	// IdleQueued is time without work while a request was queued, Idle that while none was.
+	IdleQueued, Idle float64
 }
 
 // maxShortGap is the longest tolerated pause in milliseconds of responses whose decode time counts
-// as Short.
+// as DecodeShortGap.
 const maxShortGap clock.Milli = 300
 
 // tickPeriod is the time in milliseconds between two scans of the queue; idle time is measured in
@@ -23,25 +23,25 @@
 const tickPeriod = 10
 
 // note adds the time that one request took.
-func (a *Account) note(j *job, e Ending) {
+func (a *EngineTime) note(j *job, e Outcome) {
 	switch e {
 	case InTime:
-		a.InTime += j.prefillTime
+		a.PrefillInTime += j.prefillTime
 	case Late:
-		a.Late += j.prefillTime
+		a.PrefillLate += j.prefillTime
 	default:
-		a.Nobody += j.prefillTime
+		a.PrefillLost += j.prefillTime
 	}
 	if j.kind.Gap > 0 && j.kind.Gap <= maxShortGap {
-		a.Short += j.decodeTime
+		a.DecodeShortGap += j.decodeTime
 	} else {
-		a.Long += j.decodeTime
+		a.DecodeOther += j.decodeTime
 	}
 }
 
-// Sum returns the total time.
-func (a *Account) Sum() float64 {
-	return a.InTime + a.Late + a.Nobody + a.Short + a.Long + a.IdleWaiting + a.Idle
+// Total returns the total time.
+func (a *EngineTime) Total() float64 {
+	return a.PrefillInTime + a.PrefillLate + a.PrefillLost + a.DecodeShortGap + a.DecodeOther + a.IdleQueued + a.Idle
 }
 
 // countIdle adds one tick to the idle time of each engine without work, as long as requests arrive.
--- a/bench/passes/engine.go
+++ b/bench/passes/engine.go
@@ -104,9 +104,9 @@
 	prefillTime, decodeTime float64
 }
 
-// response returns the outcome of the request for its client.
-func (j *job) response() Request {
-	r := Request{Pause: j.longestPause, Whole: j.first > 0 && j.eventsLeft <= 0, Refused: j.refused}
+// response returns the response as the client of the request receives it.
+func (j *job) response() Response {
+	r := Response{Pause: j.longestPause, Complete: j.first > 0 && j.eventsLeft <= 0, RefusalReason: j.refused}
 	if j.first > 0 {
 		r.First = j.first - j.arrived
 	}
@@ -114,7 +114,7 @@
 }
 
 // worth returns the value of a response in time.
-func (j *job) worth() float64 { return j.kind.Of(j.prompt) }
+func (j *job) worth() float64 { return j.kind.WorthOf(j.prompt) }
 
 // context returns the number of tokens of the job's context that the leader attends to at each
 // step: an equal share with the other members of the group.
--- a/bench/passes/play.go
+++ b/bench/passes/simulation.go
@@ -19,14 +19,16 @@
 	Name string
 	// Rate is in requests a second.
 	Rate float64
-	// Prompt lengths in tokens are log-normal with mean Mean and standard deviation Spread of the
-	// logarithm, limited to Most.
-	Mean, Spread, Most float64
-	// Events and EventSpread are the same two parameters for the number of events of a response.
-	Events, EventSpread float64
+	// Prompt lengths in tokens are log-normal with mean MeanPrompt and standard deviation
+	// PromptSpread of the logarithm, limited to MaxPrompt.
+	MeanPrompt, PromptSpread, MaxPrompt float64
+	// MeanEvents and EventSpread are the same two parameters for the number of events of a
+	// response.
+	MeanEvents, EventSpread float64
 	// Aim is the target time to the first event, Gap the longest tolerated pause between events,
-	// Time the time for the whole response, all in milliseconds. The simulation does not read Time.
-	Aim, Gap, Time clock.Milli
+	// TimeLimit the time for the whole response, all in milliseconds. The simulation does not read
+	// TimeLimit.
+	Aim, Gap, TimeLimit clock.Milli
 	// Worth is the value of a response in time to a prompt of the mean length; a late response has
 	// a quarter of its value.
 	Worth float64
@@ -54,18 +56,18 @@
 // and an engine, in milliseconds.
 const hopDelay = 1.5
 
-// KindResult is the outcome for one kind of request. Asked counts all requests, InTime, Late and
-// Lost those with each ending, Paused those with an event pause longer than tolerated.
+// KindResult is the outcome for one kind of request. Requests counts all requests, InTime, Late and
+// Lost those with each outcome, PausedTooLong those with a pause longer than tolerated.
 type KindResult struct {
-	Asked, InTime, Late, Lost int
-	// Held is the value lost by queueing requests that were refused in the end: nothing for those
-	// refused within an eighth of their aim, rising to the whole value at three quarters of the
-	// client's patience.
-	Held float64
-	// Worth is the value of the responses, Most the value if all had come in time.
-	Worth, Most float64
+	Requests, InTime, Late, Lost int
+	// QueueingLoss is the value lost by queueing requests that were refused in the end: nothing for
+	// those refused within an eighth of their aim, rising to the whole value at three quarters of
+	// the client's patience.
+	QueueingLoss float64
+	// Worth is the value of the responses, MaxWorth the value if all had come in time.
+	Worth, MaxWorth float64
 	// FirstP50 and FirstP99 are percentiles of the time to the first event, in milliseconds.
-	FirstP50, FirstP99, Paused float64
+	FirstP50, FirstP99, PausedTooLong float64
 }
 
 // Result is the outcome of one simulation.
@@ -74,12 +76,13 @@
 	// Worth is the value of all responses divided by their value if all had come in time. Net is
 	// the same less the value lost by queueing requests that were refused in the end.
 	Worth, Net float64
-	// Busy is the fraction of the engines' time spent in passes, Reading that spent on prefill.
-	Busy, Reading float64
-	// Requests are the outcomes of all arrivals, in the order of the arrivals.
-	Requests []Request
-	// Time is the engines' time by use.
-	Time Account
+	// BusyFraction is the fraction of the engines' time spent in passes, PrefillFraction that spent
+	// on prefill.
+	BusyFraction, PrefillFraction float64
+	// Responses are the outcomes of all arrivals, in the order of the arrivals.
+	Responses []Response
+	// EngineTime is the engines' time by use.
+	EngineTime EngineTime
 }
 
 // Arrival is one request of a load.
@@ -92,39 +95,39 @@
 	// tokens of Events.
 	Events int
 	Output decide.Tokens
-	// Due is the time from arrival to the deadline of the whole response; zero stands for the time
-	// that the client waits for the first event.
-	Due     clock.Milli
-	Urgency decide.Urgency
+	// TimeLimit is the time from arrival to the deadline of the whole response; zero stands for the
+	// time that the client waits for the first event.
+	TimeLimit clock.Milli
+	Urgency   decide.Urgency
 }
 
-// Request is the outcome of one arrival.
-type Request struct {
+// Response is the response to one arrival, as its client receives it.
+type Response struct {
 	// First is the time to the first event, zero if none came, and Pause the longest pause after
 	// it, both in milliseconds.
 	First, Pause float64
-	// Whole is set if the response is complete.
-	Whole bool
-	// Refused is the reason of the refusal; empty if the request was not refused.
-	Refused string
+	// Complete is set if the last event was received.
+	Complete bool
+	// RefusalReason is the reason of the refusal; empty if the request was not refused.
+	RefusalReason string
 }
 
-// Ending rates the outcome of a request for its client.
-type Ending uint8
+// Outcome classifies a response by its use to the client.
+type Outcome uint8
 
-// All values of Ending: a response that met its targets, one that missed its aim or a pause limit,
+// All values of Outcome: a response that met its targets, one that missed its aim or a pause limit,
 // and none that is of use.
 const (
-	InTime Ending = iota
+	InTime Outcome = iota
 	Late
 	Lost
 )
 
-// Ending rates the outcome of a request of kind k. A response that begins after the client has
-// given up, or that is not complete, is lost.
-func (r *Request) Ending(k *Kind) Ending {
+// Outcome classifies the response to a request of kind k. A response that begins after the client
+// has given up, or that is not complete, is lost.
+func (r *Response) Outcome(k *Kind) Outcome {
 	switch {
-	case r.First == 0 || !r.Whole || r.First > float64(k.patience()):
+	case r.First == 0 || !r.Complete || r.First > float64(k.patience()):
 		return Lost
 	case r.First > float64(k.Aim) || k.Gap > 0 && r.Pause > float64(k.Gap):
 		return Late
@@ -133,14 +136,14 @@
 	}
 }
 
-// Of returns the value of a response in time to a prompt. It grows with the prompt length, up to
-// four times the value at the mean length.
-func (k *Kind) Of(prompt decide.Tokens) float64 {
-	return k.Worth * min(4, 0.3+0.7*float64(prompt)/k.Mean)
+// WorthOf returns the value of a response in time to a prompt. It grows with the prompt length, up
+// to four times the value at the mean length.
+func (k *Kind) WorthOf(prompt decide.Tokens) float64 {
+	return k.Worth * min(4, 0.3+0.7*float64(prompt)/k.MeanPrompt)
 }
 
-// LateShare is the fraction of its value that a late response has.
-const LateShare = 0.25
+// LateFraction is the fraction of its value that a late response has.
+const LateFraction = 0.25
 
 // event is an action scheduled for an instant; seq keeps the order of events at the same instant.
 type event struct {
@@ -189,12 +192,14 @@
 // clockOffset shifts the simulated time away from zero, which the pool reads as "never".
 const clockOffset = 1000
 
-// Play simulates a load under the pool's decisions with the given rules. The same seed gives the
+// Simulate runs a load under the pool's decisions with the given rules. The same seed gives the
 // same result.
-func Play(l *Load, r span.Rules, seed uint64) Result { return PlayArrivals(l, r, Draw(l, seed)) }
+func Simulate(l *Load, r span.Rules, seed uint64) Result {
+	return SimulateArrivals(l, r, Draw(l, seed))
+}
 
-// PlayArrivals simulates the given arrivals on the engines of a load.
-func PlayArrivals(l *Load, r span.Rules, as []Arrival) Result {
+// SimulateArrivals runs the given arrivals on the engines of a load.
+func SimulateArrivals(l *Load, r span.Rules, as []Arrival) Result {
 	p := &simulation{
 		load: l, now: clockOffset,
 		pool:    span.New(r, gate.NewBudget(0.2, 100, 10*clock.Second)),
@@ -276,8 +281,8 @@
 			return
 		}
 		d.out = append(d.out, Arrival{
-			Kind: k, At: t, Prompt: decide.Tokens(min(d.lognormal(k.Mean, k.Spread), k.Most)) + 40,
-			Events: max(1, int(min(d.lognormal(k.Events, k.EventSpread), 2.5*k.Events))),
+			Kind: k, At: t, Prompt: decide.Tokens(min(d.lognormal(k.MeanPrompt, k.PromptSpread), k.MaxPrompt)) + 40,
+			Events: max(1, int(min(d.lognormal(k.MeanEvents, k.EventSpread), 2.5*k.MeanEvents))),
 		})
 	}
 }
@@ -290,7 +295,7 @@
 
 // scheduleArrival creates the job of an arrival and schedules it.
 func (p *simulation) scheduleArrival(a *Arrival) {
-	j := &job{kind: a.Kind, arrived: clockOffset + a.At, prompt: a.Prompt, eventsLeft: a.Events, output: a.Output, timeLimit: a.Due, urgency: a.Urgency}
+	j := &job{kind: a.Kind, arrived: clockOffset + a.At, prompt: a.Prompt, eventsLeft: a.Events, output: a.Output, timeLimit: a.TimeLimit, urgency: a.Urgency}
 	if j.output == 0 {
 		j.output = decide.Tokens(a.Events * p.load.Engine.Stride)
 	}
@@ -332,7 +337,7 @@
 			k := p.results[j.kind.Name]
 			k.Lost++
 			if held := p.now - j.arrived; held > float64(j.kind.Aim)/8 {
-				k.Held += j.worth() * min(1, held/(0.75*float64(j.kind.patience())))
+				k.QueueingLoss += j.worth() * min(1, held/(0.75*float64(j.kind.patience())))
 			}
 			continue
 		}
@@ -423,24 +428,24 @@
 	var earned, maxWorth float64
 	for _, j := range p.jobList {
 		k := p.results[j.kind.Name]
-		k.Asked++
+		k.Requests++
 		worth := j.worth()
-		k.Most += worth
+		k.MaxWorth += worth
 		maxWorth += worth
 		response := j.response()
-		r.Requests = append(r.Requests, response)
-		outcome := response.Ending(j.kind)
-		r.Time.note(j, outcome)
+		r.Responses = append(r.Responses, response)
+		outcome := response.Outcome(j.kind)
+		r.EngineTime.note(j, outcome)
 		if outcome == Lost {
 			continue
 		}
 		p.firstTimes[j.kind.Name] = append(p.firstTimes[j.kind.Name], response.First)
 		if j.longestPause > float64(j.kind.Gap) {
-			k.Paused++
+			k.PausedTooLong++
 		}
 		if outcome == Late {
 			k.Late++
-			worth *= LateShare
+			worth *= LateFraction
 		} else {
 			k.InTime++
 		}
@@ -454,14 +459,14 @@
 	}
 	r.Worth = earned / max(maxWorth, 1e-9)
 	for _, k := range p.results {
-		r.Net += k.Held
+		r.Net += k.QueueingLoss
 	}
 	r.Net = (earned - r.Net) / max(maxWorth, 1e-9)
 	for _, e := range p.engineList {
-		r.Time.Idle += e.idleTime
-		r.Time.IdleWaiting += e.idleQueuedTime
-		r.Busy += e.passTime / (p.load.Length * float64(p.load.Engines))
-		r.Reading += e.prefillTime / (p.load.Length * float64(p.load.Engines))
+		r.EngineTime.Idle += e.idleTime
+		r.EngineTime.IdleQueued += e.idleQueuedTime
+		r.BusyFraction += e.passTime / (p.load.Length * float64(p.load.Engines))
+		r.PrefillFraction += e.prefillTime / (p.load.Length * float64(p.load.Engines))
 	}
 	return r
 }
@@ -469,14 +474,14 @@
 // Add adds the result of another simulation. Percentiles are summed as well, for the caller to
 // divide into a mean.
 func (k *KindResult) Add(o *KindResult) {
-	k.Asked += o.Asked
+	k.Requests += o.Requests
 	k.InTime += o.InTime
 	k.Late += o.Late
 	k.Lost += o.Lost
-	k.Held += o.Held
+	k.QueueingLoss += o.QueueingLoss
 	k.Worth += o.Worth
-	k.Most += o.Most
+	k.MaxWorth += o.MaxWorth
 	k.FirstP50 += o.FirstP50
 	k.FirstP99 += o.FirstP99
-	k.Paused += o.Paused
+	k.PausedTooLong += o.PausedTooLong
 }
--- a/bench/policy/pool.go
+++ b/bench/policy/pool.go
@@ -46,7 +46,7 @@
 		p.upstreamIDs = append(p.upstreamIDs, id)
 		p.pool.SetUpstream(clockOffset, decide.Upstream{
 			ID: id, Memory: decide.Tokens(d.Engine.Memory), Slots: d.Engine.Slots,
-			Prefill: decide.Rate(d.Engine.Prefill * 1000), Decode: decide.Rate(d.Engine.Decode * 1000),
+			Prefill: decide.Rate(d.Engine.PrefillRate * 1000), Decode: decide.Rate(d.Engine.DecodeRate * 1000),
 		})
 	}
 	for i := range d.Workspaces {
@@ -99,15 +99,15 @@
 
 func (p *poolPolicy) handleRefusal(now float64, q *load.Request, d decide.Decision) {
 	delete(p.requests, d.Request)
-	if q.At < now {
+	if q.Arrived < now {
 		p.fleet.Drop(q) // it was accepted when it arrived and is refused now
 		return
 	}
 	p.fleet.Refuse(q, float64(d.Retry))
 }
 
-// First implements Policy.
-func (p *poolPolicy) First(now float64, q *load.Request) {
+// FirstToken implements Policy.
+func (p *poolPolicy) FirstToken(now float64, q *load.Request) {
 	p.pool.Progress(instant(now), p.grants[q.ID], true, 1)
 	p.tick(now)
 }
@@ -115,8 +115,8 @@
 // Done implements Policy.
 func (p *poolPolicy) Done(now float64, q *load.Request) { p.finish(now, q, decide.Done) }
 
-// Gone implements Policy.
-func (p *poolPolicy) Gone(now float64, q *load.Request) {
+// Canceled implements Policy.
+func (p *poolPolicy) Canceled(now float64, q *load.Request) {
 	p.pool.Withdraw(instant(now), decide.RequestID(q.Name))
 	p.finish(now, q, decide.Canceled)
 }
@@ -130,15 +130,15 @@
 
 // Report implements Policy.
 func (p *poolPolicy) Report(now float64, r Report) {
-	e := decide.Report{At: instant(now), Used: decide.Tokens(r.Used)}
+	e := decide.Report{At: instant(now), Used: decide.Tokens(r.UsedMemory)}
 	for _, q := range r.Running {
 		e.Running = append(e.Running, decide.RequestID(q.Name))
 	}
 	p.pool.Report(instant(now), p.upstreamIDs[r.Engine], e)
 }
 
-// Hint implements Policy.
-func (p *poolPolicy) Hint(now float64, h Hint) {
+// CacheEvent implements Policy.
+func (p *poolPolicy) CacheEvent(now float64, h CacheEvent) {
 	p.pool.Hint(instant(now), p.upstreamIDs[h.Engine], decide.Hint{Seq: h.Seq, Prefix: decide.PrefixHash(h.Hash), Evicted: h.Evicted})
 }
 
@@ -153,7 +153,7 @@
 	p.tick(now)
 }
 
-// Next implements Policy.
-func (p *poolPolicy) Next(float64) float64 {
+// NextWake implements Policy.
+func (p *poolPolicy) NextWake(float64) float64 {
 	return float64(min(p.nextTick, p.nextRenewal) - clockOffset)
 }
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -13,8 +13,8 @@
 const (
 	// hop is the one-way network delay between daemon and engine, in milliseconds.
 	hop = 3
-	// Trip is the round trip between daemon and engine, in milliseconds.
-	Trip = 2 * hop
+	// RoundTrip is the round trip between daemon and engine, in milliseconds.
+	RoundTrip = 2 * hop
 	// reportPeriod is the time between two load reports of an engine, reportLag the delay before
 	// the policy receives one, both in milliseconds.
 	reportPeriod, reportLag = 500, 250
@@ -27,18 +27,19 @@
 type Policy interface {
 	// Arrive is called when a request arrives.
 	Arrive(now float64, q *load.Request)
-	// First is called when the first token of a response arrives, Done when its last one does.
-	First(now float64, q *load.Request)
+	// FirstToken is called when the first token of a response arrives, Done when its last one does.
+	FirstToken(now float64, q *load.Request)
 	Done(now float64, q *load.Request)
-	// Gone is called when a request is canceled at its deadline.
-	Gone(now float64, q *load.Request)
-	// Report is called when a load report of an engine arrives, Hint when a cache event does.
+	// Canceled is called when a request is canceled at its deadline.
+	Canceled(now float64, q *load.Request)
+	// Report is called when a load report of an engine arrives, CacheEvent when an event of its
+	// prefix cache does.
 	Report(now float64, r Report)
-	Hint(now float64, h Hint)
-	// Wake is called at the instant that Next returns; Next returns infinity for a policy without
-	// timers.
+	CacheEvent(now float64, h CacheEvent)
+	// Wake is called at the instant that NextWake returns; NextWake returns infinity for a policy
+	// without timers.
 	Wake(now float64)
-	Next(now float64) float64
+	NextWake(now float64) float64
 }
 
 // Fleet carries out the decisions of a policy.
@@ -55,15 +56,15 @@
 // Report is an engine's load report.
 type Report struct {
 	Engine int
-	// Backlog is the prompt tokens not yet prefilled, Used the memory in use in tokens.
-	Backlog int64
-	Used    int64
-	Running []*load.Request
+	// Backlog is the prompt tokens not yet prefilled, UsedMemory the memory in use in tokens.
+	Backlog    int64
+	UsedMemory int64
+	Running    []*load.Request
 }
 
-// Hint reports a change of an engine's prefix cache. Seq counts the events of the engine, so that a
-// lost one leaves a gap.
-type Hint struct {
+// CacheEvent reports a change of an engine's prefix cache. Seq counts the events of the engine, so
+// that a lost one leaves a gap.
+type CacheEvent struct {
 	Engine  int
 	Seq     uint64
 	Hash    uint64
@@ -95,7 +96,7 @@
 	// makes the event obsolete.
 	timerVersion int
 	report       Report
-	cacheEvent   Hint
+	cacheEvent   CacheEvent
 }
 
 type eventHeap []*event
@@ -151,16 +152,16 @@
 	}
 	for i := range d.Engines {
 		e := engine.New(i, d.Engine)
-		e.Shortest = shortestFirst
-		if i == min(slowEngine, d.Engines-1) && s.Slow > 1 {
-			e.Slow = s.Slow
+		e.ShortestFirst = shortestFirst
+		if i == min(slowEngine, d.Engines-1) && s.Slowdown > 1 {
+			e.Slowdown = s.Slowdown
 		}
-		e.OnCache = func(hash uint64, evicted bool) { r.cacheChanged(i, hash, evicted) }
+		e.OnCacheChange = func(hash uint64, evicted bool) { r.cacheChanged(i, hash, evicted) }
 		r.engines = append(r.engines, e)
 		r.push(&event{at: float64(i) * reportPeriod / float64(d.Engines), kind: reportTaken, engine: e})
 	}
 	for _, q := range requests {
-		r.push(&event{at: q.At, kind: arrival, q: q})
+		r.push(&event{at: q.Arrived, kind: arrival, q: q})
 	}
 	r.policy = build(r)
 	return r
@@ -180,13 +181,13 @@
 	if r.random.Float64() < cacheEventLossRate {
 		return
 	}
-	h := Hint{Engine: i, Seq: r.cacheEventSeq[i], Hash: hash, Evicted: evicted}
+	h := CacheEvent{Engine: i, Seq: r.cacheEventSeq[i], Hash: hash, Evicted: evicted}
 	r.push(&event{at: r.now + cacheEventLag, kind: cacheEventSeen, cacheEvent: h})
 }
 
-// Play runs until every request has ended.
-func (r *Run) Play() {
-	r.nextWake = r.policy.Next(0)
+// Simulate runs until every request has ended.
+func (r *Run) Simulate() {
+	r.nextWake = r.policy.NextWake(0)
 	for r.unfinished > 0 {
 		next := r.events[0].at
 		if r.nextWake <= next {
@@ -197,7 +198,7 @@
 			r.now = e.at
 			r.handleEvent(e)
 		}
-		r.nextWake = r.policy.Next(r.now)
+		r.nextWake = r.policy.NextWake(r.now)
 	}
 }
 
@@ -216,7 +217,7 @@
 		}
 	case firstTokenSeen:
 		if e.q.Done < 0 && !e.q.Dropped {
-			r.policy.First(r.now, e.q)
+			r.policy.FirstToken(r.now, e.q)
 		}
 	case lastTokenSeen:
 		r.policy.Done(r.now, e.q)
@@ -227,7 +228,7 @@
 	case reportSeen:
 		r.policy.Report(r.now, e.report)
 	case cacheEventSeen:
-		r.policy.Hint(r.now, e.cacheEvent)
+		r.policy.CacheEvent(r.now, e.cacheEvent)
 	}
 }
 
@@ -237,8 +238,8 @@
 	r.engineEvents = en.Advance(r.now, r.engineEvents[:0])
 	for _, h := range r.engineEvents {
 		q := r.requests[h.Job.ID]
-		if !h.Last {
-			q.First = r.now + hop
+		if !h.Ended {
+			q.FirstToken = r.now + hop
 			r.push(&event{at: r.now + hop, kind: firstTokenSeen, q: q})
 			continue
 		}
@@ -253,7 +254,7 @@
 // schedule sets the engine's timer to its next event and invalidates the previous timer.
 func (r *Run) schedule(en *engine.Engine) {
 	r.timerVersions[en.Index]++
-	if next := en.Next(); !math.IsInf(next, 1) {
+	if next := en.NextEvent(); !math.IsInf(next, 1) {
 		r.push(&event{at: max(next, r.now), kind: engineTimer, engine: en, timerVersion: r.timerVersions[en.Index]})
 	}
 }
@@ -261,7 +262,7 @@
 // admit starts the waiting jobs that now fit, on every engine.
 func (r *Run) admit() {
 	for _, en := range r.engines {
-		if en.Waits() {
+		if en.HasWaiting() {
 			r.advance(en)
 			en.Admit()
 			r.schedule(en)
@@ -281,7 +282,7 @@
 // recordPrefill copies the numbers of cached and prefilled tokens from the request's job.
 func (r *Run) recordPrefill(q *load.Request) {
 	if j := r.jobs[q.ID]; j != nil {
-		q.Cached, q.Prefilled = j.Cached, j.Done
+		q.Cached, q.Prefilled = j.Cached, j.Prefilled
 	}
 }
 
@@ -291,7 +292,7 @@
 		return
 	}
 	r.abort(q)
-	r.policy.Gone(r.now, q)
+	r.policy.Canceled(r.now, q)
 }
 
 // abort marks a request as dropped and cancels its job, if it has one.
@@ -314,8 +315,8 @@
 // one.
 func (r *Run) report(en *engine.Engine) {
 	r.advance(en)
-	rep := Report{Engine: en.Index, Backlog: en.Backlog(), Used: en.Used()}
-	for _, j := range en.Held() {
+	rep := Report{Engine: en.Index, Backlog: en.PrefillBacklog(), UsedMemory: en.UsedMemory()}
+	for _, j := range en.Admitted() {
 		rep.Running = append(rep.Running, r.requests[j.ID])
 	}
 	r.push(&event{at: r.now + reportLag, kind: reportSeen, report: rep})
@@ -325,7 +326,7 @@
 // Dispatch implements Fleet.
 func (r *Run) Dispatch(q *load.Request, members []int, priority int, share int64) {
 	j := &engine.Job{
-		ID: q.ID, Priority: priority, Prompt: q.Prompt, Output: q.Output, Share: share, Prefixes: q.Prefixes,
+		ID: q.ID, Priority: priority, Prompt: q.Prompt, Output: q.Output, MemoryPerMember: share, Prefixes: q.Prefixes,
 	}
 	for _, m := range members {
 		j.Members = append(j.Members, r.engines[m])
@@ -336,7 +337,7 @@
 
 // Refuse implements Fleet.
 func (r *Run) Refuse(q *load.Request, retry float64) {
-	q.Refused, q.Retry = true, retry
+	q.Refused, q.RetryAfter = true, retry
 	r.unfinished--
 }
 
--- a/bench/bars.go
+++ b/bench/targets.go
@@ -75,7 +75,7 @@
 			if sameLong && o.result.LongInTime < c.result.LongInTime {
 				continue
 			}
-			if p := o.result.Urgent.P99; best == "" || p < lowest {
+			if p := o.result.UrgentFirstToken.P99; best == "" || p < lowest {
 				best, lowest, comparable = o.candidate.name, p, sameLong
 			}
 		}
@@ -83,12 +83,12 @@
 			break
 		}
 	}
-	gain := lowest / c.result.Urgent.P99
+	gain := lowest / c.result.UrgentFirstToken.P99
 	note := ""
 	if !comparable {
 		note = ", which finishes fewer long requests in time"
 	}
-	c.printTarget(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.Urgent.P99, lowest), gain >= minFirstTokenGain)
+	c.printTarget(w, "urgent p99 first token 5x lower", fmt.Sprintf("%.0fx against %s%s (%.0f and %.0f ms)", gain, best, note, c.result.UrgentFirstToken.P99, lowest), gain >= minFirstTokenGain)
 }
 
 func (c *cell) checkGoodput(w *bytes.Buffer, baselines []*cell) {
--- a/bench/whatif.go
+++ b/bench/whatif.go
@@ -99,7 +99,7 @@
 
 func printTraces(c *cli.Command, l *whatif.Log, change whatif.Change) error {
 	fmt.Print(l.Gaps.String())
-	traces, err := whatif.Days(l, change)
+	traces, err := whatif.Traces(l, change)
 	if err != nil {
 		return err
 	}
@@ -109,13 +109,13 @@
 	}
 	for i := range traces {
 		d := &traces[i]
-		r := d.Play(rules)
+		r := d.Simulate(rules)
 		d.Print(os.Stdout, &r)
-		var outcomes []passes.Ending
+		var outcomes []passes.Outcome
 		if c.Bool("bound") {
-			simulated, bound := d.Modelled(&r).Share(), d.Most()
+			simulated, bound := d.SimulatedTallies(&r).WorthFraction(), d.UpperBound()
 			var found float64
-			found, outcomes = d.Found(c.Int("tries"), c.Uint64("seed"))
+			found, outcomes = d.Search(c.Int("tries"), c.Uint64("seed"))
 			fmt.Printf("upper bound for any scheduler %.3f, best of the search %.3f; the simulation reached %.3f and %.3f of these\n",
 				bound, found, simulated/max(bound, 1e-9), simulated/max(found, 1e-9))
 		}
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -21,7 +21,7 @@
 	cost, worth float64
 }
 
-// Most returns an upper bound on the fraction of the value that any scheduler can reach on the
+// UpperBound returns an upper bound on the fraction of the value that any scheduler can reach on the
 // engines, even one that knows all arrivals in advance. It assumes that all engines work as one,
 // that work can be split at will, and that memory and slots are never the limit; a request is out
 // of reach only if its prompt is too long for the most engines that may prefill it. The bound is
@@ -31,13 +31,13 @@
 // a part of its value for the prefill done by its aim, and the rest for the decoding done by the
 // end of the longest pauses that it tolerates, each in proportion to the work done. All other value
 // counts as that of late responses.
-func (d *Day) Most() float64 {
+func (d *Trace) UpperBound() float64 {
 	all := 0.0
 	for i := range d.Arrivals {
-		all += d.Arrivals[i].Kind.Of(d.Arrivals[i].Prompt)
+		all += d.Arrivals[i].Kind.WorthOf(d.Arrivals[i].Prompt)
 	}
 	inTime := min(d.relaxedBound(false), d.relaxedBound(true))
-	return (inTime + passes.LateShare*(all-inTime)) / max(all, 1e-9)
+	return (inTime + passes.LateFraction*(all-inTime)) / max(all, 1e-9)
 }
 
 // maxPrefillEngines is the most engines that prefill one prompt: the leader, which produces the
@@ -47,10 +47,10 @@
 // demands returns the engine time that a request takes: its prefill and, if withDecode is set, its
 // decoding, each with its part of the value. It returns none if the prefill can't be complete by
 // the aim.
-func (d *Day) demands(a *passes.Arrival, withDecode bool) []demand {
+func (d *Trace) demands(a *passes.Arrival, withDecode bool) []demand {
 	e := &d.Load.Engine
 	aim := float64(a.Kind.Aim)
-	prefill := demand{first: int(a.At / timeStep), last: int((a.At + aim) / timeStep), cost: e.PrefillTime(a.Prompt), worth: a.Kind.Of(a.Prompt)}
+	prefill := demand{first: int(a.At / timeStep), last: int((a.At + aim) / timeStep), cost: e.PrefillTime(a.Prompt), worth: a.Kind.WorthOf(a.Prompt)}
 	switch n := float64(a.Events - 1); {
 	case prefill.cost > aim*float64(min(maxPrefillEngines, d.Load.Engines)):
 		return nil
@@ -69,7 +69,7 @@
 // relaxedBound returns the value that is earned in time in one of the two relaxations. The amounts
 // of each demand that can be served within their windows form a polymatroid, on which the greedy
 // choice by value per cost is optimal.
-func (d *Day) relaxedBound(withDecode bool) float64 {
+func (d *Trace) relaxedBound(withDecode bool) float64 {
 	var demands []demand
 	steps := 0
 	for i := range d.Arrivals {
@@ -123,11 +123,11 @@
 	return done
 }
 
-// Found searches for the best schedule on the same engines and returns its fraction of the value
-// and the ending of each request in it. Each try is a simulation in which one of the rules is
-// changed, or some requests are refused at once, given how they ended in the best simulation so
-// far. As each result comes from a simulation, it can be reached.
-func (d *Day) Found(tries int, seed uint64) (float64, []passes.Ending) {
+// Search looks for the best schedule on the same engines and returns its fraction of the value and
+// the outcome of each request in it. Each try is a simulation in which one of the rules is changed,
+// or some requests are refused at once, given how they ended in the best simulation so far. As each
+// result comes from a simulation, it can be reached.
+func (d *Trace) Search(tries int, seed uint64) (float64, []passes.Outcome) {
 	rules := span.DefaultRules
 	best, outcomes := d.simulateSubset(rules, nil)
 	rng := rand.New(rand.NewPCG(seed, 6))
@@ -148,9 +148,9 @@
 	return best, outcomes
 }
 
-// simulateSubset simulates the requests that are not dropped and returns the fraction of the value of
-// all requests, and how each of them ended.
-func (d *Day) simulateSubset(rules span.Rules, dropped []bool) (float64, []passes.Ending) {
+// simulateSubset simulates the requests that are not dropped and returns the fraction of the value
+// of all requests, and how each of them ended.
+func (d *Trace) simulateSubset(rules span.Rules, dropped []bool) (float64, []passes.Outcome) {
 	var kept []passes.Arrival
 	var index []int
 	for i := range d.Arrivals {
@@ -158,17 +158,17 @@
 			kept, index = append(kept, d.Arrivals[i]), append(index, i)
 		}
 	}
-	outcomes := make([]passes.Ending, len(d.Arrivals))
+	outcomes := make([]passes.Outcome, len(d.Arrivals))
 	for i := range outcomes {
 		outcomes[i] = passes.Lost
 	}
 	sum, all := 0.0, 0.0
 	for i := range d.Arrivals {
-		all += d.Arrivals[i].Kind.Of(d.Arrivals[i].Prompt)
+		all += d.Arrivals[i].Kind.WorthOf(d.Arrivals[i].Prompt)
 	}
-	for n, e := range passes.PlayArrivals(&d.Load, rules, kept).Requests {
+	for n, e := range passes.SimulateArrivals(&d.Load, rules, kept).Responses {
 		a := &kept[n]
-		outcomes[index[n]] = e.Ending(a.Kind)
+		outcomes[index[n]] = e.Outcome(a.Kind)
 		sum += worthOf(a.Kind, a.Prompt, outcomes[index[n]])
 	}
 	return sum / max(all, 1e-9), outcomes
@@ -180,7 +180,7 @@
 
 // toggleDropped drops some of the requests that were not in time, and restores some of the dropped
 // ones.
-func (d *Day) toggleDropped(dropped []bool, outcomes []passes.Ending, rng *rand.Rand) []bool {
+func (d *Trace) toggleDropped(dropped []bool, outcomes []passes.Outcome, rng *rand.Rand) []bool {
 	next := slices.Clone(dropped)
 	for i := range next {
 		if outcomes[i] != passes.InTime && rng.Float64() < toggleChance {
--- a/bench/whatif/phases.go
+++ b/bench/whatif/phases.go
@@ -14,21 +14,21 @@
 // if all had been in time.
 type Phase struct {
 	// From is the start of the interval, measured from the first arrival.
-	From  clock.Milli
-	Asked int
-	// Served is the result in the logs, Modelled that of the simulation, Found that of the best
-	// simulation of a search; zero if there was no search.
-	Served, Modelled, Found float64
+	From     clock.Milli
+	Requests int
+	// Logged is the result in the logs, Simulated that of the simulation, BestFound that of the
+	// best simulation of a search; zero if there was no search.
+	Logged, Simulated, BestFound float64
 	// maxWorth and maxLoggedWorth are the values of the simulated and of the logged requests if
 	// all had been in time.
 	maxWorth, maxLoggedWorth float64
 }
 
 // Phases divides the arrivals, of which there must be at least one, into intervals of the given
-// length. r is the result of a simulation, found the endings in the best simulation of a search;
+// length. r is the result of a simulation, found the outcomes in the best simulation of a search;
 // nil for no search.
-func (d *Day) Phases(r *passes.Result, found []passes.Ending, length clock.Milli) []Phase {
-	last := d.Played[len(d.Played)-1].Arrived.Sub(d.Played[0].Arrived).Milliseconds()
+func (d *Trace) Phases(r *passes.Result, found []passes.Outcome, length clock.Milli) []Phase {
+	last := d.Logged[len(d.Logged)-1].Arrived.Sub(d.Logged[0].Arrived).Milliseconds()
 	if n := len(d.Arrivals); n > 0 {
 		last = max(last, int64(d.Arrivals[n-1].At))
 	}
@@ -40,40 +40,40 @@
 	for i := range d.Load.Kinds {
 		kinds[d.Load.Kinds[i].Aim] = &d.Load.Kinds[i]
 	}
-	for i := range d.Played {
-		q := &d.Played[i]
-		at := clock.Of(q.Arrived.Sub(d.Played[0].Arrived))
+	for i := range d.Logged {
+		q := &d.Logged[i]
+		at := clock.Of(q.Arrived.Sub(d.Logged[0].Arrived))
 		p := &phases[at/length]
 		k, e := kinds[*q.Aim], q.response()
-		p.maxLoggedWorth += k.Of(tokenCount(q.Prompt))
-		p.Served += worthOf(k, tokenCount(q.Prompt), e.Ending(k))
+		p.maxLoggedWorth += k.WorthOf(tokenCount(q.Prompt))
+		p.Logged += worthOf(k, tokenCount(q.Prompt), e.Outcome(k))
 	}
 	for i := range d.Arrivals {
 		a := &d.Arrivals[i]
 		p := &phases[clock.Milli(a.At)/length]
-		p.Asked++
-		p.maxWorth += a.Kind.Of(a.Prompt)
-		p.Modelled += worthOf(a.Kind, a.Prompt, r.Requests[i].Ending(a.Kind))
+		p.Requests++
+		p.maxWorth += a.Kind.WorthOf(a.Prompt)
+		p.Simulated += worthOf(a.Kind, a.Prompt, r.Responses[i].Outcome(a.Kind))
 		if found != nil {
-			p.Found += worthOf(a.Kind, a.Prompt, found[i])
+			p.BestFound += worthOf(a.Kind, a.Prompt, found[i])
 		}
 	}
 	for i := range phases {
 		p := &phases[i]
-		p.Served /= max(p.maxLoggedWorth, 1e-9)
-		p.Modelled /= max(p.maxWorth, 1e-9)
-		p.Found /= max(p.maxWorth, 1e-9)
+		p.Logged /= max(p.maxLoggedWorth, 1e-9)
+		p.Simulated /= max(p.maxWorth, 1e-9)
+		p.BestFound /= max(p.maxWorth, 1e-9)
 	}
 	return phases
 }
 
-// worthOf returns the value of a response with the given ending.
-func worthOf(k *passes.Kind, prompt decide.Tokens, e passes.Ending) float64 {
+// worthOf returns the value of a response with the given outcome.
+func worthOf(k *passes.Kind, prompt decide.Tokens, e passes.Outcome) float64 {
 	switch e {
 	case passes.InTime:
-		return k.Of(prompt)
+		return k.WorthOf(prompt)
 	case passes.Late:
-		return passes.LateShare * k.Of(prompt)
+		return passes.LateFraction * k.WorthOf(prompt)
 	default:
 		return 0
 	}
@@ -85,14 +85,14 @@
 	fmt.Fprintln(w, "from s\trequests\tlogged\tsimulated\tsearch\tsimulated/search\t")
 	for i := range phases {
 		p := &phases[i]
-		if p.Asked == 0 {
+		if p.Requests == 0 {
 			continue
 		}
 		search, share := "-", "-"
-		if p.Found > 0 {
-			search, share = fmt.Sprintf("%.3f", p.Found), fmt.Sprintf("%.3f", p.Modelled/p.Found)
+		if p.BestFound > 0 {
+			search, share = fmt.Sprintf("%.3f", p.BestFound), fmt.Sprintf("%.3f", p.Simulated/p.BestFound)
 		}
-		fmt.Fprintf(w, "%.1f\t%d\t%.3f\t%.3f\t%s\t%s\t\n", p.From.Duration().Seconds(), p.Asked, p.Served, p.Modelled, search, share)
+		fmt.Fprintf(w, "%.1f\t%d\t%.3f\t%.3f\t%s\t%s\t\n", p.From.Duration().Seconds(), p.Requests, p.Logged, p.Simulated, search, share)
 	}
 	_ = w.Flush() // an error of the terminal can't be reported anywhere else
 }
--- a/bench/whatif/read.go
+++ b/bench/whatif/read.go
@@ -78,16 +78,17 @@
 
 // Gaps describes what is missing from the logs, or was left out.
 type Gaps struct {
-	// Skipped counts lines that are truncated or not written by a daemon, Older the requests logged
-	// by a version that did not log aims, Twice the requests that occur in several logs.
-	Skipped, Older, Twice int
-	// Headless are the VMs whose logs lack the line of their start. The beginning of these logs may
-	// be missing.
-	Headless []string
-	// Unlisted is set if no log contains an empty list of upstreams at the start of its VM: each VM
-	// already had upstreams, which the logs do not name. These are counted from the requests sent
-	// to them.
-	Unlisted bool
+	// Skipped counts lines that are truncated or not written by a daemon, WithoutAim the requests
+	// logged by a version that did not log aims, Duplicates the requests that occur in several
+	// logs.
+	Skipped, WithoutAim, Duplicates int
+	// WithoutStart lists the VMs whose logs lack the line of their start. The beginning of these
+	// logs may be missing.
+	WithoutStart []string
+	// UnnamedUpstreams is set if no log contains an empty list of upstreams at the start of its VM:
+	// each VM already had upstreams, which the logs do not name. These are counted from the
+	// requests sent to them.
+	UnnamedUpstreams bool
 }
 
 // Request is one logged request.
@@ -172,12 +173,12 @@
 func (r *reader) readRequest(l *line) {
 	key := identity{l.VM, l.ID, l.Time}
 	if r.seen[key] {
-		r.log.Twice++
+		r.log.Duplicates++
 		return
 	}
 	r.seen[key] = true
 	if l.Aim == nil {
-		r.log.Older++
+		r.log.WithoutAim++
 		return
 	}
 	r.recordSends(l)
@@ -221,10 +222,10 @@
 	l := &r.log
 	for _, vm := range slices.Sorted(maps.Keys(r.startSeen)) {
 		if !r.startSeen[vm] {
-			l.Headless = append(l.Headless, vm)
+			l.WithoutStart = append(l.WithoutStart, vm)
 		}
 	}
-	if l.Unlisted = r.emptyLists == 0; l.Unlisted {
+	if l.UnnamedUpstreams = r.emptyLists == 0; l.UnnamedUpstreams {
 		for s, ids := range r.sentTo {
 			for id := range ids {
 				if !r.announced[id] {
@@ -235,8 +236,8 @@
 	}
 	slices.SortStableFunc(l.Requests, func(a, b Request) int { return a.Arrived.Compare(b.Arrived) })
 	switch {
-	case len(l.Requests) == 0 && l.Older > 0:
-		return nil, Class.New("%d requests have no aim: the log is of a version that did not write it", l.Older)
+	case len(l.Requests) == 0 && l.WithoutAim > 0:
+		return nil, Class.New("%d requests have no aim: the log is of a version that did not write it", l.WithoutAim)
 	case len(l.Requests) == 0:
 		return nil, Class.New("no line of a request in the log (%d lines skipped)", l.Skipped)
 	case len(l.Engines) == 0:
@@ -254,12 +255,12 @@
 		}
 	}
 	add(g.Skipped, "lines skipped: truncated or not written by a daemon")
-	add(g.Older, "requests left out: logged by a version that did not write their aims")
-	add(g.Twice, "requests occur in several logs: counted once")
-	if len(g.Headless) > 0 {
-		text += fmt.Sprintf("gap: the logs of %v lack the line of the VM's start: earlier lines may be missing\n", g.Headless)
+	add(g.WithoutAim, "requests left out: logged by a version that did not write their aims")
+	add(g.Duplicates, "requests occur in several logs: counted once")
+	if len(g.WithoutStart) > 0 {
+		text += fmt.Sprintf("gap: the logs of %v lack the line of the VM's start: earlier lines may be missing\n", g.WithoutStart)
 	}
-	if g.Unlisted {
+	if g.UnnamedUpstreams {
 		text += "gap: no log names the upstreams present at the start of its VM: those that received no request are not counted\n"
 	}
 	return text
--- a/bench/whatif/day.go
+++ b/bench/whatif/trace.go
@@ -29,27 +29,29 @@
 	Worth map[clock.Milli]float64
 }
 
-// Day holds the logged requests of one service with inference engines, prepared for the simulation.
-type Day struct {
+// Trace holds the logged requests of one service with inference engines, prepared for the
+// simulation.
+type Trace struct {
 	Service route.ServiceID
 	Load    passes.Load
-	// Played are the requests as logged. Arrivals are the same requests for the simulation, as
+	// Logged are the requests as logged. Arrivals are the same requests for the simulation, as
 	// altered by a Change.
-	Played   []Request
+	Logged   []Request
 	Arrivals []passes.Arrival
-	// Turned is the number of requests that were answered before a placement was requested.
-	Turned int
+	// EndedBeforePlacement is the number of requests that were answered before a placement was
+	// requested.
+	EndedBeforePlacement int
 }
 
-// Days returns one Day for each service in a log that has inference engines and requests.
-func Days(l *Log, c Change) ([]Day, error) {
-	var out []Day
+// Traces returns one Trace for each service in a log that has inference engines and requests.
+func Traces(l *Log, c Change) ([]Trace, error) {
+	var out []Trace
 	for _, s := range slices.Sorted(maps.Keys(l.Engines)) {
 		d, err := newTrace(l, s, c)
 		if err != nil {
 			return nil, err
 		}
-		if len(d.Played) > 0 {
+		if len(d.Logged) > 0 {
 			out = append(out, d)
 		}
 	}
@@ -59,8 +61,8 @@
 	return out, nil
 }
 
-func newTrace(l *Log, s route.ServiceID, c Change) (Day, error) {
-	d := Day{Service: s, Load: passes.Load{Engines: cmp.Or(c.Engines, l.Upstreams[s]), Engine: l.Engines[s]}}
+func newTrace(l *Log, s route.ServiceID, c Change) (Trace, error) {
+	d := Trace{Service: s, Load: passes.Load{Engines: cmp.Or(c.Engines, l.Upstreams[s]), Engine: l.Engines[s]}}
 	if d.Load.Engines == 0 {
 		return d, Class.New("the logs do not show how many engines service %s has: set --engines", s)
 	}
@@ -68,19 +70,19 @@
 		switch {
 		case r.Service != s || r.Prompt == 0:
 		case r.Placed == 0 && r.Reason == "" && r.Sends == "":
-			d.Turned++
+			d.EndedBeforePlacement++
 		default:
-			d.Played = append(d.Played, r)
+			d.Logged = append(d.Logged, r)
 		}
 	}
-	if len(d.Played) == 0 {
+	if len(d.Logged) == 0 {
 		return d, nil
 	}
-	kinds := kindsOf(d.Played, c.Worth)
+	kinds := kindsOf(d.Logged, c.Worth)
 	rng := rand.New(rand.NewPCG(c.Seed, 5))
-	from := d.Played[0].Arrived
-	for i := range d.Played {
-		r := &d.Played[i]
+	from := d.Logged[0].Arrived
+	for i := range d.Logged {
+		r := &d.Logged[i]
 		a := arrival(r, kinds[*r.Aim], l.Engines[s].Stride)
 		a.At = float64(clock.Of(r.Arrived.Sub(from)))
 		for range copies(c.Mix, *r.Aim, rng) {
@@ -129,16 +131,16 @@
 			kinds[*r.Aim] = k
 		}
 		counts[*r.Aim]++
-		k.Mean += float64(r.Prompt)
+		k.MeanPrompt += float64(r.Prompt)
 		if r.complete() {
 			whole[*r.Aim]++
-			k.Events += float64(r.Events)
+			k.MeanEvents += float64(r.Events)
 		}
 	}
 	for aim, k := range kinds {
-		k.Mean /= counts[aim]
+		k.MeanPrompt /= counts[aim]
 		if whole[aim] > 0 {
-			k.Events /= whole[aim]
+			k.MeanEvents /= whole[aim]
 		}
 	}
 	return kinds
@@ -147,9 +149,9 @@
 // arrival converts a logged request for the simulation. The full length of an incomplete response
 // is unknown, so it is taken to be the mean of its kind, within the token limit of the request.
 func arrival(r *Request, k *passes.Kind, stride int) passes.Arrival {
-	a := passes.Arrival{Kind: k, Prompt: tokenCount(r.Prompt), Events: r.Events, Output: tokenCount(r.Output), Due: r.Due, Urgency: decide.Urgency(r.Urgency)}
+	a := passes.Arrival{Kind: k, Prompt: tokenCount(r.Prompt), Events: r.Events, Output: tokenCount(r.Output), TimeLimit: r.Due, Urgency: decide.Urgency(r.Urgency)}
 	if !r.complete() {
-		a.Events = int(k.Events)
+		a.Events = int(k.MeanEvents)
 		if r.Output > 0 && stride > 0 {
 			a.Events = min(a.Events, int(r.Output)/stride)
 		}
@@ -162,15 +164,15 @@
 func (r *Request) complete() bool { return r.Outcome == "ok" && r.First > 0 }
 
 // response returns the outcome of a logged request in the form of the simulation.
-func (r *Request) response() passes.Request {
-	e := passes.Request{First: float64(r.First), Pause: float64(r.Pause), Whole: r.complete()}
-	if !e.Whole && r.Sends == "" {
-		e.Refused = r.Reason
+func (r *Request) response() passes.Response {
+	e := passes.Response{First: float64(r.First), Pause: float64(r.Pause), Complete: r.complete()}
+	if !e.Complete && r.Sends == "" {
+		e.RefusalReason = r.Reason
 	}
 	return e
 }
 
-// Play simulates the arrivals under the scheduling decisions with the given rules.
-func (d *Day) Play(rules span.Rules) passes.Result {
-	return passes.PlayArrivals(&d.Load, rules, d.Arrivals)
+// Simulate runs the arrivals under the scheduling decisions with the given rules.
+func (d *Trace) Simulate(rules span.Rules) passes.Result {
+	return passes.SimulateArrivals(&d.Load, rules, d.Arrivals)
 }
--- a/bench/whatif/whatif_test.go
+++ b/bench/whatif/whatif_test.go
@@ -48,12 +48,12 @@
 	return rs
 }
 
-// singleTrace returns the one Day of the logs.
-func singleTrace(t *testing.T, c Change, texts ...string) *Day {
+// singleTrace returns the only Trace of the logs.
+func singleTrace(t *testing.T, c Change, texts ...string) *Trace {
 	t.Helper()
 	l, err := Read(logs(texts...)...)
 	require.NoError(t, err)
-	traces, err := Days(l, c)
+	traces, err := Traces(l, c)
 	require.NoError(t, err)
 	require.Len(t, traces, 1)
 	return &traces[0]
@@ -61,11 +61,11 @@
 
 func TestModelReproducesLoggedResults(t *testing.T) {
 	d := singleTrace(t, Change{}, shortRequestLog("a", 8, 300))
-	r := d.Play(span.DefaultRules)
-	require.InDelta(t, 1, d.Served().Share(), 0)
-	require.InDelta(t, 1, d.Modelled(&r).Share(), 0.03)
+	r := d.Simulate(span.DefaultRules)
+	require.InDelta(t, 1, d.LoggedTallies().WorthFraction(), 0)
+	require.InDelta(t, 1, d.SimulatedTallies(&r).WorthFraction(), 0.03)
 	require.Equal(t, 8, d.Load.Engines)
-	require.Equal(t, 300, d.Modelled(&r)["aim300"].Asked)
+	require.Equal(t, 300, d.SimulatedTallies(&r)["aim300"].Requests)
 }
 
 // The lines of two VMs' logs are shuffled, and one of the logs is read twice. Each request must be
@@ -77,7 +77,7 @@
 	l, err := Read(logs(strings.Join(lines, "\n"), a)...)
 	require.NoError(t, err)
 	require.Len(t, l.Requests, 100)
-	require.Equal(t, 50, l.Twice)
+	require.Equal(t, 50, l.Duplicates)
 	for i := 1; i < len(l.Requests); i++ {
 		require.False(t, l.Requests[i].Arrived.Before(l.Requests[i-1].Arrived))
 	}
@@ -94,7 +94,7 @@
 	_, headless, _ := strings.Cut(whole, "\n")
 	l, err = Read(logs(headless)...)
 	require.NoError(t, err)
-	require.Equal(t, []string{"a"}, l.Headless)
+	require.Equal(t, []string{"a"}, l.WithoutStart)
 	_, requests, _ := strings.Cut(whole, `"service":"m","new":true}`)
 	_, requests, _ = strings.Cut(requests, "e3")
 	_, err = Read(logs(requests)...)
@@ -114,7 +114,7 @@
 	d := singleTrace(t, Change{Engines: 2, Mix: map[clock.Milli]float64{300: 2.5}, Seed: 3}, shortRequestLog("a", 4, 300))
 	require.Equal(t, 2, d.Load.Engines)
 	require.InDelta(t, 750, len(d.Arrivals), 40)
-	require.Len(t, d.Played, 300)
+	require.Len(t, d.Logged, 300)
 }
 
 // The search starts from the simulation with the default rules, so it must not find less, and it
@@ -124,10 +124,10 @@
 		load := *passes.Loads()[name]
 		load.Length = 12_000
 		for seed := range uint64(2) {
-			d := Day{Load: load, Arrivals: passes.Draw(&load, seed+1)}
-			r := d.Play(span.DefaultRules)
-			share, most := d.Modelled(&r).Share(), d.Most()
-			found, _ := d.Found(6, seed)
+			d := Trace{Load: load, Arrivals: passes.Draw(&load, seed+1)}
+			r := d.Simulate(span.DefaultRules)
+			share, most := d.SimulatedTallies(&r).WorthFraction(), d.UpperBound()
+			found, _ := d.Search(6, seed)
 			require.LessOrEqual(t, share, found+1e-9)
 			require.LessOrEqual(t, found, most+1e-9)
 		}
@@ -139,8 +139,8 @@
 func TestBoundAccountsForPrefillCapacity(t *testing.T) {
 	load := *passes.Loads()["over18"]
 	load.Length, load.Engines = 12_000, 3
-	d := Day{Load: load, Arrivals: passes.Draw(&load, 1)}
-	require.Less(t, d.Most(), 0.9)
+	d := Trace{Load: load, Arrivals: passes.Draw(&load, 1)}
+	require.Less(t, d.UpperBound(), 0.9)
 }
 
 // The logs in testdata are from two VMs of a small fleet.
@@ -153,16 +153,16 @@
 	}
 	l, err := Read(readers...)
 	require.NoError(t, err)
-	require.True(t, l.Unlisted, "the upstreams were present when these VMs started")
-	traces, err := Days(l, Change{Mix: map[clock.Milli]float64{3000: 0}})
+	require.True(t, l.UnnamedUpstreams, "the upstreams were present when these VMs started")
+	traces, err := Traces(l, Change{Mix: map[clock.Milli]float64{3000: 0}})
 	require.NoError(t, err)
 	require.Len(t, traces, 1)
 	require.Equal(t, 3, traces[0].Load.Engines, "the fourth engine received no request")
-	r := traces[0].Play(span.DefaultRules)
+	r := traces[0].Simulate(span.DefaultRules)
 	var out strings.Builder
 	traces[0].Print(&out, &r)
 	require.Contains(t, out.String(), "aim300")
-	require.InDelta(t, traces[0].Served()["aim300"].Worth, traces[0].Modelled(&r)["aim300"].Worth, 3)
+	require.InDelta(t, traces[0].LoggedTallies()["aim300"].Worth, traces[0].SimulatedTallies(&r)["aim300"].Worth, 3)
 }
 
 // The requirement is at most 2 s for 60 engines and at most a minute for 1,300.
@@ -171,11 +171,11 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			load := *passes.Loads()["long60"]
 			load.Engines, load.Scale = engines, float64(engines)/60
-			d := Day{Load: load, Arrivals: passes.Draw(&load, 1)}
+			d := Trace{Load: load, Arrivals: passes.Draw(&load, 1)}
 			b.ReportMetric(float64(len(d.Arrivals)), "requests")
 			b.ReportAllocs()
 			for b.Loop() {
-				d.Play(span.DefaultRules)
+				d.Simulate(span.DefaultRules)
 			}
 		})
 	}
@@ -185,21 +185,21 @@
 // attributed to the wrong phase.
 func TestPhasesAddUpToWholeTrace(t *testing.T) {
 	d := singleTrace(t, Change{}, shortRequestLog("a", 2, 400))
-	r := d.Play(span.DefaultRules)
-	_, outcomes := d.Found(4, 1)
+	r := d.Simulate(span.DefaultRules)
+	_, outcomes := d.Search(4, 1)
 	phases := d.Phases(&r, outcomes, 2*clock.Second)
 	require.Len(t, phases, 4)
 	requests, logged, simulated, all := 0, 0.0, 0.0, 0.0
 	for _, p := range phases {
-		requests += p.Asked
+		requests += p.Requests
 		all += p.maxWorth
-		logged += p.Served * p.maxLoggedWorth
-		simulated += p.Modelled * p.maxWorth
-		require.Positive(t, p.Found)
+		logged += p.Logged * p.maxLoggedWorth
+		simulated += p.Simulated * p.maxWorth
+		require.Positive(t, p.BestFound)
 	}
 	require.Equal(t, 400, requests)
-	require.InDelta(t, d.Served().Share(), logged/all, 1e-9)
-	require.InDelta(t, d.Modelled(&r).Share(), simulated/all, 1e-9)
+	require.InDelta(t, d.LoggedTallies().WorthFraction(), logged/all, 1e-9)
+	require.InDelta(t, d.SimulatedTallies(&r).WorthFraction(), simulated/all, 1e-9)
 	var b bytes.Buffer
 	PrintPhases(&b, phases)
 	require.Len(t, strings.Split(strings.TrimSpace(b.String()), "\n"), 1+len(phases))
