--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs entry VMs on a stand-in of the platform, each a process of its own. What
-// they say to the store, to each other and to upstreams passes through relays, so that a
-// test can cut, silence or delay any link.
+// Package fleet runs entry VMs, each as a separate process, against an emulated platform inside
+// the test process. Their connections to the store, to each other and to upstreams pass through
+// relays, so that a test can cut, silence or delay any link.
 package fleet
 
 import (
@@ -16,57 +16,62 @@
 	"snipeshift.example/scenarios/relay"
 )
 
-// VM is one entry VM with the addresses of its doors.
+// VM is one entry VM with the addresses that it listens on.
 type VM struct {
-	Name   string
-	Caller string
-	ready  string
-	// Metrics is where metrics and profiles are served.
+	Name string
+	// Caller is the address for clients, readyAddress that of the load balancer's readiness check.
+	Caller       string
+	readyAddress string
+	// Metrics is the address that serves metrics and profiles.
 	Metrics string
-	// Peer carries what other VMs say to it.
+	// Peer is the relay for the connections of other VMs to this one.
 	Peer *relay.Relay
-	// Process is its present life.
-	Process  *process.Process
-	settings string
-	door     string
+	// Process is the current process, or the last one if it has exited; nil before the first start.
+	Process *process.Process
+	// settingsPath is the path of the settings file.
+	settingsPath string
+	// peerAddress is the address for peers on which the process itself listens, behind Peer.
+	peerAddress string
 }
 
-// Fleet is a platform with VMs.
+// Fleet is an emulated platform with the VMs that run on it.
 type Fleet struct {
 	Platform *standin.Platform
 	VMs      []*VM
-	// Store carries what VMs say to the store.
+	// Store is the relay for the connections of all VMs to the store.
 	Store *relay.Relay
 
 	dir, program string
 	finder       *relay.Finder
-	// upstreams carry what VMs say to a runner, by the address that it is registered under.
+	// upstreams holds the relay in front of each runner (an upstream of the emulated platform), by the
+	// address that the runner is registered under.
 	upstreams map[string]*relay.Relay
 }
 
-// New starts a platform and VMs that run a program, with their logs in a folder.
+// New starts an emulated platform and a number of VMs that run the given program. Settings and
+// logs are written to dir. On an error the returned fleet still has to be closed.
 func New(dir, program string, vms int) (*Fleet, error) {
 	f := &Fleet{
-		Platform: standin.New(models, desks, "ward", "desk"), dir: dir, program: program,
+		Platform: standin.New(modelRunners, serviceRunners, "ward", "desk"), dir: dir, program: program,
 		finder: relay.NewFinder(), upstreams: map[string]*relay.Relay{},
 	}
 	f.finder.Know(os.Getpid(), Caller)
 	var err error
-	if f.Store, err = f.relay(f.Platform.Address()); err != nil {
+	if f.Store, err = f.newRelay(f.Platform.Address()); err != nil {
 		return f, err
 	}
 	for _, r := range f.Platform.Runners() {
-		l, err := f.relay(r.Listens())
+		l, err := f.newRelay(r.Listens())
 		if err != nil {
 			return f, err
 		}
-		l.Name(nameWait)
+		l.Name(identifyTimeout)
 		f.upstreams[l.Address()] = l
 		r.Dies, r.Origin = f.Crash, l.Source
 		r.Move(l.Address())
 	}
 	for i := range vms {
-		if err := f.add(fmt.Sprintf("vm-%d", i+1)); err != nil {
+		if err := f.addVM(fmt.Sprintf("vm-%d", i+1)); err != nil {
 			return f, err
 		}
 	}
@@ -78,21 +83,23 @@
 	return f, nil
 }
 
-// Sizes of a fleet.
+// Size and time limits of a fleet.
 const (
-	models = 4
-	desks  = 3
-	// grace is the time for a planned stop, in milliseconds.
-	grace = 6000
-	// nameWait is short beside the 150 ms and more in which a VM gives an order or a poll up.
-	nameWait = 50 * time.Millisecond
+	// modelRunners and serviceRunners are the numbers of runners (upstreams) of the model and of the plain service.
+	modelRunners   = 4
+	serviceRunners = 3
+	// stopTimeout is the time limit of a VM's graceful stop, in milliseconds.
+	stopTimeout = 6000
+	// identifyTimeout is how long a relay in front of a runner may delay a connection to identify the
+	// process that opened it. It is well below the 150 ms or more after which a VM gives up a poll or an order to a runner.
+	identifyTimeout = 50 * time.Millisecond
 )
 
-// Caller is the name of the test itself as the source of connections.
+// Caller is the name under which relays see connections of the test process itself, the client.
 const Caller = "caller"
 
-// relay returns one that is up and leads to an address.
-func (f *Fleet) relay(to string) (*relay.Relay, error) {
+// newRelay returns a new relay that forwards connections to an address.
+func (f *Fleet) newRelay(to string) (*relay.Relay, error) {
 	r, err := relay.New(f.finder)
 	if err != nil {
 		return nil, err
@@ -100,29 +107,29 @@
 	return r, r.Up(to)
 }
 
-// add prepares a VM.
-func (f *Fleet) add(name string) error {
-	v := &VM{Name: name, settings: filepath.Join(f.dir, name+".hujson")}
-	for _, door := range []*string{&v.Caller, &v.ready, &v.door, &v.Metrics} {
+// addVM chooses the addresses of a VM and writes its settings, without starting it.
+func (f *Fleet) addVM(name string) error {
+	v := &VM{Name: name, settingsPath: filepath.Join(f.dir, name+".hujson")}
+	for _, address := range []*string{&v.Caller, &v.readyAddress, &v.peerAddress, &v.Metrics} {
 		a, err := relay.FreeAddress()
 		if err != nil {
 			return err
 		}
-		*door = a
+		*address = a
 	}
 	var err error
-	if v.Peer, err = f.relay(v.door); err != nil {
+	if v.Peer, err = f.newRelay(v.peerAddress); err != nil {
 		return err
 	}
 	f.VMs = append(f.VMs, v)
 	text := fmt.Sprintf(`{"name": %q, "domain": "hall", "caller": %q, "ready": %q, "metrics": %q, "peer": %q, "advertise": %q, "store": %q, "peers": [%q], "bounds": {"grace": %d}}`,
-		v.Name, v.Caller, v.ready, v.Metrics, v.door, v.Peer.Address(), f.Store.Address(), f.VMs[0].Peer.Address(), grace)
-	return os.WriteFile(v.settings, []byte(text), 0o600)
+		v.Name, v.Caller, v.readyAddress, v.Metrics, v.peerAddress, v.Peer.Address(), f.Store.Address(), f.VMs[0].Peer.Address(), stopTimeout)
+	return os.WriteFile(v.settingsPath, []byte(text), 0o600)
 }
 
-// Start starts a VM's process.
+// Start starts the process of a VM that is not running.
 func (f *Fleet) Start(v *VM) error {
-	p, err := process.Start(f.dir, v.Name, f.program, "relay", "--settings", v.settings)
+	p, err := process.Start(f.dir, v.Name, f.program, "relay", "--settings", v.settingsPath)
 	if err != nil {
 		return err
 	}
@@ -134,22 +141,23 @@
 	return nil
 }
 
-// Upstream is the relay in front of a runner.
+// Upstream returns the relay in front of a runner.
 func (f *Fleet) Upstream(r *standin.Runner) *relay.Relay { return f.upstreams[r.Address()] }
 
-// Crash ends a runner, and its address refuses connections.
+// Crash crashes a runner. Its registered address then refuses connections.
 func (f *Fleet) Crash(r *standin.Runner) {
 	f.Upstream(r).Down()
 	r.Crash()
 }
 
-// Renew starts a runner with another id at the address of one that has ended.
-func (f *Fleet) Renew(old *standin.Runner) error { return f.follow(old, f.Platform.Renew) }
+// Renew starts a runner with a new id at the registered address of one that has crashed.
+func (f *Fleet) Renew(old *standin.Runner) error { return f.startSuccessor(old, f.Platform.Renew) }
 
-// Revive starts the next life of a runner under its id, at the same address.
-func (f *Fleet) Revive(old *standin.Runner) error { return f.follow(old, f.Platform.Revive) }
+// Revive starts the next incarnation of a crashed runner, with the same id and registered address.
+func (f *Fleet) Revive(old *standin.Runner) error { return f.startSuccessor(old, f.Platform.Revive) }
 
-func (f *Fleet) follow(old *standin.Runner, start func(*standin.Runner) *standin.Runner) error {
+// startSuccessor starts the successor of a crashed runner and puts it behind the same relay.
+func (f *Fleet) startSuccessor(old *standin.Runner, start func(*standin.Runner) *standin.Runner) error {
 	l := f.Upstream(old)
 	r := start(old)
 	if err := l.Up(r.Listens()); err != nil {
@@ -160,10 +168,10 @@
 	return nil
 }
 
-// Ready asks as the balancer does.
+// Ready reports whether the VM passes the readiness check of the load balancer.
 func (v *VM) Ready() bool {
 	c := http.Client{Timeout: readyTimeout}
-	resp, err := c.Get("http://" + v.ready + platform.ReadyPath) //nolint:noctx // the client has a timeout
+	resp, err := c.Get("http://" + v.readyAddress + platform.ReadyPath) //nolint:noctx // the client has a timeout
 	if err != nil {
 		return false
 	}
@@ -171,20 +179,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// readyTimeout bounds one question.
+// readyTimeout limits one readiness check.
 const readyTimeout = 500 * time.Millisecond
 
-// AwaitReady waits until a VM takes callers.
-func (v *VM) AwaitReady(within time.Duration) error {
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
+// AwaitReady waits until the VM is ready to serve clients.
+func (v *VM) AwaitReady(timeout time.Duration) error {
+	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
 		if v.Ready() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not ready within %v: %s", v.Name, within, v.Process.Tail())
+	return fmt.Errorf("%s is not ready within %v: %s", v.Name, timeout, v.Process.Tail())
 }
 
-// Logs is the end of each VM's log.
+// Logs returns the status of each VM's process and the end of its log.
 func (f *Fleet) Logs() string {
 	text := ""
 	for _, v := range f.VMs {
@@ -193,7 +201,7 @@
 	return text
 }
 
-// Close ends everything.
+// Close kills all VMs and closes all relays and the platform.
 func (f *Fleet) Close() {
 	for _, v := range f.VMs {
 		if v.Process != nil {
--- a/scenarios/process/process.go
+++ b/scenarios/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs the programs of a scenario and sends them signals. Every
-// one of them dies with the test.
+// Package process runs the programs of a scenario and sends them signals. The
+// kernel kills every program when the test process ends.
 package process
 
 import (
@@ -14,38 +14,38 @@
 	"time"
 )
 
-// stopLimit is how long a program may take over a graceful stop at the end of a scenario.
-const stopLimit = 20 * time.Second
+// stopTimeout is how long a program may take over a graceful stop at the end of a scenario.
+const stopTimeout = 20 * time.Second
 
-// Process is one life of a program.
+// Process is one run of a program, from its start to its exit.
 type Process struct {
-	name string
-	cmd  *exec.Cmd
-	log  string
-	// ready gets the address of the first ready line, and is closed at the end of the output.
+	name    string
+	cmd     *exec.Cmd
+	logPath string
+	// ready receives the address in the first ready line, and is closed at the end of the output.
 	ready chan string
-	// done is closed once the program has ended.
+	// done is closed once the program has exited.
 	done chan struct{}
 }
 
-// readyLine is what a stand-in prints once it listens.
+// readyLine is the line that an emulator (of an engine, a service or the platform) prints once it listens.
 type readyLine struct {
 	Ready   bool   `json:"ready"`
 	Address string `json:"address"`
 }
 
-// Start runs a program with its output in a file of dir. It dies with the test
-// process, and has a process group of its own so that an interrupt of the test
-// does not reach it in the middle of a script.
+// Start runs a program and appends its output to the file NAME.log in dir. The
+// kernel kills the program when the test process ends. It has its own process
+// group, so that an interrupt of the test does not reach it in the middle of a script.
 func Start(dir, name, program string, args ...string) (*Process, error) {
 	p := &Process{
-		name:  name,
-		cmd:   exec.Command(program, args...), //nolint:noctx // stopped by signal
-		log:   filepath.Join(dir, name+".log"),
-		ready: make(chan string, 1),
-		done:  make(chan struct{}),
+		name:    name,
+		cmd:     exec.Command(program, args...), //nolint:noctx // stopped by signal
+		logPath: filepath.Join(dir, name+".log"),
+		ready:   make(chan string, 1),
+		done:    make(chan struct{}),
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -58,12 +58,12 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(bufio.NewReader(out), log)
+	go p.copyOutput(bufio.NewReader(out), log)
 	return p, nil
 }
 
-// follow reads the output to its end and waits for the program.
-func (p *Process) follow(out *bufio.Reader, log *os.File) {
+// copyOutput copies the output to the log, reports the ready line, and waits for the program to exit.
+func (p *Process) copyOutput(out *bufio.Reader, log *os.File) {
 	defer log.Close()
 	announced := false
 	for {
@@ -83,16 +83,16 @@
 	close(p.done)
 }
 
-// Name is the name it was started under.
+// Name returns the name that the program was started under.
 func (p *Process) Name() string { return p.name }
 
-// Pid is its process id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Done is closed once it has ended.
+// Done returns a channel that is closed once the program has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Running tells whether it has not ended.
+// Running reports whether the program has not exited yet.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -102,7 +102,7 @@
 	}
 }
 
-// Status tells how it ended, or that it runs.
+// Status describes how the program exited, or returns "running".
 func (p *Process) Status() string {
 	if p.Running() {
 		return "running"
@@ -110,38 +110,38 @@
 	return p.cmd.ProcessState.String()
 }
 
-// Clean reports whether it ended on its own with status 0.
+// Clean reports whether the program has exited with status 0.
 func (p *Process) Clean() bool { return !p.Running() && p.cmd.ProcessState.Success() }
 
-// Address waits for the ready line of a stand-in.
-func (p *Process) Address(limit time.Duration) (string, error) {
-	t := time.NewTimer(limit)
+// Address waits up to limit for the ready line of an emulator and returns the address in it.
+func (p *Process) Address(timeout time.Duration) (string, error) {
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case a, ok := <-p.ready:
 		if !ok {
-			return "", fmt.Errorf("%s ended before it was ready:\n%s", p.name, p.Tail())
+			return "", fmt.Errorf("%s exited before it was ready:\n%s", p.name, p.Tail())
 		}
 		return a, nil
 	case <-t.C:
-		return "", fmt.Errorf("%s was not ready in %v:\n%s", p.name, limit, p.Tail())
+		return "", fmt.Errorf("%s was not ready within %v:\n%s", p.name, timeout, p.Tail())
 	}
 }
 
-// Signal sends a signal; to a program that has ended it is an error.
-func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
+// Signal sends a signal. It returns an error if the program has exited.
+func (p *Process) Signal(sig syscall.Signal) error { return p.cmd.Process.Signal(sig) }
 
-// Kill ends it at once and waits for its end.
+// Kill sends SIGKILL and waits for the program to exit.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Close ends it gracefully, then by force.
+// Close stops the program with SIGTERM, also when it is frozen, and kills it after stopTimeout.
 func (p *Process) Close() {
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.Signal(syscall.SIGTERM)
-	t := time.NewTimer(stopLimit)
+	t := time.NewTimer(stopTimeout)
 	defer t.Stop()
 	select {
 	case <-p.done:
@@ -150,21 +150,21 @@
 	}
 }
 
-// tailSize is how much of a log a failure shows, in bytes.
+// tailSize is how much of the end of a log is shown with a failure, in bytes.
 const tailSize = 6 << 10
 
-// Tail returns the end of its log.
+// Tail returns the end of the program's log.
 func (p *Process) Tail() string {
-	b, err := os.ReadFile(p.log)
+	b, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return err.Error()
 	}
 	return string(b[max(0, len(b)-tailSize):])
 }
 
-// Grep returns the lines of its log, over all lives in the same folder, that hold a text.
+// Grep returns the log lines that contain a text. The log covers all runs under this name in the same folder.
 func (p *Process) Grep(text string) []string {
-	b, err := os.ReadFile(p.log)
+	b, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return []string{err.Error()}
 	}
