--- a/scenarios/world/answer.go
+++ b/scenarios/world/answer.go
@@ -17,15 +17,15 @@
 	"snipeshift.example/lib/expect"
 )
 
-// endMark is the last event of a whole stream.
-const endMark = "[DONE]"
+// streamEnd is the last event of a complete stream.
+const streamEnd = "[DONE]"
 
-// chunk is an event of a stream, or an answer that is not streamed.
+// chunk is an event of a streamed response, or a response that is not streamed.
 type chunk struct {
 	Choices []struct {
-		Finish  string `json:"finish_reason"`
-		Delta   text   `json:"delta"`
-		Message text   `json:"message"`
+		Finish  string      `json:"finish_reason"`
+		Delta   messageText `json:"delta"`
+		Message messageText `json:"message"`
 	} `json:"choices"`
 	Error *struct {
 		Type    string `json:"type"`
@@ -34,121 +34,128 @@
 	} `json:"error"`
 }
 
-type text struct {
+// messageText is the message of a choice, or its delta in a stream.
+type messageText struct {
 	Content string `json:"content"`
 }
 
-// served is the answer of the plain service's stand-in.
-type served struct {
+// serviceResponse is the response of the emulated plain service: the path of the request and the
+// xxhash of its body in hexadecimal digits.
+type serviceResponse struct {
 	Path string `json:"path"`
 	Hash string `json:"hash"`
 }
 
-// read takes the answer in and judges it.
+// read reads the response and records the outcome of the call.
 func (r *Result) read(ctx context.Context, resp *http.Response) {
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		r.refused(ctx, resp.Body)
+		r.readError(ctx, resp.Body)
 	case r.Call.Service:
-		r.plain(ctx, resp.Body)
+		r.readService(ctx, resp.Body)
 	case r.Call.Whole || r.Replayed:
-		r.whole(ctx, resp.Body)
+		r.readCompletion(ctx, resp.Body)
 	default:
-		r.stream(ctx, resp.Body)
+		r.readStream(ctx, resp.Body)
 	}
 }
 
-func (r *Result) refused(ctx context.Context, body io.Reader) {
+// readError reads an error response. A response of the daemon needs an error kind; that of a plain
+// service may come from the service itself.
+func (r *Result) readError(ctx context.Context, body io.Reader) {
 	b, err := io.ReadAll(body)
 	if err != nil {
-		r.broken(ctx, err)
+		r.recordError(ctx, err)
 		return
 	}
 	if r.Error == "" && !r.Call.Service {
-		r.ends(Wrong, fmt.Sprintf("a refusal without error kind: %s", b))
+		r.setOutcome(Wrong, fmt.Sprintf("an error response without an error kind: %s", b))
 		return
 	}
-	r.ends(Refused, string(b))
+	r.setOutcome(Refused, string(b))
 }
 
-func (r *Result) plain(ctx context.Context, body io.Reader) {
+// readService reads the response of the plain service and compares it with the request sent.
+func (r *Result) readService(ctx context.Context, body io.Reader) {
 	b, err := io.ReadAll(body)
 	if err != nil {
-		r.broken(ctx, err)
+		r.recordError(ctx, err)
 		return
 	}
-	var s served
+	var got serviceResponse
 	want := strconv.FormatUint(xxhash.Sum64String(r.Call.prompt()), 16)
-	if json.Unmarshal(b, &s) != nil || s.Hash != want || s.Path != "/"+r.Call.Text {
-		r.ends(Wrong, fmt.Sprintf("answer %s, want hash %s", b, want))
+	if json.Unmarshal(b, &got) != nil || got.Hash != want || got.Path != "/"+r.Call.Text {
+		r.setOutcome(Wrong, fmt.Sprintf("response %s, want hash %s", b, want))
 		return
 	}
-	r.ends(Whole, "")
+	r.setOutcome(Whole, "")
 }
 
-func (r *Result) whole(ctx context.Context, body io.Reader) {
+// readCompletion reads a completion that is not streamed.
+func (r *Result) readCompletion(ctx context.Context, body io.Reader) {
 	b, err := io.ReadAll(body)
 	if err != nil {
-		r.broken(ctx, err)
+		r.recordError(ctx, err)
 		return
 	}
 	var c chunk
 	if err := json.Unmarshal(b, &c); err != nil || len(c.Choices) != 1 {
-		r.ends(Wrong, fmt.Sprintf("not an answer of the API: %s", b))
+		r.setOutcome(Wrong, fmt.Sprintf("response does not follow the API: %s", b))
 		return
 	}
 	r.Text = c.Choices[0].Message.Content
-	r.judge()
+	r.checkText()
 }
 
-// judge compares a complete answer with the one that its prompt calls for.
-func (r *Result) judge() {
+// checkText compares a complete text with the one that an emulated engine generates for the prompt.
+func (r *Result) checkText() {
 	if err := expect.Check(r.Call.prompt(), r.Text, r.Call.Output); err != nil {
-		r.ends(Wrong, err.Error())
+		r.setOutcome(Wrong, err.Error())
 		return
 	}
-	r.ends(Whole, "")
+	r.setOutcome(Whole, "")
 }
 
-// stream reads events to the end mark, an error event or the end of the connection.
-func (r *Result) stream(ctx context.Context, body io.Reader) {
+// readStream reads events up to the end mark, an error event or the end of the connection.
+func (r *Result) readStream(ctx context.Context, body io.Reader) {
 	lines := bufio.NewReader(body)
 	finished := false
 	for {
 		line, err := lines.ReadBytes('\n')
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if err != nil {
-			r.unfinished(ctx, err)
+			r.recordBrokenStream(ctx, err)
 			return
 		}
 		if !ok {
 			continue
 		}
-		if string(data) == endMark {
+		if string(data) == streamEnd {
 			if !finished {
-				r.ends(Wrong, "an end mark without a finish reason")
+				r.setOutcome(Wrong, "end mark without a finish reason")
 				return
 			}
-			r.judge()
+			r.checkText()
 			return
 		}
-		if done := r.event(data, &finished); done {
+		if done := r.handleEvent(data, &finished); done {
 			return
 		}
 	}
 }
 
-// event takes one event; it returns true when the answer has ended with it.
-func (r *Result) event(data []byte, finished *bool) bool {
+// handleEvent processes one event. It returns true for an error event and for an invalid event, with
+// which the response ends. It sets *finished if the event has a finish reason.
+func (r *Result) handleEvent(data []byte, finished *bool) bool {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
-		r.ends(Wrong, fmt.Sprintf("event %q", data))
+		r.setOutcome(Wrong, fmt.Sprintf("event is not valid JSON: %q", data))
 		return true
 	}
 	if c.Error != nil {
 		r.Error, r.Ran = c.Error.Type, c.Error.Ran
-		r.ends(Stopped, string(data))
-		r.own()
+		r.setOutcome(Stopped, string(data))
+		r.checkPartialText()
 		return true
 	}
 	r.mu.Lock()
@@ -163,16 +170,17 @@
 	return false
 }
 
-// unfinished ends a stream that broke off.
-func (r *Result) unfinished(ctx context.Context, err error) {
-	r.broken(ctx, err)
-	r.own()
+// recordBrokenStream records the outcome of a stream that broke off.
+func (r *Result) recordBrokenStream(ctx context.Context, err error) {
+	r.recordError(ctx, err)
+	r.checkPartialText()
 }
 
-// own checks that a part of an answer is the start of the call's own.
-func (r *Result) own() {
+// checkPartialText sets the outcome to Wrong if the text received so far is not the beginning of the
+// text expected for the prompt.
+func (r *Result) checkPartialText() {
 	want := expect.Of(r.Call.prompt()).Answer(r.Call.Output)
 	if !strings.HasPrefix(want, r.Text) {
-		r.ends(Wrong, fmt.Sprintf("part of an answer that is not its own: %q", r.Text))
+		r.setOutcome(Wrong, fmt.Sprintf("partial text is not the beginning of the expected one: %q", r.Text))
 	}
 }
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -13,97 +13,109 @@
 	"snipeshift.example/lib/clock"
 )
 
-// Call is one request of a caller.
+// Call is one request of a client.
 type Call struct {
-	// Name tells calls of a scenario apart.
+	// Name is unique within the scenario.
 	Name string
-	// To is the daemon that the balancer chose.
-	To        string
-	Kind      string
+	// To is the daemon that the client connects to.
+	To string
+	// Kind is the request kind of the document; empty means Draft, or Lookup for the plain service.
+	Kind string
+	// Workspace defaults to the first of Workspaces.
 	Workspace string
-	// Key is the idempotency key.
+	// Key is the idempotency key; empty for none.
 	Key string
-	// Text starts the prompt; calls with the same text are the same request. Empty means the name.
+	// Text is the start of the prompt, or the path at the plain service. Calls with the same text are
+	// the same request. It defaults to Name.
 	Text string
-	// Prompt is the prompt's length in tokens, Output the limit of output tokens.
+	// Prompt is the length of the prompt in tokens. Output is the limit of output tokens; zero means
+	// the limit of the kind.
 	Prompt, Output int
-	// Deadline is the allowed time that the caller names; zero for the kind's.
+	// Deadline is the time limit that the client requests; zero for none. The limit of the kind
+	// applies if it is shorter.
 	Deadline clock.Milli
-	// Service sends it to the plain service.
+	// Service sends the call to the plain service instead of the model.
 	Service bool
-	// Whole asks for an answer that is not streamed.
+	// Whole requests a response that is not streamed.
 	Whole bool
-	// Allowed is the time within which it must end, worked out from kind and Deadline.
+	// Allowed is the time limit that applies: the shorter one of Deadline and the limit of the kind.
+	// Begin sets it.
 	Allowed clock.Milli
-	// Once is set for kinds that must run at most once.
+	// Once is set for kinds that must run at most once. Begin sets it.
 	Once bool
 }
 
-// End is how a call ended for its caller.
+// End is the state or outcome of a call as its client sees it.
 type End string
 
-// The ends.
+// States and outcomes of a call.
 const (
 	Running End = "running"
-	Whole   End = "whole"   // the whole answer to its own request
-	Refused End = "refused" // an answer with an error kind
-	Stopped End = "stopped" // an answer that began and ended with an error event
-	Cut     End = "cut"     // the connection broke before any of these
-	Late    End = "late"    // the caller gave up, past the allowed time
-	Left    End = "left"    // the caller went away
-	Wrong   End = "wrong"   // an answer that looks whole and is not its own, or no answer of the API at all
+	Whole   End = "whole"   // the complete, correct response
+	Refused End = "refused" // an error response with an error kind
+	Stopped End = "stopped" // a stream that ended with an error event
+	Cut     End = "cut"     // the connection broke before any of the above
+	Late    End = "late"    // the client gave up after the time limit
+	Left    End = "left"    // the client closed the connection
+	Wrong   End = "wrong"   // a response that belongs to another request or does not follow the API
 )
 
-// Result is what a caller saw.
+// Result is the outcome of a call as its client sees it. The fields are final once Done is closed.
 type Result struct {
-	Call    Call
+	Call Call
+	// Begun is when the call was sent, Elapsed the time until its end.
 	Begun   time.Time
 	Elapsed time.Duration
 	End     End
-	Status  int
-	// Error, Ran, Retry, Request and Key are headers of the answer, or fields of its error event.
+	// Status is the HTTP status; zero if no response came.
+	Status int
+	// Error is the error kind, Ran whether the request ran (no, yes or maybe), Retry the value of
+	// Retry-After, Request the request id and Key the state of the idempotency key. They come from
+	// headers of the response; Error and Ran also from an error event of the stream.
 	Error, Ran, Retry, Request, Key string
-	// First is the time to the first chunk, zero if none came.
+	// First is the time to the first chunk of the stream, zero if none came.
 	First time.Duration
-	// Text is what came of the answer.
+	// Text is the generated text received, also if the response broke off.
 	Text string
-	// Problem says why End is Cut, Late or Wrong.
+	// Problem explains an End other than Whole; empty for Left.
 	Problem string
-	// Replayed is set when the answer was kept from an earlier call with the key.
+	// Replayed is set for a stored response to an earlier call with the same idempotency key.
 	Replayed bool
 
-	mu     sync.Mutex
-	done   chan struct{}
-	hangup context.CancelFunc
+	// mu guards First while the call runs.
+	mu   sync.Mutex
+	done chan struct{}
+	// cancel cancels the call, as when the client closes the connection.
+	cancel context.CancelFunc
 }
 
-// patience is how long a caller waits beyond the allowed time, so that a late
-// answer shows as late.
-const patience = 4 * time.Second
+// lateTimeout is how long a client waits beyond the time limit of a call. A response
+// in this time is seen to be late, instead of being cut off at the limit.
+const lateTimeout = 4 * time.Second
 
-// Begin sends a call and returns at once.
+// Begin sends a call and returns without waiting for the response. A name used before is an error.
 func (w *World) Begin(c Call) (*Result, error) {
 	n, err := w.node(c.To)
 	if err != nil {
 		return nil, err
 	}
-	if err := w.complete(&c); err != nil {
+	if err := w.setDefaults(&c); err != nil {
 		return nil, err
 	}
-	ctx, hangup := context.WithCancel(context.Background())
-	r := &Result{Call: c, End: Running, Begun: time.Now(), done: make(chan struct{}), hangup: hangup}
+	ctx, cancel := context.WithCancel(context.Background())
+	r := &Result{Call: c, End: Running, Begun: time.Now(), done: make(chan struct{}), cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, ok := w.results[c.Name]; ok {
-		return nil, fmt.Errorf("there was a call %q before", c.Name)
+		return nil, fmt.Errorf("a call named %q was made before", c.Name)
 	}
 	w.results[c.Name] = r
-	w.calls.Go(func() { r.run(ctx, n.doors[doorCaller].Address()) })
+	w.calls.Go(func() { r.run(ctx, n.relays[clientEndpoint].Address()) })
 	return r, nil
 }
 
-// complete fills in what the kind determines.
-func (w *World) complete(c *Call) error {
+// setDefaults fills in the defaults of a call, and what its kind in the document determines.
+func (w *World) setDefaults(c *Call) error {
 	if c.Text == "" {
 		c.Text = c.Name
 	}
@@ -134,18 +146,19 @@
 	return nil
 }
 
-// Result returns a call by name.
+// Result returns the result of a call by the call's name.
 func (w *World) Result(name string) (*Result, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r, ok := w.results[name]
 	if !ok {
-		return nil, fmt.Errorf("no call %q", name)
+		return nil, fmt.Errorf("no call named %q", name)
 	}
 	return r, nil
 }
 
-// Results returns all calls whose name is the prefix, or starts with it and a dot.
+// Results returns the results of the call named prefix and of all calls whose names start with the
+// prefix and a dot. An empty prefix selects all calls.
 func (w *World) Results(prefix string) []*Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,10 +171,10 @@
 	return out
 }
 
-// Done is closed at the call's end.
+// Done returns a channel that is closed when the call has ended.
 func (r *Result) Done() <-chan struct{} { return r.done }
 
-// Ended tells whether the call has ended.
+// Ended reports whether the call has ended.
 func (r *Result) Ended() bool {
 	select {
 	case <-r.done:
@@ -171,17 +184,17 @@
 	}
 }
 
-// Started tells whether a chunk of the answer came.
+// Started reports whether a chunk of a streamed response has arrived.
 func (r *Result) Started() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.First > 0
 }
 
-// Wait waits for the end, which comes at the latest when the caller gives up.
+// Wait waits for the end of the call, at the latest when the client gives up.
 func (r *Result) Wait() { <-r.done }
 
-// String is one line for a failed scenario.
+// String describes the call and its outcome in one line, for messages of failed checks.
 func (r *Result) String() string {
 	s := fmt.Sprintf("%s to %s (%s): %s", r.Call.Name, r.Call.To, r.Call.Kind, r.End)
 	if r.End == Running {
@@ -197,39 +210,40 @@
 	return s
 }
 
-// Hangup makes the caller of a call go away.
+// Hangup makes the client of a call close its connection.
 func (w *World) Hangup(name string) error {
 	r, err := w.Result(name)
 	if err != nil {
 		return err
 	}
-	r.hangup()
+	r.cancel()
 	return nil
 }
 
 func (r *Result) run(ctx context.Context, address string) {
 	defer close(r.done)
-	defer r.hangup()
-	ctx, cancel := context.WithTimeout(ctx, r.Call.Allowed.Duration()+patience)
+	defer r.cancel()
+	ctx, cancel := context.WithTimeout(ctx, r.Call.Allowed.Duration()+lateTimeout)
 	defer cancel()
 	r.exchange(ctx, address)
 	r.Elapsed = time.Since(r.Begun)
 }
 
-// exchange sends the request on a connection of its own and reads the answer.
+// exchange sends the request on a new connection and reads the response.
 func (r *Result) exchange(ctx context.Context, address string) {
 	req, err := r.Call.request(ctx, address)
 	if err != nil {
-		r.ends(Wrong, err.Error())
+		r.setOutcome(Wrong, err.Error())
 		return
 	}
 	t := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	defer t.CloseIdleConnections()
-	// The transport's own repeat would send a request twice in the caller's name.
+	// Without GetBody the transport can't retry by itself, which would send the request twice although
+	// the client sent it once.
 	req.GetBody = nil
 	resp, err := t.RoundTrip(req)
 	if err != nil {
-		r.broken(ctx, err)
+		r.recordError(ctx, err)
 		return
 	}
 	defer resp.Body.Close()
@@ -241,22 +255,23 @@
 	r.read(ctx, resp)
 }
 
-// broken tells a caller that gave up from a connection that was lost.
-func (r *Result) broken(ctx context.Context, err error) {
+// recordError records the outcome after an I/O error: the client gave up at its time limit, closed the
+// connection itself, or lost it.
+func (r *Result) recordError(ctx context.Context, err error) {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
-		r.ends(Late, "the caller gave up")
+		r.setOutcome(Late, "the client gave up")
 		return
 	case context.Canceled:
-		r.ends(Left, "")
+		r.setOutcome(Left, "")
 		return
 	}
-	r.ends(Cut, err.Error())
+	r.setOutcome(Cut, err.Error())
 }
 
-func (r *Result) ends(e End, problem string) { r.End, r.Problem = e, problem }
+func (r *Result) setOutcome(e End, problem string) { r.End, r.Problem = e, problem }
 
-// prompt is the whole prompt: the text, padded to its length.
+// prompt returns the complete prompt: Text and a colon, padded to the length in tokens.
 func (c *Call) prompt() string {
 	const pad = " please draft this for the ward"
 	b := []byte(c.Text + ":")
@@ -266,11 +281,11 @@
 	return string(b[:max(len(c.Text)+1, c.Prompt*bytesPerToken)])
 }
 
-// bytesPerToken is how the stand-ins and daemons count prompts.
+// bytesPerToken is the ratio by which emulators and daemons convert the size of a prompt to tokens.
 const bytesPerToken = 4
 
-// generation is the body of a generation request.
-type generation struct {
+// completionRequest is the body of a chat completion request.
+type completionRequest struct {
 	Model    string    `json:"model"`
 	Stream   bool      `json:"stream"`
 	Max      int       `json:"max_tokens"`
@@ -286,7 +301,7 @@
 	if c.Service {
 		return []byte(c.prompt()), nil
 	}
-	return json.Marshal(generation{Model: Model, Stream: !c.Whole, Max: c.Output, Messages: []message{{"user", c.prompt()}}})
+	return json.Marshal(completionRequest{Model: Model, Stream: !c.Whole, Max: c.Output, Messages: []message{{"user", c.prompt()}}})
 }
 
 func (c *Call) path() string {
--- a/scenarios/world/check.go
+++ b/scenarios/world/check.go
@@ -10,13 +10,13 @@
 	"snipeshift.example/lib/fault"
 )
 
-// margin is how far past its allowed time a call may end: the way back to the
-// caller on a busy machine.
-const margin = 1500 * time.Millisecond
+// responseMargin is how long after its time limit a call may end. It covers the response's
+// way back to the client on a busy machine.
+const responseMargin = 1500 * time.Millisecond
 
-// CheckTime checks that every call has ended within its allowed time, those
-// named apart: their own daemon stood still or their own connection was silent,
-// so that nobody could tell them.
+// CheckTime waits for all calls and checks that each ended within its time limit and
+// margin. Calls named in except are not checked: their daemon was frozen or their
+// connection silent, so that no daemon could respond to the client.
 func (w *World) CheckTime(except map[string]bool) error {
 	var errs []error
 	for _, r := range w.Results("") {
@@ -24,29 +24,31 @@
 		if except[r.Call.Name] {
 			continue
 		}
-		if r.End == Late || r.Elapsed > r.Call.Allowed.Duration()+margin {
-			errs = append(errs, fmt.Errorf("not within its allowed time: %s", r))
+		if r.End == Late || r.Elapsed > r.Call.Allowed.Duration()+responseMargin {
+			errs = append(errs, fmt.Errorf("time limit exceeded: %s", r))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// CheckWhole checks that no caller was given an answer that is not its own, or
-// a part that looks whole.
+// CheckWhole checks that no client received the response to another request, or an
+// incomplete response that looks complete.
 func (w *World) CheckWhole() error {
 	var errs []error
 	for _, r := range w.Results("") {
 		r.Wait()
 		if r.End == Wrong {
-			errs = append(errs, fmt.Errorf("wrong answer: %s", r))
+			errs = append(errs, fmt.Errorf("wrong response: %s", r))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// CheckNotRun checks that nothing ran for any answer that said so: never under
-// its request id; nor under its key before that answer ended, unless the answer
-// says that the key's state could not be learned from the store.
+// CheckNotRun checks the responses with ran=no, which declare that the request did not
+// run: no upstream ran a request with its id. For kinds that must run at most once, no
+// upstream had begun to run one with its idempotency key either when the response
+// ended, unless the response declares the state of the key as unknown because the store
+// could not be read.
 func (w *World) CheckNotRun() error {
 	l, err := w.Ledger()
 	if err != nil {
@@ -63,13 +65,14 @@
 		}
 		for _, x := range l.Executed {
 			if x.Ran() && contradicts(r, x) {
-				errs = append(errs, fmt.Errorf("said not run, but %s ran it (request %s, %s): %s", x.Upstream, x.Request, x.Outcome, r))
+				errs = append(errs, fmt.Errorf("ran=no, but %s ran the request (request %s, outcome %s): %s", x.Upstream, x.Request, x.Outcome, r))
 			}
 		}
 	}
 	return errors.Join(errs...)
 }
 
+// contradicts reports whether an execution disproves the ran=no of a response.
 func contradicts(r *Result, x *Executed) bool {
 	if x.Request == r.Request {
 		return true
@@ -81,7 +84,8 @@
 	return r.Call.Once && r.Call.Key != "" && x.Key == r.Call.Key && x.Started < end
 }
 
-// CheckOurs checks that nothing reached an upstream that no caller sent.
+// CheckOurs checks that upstreams received no request without a request id, that is, none that no
+// client sent.
 func (w *World) CheckOurs() error {
 	l, err := w.Ledger()
 	if err != nil {
@@ -90,13 +94,13 @@
 	var errs []error
 	for _, x := range l.Executed {
 		if x.Request == "" {
-			errs = append(errs, fmt.Errorf("%s executed %s, which no caller sent", x.Upstream, x.Text))
+			errs = append(errs, fmt.Errorf("%s executed %s without a request id: no client sent it", x.Upstream, x.Text))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// CheckOnce checks that no key of a kind that must not be repeated was executed twice.
+// CheckOnce checks that no idempotency key of a kind that must run at most once ran twice.
 func (w *World) CheckOnce() error {
 	l, err := w.Ledger()
 	if err != nil {
@@ -119,23 +123,23 @@
 		if len(xs) < 2 {
 			continue
 		}
-		text := fmt.Sprintf("key %s ran %d times:", key, len(xs))
+		text := fmt.Sprintf("idempotency key %s ran %d times:", key, len(xs))
 		for _, x := range xs {
-			text += fmt.Sprintf(" %s on %s;", x.Request, x.Upstream)
+			text += fmt.Sprintf(" request %s on %s;", x.Request, x.Upstream)
 		}
 		errs = append(errs, errors.New(text))
 	}
 	return errors.Join(errs...)
 }
 
-// CheckMemory waits until every running engine's memory holds nothing that no
-// live call explains.
-func (w *World) CheckMemory(ctx context.Context, within time.Duration) error {
+// CheckMemory waits until the engines that run and are not frozen have memory reserved or
+// exported for running calls only.
+func (w *World) CheckMemory(ctx context.Context, timeout time.Duration) error {
 	var left []string
-	err := Await(ctx, within, "engine memory explained", func() (bool, error) {
+	err := Await(ctx, timeout, "engine memory reserved for running calls only", func() (bool, error) {
 		left = nil
 		for _, name := range w.Engines() {
-			if n, _, err := w.live(name); err != nil || n.frozen {
+			if n, _, err := w.runningProcess(name); err != nil || n.frozen {
 				continue
 			}
 			xs, err := w.Unexplained(ctx, name)
--- a/scenarios/world/control.go
+++ b/scenarios/world/control.go
@@ -17,31 +17,32 @@
 	"snipeshift.example/scenarios/relay"
 )
 
-// sendLimit bounds one call of the runner itself.
-const sendLimit = 10 * time.Second
+// callTimeout is the time limit of one HTTP call on behalf of the scenario itself.
+const callTimeout = 10 * time.Second
 
-// runner calls stand-ins and operators' doors; no kept connection outlives a process.
-var runner = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// directClient is the HTTP client for emulators and for operator addresses without TLS. It does not
+// keep connections alive, since a pooled connection may lead to a process that has ended.
+var directClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// nopBody is a body that was read already.
+// nopBody is a response body that has been read into memory.
 type nopBody struct{ *bytes.Reader }
 
 // Close implements io.Closer.
 func (nopBody) Close() error { return nil }
 
-// Control tells a stand-in what to do wrong: FIELD=VALUE each.
+// Control sets the faults that an emulator injects, each as FIELD=VALUE.
 func (w *World) Control(ctx context.Context, name string, fields ...string) error {
 	n, err := w.node(name)
 	if err != nil {
 		return err
 	}
-	t := tree{}
+	faults := jsonObject{}
 	for _, f := range fields {
-		if err := t.set(f); err != nil {
+		if err := faults.set(f); err != nil {
 			return err
 		}
 	}
-	text, err := json.Marshal(t)
+	text, err := json.Marshal(faults)
 	if err != nil {
 		return err
 	}
@@ -49,42 +50,45 @@
 	return err
 }
 
-// link is the relay on the way from one process to another.
+// link returns the relay that connections from one process to another pass through. All processes
+// share one relay to an emulator or to a daemon's peer address; clients use another relay to a daemon.
 func (w *World) link(from, to string) (*relay.Relay, error) {
 	n, err := w.node(to)
 	if err != nil {
 		return nil, err
 	}
-	d := doorMain
+	d := mainEndpoint
 	if n.role == roleDaemon {
-		d = doorPeer
+		d = peerEndpoint
 	}
 	if from == Caller {
-		d = doorCaller
+		d = clientEndpoint
 	}
-	r, ok := n.doors[d]
+	r, ok := n.relays[d]
 	if !ok {
 		return nil, fmt.Errorf("no link from %s to %s", from, to)
 	}
 	return r, nil
 }
 
-// Cut resets all connections from one process to another and refuses new ones.
+// Cut resets all connections from one process to another, present and future, until Heal.
 func (w *World) Cut(from, to string) error {
-	return w.each(from, to, func(r *relay.Relay, source string) { r.Cut(source) })
+	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Cut(source) })
 }
 
-// Silence swallows what connections carry; with fresh set, new ones too.
+// Silence drops all data that the present connections from one process to another carry in the given
+// directions, for good. With fresh set, this also applies to connections opened until Heal.
 func (w *World) Silence(from, to string, ways relay.Ways, fresh bool) error {
-	return w.each(from, to, func(r *relay.Relay, source string) { r.Silence(source, ways, fresh) })
+	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Silence(source, ways, fresh) })
 }
 
-// Heal lets new connections work again.
+// Heal makes new connections from one process to another work again.
 func (w *World) Heal(from, to string) error {
-	return w.each(from, to, func(r *relay.Relay, source string) { r.Heal(source) })
+	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Heal(source) })
 }
 
-func (w *World) each(from, to string, f func(r *relay.Relay, source string)) error {
+// withLink calls f with the relay of a link and the source whose connections the fault applies to.
+func (w *World) withLink(from, to string, f func(r *relay.Relay, source string)) error {
 	r, err := w.link(from, to)
 	if err != nil {
 		return err
@@ -96,14 +100,14 @@
 	return nil
 }
 
-// Document is the text that the last edit made.
+// Document returns the last accepted document as JSON.
 func (w *World) Document() ([]byte, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return json.MarshalIndent(w.document, "", "  ")
 }
 
-// Edit returns the document with edits PATH=VALUE, and does not put it in force.
+// Edit returns the last accepted document with edits PATH=VALUE as JSON, without applying it.
 func (w *World) Edit(edits []string) ([]byte, error) {
 	w.mu.Lock()
 	t, err := w.document.copy()
@@ -119,36 +123,36 @@
 	return json.MarshalIndent(t, "", "  ")
 }
 
-// Accepting is the revision that was accepted last.
+// Accepting returns the revision of the last accepted document.
 func (w *World) Accepting() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
 }
 
-// Apply puts a document in force by the operator command, on the revision that
-// it was made from. The command's refusal is the error.
+// Apply applies a document with "snipeshift apply". Base is the revision that the
+// document was edited from; the command fails if the store holds another one.
 func (w *World) Apply(ctx context.Context, text []byte, base uint64) error {
-	w.changing.Store(true)
-	defer w.changing.Store(false)
-	r, err := w.operate(ctx, text, base)
+	w.applying.Store(true)
+	defer w.applying.Store(false)
+	r, err := w.runApply(ctx, text, base)
 	if err != nil {
 		return err
 	}
-	return w.accepted(text, r)
+	return w.recordAccepted(text, r)
 }
 
-// operate runs "snipeshift apply" and returns the revision that it names.
-func (w *World) operate(ctx context.Context, text []byte, base uint64) (uint64, error) {
+// runApply runs "snipeshift apply" and returns the new revision in its output.
+func (w *World) runApply(ctx context.Context, text []byte, base uint64) (uint64, error) {
 	n, err := w.node(Store)
 	if err != nil {
 		return 0, err
 	}
-	file := filepath.Join(w.dir, fmt.Sprintf("document-%d.json", w.edits.Add(1)))
+	file := filepath.Join(w.dir, fmt.Sprintf("document-%d.json", w.applies.Add(1)))
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return 0, err
 	}
-	c := exec.CommandContext(ctx, filepath.Join(w.bin, "snipeshift"), "--store", n.address, "--output", "json",
+	c := exec.CommandContext(ctx, filepath.Join(w.programDir, "snipeshift"), "--store", n.address, "--output", "json",
 		"apply", "--revision", fmt.Sprint(base), file)
 	out, err := c.Output()
 	var exit *exec.ExitError
@@ -158,15 +162,16 @@
 	if err != nil {
 		return 0, err
 	}
-	var a struct {
+	var result struct {
 		Revision uint64 `json:"revision"`
 	}
-	return a.Revision, json.Unmarshal(out, &a)
+	return result.Revision, json.Unmarshal(out, &result)
 }
 
-// Operate runs the operators' command against this deployment and returns its output.
+// Operate runs the operator command snipeshift against this deployment and returns its standard
+// output. Its standard error becomes part of the error.
 func (w *World) Operate(ctx context.Context, args ...string) (string, error) {
-	c := exec.CommandContext(ctx, filepath.Join(w.bin, "snipeshift"), args...)
+	c := exec.CommandContext(ctx, filepath.Join(w.programDir, "snipeshift"), args...)
 	c.Env = os.Environ()
 	for k, v := range w.OperatorEnv() {
 		c.Env = append(c.Env, k+"="+v)
@@ -179,38 +184,38 @@
 	return string(out), err
 }
 
-// OperatorEnv are the variables by which the operators' command finds this deployment.
+// OperatorEnv returns the environment variables by which the operator command finds this deployment.
 func (w *World) OperatorEnv() map[string]string {
-	var doors []string
-	for _, n := range w.named(roleDaemon) {
-		doors = append(doors, n.own[doorOperator])
+	var addresses []string
+	for _, n := range w.nodesOf(roleDaemon) {
+		addresses = append(addresses, n.listenAddresses[operatorEndpoint])
 	}
-	env := map[string]string{"SNIPESHIFT_DAEMON": strings.Join(doors, ",")}
+	env := map[string]string{"SNIPESHIFT_DAEMON": strings.Join(addresses, ",")}
 	if n, err := w.node(Store); err == nil {
 		env["SNIPESHIFT_STORE"] = n.address
 	}
 	if w.plan.Secure {
-		maps.Copy(env, fileEnv(w.files(operatorFiles)))
+		maps.Copy(env, certificateEnv(w.certificateFiles(operatorHolder)))
 	}
 	return env
 }
 
-// AdoptIf takes a document as accepted if the store holds it all the same, after a
-// write that failed or whose answer was lost. While the store is down it cannot
-// be asked, so the question is repeated until it answers.
+// AdoptIf records a document as accepted if the store contains it. It is for a
+// write that returned an error, which may have succeeded with its response lost.
+// The read is repeated until the store responds, since it may be down.
 func (w *World) AdoptIf(ctx context.Context, text []byte) error {
-	return Await(ctx, readyLimit, "answer of the store", func() (bool, error) {
+	return Await(ctx, readyTimeout, "response of the store", func() (bool, error) {
 		r, stored, err := w.Stored(ctx)
 		if err != nil || !bytes.Equal(stored, text) {
 			return err == nil, nil //nolint:nilerr // asked again
 		}
-		return true, w.accepted(text, r)
+		return true, w.recordAccepted(text, r)
 	})
 }
 
-// accepted notes that a document was accepted under a revision.
-func (w *World) accepted(text []byte, revision uint64) error {
-	t := tree{}
+// recordAccepted records that the store accepted a document under a revision.
+func (w *World) recordAccepted(text []byte, revision uint64) error {
+	t := jsonObject{}
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
@@ -218,34 +223,37 @@
 	defer w.mu.Unlock()
 	w.document, w.revision = t, revision
 	if w.monitor != nil {
-		w.monitor.accept(revision)
+		w.monitor.recordAccepted(revision)
 	}
 	return nil
 }
 
-func (w *World) putDocument(ctx context.Context, text []byte, at uint64) (uint64, error) {
+// putDocument writes the document to the store, provided that the stored revision is at. Zero means
+// that there must be no document yet. It returns the new revision.
+func (w *World) putDocument(ctx context.Context, text []byte, base uint64) (uint64, error) {
 	h := http.Header{}
-	if at == 0 {
+	if base == 0 {
 		h.Set("If-None-Match", "*")
 	} else {
-		h.Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(at)))
+		h.Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(base)))
 	}
-	resp, err := w.tellStore(ctx, http.MethodPut, "/objects/config/document", text, h)
+	resp, err := w.callStore(ctx, http.MethodPut, "/objects/config/document", text, h)
 	if err != nil {
 		return 0, err
 	}
 	return versionOf(resp)
 }
 
+// versionOf returns the revision in the ETag of a response of the store.
 func versionOf(resp *http.Response) (uint64, error) {
 	var v uint64
 	_, err := fmt.Sscanf(strings.Trim(resp.Header.Get("ETag"), `"`), "%d", &v)
 	return v, err
 }
 
-// Stored reads the revision of the document in the store.
+// Stored returns the revision and the text of the document in the store.
 func (w *World) Stored(ctx context.Context) (uint64, []byte, error) {
-	resp, err := w.tellStore(ctx, http.MethodGet, "/objects/config/document", nil, nil)
+	resp, err := w.callStore(ctx, http.MethodGet, "/objects/config/document", nil, nil)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -258,26 +266,27 @@
 	return v, text.Bytes(), err
 }
 
-// Ready asks a daemon whether it is ready.
+// Ready reports whether a daemon is running and passes its readiness check.
 func (w *World) Ready(ctx context.Context, name string) bool {
-	n, _, err := w.live(name)
+	n, _, err := w.runningProcess(name)
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	_, err = w.ask(ctx, n, "/ready")
+	_, err = w.callOperator(ctx, n, "/ready")
 	return err == nil
 }
 
-// askLimit bounds a question to a daemon that may be frozen.
-const askLimit = time.Second
+// operatorTimeout is the time limit of one call to a daemon's operator address, since the daemon may be frozen.
+const operatorTimeout = time.Second
 
+// awaitReady waits until the daemons are ready; it fails if one exits.
 func (w *World) awaitReady(ctx context.Context, names []string) error {
 	for _, name := range names {
-		err := Await(ctx, readyLimit, "ready "+name, func() (bool, error) {
+		err := Await(ctx, readyTimeout, "ready "+name, func() (bool, error) {
 			if ended, _, _ := w.Exited(name); ended {
-				return false, fmt.Errorf("%s ended: %s", name, w.Status(name))
+				return false, fmt.Errorf("%s exited before it was ready: %s", name, w.Status(name))
 			}
 			return w.Ready(ctx, name), nil
 		})
@@ -288,23 +297,24 @@
 	return nil
 }
 
-// step is how often a condition is looked at.
-const step = 20 * time.Millisecond
+// awaitInterval is the interval between two evaluations of a condition in Await.
+const awaitInterval = 20 * time.Millisecond
 
-// Await looks at a condition until it holds; an error ends the wait.
-func Await(ctx context.Context, limit time.Duration, what string, holds func() (bool, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Await evaluates a condition until it is true, at least once. It returns the condition's error, or an
+// error that starts with the description what if the condition is still false after the time limit.
+func Await(ctx context.Context, timeout time.Duration, description string, condition func() (bool, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	t := time.NewTicker(step)
+	t := time.NewTicker(awaitInterval)
 	defer t.Stop()
 	for {
-		ok, err := holds()
+		ok, err := condition()
 		if ok || err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: not within %v", what, limit)
+			return fmt.Errorf("%s: condition not met within %v", description, timeout)
 		case <-t.C:
 		}
 	}
--- a/scenarios/world/deploy.go
+++ b/scenarios/world/deploy.go
@@ -15,8 +15,8 @@
 	"snipeshift.example/scenarios/relay"
 )
 
-// vm is a row of the platform's VM list.
-type vm struct {
+// vmEntry is an entry of the platform's VM list.
+type vmEntry struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
 	Domain  string `json:"domain"`
@@ -24,7 +24,8 @@
 	State   string `json:"state"`
 }
 
-// engineSettings are those that the document must agree with.
+// engineSettings are the settings of an emulated engine that the scenario sets itself. All but the
+// ledger's path are in the document too and must agree with it.
 type engineSettings struct {
 	Name    string        `json:"name"`
 	Model   string        `json:"model"`
@@ -49,15 +50,15 @@
 	TLS       tlsFiles `json:"tls"`
 }
 
-// tlsFiles names a daemon's certificate files.
+// tlsFiles holds the paths of a daemon's certificate files.
 type tlsFiles struct {
 	CA   string `json:"ca,omitempty"`
 	Cert string `json:"cert,omitempty"`
 	Key  string `json:"key,omitempty"`
 }
 
-// Deploy starts the platform, the upstreams and then the daemons, and returns
-// once all daemons are ready.
+// Deploy starts the platform, the upstreams and then the daemons, stores the
+// document, and returns once all daemons are ready.
 func (w *World) Deploy(ctx context.Context, p Plan) error {
 	w.plan = p
 	if err := w.startPlatform(); err != nil {
@@ -75,7 +76,7 @@
 			return err
 		}
 	}
-	if err := w.planDaemons(); err != nil {
+	if err := w.prepareDaemons(); err != nil {
 		return err
 	}
 	if err := w.PutVMs(ctx); err != nil {
@@ -100,14 +101,15 @@
 	return nil
 }
 
-func (w *World) add(n *node, doors ...door) error {
-	n.doors = map[door]*relay.Relay{}
-	for _, d := range doors {
+// addNode registers a node, with a relay for each of the given addresses.
+func (w *World) addNode(n *node, endpoints ...endpoint) error {
+	n.relays = map[endpoint]*relay.Relay{}
+	for _, d := range endpoints {
 		r, err := relay.New(w.finder)
 		if err != nil {
 			return err
 		}
-		n.doors[d] = r
+		n.relays[d] = r
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,14 +118,15 @@
 }
 
 func (w *World) startPlatform() error {
-	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, sets(w.plan.Platform)...)}
-	if err := w.add(n, doorMain); err != nil {
+	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, setFlags(w.plan.Platform)...)}
+	if err := w.addNode(n, mainEndpoint); err != nil {
 		return err
 	}
 	return w.Start(Store)
 }
 
-func sets(fields []string) []string {
+// setFlags returns a --set flag for each setting FIELD=VALUE.
+func setFlags(fields []string) []string {
 	var args []string
 	for _, f := range fields {
 		args = append(args, "--set", f)
@@ -155,27 +158,27 @@
 		Name: name, Model: Model, Slots: 16, Memory: 100_000, Prefill: 100_000, Decode: 200,
 		Ledger: filepath.Join(w.dir, name+".ledger"),
 	}
-	own, other, err := s.split(w.plan.Engine)
+	own, other, err := s.apply(w.plan.Engine)
 	if err != nil {
 		return document.Upstream{}, err
 	}
-	n := &node{name: name, role: roleEngine, domain: domain, program: "emulator", ledger: own.Ledger}
-	file, err := w.write(name+".json", own)
+	n := &node{name: name, role: roleEngine, domain: domain, program: "emulator", ledgerPath: own.Ledger}
+	file, err := w.writeJSON(name+".json", own)
 	if err != nil {
 		return document.Upstream{}, err
 	}
-	n.args = append([]string{"engine", "--settings", file}, sets(other)...)
-	if err := w.add(n, doorMain); err != nil {
+	n.args = append([]string{"engine", "--settings", file}, setFlags(other)...)
+	if err := w.addNode(n, mainEndpoint); err != nil {
 		return document.Upstream{}, err
 	}
 	return document.Upstream{
-		Name: name, Model: Model, Domain: domain, Address: n.doors[doorMain].Address(),
+		Name: name, Model: Model, Domain: domain, Address: n.relays[mainEndpoint].Address(),
 		Memory: own.Memory, Slots: own.Slots, Prefill: own.Prefill, Decode: own.Decode, Fenced: own.Fenced,
 	}, w.Start(name)
 }
 
-// split takes the settings that the document states too out of a script's.
-func (s engineSettings) split(fields []string) (own engineSettings, other []string, err error) {
+// apply applies those settings FIELD=VALUE that the document contains too, and returns the rest.
+func (s engineSettings) apply(fields []string) (own engineSettings, other []string, err error) {
 	for _, f := range fields {
 		k, v, ok := strings.Cut(f, "=")
 		if !ok {
@@ -196,18 +199,19 @@
 func (w *World) startService(name, domain string) (document.Upstream, error) {
 	ledger := filepath.Join(w.dir, name+".ledger")
 	n := &node{
-		name: name, role: roleService, domain: domain, program: "emulator", ledger: ledger,
-		args: append([]string{"service"}, sets([]string{"name=" + name, "ledger=" + ledger})...),
+		name: name, role: roleService, domain: domain, program: "emulator", ledgerPath: ledger,
+		args: append([]string{"service"}, setFlags([]string{"name=" + name, "ledger=" + ledger})...),
 	}
-	if err := w.add(n, doorMain); err != nil {
+	if err := w.addNode(n, mainEndpoint); err != nil {
 		return document.Upstream{}, err
 	}
 	return document.Upstream{
-		Name: name, Service: Service, Domain: domain, Address: n.doors[doorMain].Address(), Slots: 64,
+		Name: name, Service: Service, Domain: domain, Address: n.relays[mainEndpoint].Address(), Slots: 64,
 	}, w.Start(name)
 }
 
-func (w *World) write(name string, v any) (string, error) {
+// writeJSON writes a value as JSON into a file of the scenario's folder and returns the path.
+func (w *World) writeJSON(name string, v any) (string, error) {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		return "", err
@@ -216,64 +220,65 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
-// planDaemons chooses every daemon's addresses and writes its settings. What
-// others are told leads to relays; so does a daemon's way to the store, one for
-// each daemon.
-func (w *World) planDaemons() error {
+// prepareDaemons chooses the addresses of every daemon and writes its settings. The
+// addresses that clients and peers use are those of relays; the daemons connect to
+// the store through a relay too.
+func (w *World) prepareDaemons() error {
 	var ns []*node
 	for i := range w.plan.Daemons {
-		n := &node{name: fmt.Sprintf("vm-%d", i+1), role: roleDaemon, domain: domains[i%w.plan.Domains], program: "snipeshiftd", own: map[door]string{}}
-		if err := w.add(n, doorCaller, doorPeer); err != nil {
+		n := &node{name: fmt.Sprintf("vm-%d", i+1), role: roleDaemon, domain: domains[i%w.plan.Domains], program: "snipeshiftd", listenAddresses: map[endpoint]string{}}
+		if err := w.addNode(n, clientEndpoint, peerEndpoint); err != nil {
 			return err
 		}
-		for _, d := range []door{doorCaller, doorPeer, doorOperator} {
+		for _, d := range []endpoint{clientEndpoint, peerEndpoint, operatorEndpoint} {
 			a, err := relay.FreeAddress()
 			if err != nil {
 				return err
 			}
-			n.own[d] = a
+			n.listenAddresses[d] = a
 		}
 		ns = append(ns, n)
 	}
 	if w.plan.Secure {
-		if err := w.secure(); err != nil {
+		if err := w.setUpTLS(); err != nil {
 			return err
 		}
 	}
 	for _, n := range ns {
-		if err := w.writeDaemon(n, ns); err != nil {
+		if err := w.writeDaemonSettings(n, ns); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) writeDaemon(n *node, all []*node) error {
+// writeDaemonSettings writes the settings file of a daemon and sets the arguments that start it.
+func (w *World) writeDaemonSettings(n *node, all []*node) error {
 	store, err := w.node(Store)
 	if err != nil {
 		return err
 	}
 	s := daemonSettings{
 		Name: n.name, Domain: n.domain,
-		Caller: n.own[doorCaller], Operator: n.own[doorOperator], Peer: n.own[doorPeer],
-		Advertise: n.doors[doorPeer].Address(),
-		Platform:  store.doors[doorMain].Address(),
+		Caller: n.listenAddresses[clientEndpoint], Operator: n.listenAddresses[operatorEndpoint], Peer: n.listenAddresses[peerEndpoint],
+		Advertise: n.relays[peerEndpoint].Address(),
+		Platform:  store.relays[mainEndpoint].Address(),
 		Peers:     []string{},
 	}
 	if w.plan.Secure {
-		f := w.files(n.name)
+		f := w.certificateFiles(n.name)
 		s.TLS = tlsFiles{CA: f.Authority, Cert: f.Certificate, Key: f.Key}
 	}
 	for _, m := range all {
 		if m != n {
-			s.Peers = append(s.Peers, m.doors[doorPeer].Address())
+			s.Peers = append(s.Peers, m.relays[peerEndpoint].Address())
 		}
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	t := tree{}
+	t := jsonObject{}
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
@@ -282,30 +287,30 @@
 			return err
 		}
 	}
-	file, err := w.write(n.name+".json", t)
+	file, err := w.writeJSON(n.name+".json", t)
 	n.args = []string{"--settings", file}
 	return err
 }
 
-// PutVMs writes the platform's VM list from the processes.
+// PutVMs stores the platform's VM list. The first call builds it from the deployed processes.
 func (w *World) PutVMs(ctx context.Context) error {
 	if w.vms == nil {
-		for _, n := range append(w.named(roleEngine), w.named(roleService)...) {
-			w.vms = append(w.vms, vm{n.name, "upstream", n.domain, n.doors[doorMain].Address(), "live"})
+		for _, n := range append(w.nodesOf(roleEngine), w.nodesOf(roleService)...) {
+			w.vms = append(w.vms, vmEntry{n.name, "upstream", n.domain, n.relays[mainEndpoint].Address(), "live"})
 		}
-		for _, n := range w.named(roleDaemon) {
-			w.vms = append(w.vms, vm{n.name, "entry", n.domain, n.doors[doorPeer].Address(), "live"})
+		for _, n := range w.nodesOf(roleDaemon) {
+			w.vms = append(w.vms, vmEntry{n.name, "entry", n.domain, n.relays[peerEndpoint].Address(), "live"})
 		}
 	}
 	text, err := json.Marshal(w.vms)
 	if err != nil {
 		return err
 	}
-	_, err = w.tellStore(ctx, http.MethodPut, "/vms", text, nil)
+	_, err = w.callStore(ctx, http.MethodPut, "/vms", text, nil)
 	return err
 }
 
-// SetVM changes a VM's state in the platform's list; "gone" takes it out.
+// SetVM changes the state of a VM in the platform's list; the state "gone" removes its entry.
 func (w *World) SetVM(ctx context.Context, name, state string) error {
 	for i, v := range w.vms {
 		if v.Name != name {
@@ -317,11 +322,12 @@
 		}
 		return w.PutVMs(ctx)
 	}
-	return fmt.Errorf("no VM %q in the list", name)
+	return fmt.Errorf("no VM named %q in the platform's list", name)
 }
 
-// tellStore calls the platform's stand-in past all links and faults of links.
-func (w *World) tellStore(ctx context.Context, method, path string, body []byte, header http.Header) (*http.Response, error) {
+// callStore calls the emulated platform directly, not through a relay, so that link faults don't
+// affect the call.
+func (w *World) callStore(ctx context.Context, method, path string, body []byte, header http.Header) (*http.Response, error) {
 	n, err := w.node(Store)
 	if err != nil {
 		return nil, err
@@ -329,18 +335,20 @@
 	return send(ctx, method, "http://"+n.address+path, body, header)
 }
 
-// send makes one short call of the runner itself; an answer of 300 and above is an error.
+// send makes one HTTP call on behalf of the scenario itself, not of a client. A status of 300 or
+// above is an error.
 func send(ctx context.Context, method, url string, body []byte, header http.Header) (*http.Response, error) {
-	return sendBy(ctx, runner, method, url, body, header)
+	return sendWith(ctx, directClient, method, url, body, header)
 }
 
-// ask reads a page of a daemon's operator address.
-func (w *World) ask(ctx context.Context, n *node, path string) (*http.Response, error) {
-	return sendBy(ctx, w.operators, http.MethodGet, "http://"+n.own[doorOperator]+path, nil, nil)
+// callOperator reads a page from a daemon's operator address.
+func (w *World) callOperator(ctx context.Context, n *node, path string) (*http.Response, error) {
+	return sendWith(ctx, w.operatorClient, http.MethodGet, "http://"+n.listenAddresses[operatorEndpoint]+path, nil, nil)
 }
 
-func sendBy(ctx context.Context, by *http.Client, method, url string, body []byte, header http.Header) (*http.Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, sendLimit)
+// sendWith is send with a given HTTP client. It reads the response body to its end.
+func sendWith(ctx context.Context, client *http.Client, method, url string, body []byte, header http.Header) (*http.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -349,7 +357,7 @@
 	for k, vs := range header {
 		req.Header[k] = vs
 	}
-	resp, err := by.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return nil, err
 	}
--- a/scenarios/world/document.go
+++ b/scenarios/world/document.go
@@ -11,31 +11,32 @@
 
 // Names in the document of every scenario.
 const (
-	// Model is the language model, Service the plain service.
+	// Model is the name of the language model, Service that of the plain service.
 	Model   = "drafter"
 	Service = "desk"
-	// Draft is the default kind; Lookup answers immediately; Dossier is long
-	// and can wait; Notice must run at most once.
+	// Draft is the default kind of model requests; Lookup is urgent and short; Dossier is long and can
+	// wait; Notice is urgent and must run at most once.
 	Draft   = "draft"
 	Lookup  = "lookup"
 	Dossier = "dossier"
 	Notice  = "notice"
 )
 
-// Workspaces are the teams, equal in weight.
+// Workspaces are the names of the workspaces, equal in weight.
 var Workspaces = []string{"ward", "depot"}
 
-// KeyOf is the API key of a workspace.
+// KeyOf returns the API key of a workspace.
 func KeyOf(workspace string) string { return "scenario-key-of-" + workspace }
 
-// domains of a deployment, in the order in which processes are spread over them.
+// domains are the names of the failure domains, over which processes are spread in turn.
 var domains = []string{"hall-a", "hall-b", "hall-c"}
 
-// tree is a JSON object whose fields are addressed by path.
-type tree map[string]any
+// jsonObject is a JSON object whose fields are addressed by path.
+type jsonObject map[string]any
 
-// baseDocument is the document before a script's own edits.
-func baseDocument(upstreams []document.Upstream, halls int) (tree, error) {
+// baseDocument returns the document before the edits of the script. It lists the first
+// domainCount failure domains.
+func baseDocument(upstreams []document.Upstream, domainCount int) (jsonObject, error) {
 	d := document.Document{
 		Models:   []document.Model{{Name: Model, Context: 1_000_000}},
 		Services: []document.Service{{Name: Service, Kind: Lookup}},
@@ -48,7 +49,7 @@
 		Upstreams: upstreams,
 		Limits:    document.Limits{Body: 4 << 20, Idle: 2_000},
 	}
-	for _, h := range domains[:halls] {
+	for _, h := range domains[:domainCount] {
 		d.Domains = append(d.Domains, document.Domain{Name: h})
 	}
 	for _, w := range Workspaces {
@@ -58,15 +59,15 @@
 	if err != nil {
 		return nil, err
 	}
-	t := tree{}
+	t := jsonObject{}
 	if err := json.Unmarshal(text, &t); err != nil {
 		return nil, err
 	}
 	return prune(t), nil
 }
 
-// prune leaves out nulls, which the reader of documents refuses.
-func prune(t tree) tree {
+// prune removes null fields, which the parser of documents rejects.
+func prune(t jsonObject) jsonObject {
 	for k, v := range t {
 		switch x := v.(type) {
 		case nil:
@@ -84,9 +85,10 @@
 	return t
 }
 
-// set changes the field at a path such as kinds.draft.allowed; an entry of a
-// table is addressed by its name. A value that is no JSON is a string.
-func (t tree) set(edit string) error {
+// set applies an edit PATH=VALUE such as kinds.draft.allowed=500. An element of an
+// array is addressed by its index or by its field "name". A value that is not
+// valid JSON is taken as a string.
+func (t jsonObject) set(edit string) error {
 	path, value, ok := strings.Cut(edit, "=")
 	if !ok {
 		return fmt.Errorf("%q is not PATH=VALUE", edit)
@@ -98,19 +100,20 @@
 	steps := strings.Split(path, ".")
 	var at any = map[string]any(t)
 	for _, s := range steps[:len(steps)-1] {
-		if at = child(at, s); at == nil {
-			return fmt.Errorf("no %q in the document's %s", s, path)
+		if at = lookup(at, s); at == nil {
+			return fmt.Errorf("no %q in the path %s", s, path)
 		}
 	}
 	last, ok := at.(map[string]any)
 	if !ok {
-		return fmt.Errorf("%s is no field of an object", path)
+		return fmt.Errorf("%s is not a field of an object", path)
 	}
 	last[steps[len(steps)-1]] = v
 	return nil
 }
 
-func child(at any, step string) any {
+// lookup returns the field of an object, or the element of an array, that a step of a path names.
+func lookup(at any, step string) any {
 	switch x := at.(type) {
 	case map[string]any:
 		return x[step]
@@ -127,8 +130,8 @@
 	return nil
 }
 
-// decode reads the tree as the document that daemons obey.
-func (t tree) decode() (document.Document, error) {
+// decode converts the object to a document, without validation.
+func (t jsonObject) decode() (document.Document, error) {
 	var d document.Document
 	text, err := json.Marshal(t)
 	if err != nil {
@@ -137,11 +140,11 @@
 	return d, json.Unmarshal(text, &d)
 }
 
-func (t tree) copy() (tree, error) {
+func (t jsonObject) copy() (jsonObject, error) {
 	text, err := json.Marshal(t)
 	if err != nil {
 		return nil, err
 	}
-	c := tree{}
+	c := jsonObject{}
 	return c, json.Unmarshal(text, &c)
 }
--- a/scenarios/world/ledger.go
+++ b/scenarios/world/ledger.go
@@ -14,38 +14,45 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Executed is one request or call that a stand-in took.
+// Executed is one request that an emulated engine or service received.
 type Executed struct {
 	Upstream string
-	Request  string
-	Key      string
-	// Text is the start of the prompt, or the path of a call.
+	// Request is the request id, Key the idempotency key.
+	Request string
+	Key     string
+	// Text is the start of the prompt, or the path of a request to a plain service.
 	Text string
-	// Arrived and Started are instants; Started is zero for one that never ran.
+	// Arrived, Started and Finished are Unix times; Started is zero if the request never ran.
 	Arrived, Started, Finished clock.Milli
 	Prompt, Cached, Output     decide.Tokens
-	// Reserved is the memory it took, prompt and most output.
+	// Reserved is the reserved KV memory: the prompt and the limit of output tokens.
 	Reserved decide.Tokens
-	Outcome  string
-	// Service is set for a call to a plain service.
+	// Outcome is "done" for a request that ran to its end.
+	Outcome string
+	// Service is set for a request to a plain service.
 	Service bool
 }
 
-// Ran tells whether it began to run.
+// Ran reports whether the upstream began to run the request.
 func (x *Executed) Ran() bool { return x.Started > 0 }
 
-// Order is one order that reached an engine.
+// Order is one order that reached an engine: a change of its role, model, adapter or version.
 type Order struct {
 	Upstream string
-	Fence    uint64 `json:"fence"`
-	Order    string `json:"order"`
-	Value    string `json:"value"`
-	Refused  bool   `json:"refused"`
-	Old      bool   `json:"old"`
+	// Fence is the fencing number of the order.
+	Fence uint64 `json:"fence"`
+	// Order is what to change, Value the new value.
+	Order string `json:"order"`
+	Value string `json:"value"`
+	// Old is set if an earlier order had a higher fencing number. Refused is set if the engine
+	// rejected the order for that reason.
+	Refused bool `json:"refused"`
+	Old     bool `json:"old"`
 }
 
-// line is any line of a ledger's file.
-type line struct {
+// ledgerLine is the union of all kinds of lines in a ledger file: a request to an engine, a request to a
+// plain service (with Method) and an order (with Order).
+type ledgerLine struct {
 	ID       string        `json:"id"`
 	Key      string        `json:"key"`
 	Arrived  clock.Milli   `json:"arrived"`
@@ -67,26 +74,28 @@
 	Old      bool          `json:"old"`
 }
 
-// Ledger is what all stand-ins executed.
+// Ledger is what all emulated engines and services received.
 type Ledger struct {
 	Executed []*Executed
 	Orders   []Order
 }
 
-// Ledger reads the files that outlive killed stand-ins.
+// Ledger reads the ledger files of all engines and services. The files remain when an emulator is
+// killed.
 func (w *World) Ledger() (*Ledger, error) {
 	l := &Ledger{}
-	for _, n := range append(w.named(roleEngine), w.named(roleService)...) {
-		if err := l.read(n); err != nil {
+	for _, n := range append(w.nodesOf(roleEngine), w.nodesOf(roleService)...) {
+		if err := l.addFile(n); err != nil {
 			return nil, err
 		}
 	}
 	return l, nil
 }
 
-// read adds one stand-in's file. A line replaces earlier ones of the same request.
-func (l *Ledger) read(n *node) error {
-	f, err := os.Open(n.ledger)
+// addFile adds one ledger file. A line replaces an earlier line with the same request id and arrival time.
+// A missing file counts as empty.
+func (l *Ledger) addFile(n *node) error {
+	f, err := os.Open(n.ledgerPath)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -98,20 +107,21 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		var x line
+		var x ledgerLine
 		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
-			return fmt.Errorf("%s: %w", n.ledger, err)
+			return fmt.Errorf("%s: %w", n.ledgerPath, err)
 		}
 		if x.Order != "" {
 			l.Orders = append(l.Orders, Order{n.name, x.Fence, x.Order, x.Value, x.Refused, x.Old})
 			continue
 		}
-		l.take(n, x, seen)
+		l.addLine(n, x, seen)
 	}
 	return lines.Err()
 }
 
-func (l *Ledger) take(n *node, x line, seen map[string]*Executed) {
+// addLine adds a line about a request, or updates the execution in seen that it belongs to.
+func (l *Ledger) addLine(n *node, x ledgerLine, seen map[string]*Executed) {
 	e := &Executed{
 		Upstream: n.name, Request: x.ID, Key: x.Key, Text: x.Text, Arrived: x.Arrived, Started: x.Started, Finished: x.Finished,
 		Prompt: x.Prompt, Cached: x.Cached, Output: x.Output, Reserved: x.Reserved, Outcome: x.Outcome,
@@ -128,7 +138,7 @@
 	l.Executed = append(l.Executed, e)
 }
 
-// Of returns what was executed for a call, by its text.
+// Of returns the executions whose prompt or path matches the text of a call.
 func (l *Ledger) Of(c Call) []*Executed {
 	var out []*Executed
 	for _, x := range l.Executed {
@@ -139,8 +149,8 @@
 	return out
 }
 
-// load is an engine's own report.
-type load struct {
+// loadReport is the load report of an emulated engine.
+type loadReport struct {
 	Running []struct {
 		ID       string        `json:"id"`
 		Reserved decide.Tokens `json:"reserved"`
@@ -153,9 +163,9 @@
 	Used decide.Tokens `json:"used"`
 }
 
-// Load reads what an engine's memory holds.
-func (w *World) load(ctx context.Context, name string) (load, error) {
-	var l load
+// loadReport reads the load report of an engine.
+func (w *World) loadReport(ctx context.Context, name string) (loadReport, error) {
+	var l loadReport
 	n, err := w.node(name)
 	if err != nil {
 		return l, err
@@ -167,13 +177,14 @@
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-// Unexplained lists what an engine's memory holds for no call that still runs.
+// Unexplained describes the reservations and exports in an engine's memory that belong to no call
+// that is still running.
 func (w *World) Unexplained(ctx context.Context, engine string) ([]string, error) {
-	l, err := w.load(ctx, engine)
+	l, err := w.loadReport(ctx, engine)
 	if err != nil {
 		return nil, err
 	}
-	led, err := w.Ledger()
+	ledger, err := w.Ledger()
 	if err != nil {
 		return nil, err
 	}
@@ -182,26 +193,26 @@
 		if r.Ended() {
 			continue
 		}
-		for _, x := range led.Of(r.Call) {
+		for _, x := range ledger.Of(r.Call) {
 			live[x.Request] = true
 		}
 	}
 	var out []string
 	for _, x := range l.Running {
 		if !live[x.ID] {
-			out = append(out, fmt.Sprintf("%s holds %d tokens for %s", engine, x.Reserved, x.ID))
+			out = append(out, fmt.Sprintf("%s still reserves %d tokens for request %s", engine, x.Reserved, x.ID))
 		}
 	}
 	for _, x := range l.Exports {
 		if !live[x.Request] {
-			out = append(out, fmt.Sprintf("%s holds %d tokens for export %s of %s", engine, x.Tokens, x.Handle, x.Request))
+			out = append(out, fmt.Sprintf("%s still reserves %d tokens for export %s of request %s", engine, x.Tokens, x.Handle, x.Request))
 		}
 	}
 	return out, nil
 }
 
-// Export makes an engine export the KV cache of a call that runs there, as a
-// transfer to another engine begins.
+// Export makes an engine export the KV cache of a call that runs on it, which is
+// the first step of a transfer to another engine.
 func (w *World) Export(ctx context.Context, call string) error {
 	r, err := w.Result(call)
 	if err != nil {
@@ -213,7 +224,7 @@
 	}
 	xs := l.Of(r.Call)
 	if len(xs) == 0 {
-		return fmt.Errorf("%s runs nowhere", call)
+		return fmt.Errorf("no upstream received call %s", call)
 	}
 	n, err := w.node(xs[0].Upstream)
 	if err != nil {
--- a/scenarios/world/secure.go
+++ b/scenarios/world/secure.go
@@ -17,129 +17,137 @@
 	"snipeshift.example/lib/peer"
 )
 
-// Holders of certificates that are no daemons.
+// Certificate holders other than daemons, which are also names of folders.
 const (
-	// operatorFiles belong to the runner and to the operators' command.
-	operatorFiles = "operator"
-	// formerFiles are a copy of the operator's before the last renewal.
-	formerFiles = "former"
+	// operatorHolder is the operator: the operator command and the scenario's own calls.
+	operatorHolder = "operator"
+	// formerHolder is a copy of the operator's files from before the last renewal.
+	formerHolder = "former"
 )
 
-// issued is how long a certificate of a scenario is valid.
-const issued = time.Hour
+// validity is the validity period of the certificates of a scenario.
+const validity = time.Hour
 
-// strangerLimit bounds one try of a stranger; a door that does not answer is shut too.
-const strangerLimit = 3 * time.Second
+// unauthorizedTimeout is the time limit of an unauthorized call. A call without a response within this
+// time counts as rejected.
+const unauthorizedTimeout = 3 * time.Second
 
-// files names the certificate files of a holder.
-func (w *World) files(holder string) tlsdoor.Files {
+// certificateFiles returns the paths of a holder's certificate files.
+func (w *World) certificateFiles(holder string) tlsdoor.Files {
 	return doortest.FilesIn(filepath.Join(w.dir, "certificates", holder))
 }
 
-// secure gives the operator and all daemons certificates of a new authority.
-func (w *World) secure() error {
-	if err := w.issue(append(names(w.named(roleDaemon)), operatorFiles)...); err != nil {
+// setUpTLS issues certificates of a new authority to the operator and all daemons, and makes calls to
+// operator addresses use TLS.
+func (w *World) setUpTLS() error {
+	if err := w.issueCertificates(append(nodeNames(w.nodesOf(roleDaemon)), operatorHolder)...); err != nil {
 		return err
 	}
-	d, err := tlsdoor.New(w.files(operatorFiles), func(error) {})
+	d, err := tlsdoor.New(w.certificateFiles(operatorHolder), func(error) {})
 	if err != nil {
 		return err
 	}
-	w.operators = &http.Client{Transport: d.Transport()}
+	w.operatorClient = &http.Client{Transport: d.Transport()}
 	return nil
 }
 
-func (w *World) issue(holders ...string) error {
+// issueCertificates writes certificates of a new authority for the holders.
+func (w *World) issueCertificates(holders ...string) error {
 	a, err := doortest.NewAuthority()
 	if err != nil {
 		return err
 	}
 	for _, h := range holders {
-		f := w.files(h)
+		f := w.certificateFiles(h)
 		if err := os.MkdirAll(filepath.Dir(f.Key), 0o700); err != nil {
 			return err
 		}
-		if err := a.Issue(f, time.Now().Add(issued)); err != nil {
+		if err := a.Issue(f, time.Now().Add(validity)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Renew replaces all certificates, and the authority that signs them, under the running processes.
+// Renew replaces the certificate files of the operator and all daemons by those of a new authority,
+// while the processes run. It keeps a copy of the operator's old files for Former.
 func (w *World) Renew() error {
-	if err := os.CopyFS(filepath.Join(w.dir, "certificates", formerFiles), os.DirFS(filepath.Join(w.dir, "certificates", operatorFiles))); err != nil {
+	if err := os.CopyFS(filepath.Join(w.dir, "certificates", formerHolder), os.DirFS(filepath.Join(w.dir, "certificates", operatorHolder))); err != nil {
 		return err
 	}
-	return w.issue(append(names(w.named(roleDaemon)), operatorFiles)...)
+	return w.issueCertificates(append(nodeNames(w.nodesOf(roleDaemon)), operatorHolder)...)
 }
 
-// Former are the variables by which the operators' command trusts the present
-// authority and shows the certificate that it had before the renewal.
+// Former returns the environment variables with which the operator command trusts
+// the current authority but presents its certificate from before the renewal.
 func (w *World) Former() map[string]string {
-	f := w.files(formerFiles)
-	f.Authority = w.files(operatorFiles).Authority
-	return fileEnv(f)
+	f := w.certificateFiles(formerHolder)
+	f.Authority = w.certificateFiles(operatorHolder).Authority
+	return certificateEnv(f)
 }
 
-func fileEnv(f tlsdoor.Files) map[string]string {
+func certificateEnv(f tlsdoor.Files) map[string]string {
 	return map[string]string{
 		"SNIPESHIFT_AUTHORITY": f.Authority, "SNIPESHIFT_CERTIFICATE": f.Certificate, "SNIPESHIFT_KEY": f.Key,
 	}
 }
 
-// Strangers tries a daemon's peer and operator doors in plain text, without a
-// certificate and with another deployment's. An answer to any is an error.
+// Strangers calls a daemon's peer and operator addresses in plain text, without a
+// client certificate, and with a certificate of another authority. It returns an
+// error for each call that succeeds.
 func (w *World) Strangers(ctx context.Context, name string) error {
-	n, _, err := w.live(name)
+	n, _, err := w.runningProcess(name)
 	if err != nil {
 		return err
 	}
-	other, err := w.otherDeployment()
+	other, err := w.otherAuthority()
 	if err != nil {
 		return err
 	}
-	ways := map[string]peer.Dial{"in plain text": peer.DialTCP, "without a certificate": dialBare, "with another deployment's certificate": other.Dial}
+	dials := map[string]peer.Dial{"that connects in plain text": peer.DialTCP, "without a certificate": dialWithoutCertificate, "with another deployment's certificate": other.Dial}
 	var errs []error
-	for way, dial := range ways {
-		if answersOperator(ctx, dial, n.own[doorOperator]) {
-			errs = append(errs, fmt.Errorf("%s answers operators %s", name, way))
+	for description, dial := range dials {
+		if answersOperator(ctx, dial, n.listenAddresses[operatorEndpoint]) {
+			errs = append(errs, fmt.Errorf("%s serves its operator address to a client %s", name, description))
 		}
-		if answersPeer(ctx, dial, n.own[doorPeer]) {
-			errs = append(errs, fmt.Errorf("%s answers peers %s", name, way))
+		if answersPeer(ctx, dial, n.listenAddresses[peerEndpoint]) {
+			errs = append(errs, fmt.Errorf("%s serves its peer address to a client %s", name, description))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func (w *World) otherDeployment() (*tlsdoor.Endpoint, error) {
-	if err := w.issue("stranger"); err != nil {
+// otherAuthority returns an endpoint with a certificate of another authority than the daemons'.
+func (w *World) otherAuthority() (*tlsdoor.Endpoint, error) {
+	if err := w.issueCertificates("stranger"); err != nil {
 		return nil, err
 	}
-	return tlsdoor.New(w.files("stranger"), func(error) {})
+	return tlsdoor.New(w.certificateFiles("stranger"), func(error) {})
 }
 
-// dialBare shakes hands without a certificate of its own.
-func dialBare(ctx context.Context, address string) (net.Conn, error) {
+// dialWithoutCertificate opens a TLS connection without a client certificate, and accepts any server certificate.
+func dialWithoutCertificate(ctx context.Context, address string) (net.Conn, error) {
 	d := tls.Dialer{Config: &tls.Config{MinVersion: tls.VersionTLS13, InsecureSkipVerify: true}}
 	return d.DialContext(ctx, "tcp", address)
 }
 
+// answersOperator reports whether a call to an operator address over the dialled connection succeeds.
 func answersOperator(ctx context.Context, dial peer.Dial, address string) bool {
 	c := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, a string) (net.Conn, error) { return dial(ctx, a) },
 	}}
-	ctx, cancel := context.WithTimeout(ctx, strangerLimit)
+	ctx, cancel := context.WithTimeout(ctx, unauthorizedTimeout)
 	defer cancel()
-	_, err := sendBy(ctx, &c, http.MethodGet, "http://"+address+operator.PathMembers, nil, nil)
+	_, err := sendWith(ctx, &c, http.MethodGet, "http://"+address+operator.PathMembers, nil, nil)
 	return err == nil
 }
 
+// answersPeer reports whether a probe of an address for peers over the dialled connection succeeds.
 func answersPeer(ctx context.Context, dial peer.Dial, address string) bool {
 	d := peer.NewDialer(dial)
 	defer d.Close()
-	ctx, cancel := context.WithTimeout(ctx, strangerLimit)
+	ctx, cancel := context.WithTimeout(ctx, unauthorizedTimeout)
 	defer cancel()
 	return d.Call(ctx, address, peer.ProbeMethod, peer.Empty{}, &peer.Empty{}) == nil
 }
--- a/scenarios/world/status.go
+++ b/scenarios/world/status.go
@@ -14,27 +14,27 @@
 	"snipeshift.example/lib/peer"
 )
 
-// page reads a page of a daemon's operator address.
-func (w *World) page(ctx context.Context, name, path string, into any) error {
-	n, _, err := w.live(name)
+// readPage reads a JSON page from the operator address of a running daemon.
+func (w *World) readPage(ctx context.Context, name, path string, v any) error {
+	n, _, err := w.runningProcess(name)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	resp, err := w.ask(ctx, n, path)
+	resp, err := w.callOperator(ctx, n, path)
 	if err != nil {
 		return err
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// responding lists the daemons that run and are not frozen.
+// responding returns the names of the daemons that run and are not frozen.
 func (w *World) responding() []string {
 	var out []string
-	for _, n := range w.named(roleDaemon) {
+	for _, n := range w.nodesOf(roleDaemon) {
 		w.mu.Lock()
-		ok := n.life != nil && n.life.Running() && !n.frozen
+		ok := n.process != nil && n.process.Running() && !n.frozen
 		w.mu.Unlock()
 		if ok {
 			out = append(out, n.name)
@@ -43,16 +43,16 @@
 	return out
 }
 
-// Revision is that of the document in force at a daemon.
+// Revision returns the revision of the document in force at a daemon.
 func (w *World) Revision(ctx context.Context, name string) (uint64, error) {
 	var d operator.Document
-	err := w.page(ctx, name, operator.PathDocument, &d)
+	err := w.readPage(ctx, name, operator.PathDocument, &d)
 	return uint64(d.Revision), err
 }
 
-// InForce tells whether a daemon obeys the last document that was accepted. A
-// daemon that does not answer yet is asked again; one that has a later
-// revision obeys what nobody accepted.
+// InForce reports whether the last accepted document is in force at a daemon.
+// It returns false for a daemon that does not respond, which may be starting, and
+// an error for one with a later revision, which was never accepted.
 func (w *World) InForce(ctx context.Context, name string) (bool, error) {
 	r, err := w.Revision(ctx, name)
 	if err != nil {
@@ -62,30 +62,32 @@
 	want := w.revision
 	w.mu.Unlock()
 	if r > want {
-		return false, fmt.Errorf("%s has revision %d, but %d was the last accepted", name, r, want)
+		return false, fmt.Errorf("%s has document revision %d in force, but the last accepted revision is %d", name, r, want)
 	}
 	return r == want, nil
 }
 
-// CheckDocument waits until every daemon obeys the last document that was accepted.
-func (w *World) CheckDocument(ctx context.Context, within time.Duration) error {
+// CheckDocument waits until the last accepted document is in force at every daemon that runs and is
+// not frozen.
+func (w *World) CheckDocument(ctx context.Context, timeout time.Duration) error {
 	var errs []error
 	for _, name := range w.responding() {
-		errs = append(errs, Await(ctx, within, "document in force at "+name, func() (bool, error) { return w.InForce(ctx, name) }))
+		errs = append(errs, Await(ctx, timeout, "document in force at "+name, func() (bool, error) { return w.InForce(ctx, name) }))
 	}
 	return errors.Join(errs...)
 }
 
-// Owner names the daemon that says it owns a pool. During a change there may be
-// none or two; it waits until there is one.
+// Owner returns the name of the daemon that declares itself the owner of a pool.
+// While ownership changes there may be none or two; Owner waits until there is
+// exactly one.
 func (w *World) Owner(ctx context.Context, pool string) (string, error) {
 	owner := ""
-	err := Await(ctx, readyLimit, "one owner of "+pool, func() (bool, error) {
+	err := Await(ctx, readyTimeout, "one owner of "+pool, func() (bool, error) {
 		var owners []string
 		for _, name := range w.responding() {
 			var ps []operator.Pool
-			if err := w.page(ctx, name, operator.PathPools, &ps); err != nil {
-				return false, nil //nolint:nilerr // asked again
+			if err := w.readPage(ctx, name, operator.PathPools, &ps); err != nil {
+				return false, nil //nolint:nilerr // polled again
 			}
 			if slices.ContainsFunc(ps, func(p operator.Pool) bool { return p.Pool == peer.PoolID(pool) && string(p.Owner) == name }) {
 				owners = append(owners, name)
@@ -100,10 +102,10 @@
 	return owner, err
 }
 
-// Sees tells whether one daemon counts another as a live member.
+// Sees reports whether a daemon lists another as a serving or draining member.
 func (w *World) Sees(ctx context.Context, name, other string) (bool, error) {
 	var ms []operator.Member
-	if err := w.page(ctx, name, operator.PathMembers, &ms); err != nil {
+	if err := w.readPage(ctx, name, operator.PathMembers, &ms); err != nil {
 		return false, err
 	}
 	return slices.ContainsFunc(ms, func(m operator.Member) bool {
@@ -111,7 +113,8 @@
 	}), nil
 }
 
-// Gone tells whether no daemon that answers counts a member as live.
+// Gone reports whether no other daemon lists a daemon as a serving or draining member any more.
+// Daemons that have exited or are frozen are left out.
 func (w *World) Gone(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
@@ -119,13 +122,14 @@
 		}
 		seen, err := w.Sees(ctx, name, other)
 		if err != nil || seen {
-			return false, nil //nolint:nilerr // asked again
+			return false, nil //nolint:nilerr // polled again
 		}
 	}
 	return true, nil
 }
 
-// Joined tells whether every daemon that answers counts a member as live.
+// Joined reports whether every other daemon lists a daemon as a serving or draining member. Daemons
+// that have exited or are frozen are left out.
 func (w *World) Joined(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
@@ -133,18 +137,19 @@
 		}
 		seen, err := w.Sees(ctx, name, other)
 		if err != nil || !seen {
-			return false, nil //nolint:nilerr // asked again
+			return false, nil //nolint:nilerr // polled again
 		}
 	}
 	return true, nil
 }
 
-// Granted tells whether a daemon that answers knows a live grant of a gate.
+// Granted reports whether any daemon lists a live grant for a request of a gate, the daemon that
+// holds the client's connection.
 func (w *World) Granted(ctx context.Context, gate string) (bool, error) {
 	for _, name := range w.responding() {
 		var gs []operator.Grant
-		if err := w.page(ctx, name, operator.PathGrants, &gs); err != nil {
-			return false, nil //nolint:nilerr // asked again
+		if err := w.readPage(ctx, name, operator.PathGrants, &gs); err != nil {
+			return false, nil //nolint:nilerr // polled again
 		}
 		if slices.ContainsFunc(gs, func(g operator.Grant) bool { return strings.HasPrefix(string(g.Gate), gate+".") }) {
 			return true, nil
@@ -153,36 +158,38 @@
 	return false, nil
 }
 
-// Balancer sends callers to daemons that said ready lately, as the platform's does.
+// Balancer spreads clients over the daemons that passed their last readiness check, as the load
+// balancer of the platform does.
 type Balancer struct {
 	mu    sync.Mutex
 	ready []string
 	next  int
 }
 
-// balanceEvery is how often the balancer asks daemons whether they are ready.
-const balanceEvery = 500 * time.Millisecond
+// balanceInterval is the interval between two readiness checks of the balancer.
+const balanceInterval = 500 * time.Millisecond
 
-// Balance starts a balancer.
+// Balance starts a balancer, which runs until the context ends.
 func (w *World) Balance(ctx context.Context) *Balancer {
 	b := &Balancer{}
-	b.look(ctx, w)
+	b.poll(ctx, w)
 	go func() {
-		t := time.NewTicker(balanceEvery)
+		t := time.NewTicker(balanceInterval)
 		defer t.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-t.C:
-				b.look(ctx, w)
+				b.poll(ctx, w)
 			}
 		}
 	}()
 	return b
 }
 
-func (b *Balancer) look(ctx context.Context, w *World) {
+// poll checks the readiness of all daemons. If none is ready, the previous list stays.
+func (b *Balancer) poll(ctx context.Context, w *World) {
 	var ready []string
 	for _, name := range w.Daemons() {
 		if w.Ready(ctx, name) {
@@ -196,7 +203,7 @@
 	}
 }
 
-// Choose returns the next daemon.
+// Choose returns the daemons in turn (round robin).
 func (b *Balancer) Choose() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/scenarios/world/usage.go
+++ b/scenarios/world/usage.go
@@ -9,86 +9,88 @@
 	"time"
 )
 
-// total is what one workspace used, or the bounds of what it may be charged.
-type total struct{ requests, prompt, output int64 }
+// usage counts what one workspace is charged for, or a bound of it: requests, prompt tokens and output
+// tokens.
+type usage struct{ requests, prompt, output int64 }
 
-func (t *total) add(o total) {
-	t.requests += o.requests
-	t.prompt += o.prompt
-	t.output += o.output
+func (u *usage) add(o usage) {
+	u.requests += o.requests
+	u.prompt += o.prompt
+	u.output += o.output
 }
 
-// within tells whether t lies between two totals.
-func (t total) within(least, most total) bool {
-	return t.requests >= least.requests && t.requests <= most.requests &&
-		t.prompt >= least.prompt && t.prompt <= most.prompt &&
-		t.output >= least.output && t.output <= most.output
+// within reports whether every count of t lies between the bounds, inclusive.
+func (u usage) within(least, most usage) bool {
+	return u.requests >= least.requests && u.requests <= most.requests &&
+		u.prompt >= least.prompt && u.prompt <= most.prompt &&
+		u.output >= least.output && u.output <= most.output
 }
 
-// sheet is a usage object of the store: the counters of one life of one VM.
-type sheet struct {
+// usageObject is a usage object in the store: the counters of one incarnation of one daemon.
+type usageObject struct {
 	Name  string `json:"name"`
 	Value []byte `json:"value"`
 }
 
-// counter is one workspace of a sheet.
-type counter struct {
+// workspaceUsage is the usage of one workspace in a usage object.
+type workspaceUsage struct {
 	Workspace string `json:"workspace"`
 	Requests  int64  `json:"requests"`
 	Prompt    int64  `json:"prompt"`
 	Output    int64  `json:"output"`
 }
 
-// counted sums the sheets of the store by workspace.
-func (w *World) counted(ctx context.Context) (map[string]total, error) {
-	resp, err := w.tellStore(ctx, http.MethodGet, "/objects/usage", nil, nil)
+// storedUsage sums the usage objects in the store by workspace.
+func (w *World) storedUsage(ctx context.Context) (map[string]usage, error) {
+	resp, err := w.callStore(ctx, http.MethodGet, "/objects/usage", nil, nil)
 	if err != nil {
 		return nil, err
 	}
-	var sheets []sheet
-	if err := json.NewDecoder(resp.Body).Decode(&sheets); err != nil {
+	var objects []usageObject
+	if err := json.NewDecoder(resp.Body).Decode(&objects); err != nil {
 		return nil, err
 	}
-	out := map[string]total{}
-	for _, s := range sheets {
-		var cs []counter
+	out := map[string]usage{}
+	for _, s := range objects {
+		var cs []workspaceUsage
 		if err := json.Unmarshal(s.Value, &cs); err != nil {
 			return nil, fmt.Errorf("usage/%s: %w", s.Name, err)
 		}
 		for _, c := range cs {
 			t := out[c.Workspace]
-			t.add(total{c.Requests, c.Prompt, c.Output})
+			t.add(usage{c.Requests, c.Prompt, c.Output})
 			out[c.Workspace] = t
 		}
 	}
 	return out, nil
 }
 
-// executed sums the ledgers by workspace: least counts what callers got whole,
-// most all that upstreams took, each with the most output it can have made.
-func (w *World) executed() (least, most map[string]total, err error) {
+// executedUsage sums the ledgers by workspace. Least counts the requests with a complete
+// response to the client. Most counts all requests that upstreams received, each
+// with the largest output that it can have generated.
+func (w *World) executedUsage() (least, most map[string]usage, err error) {
 	l, err := w.Ledger()
 	if err != nil {
 		return nil, nil, err
 	}
-	least, most = map[string]total{}, map[string]total{}
+	least, most = map[string]usage{}, map[string]usage{}
 	for _, r := range w.Results("") {
 		name := r.Call.Workspace
 		if name == "" {
 			name = Workspaces[0]
 		}
 		lo, hi := least[name], most[name]
-		due := r.Ended() && r.End == Whole
+		pending := r.Ended() && r.End == Whole
 		for _, x := range l.Of(r.Call) {
 			if x.Request != r.Request && r.Request != "" {
 				continue
 			}
-			hi.add(x.most())
-			// A caller got one answer, even where an engine went on with an attempt
-			// that was given up: it was frozen, and missed the cancel.
-			if due && x.Outcome == "done" {
-				lo.add(x.counted())
-				due = false
+			hi.add(x.maxCharge())
+			// Count one execution per response. There may be a second one that is done: an engine that
+			// was frozen missed the cancel of an abandoned attempt and completed it later.
+			if pending && x.Outcome == "done" {
+				lo.add(x.charge())
+				pending = false
 			}
 		}
 		least[name], most[name] = lo, hi
@@ -96,35 +98,36 @@
 	return least, most, nil
 }
 
-// counted is what a request that ended well is charged.
-func (x *Executed) counted() total {
+// charge returns what is charged for a request that ran to its end.
+func (x *Executed) charge() usage {
 	if x.Service {
-		return total{requests: 1}
+		return usage{requests: 1}
 	}
-	return total{1, int64(x.Prompt), int64(x.Output)}
+	return usage{1, int64(x.Prompt), int64(x.Output)}
 }
 
-// most is the most that a request may be charged, however it ended.
-func (x *Executed) most() total {
+// maxCharge returns the upper bound of what may be charged for a request, whatever its outcome.
+func (x *Executed) maxCharge() usage {
 	if x.Service {
-		return total{requests: 1}
+		return usage{requests: 1}
 	}
 	if x.Outcome == "done" {
-		return x.counted()
+		return x.charge()
 	}
-	return total{1, int64(x.Prompt), int64(max(x.Output, x.Reserved-x.Prompt))}
+	return usage{1, int64(x.Prompt), int64(max(x.Output, x.Reserved-x.Prompt))}
 }
 
-// CheckUsage waits until the store's counters hold what callers got whole, but
-// for a number of requests, and checks that they never hold more than was executed.
-func (w *World) CheckUsage(ctx context.Context, within time.Duration, missing int64) error {
+// CheckUsage waits until the usage in the store covers all requests with a complete
+// response, except for a number of missing requests in each workspace. It fails at
+// once if the usage exceeds what upstreams executed.
+func (w *World) CheckUsage(ctx context.Context, timeout time.Duration, missing int64) error {
 	var short error
-	err := Await(ctx, within, "usage in the store", func() (bool, error) {
-		got, err := w.counted(ctx)
+	err := Await(ctx, timeout, "usage in the store", func() (bool, error) {
+		got, err := w.storedUsage(ctx)
 		if err != nil {
 			return false, err
 		}
-		least, most, err := w.executed()
+		least, most, err := w.executedUsage()
 		if err != nil {
 			return false, err
 		}
@@ -137,19 +140,19 @@
 	return nil
 }
 
-// compare returns what is short of the least, which may still come, and what is
-// over the most, which is final.
-func compare(got, least, most map[string]total, missing int64) (short, over error) {
+// compare compares the usage got with its bounds. Short describes usage below least,
+// which daemons may still report; over describes usage above most, which is final.
+func compare(got, least, most map[string]usage, missing int64) (short, over error) {
 	for name, lo := range least {
 		g, hi := got[name], most[name]
 		if g.requests > hi.requests || g.prompt > hi.prompt || g.output > hi.output {
-			return nil, fmt.Errorf("workspace %s is charged %+v, and upstreams executed %+v", name, g, hi)
+			return nil, fmt.Errorf("workspace %s is charged %+v, more than the %+v that upstreams executed", name, g, hi)
 		}
 		if missing > 0 && g.requests >= lo.requests-missing {
 			continue
 		}
 		if !g.within(lo, hi) {
-			short = errors.Join(short, fmt.Errorf("workspace %s is charged %+v, and its callers got %+v", name, g, lo))
+			short = errors.Join(short, fmt.Errorf("workspace %s is charged %+v, but its clients received %+v", name, g, lo))
 		}
 	}
 	return short, nil
--- a/scenarios/world/world.go
+++ b/scenarios/world/world.go
@@ -1,6 +1,6 @@
-// Package world is the deployment of one scenario: separate processes of the
-// project's programs, the links between them, the calls made to them and the
-// ledgers of what the stand-ins executed.
+// Package world runs the deployment of one scenario: the project's programs as
+// separate processes, the relays between them, the client calls made to them,
+// and the ledgers of what the emulated engines and services executed.
 package world
 
 import (
@@ -17,53 +17,57 @@
 	"snipeshift.example/scenarios/relay"
 )
 
-// Store is the name of the platform's stand-in; Caller that of the caller's own end of links.
+// Store is the process name of the emulated platform. Caller names the client as one end of a link.
 const (
 	Store  = "store"
 	Caller = "caller"
 )
 
-// readyLimit is how long a process may take to be ready on a busy machine.
-const readyLimit = 30 * time.Second
+// readyTimeout is how long a process may take to become ready, on a busy machine too.
+const readyTimeout = 30 * time.Second
 
-// Plan says what a scenario deploys.
+// Plan describes what a scenario deploys.
 type Plan struct {
+	// Daemons, Engines, Services and Domains are numbers of processes and of failure domains.
 	Daemons, Engines, Services, Domains int
-	// Engine and Daemon are settings FIELD=VALUE of every engine and daemon.
+	// Engine and Daemon are settings, as FIELD=VALUE, of every emulated engine and of every daemon.
 	Engine, Daemon []string
-	// Document holds edits PATH=VALUE of the document.
+	// Document holds edits, as PATH=VALUE, of the configuration document.
 	Document []string
-	// Platform holds settings FIELD=VALUE of the platform's stand-in.
+	// Platform holds settings, as FIELD=VALUE, of the emulated platform.
 	Platform []string
-	// Secure puts the peer and operator doors under mutual TLS.
+	// Secure requires mutual TLS for the daemons' peer and operator addresses.
 	Secure bool
 }
 
-// World is one deployment.
+// World is the deployment of one scenario.
 type World struct {
-	dir, bin string
-	finder   *relay.Finder
-	// operators calls operators' doors, with a certificate where they ask for one.
-	operators *http.Client
+	dir, programDir string
+	finder          *relay.Finder
+	// operatorClient is the HTTP client for the daemons' operator addresses. With Plan.Secure it has a
+	// client certificate.
+	operatorClient *http.Client
 
 	mu sync.Mutex
 	// nodes holds every process that the scenario may start, by name.
-	nodes    map[string]*node
-	document tree
-	// revision is that of the last document which was accepted.
+	nodes map[string]*node
+	// document is the last accepted document, revision its revision in the store.
+	document jsonObject
 	revision uint64
-	results  map[string]*Result
-	calls    sync.WaitGroup
-	vms      []vm
-	plan     Plan
-	monitor  *Monitor
-	// edits counts the documents that operators wrote.
-	edits atomic.Uint64
-	// changing is set while a document is being written.
-	changing atomic.Bool
+	// results holds the results of all calls, by name of the call.
+	results map[string]*Result
+	calls   sync.WaitGroup
+	// vms is the platform's VM list as last stored.
+	vms     []vmEntry
+	plan    Plan
+	monitor *Monitor
+	// applies counts the documents applied, to number their files.
+	applies atomic.Uint64
+	// applying is set while a document is being applied.
+	applying atomic.Bool
 }
 
-// role tells what a process is.
+// role is the kind of a process.
 type role string
 
 const (
@@ -73,49 +77,51 @@
 	roleDaemon   role = "daemon"
 )
 
-// node is a process that may have several lives.
+// node is a process of the deployment, which may be started several times.
 type node struct {
 	name   string
 	role   role
 	domain string
-	// args start the program.
+	// program is the name of the program file, args are its arguments.
 	program string
 	args    []string
-	// doors hold one relay for each address that others are told.
-	doors map[door]*relay.Relay
-	// own are the addresses on which a daemon itself listens.
-	own map[door]string
-	// ledger is the file of a stand-in's ledger.
-	ledger string
-
-	// life is the present or last life; nil before the first. World.mu guards it.
-	life *process.Process
-	// address is the address of a stand-in in its present life.
+	// relays holds a relay for each address that is given to other processes.
+	relays map[endpoint]*relay.Relay
+	// listenAddresses holds the addresses on which a daemon itself listens.
+	listenAddresses map[endpoint]string
+	// ledgerPath is the path of an emulated engine's or service's ledger.
+	ledgerPath string
+
+	// process is the running process, or the last one if it has exited; nil before the first start.
+	// World.mu guards it.
+	process *process.Process
+	// address is where an emulator listens since its last start.
 	address string
-	frozen  bool
-	// lives counts starts.
-	lives int
+	// frozen is set while the process is stopped with SIGSTOP.
+	frozen bool
+	// starts counts the starts of the process.
+	starts int
 }
 
-// door is one address of a process.
-type door string
+// endpoint names one of the addresses that a process listens on.
+type endpoint string
 
 const (
-	doorMain     door = "main" // the only one of a stand-in
-	doorCaller   door = "caller"
-	doorPeer     door = "peer"
-	doorOperator door = "operator" // reached without a relay
+	mainEndpoint     endpoint = "main" // the only address of an emulator
+	clientEndpoint   endpoint = "caller"
+	peerEndpoint     endpoint = "peer"
+	operatorEndpoint endpoint = "operator" // reached without a relay
 )
 
-// New returns a world without processes. Dir takes settings, logs and ledgers;
-// bin holds the programs.
+// New returns a world without processes. Settings, logs and ledgers are written
+// to dir; bin is the folder of the programs.
 func New(dir, bin string) *World {
 	return &World{
-		dir: dir, bin: bin,
-		finder:    relay.NewFinder(),
-		operators: runner,
-		nodes:     map[string]*node{},
-		results:   map[string]*Result{},
+		dir: dir, programDir: bin,
+		finder:         relay.NewFinder(),
+		operatorClient: directClient,
+		nodes:          map[string]*node{},
+		results:        map[string]*Result{},
 	}
 }
 
@@ -124,13 +130,13 @@
 	defer w.mu.Unlock()
 	n, ok := w.nodes[name]
 	if !ok {
-		return nil, fmt.Errorf("no process %q", name)
+		return nil, fmt.Errorf("no process named %q", name)
 	}
 	return n, nil
 }
 
-// named returns the nodes of a role, in order of their names.
-func (w *World) named(r role) []*node {
+// nodesOf returns the nodes of a role, ordered by name with numbers in numeric order (vm-2 before vm-10).
+func (w *World) nodesOf(r role) []*node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ns []*node
@@ -148,7 +154,7 @@
 	return ns
 }
 
-func names(ns []*node) []string {
+func nodeNames(ns []*node) []string {
 	out := make([]string, len(ns))
 	for i, n := range ns {
 		out[i] = n.name
@@ -156,40 +162,41 @@
 	return out
 }
 
-// Daemons lists the daemons.
-func (w *World) Daemons() []string { return names(w.named(roleDaemon)) }
+// Daemons returns the names of the daemons.
+func (w *World) Daemons() []string { return nodeNames(w.nodesOf(roleDaemon)) }
 
-// Engines lists the model engines.
-func (w *World) Engines() []string { return names(w.named(roleEngine)) }
+// Engines returns the names of the emulated model engines.
+func (w *World) Engines() []string { return nodeNames(w.nodesOf(roleEngine)) }
 
-// Services lists the plain services.
-func (w *World) Services() []string { return names(w.named(roleService)) }
+// Services returns the names of the emulated plain services.
+func (w *World) Services() []string { return nodeNames(w.nodesOf(roleService)) }
 
-// Upstreams lists engines and plain services.
+// Upstreams returns the names of the engines and the plain services.
 func (w *World) Upstreams() []string {
-	return append(w.Engines(), names(w.named(roleService))...)
+	return append(w.Engines(), nodeNames(w.nodesOf(roleService))...)
 }
 
-// Start starts a process that is not running, and waits until a stand-in listens.
+// Start starts a process that is not running. It waits until an emulator listens, but not until a
+// daemon does. A running process is an error.
 func (w *World) Start(name string) error {
 	n, err := w.node(name)
 	if err != nil {
 		return err
 	}
-	if w.running(n) {
-		return fmt.Errorf("%s is running", name)
+	if w.isRunning(n) {
+		return fmt.Errorf("%s is already running", name)
 	}
-	p, err := process.Start(w.dir, name, filepath.Join(w.bin, n.program), n.args...)
+	p, err := process.Start(w.dir, name, filepath.Join(w.programDir, n.program), n.args...)
 	if err != nil {
 		return err
 	}
 	w.finder.Know(p.Pid(), name)
 	w.mu.Lock()
-	n.life, n.frozen = p, false
-	n.lives++
+	n.process, n.frozen = p, false
+	n.starts++
 	w.mu.Unlock()
 	if n.role != roleDaemon {
-		a, err := p.Address(readyLimit)
+		a, err := p.Address(readyTimeout)
 		if err != nil {
 			return err
 		}
@@ -197,17 +204,17 @@
 		n.address = a
 		w.mu.Unlock()
 	}
-	if err := w.open(n); err != nil {
+	if err := w.openRelays(n); err != nil {
 		return err
 	}
-	go w.watch(n, p)
+	go w.closeRelaysOnExit(n, p)
 	return nil
 }
 
-// open lets the relays of a process take connections.
-func (w *World) open(n *node) error {
-	for d, r := range n.doors {
-		target := n.own[d]
+// openRelays makes the relays of a process accept connections and forward them to its addresses.
+func (w *World) openRelays(n *node) error {
+	for d, r := range n.relays {
+		target := n.listenAddresses[d]
 		if n.role != roleDaemon {
 			w.mu.Lock()
 			target = n.address
@@ -220,72 +227,72 @@
 	return nil
 }
 
-// watch closes the relays of a process when it ends, so that others are refused
-// as they would be without relays.
-func (w *World) watch(n *node, p *process.Process) {
+// closeRelaysOnExit takes the relays of a process down when it exits, so that connections are
+// refused as they would be without relays.
+func (w *World) closeRelaysOnExit(n *node, p *process.Process) {
 	<-p.Done()
 	w.finder.Forget(p.Pid())
 	w.mu.Lock()
-	last := n.life == p
+	last := n.process == p
 	w.mu.Unlock()
 	if !last {
 		return
 	}
-	for _, r := range n.doors {
+	for _, r := range n.relays {
 		r.Down()
 	}
 }
 
-func (w *World) running(n *node) bool {
+func (w *World) isRunning(n *node) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return n.life != nil && n.life.Running()
+	return n.process != nil && n.process.Running()
 }
 
-// live returns the running process of a name.
-func (w *World) live(name string) (*node, *process.Process, error) {
+// runningProcess returns a node and its process, or an error if the process is not running.
+func (w *World) runningProcess(name string) (*node, *process.Process, error) {
 	n, err := w.node(name)
 	if err != nil {
 		return nil, nil, err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if n.life == nil || !n.life.Running() {
+	if n.process == nil || !n.process.Running() {
 		return n, nil, fmt.Errorf("%s is not running", name)
 	}
-	return n, n.life, nil
+	return n, n.process, nil
 }
 
-// Kill ends a process at once.
+// Kill kills a process with SIGKILL and waits for its exit.
 func (w *World) Kill(name string) error {
-	n, p, err := w.live(name)
+	n, p, err := w.runningProcess(name)
 	if err != nil {
 		return err
 	}
-	for _, r := range n.doors {
+	for _, r := range n.relays {
 		r.Down()
 	}
 	p.Kill()
 	return nil
 }
 
-// Stop asks a process to stop and does not wait for it.
+// Stop sends SIGTERM to a process and does not wait for its exit.
 func (w *World) Stop(name string) error {
-	_, p, err := w.live(name)
+	_, p, err := w.runningProcess(name)
 	if err != nil {
 		return err
 	}
 	return p.Signal(syscall.SIGTERM)
 }
 
-// Freeze stops a process where it stands; Thaw lets it go on.
-func (w *World) Freeze(name string) error { return w.hold(name, true) }
+// Freeze pauses a process with SIGSTOP, until Thaw.
+func (w *World) Freeze(name string) error { return w.setFrozen(name, true) }
 
-// Thaw lets a frozen process go on.
-func (w *World) Thaw(name string) error { return w.hold(name, false) }
+// Thaw resumes a frozen process with SIGCONT.
+func (w *World) Thaw(name string) error { return w.setFrozen(name, false) }
 
-func (w *World) hold(name string, frozen bool) error {
-	n, p, err := w.live(name)
+func (w *World) setFrozen(name string, frozen bool) error {
+	n, p, err := w.runningProcess(name)
 	if err != nil {
 		return err
 	}
@@ -298,7 +305,8 @@
 	return p.Signal(syscall.SIGCONT)
 }
 
-// Exited tells whether a process has ended, and whether on its own with status 0.
+// Exited reports whether a process has exited, and whether with status 0. A process that was never
+// started counts as a clean exit.
 func (w *World) Exited(name string) (ended, clean bool, err error) {
 	n, err := w.node(name)
 	if err != nil {
@@ -306,22 +314,22 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if n.life == nil {
+	if n.process == nil {
 		return true, true, nil
 	}
-	return !n.life.Running(), n.life.Clean(), nil
+	return !n.process.Running(), n.process.Clean(), nil
 }
 
-// Status tells how a process ended.
+// Status describes how a started process exited, or returns "running".
 func (w *World) Status(name string) string {
 	n, err := w.node(name)
 	if err != nil {
 		return err.Error()
 	}
-	return n.life.Status()
+	return n.process.Status()
 }
 
-// Lives counts how often a process was started.
+// Lives returns how often a process was started.
 func (w *World) Lives(name string) int {
 	n, err := w.node(name)
 	if err != nil {
@@ -329,10 +337,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return n.lives
+	return n.starts
 }
 
-// Close ends all processes and links.
+// Close kills all processes, closes all relays, and cancels all calls and waits for their end.
 func (w *World) Close() {
 	w.mu.Lock()
 	var ns []*node
@@ -342,30 +350,30 @@
 	w.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, n := range ns {
-		if n.life != nil {
-			wg.Go(n.life.Kill)
+		if n.process != nil {
+			wg.Go(n.process.Kill)
 		}
 	}
 	wg.Wait()
 	for _, n := range ns {
-		for _, r := range n.doors {
+		for _, r := range n.relays {
 			r.Close()
 		}
 	}
 	for _, r := range w.Results("") {
-		r.hangup()
+		r.cancel()
 	}
 	w.calls.Wait()
 }
 
-// Logs returns the ends of all logs, for a scenario that failed.
+// Logs returns the end of each daemon's log, to be shown when a scenario fails.
 func (w *World) Logs() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := ""
 	for name, n := range w.nodes {
-		if n.life != nil && n.role == roleDaemon {
-			out += fmt.Sprintf("--- %s, %s\n%s\n", name, n.life.Status(), n.life.Tail())
+		if n.process != nil && n.role == roleDaemon {
+			out += fmt.Sprintf("--- %s, %s\n%s\n", name, n.process.Status(), n.process.Tail())
 		}
 	}
 	return out
