--- a/daemon/caller/error.go
+++ b/daemon/caller/error.go
@@ -59,7 +59,7 @@
 	if e.Key != "" {
 		h.Set(headerKeyState, string(e.Key))
 	}
-	if class.Again && e.Ran == fault.RanNo {
+	if class.Retryable && e.Ran == fault.RanNo {
 		h.Set(headerRetryAfter, strconv.FormatInt(retryAfterSeconds(e.Retry), 10))
 	} else {
 		h.Set(headerShouldRetry, "false")
--- a/daemon/caller/fuzz_test.go
+++ b/daemon/caller/fuzz_test.go
@@ -38,7 +38,7 @@
 	b := newHarness(t, completeResponse)
 	k, ok := b.index.Kind("draft")
 	require.True(t, ok)
-	w, ok := b.index.Key(wardsKey)
+	w, ok := b.index.WorkspaceByKey(wardsKey)
 	require.True(t, ok)
 	return &request{workspace: *w, kind: *k, chat: true}
 }
@@ -77,10 +77,10 @@
 			return
 		}
 		require.Contains(t, []string{"Bearer " + wardsKey, "Bearer " + deskKey}, authorization)
-		require.True(t, q.workspace.Allows(q.kind.Name))
+		require.True(t, q.workspace.AllowsKind(q.kind.Name))
 		require.Greater(t, q.deadline, q.arrived)
-		require.LessOrEqual(t, q.deadline-q.arrived, q.kind.Allowed)
-		require.True(t, q.kind.Repeat || q.idempotencyKey != "")
+		require.LessOrEqual(t, q.deadline-q.arrived, q.kind.TimeLimit)
+		require.True(t, q.kind.Repeatable || q.idempotencyKey != "")
 	})
 }
 
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -130,7 +130,7 @@
 		idle = defaultIdleTimeout
 	}
 	call := engine.Call{
-		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeat, Request: x.q.id,
+		Address: u.Address, Path: x.path, Body: x.q.body, Once: !x.q.kind.Repeatable, Request: x.q.id,
 		Priority: pg.grant.Priority, Reserve: pg.grant.Reserved, Grant: pg.grant.ID, Group: pg.grant.Upstreams, IdempotencyKey: x.q.idempotencyKey,
 	}
 	// During the prefill of a long prompt no tokens arrive, so a broken kept-alive connection would
@@ -280,7 +280,7 @@
 	} else {
 		r.fault = r.fault.WithRan(fault.RanMaybe)
 	}
-	if !x.q.kind.Repeat && usage.Output == 0 {
+	if !x.q.kind.Repeatable && usage.Output == 0 {
 		r.fault = fault.New(fault.Indeterminate, "sent to upstream %s, and its outcome is not known: %s", u.Name, r.fault.Text)
 	}
 	return r
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -204,7 +204,7 @@
 	text := fmt.Sprintf(`{"models":[{"name":"drafter","context":1000000}],"services":[{"name":"sms","kind":"send"}],
 		"kinds":[{"name":"draft","urgency":1,"allowed":20000,"output":64,"repeat":true},{"name":"send","urgency":0,"allowed":3000,"output":1,"repeat":false}],
 		"workspaces":[{"name":"wards","weight":1,"keys":[%q]},{"name":"desk","weight":1,"keys":[%q],"kinds":["send"]}],
-		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.Hash(wardsKey), document.Hash(deskKey), strings.Join(ups, ","))
+		"upstreams":[%s],"limits":{"body":1048576,"idle":1000}}`, document.HashKey(wardsKey), document.HashKey(deskKey), strings.Join(ups, ","))
 	d, ps := document.Parse([]byte(text), "test")
 	require.NoError(t, ps.Err())
 	b := &harness{t: t, fakes: f, index: document.NewIndex(d)}
--- a/daemon/caller/models.go
+++ b/daemon/caller/models.go
@@ -34,7 +34,7 @@
 	}
 	l := modelList{Object: "list", Data: []model{}}
 	for _, m := range c.Document().Models {
-		if !q.workspace.Reaches(m.Name) {
+		if !q.workspace.AllowsModel(m.Name) {
 			continue
 		}
 		l.Data = append(l.Data, model{ID: m.Name, Object: "model", Owner: "snipeshift"})
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -71,7 +71,7 @@
 	if !ok || key == "" {
 		return q, fault.New(fault.Unauthorized, "send the workspace's key as Authorization: Bearer KEY")
 	}
-	w, ok := c.Key(key)
+	w, ok := c.WorkspaceByKey(key)
 	if !ok {
 		return q, fault.New(fault.Unauthorized, "no workspace holds this key")
 	}
@@ -93,7 +93,7 @@
 	if !ok {
 		return q, fault.New(fault.Unknown, "no request kind %q", kind)
 	}
-	if !q.workspace.Allows(k.Name) {
+	if !q.workspace.AllowsKind(k.Name) {
 		return q, fault.New(fault.Forbidden, "workspace %s may not send kind %s", q.workspace.Name, k.Name)
 	}
 	q.kind = *k
@@ -107,7 +107,7 @@
 	if len(q.idempotencyKey) > maxIdempotencyKey || !utf8.ValidString(q.idempotencyKey) {
 		return q, fault.New(fault.Malformed, "%s is at most %d bytes of UTF-8", headerIdempotencyKey, maxIdempotencyKey)
 	}
-	if !k.Repeat && q.idempotencyKey == "" {
+	if !k.Repeatable && q.idempotencyKey == "" {
 		return q, fault.New(fault.Keyless, "kind %s must not be repeated: send %s", k.Name, headerIdempotencyKey)
 	}
 	return q, nil
@@ -123,13 +123,13 @@
 func allowedTime(r *http.Request, k document.Kind) (clock.Milli, *fault.Error) {
 	s := r.Header.Get(headerDeadline)
 	if s == "" {
-		return k.Allowed, nil
+		return k.TimeLimit, nil
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n < 1 {
 		return 0, fault.New(fault.Malformed, "%s is a time in milliseconds, 1 or more", headerDeadline)
 	}
-	return min(clock.Milli(n), k.Allowed), nil
+	return min(clock.Milli(n), k.TimeLimit), nil
 }
 
 // readBody reads a body within the limits for its size and time.
@@ -178,7 +178,7 @@
 	if !ok {
 		return fault.New(fault.Unknown, "no model %q", x.Model)
 	}
-	if !q.workspace.Reaches(m.Name) {
+	if !q.workspace.AllowsModel(m.Name) {
 		return fault.New(fault.Forbidden, "workspace %s may not use model %s", q.workspace.Name, m.Name)
 	}
 	q.target, q.stream, q.includeUsage = m.Name, x.Stream, x.IncludeUsage
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -99,7 +99,7 @@
 			}
 			return correctRan(e, sends)
 		}
-		if !q.kind.Repeat && !claimed {
+		if !q.kind.Repeatable && !claimed {
 			if e := g.claim(ctx, q); e != nil {
 				g.returnGrant(pg, q, result{outcome: decide.Unused})
 				return e
@@ -145,7 +145,7 @@
 	if r.unsent {
 		return unsent < maxUnsent
 	}
-	if !q.kind.Repeat || sends >= maxSends || r.outcome == decide.Canceled {
+	if !q.kind.Repeatable || sends >= maxSends || r.outcome == decide.Canceled {
 		return false
 	}
 	return g.Retries.Allow(pool)
@@ -284,7 +284,7 @@
 // prompt may be too long for the engines of one pool and fit the busy engines of another: the
 // caller should get the refusal of the busy pool.
 func preferRefusal(e, other *fault.Error) bool {
-	retryable, otherRetryable := fault.Lookup(e.Kind).Again, fault.Lookup(other.Kind).Again
+	retryable, otherRetryable := fault.Lookup(e.Kind).Retryable, fault.Lookup(other.Kind).Retryable
 	if retryable != otherRetryable {
 		return retryable
 	}
@@ -299,7 +299,7 @@
 	if ctx.Err() != nil {
 		e = contextFault(ctx).WithRan(fault.RanNo)
 	}
-	if !q.kind.Repeat && q.ticket == nil {
+	if !q.kind.Repeatable && q.ticket == nil {
 		e = e.WithKey(fault.KeyUnknown)
 	}
 	return e
@@ -312,7 +312,7 @@
 		if i == maxOwners {
 			break
 		}
-		args := peer.AcquireArgs{Stamp: g.Events.Send(), Pool: id, Serial: g.acquireSerial.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.placementRequest(q, avoid)}
+		args := peer.AcquireArgs{Stamp: g.Events.SendStamp(), Pool: id, Serial: g.acquireSerial.Add(1), Left: q.deadline - g.Clock.Now(), Request: g.placementRequest(q, avoid)}
 		var reply peer.AcquireReply
 		err := g.Peers.Call(ctx, m.Address, "Pool.Acquire", args, &reply)
 		if err != nil {
@@ -323,7 +323,7 @@
 			}
 			continue
 		}
-		g.Events.Receive(reply.Stamp)
+		g.Events.ReceiveStamp(reply.Stamp)
 		g.Members.RecordSummary(id, reply.Summary)
 		if reply.Fault == nil {
 			return poolGrant{pool: id, owner: m.Address, grant: reply.Grant}, nil, true
@@ -343,7 +343,7 @@
 func (g *Gate) placementRequest(q *request, avoid []decide.UpstreamID) decide.Request {
 	return decide.Request{
 		ID: q.id, Workspace: decide.WorkspaceID(q.workspace.Name), Gate: g.ID(), Urgency: q.kind.Urgency,
-		Prompt: q.prompt, Output: q.output, Prefixes: q.prefixes, Repeatable: q.kind.Repeat,
+		Prompt: q.prompt, Output: q.output, Prefixes: q.prefixes, Repeatable: q.kind.Repeatable,
 		Avoid: avoid, Fingerprint: q.fingerprint, Suspect: g.Suspects.Check(q.fingerprint) == gate.Suspected,
 	}
 }
@@ -390,7 +390,7 @@
 
 // returnGrant returns a grant in the background, so that the response to the caller is not delayed.
 func (g *Gate) returnGrant(pg poolGrant, q *request, r result) {
-	args := peer.ReturnArgs{Stamp: g.Events.Send(), Pool: pg.pool, Gate: g.ID(), Grant: pg.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.firstToken}
+	args := peer.ReturnArgs{Stamp: g.Events.SendStamp(), Pool: pg.pool, Gate: g.ID(), Grant: pg.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.firstToken}
 	g.notify(pg.owner, "Pool.Return", args)
 	// The grant may meanwhile have been presented to a new owner of the pool.
 	if owners := g.Members.Owners(pg.pool); len(owners) > 0 && owners[0].Address != pg.owner {
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -68,8 +68,8 @@
 	b.index = document.NewIndex(&d)
 	b.gate.Registry = fixedRegistry{b.index}
 	b.fakes.refusals = map[peer.PoolID]*peer.Fault{
-		"drafter@hall":   peer.Wire(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
-		"drafter@cellar": peer.Wire(fault.New(fault.Oversize, "too long")),
+		"drafter@hall":   peer.NewFault(fault.New(fault.Overloaded, "busy").WithRetry(3 * clock.Second)),
+		"drafter@cellar": peer.NewFault(fault.New(fault.Oversize, "too long")),
 	}
 	a := b.post("/v1/chat/completions", chatBody)
 	require.Equal(t, "overloaded", a.kind())
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -219,7 +219,7 @@
 	switch {
 	case r.unsent:
 		r.fault = r.fault.WithRan(fault.RanNo)
-	case !x.q.kind.Repeat:
+	case !x.q.kind.Repeatable:
 		r.fault = fault.New(fault.Indeterminate, "sent to upstream %s, and its outcome is not known: %s", u.Name, r.fault.Text)
 	}
 	return r
--- a/daemon/changetracker.go
+++ b/daemon/changetracker.go
@@ -38,7 +38,7 @@
 		if !known || restarted {
 			add(timeline.Joined, m)
 		}
-		if m.Health == peer.Doubted && (restarted || old.Health != peer.Doubted) {
+		if m.Health == peer.Suspected && (restarted || old.Health != peer.Suspected) {
 			add(timeline.Silent, m)
 		}
 	}
--- a/daemon/changetracker_test.go
+++ b/daemon/changetracker_test.go
@@ -26,7 +26,7 @@
 	c := peer.Member{VM: "vm-3", Incarnation: 1}
 	require.Equal(t, []string{"joined vm-2", "joined vm-3"}, eventTexts(r.memberEvents([]peer.Member{c, self, b}, "vm-1")))
 	require.Empty(t, r.memberEvents([]peer.Member{self, b, c}, "vm-1"))
-	b.Health = peer.Doubted
+	b.Health = peer.Suspected
 	require.Equal(t, []string{"silent vm-2"}, eventTexts(r.memberEvents([]peer.Member{self, b, c}, "vm-1")))
 	require.Empty(t, r.memberEvents([]peer.Member{self, b, c}, "vm-1"))
 	b.Health = peer.Live
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -198,7 +198,7 @@
 func TestLostAnswerIsReadBack(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.LoseAnswers(1)
+	x.store.LoseResponses(1)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key", "n1"))
 	x.store.LoseWrites(1)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key2", "n2"))
@@ -215,7 +215,7 @@
 	ticket, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimWon, r.State)
 	require.NoError(t, c.Release(t.Context(), ticket))
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	require.Equal(t, peer.ClaimWon, claimState(t, x.start("b"), "key", "n2"))
 	require.Equal(t, peer.ClaimTaken, claimState(t, c, "key", "n3"))
 }
@@ -230,7 +230,7 @@
 	_, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimUnknown, r.State)
 	require.Equal(t, fault.RanNo, r.Fault.Ran)
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	try := 0
 	require.Eventually(t, func() bool {
 		try++
@@ -243,13 +243,13 @@
 func TestClaimDuringStoreOutageFailsAtOnce(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	x.store.Outage(true)
+	x.store.SetOutage(true)
 	_, r := c.Claim(t.Context(), "w", "key", "n1")
 	require.Equal(t, peer.ClaimUnknown, r.State)
 	require.Equal(t, fault.Unavailable, r.Fault.Kind)
 	require.Equal(t, fault.RanNo, r.Fault.Ran)
 	require.Positive(t, r.Fault.Retry)
-	x.store.Outage(false)
+	x.store.SetOutage(false)
 	require.Equal(t, peer.ClaimWon, claimState(t, c, "key", "n2"))
 }
 
@@ -277,7 +277,7 @@
 	s := &timedStore{Store: x.store}
 	c := New(s, x.network, clk, x.rules, p)
 	brief := x.rules.BriefTimeout.Duration()
-	release := x.store.Hold()
+	release := x.store.BlockCalls()
 	refused := func(key string) time.Duration {
 		_, r := c.Claim(t.Context(), "w", key, "n0")
 		require.Equal(t, peer.ClaimUnknown, r.State)
@@ -301,7 +301,7 @@
 func TestClaimOnHungStoreEndsAtDeadline(t *testing.T) {
 	x := newFixture()
 	c := x.start("a")
-	release := x.store.Hold()
+	release := x.store.BlockCalls()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, r := c.Claim(ctx, "w", "key", "n1")
@@ -320,11 +320,11 @@
 	x := newFixture()
 	a := x.start("a")
 	require.Equal(t, peer.ClaimWon, claimState(t, a, "other", "n0"))
-	x.store.Stale(true)
+	x.store.SetStale(true)
 	require.Equal(t, peer.ClaimWon, claimState(t, a, "key", "n1"))
 	b := x.start("b")
 	require.Equal(t, peer.ClaimUnknown, claimState(t, b, "key", "n2"))
-	x.store.Stale(false)
+	x.store.SetStale(false)
 	require.Equal(t, peer.ClaimTaken, claimState(t, b, "key", "n3"))
 }
 
@@ -372,7 +372,7 @@
 	c := x.start("a")
 	_, id := digestOf("w", "key-0")
 	keys := sameShard(id, 60)
-	release := x.store.Hold()
+	release := x.store.BlockCalls()
 	s := c.shard(id)
 	waiting := func(n int) func() bool {
 		return func() bool {
@@ -429,7 +429,7 @@
 		return len(archives) <= 4
 	}, 5*time.Second, time.Millisecond)
 	require.GreaterOrEqual(t, len(archives), 2)
-	require.NoError(t, x.store.Delete(t.Context(), Kind, archives[0].Name, platform.Always))
+	require.NoError(t, x.store.Delete(t.Context(), Kind, archives[0].Name, platform.Unconditional))
 	require.Equal(t, peer.ClaimUnknown, claimState(t, x.start("c"), keys[0], "n"))
 
 	// After the retention time archives and their keys are removed.
@@ -468,5 +468,5 @@
 		})
 		require.Less(t, len((&page{Records: p.Records[i:]}).encode()), recordSize+len(answer)*4/3+40)
 	}
-	require.Less(t, len(p.encode())+DefaultRules.MaxPageSize+64<<10, platform.Limit)
+	require.Less(t, len(p.encode())+DefaultRules.MaxPageSize+64<<10, platform.MaxValueSize)
 }
--- a/daemon/claim/extend.go
+++ b/daemon/claim/extend.go
@@ -84,9 +84,9 @@
 // putArchive writes an archive. If the object exists already, an earlier attempt or another VM
 // wrote the same content.
 func (s *shard) putArchive(ctx context.Context, a archive, value []byte) error {
-	_, err := s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
+	_, err := s.store.Put(ctx, Kind, s.id.archive(a), value, platform.IfAbsent)
 	if errors.Is(err, platform.ErrUnknown) {
-		_, err = s.store.Put(ctx, Kind, s.id.archive(a), value, platform.Absent)
+		_, err = s.store.Put(ctx, Kind, s.id.archive(a), value, platform.IfAbsent)
 	}
 	if errors.Is(err, platform.ErrConflict) {
 		return nil
--- a/daemon/claim/schedule_test.go
+++ b/daemon/claim/schedule_test.go
@@ -58,7 +58,7 @@
 	case 4, 5:
 		s.endClaims()
 	case 6:
-		s.store.LoseAnswers(rapid.IntRange(0, 10).Draw(s.rt, "lost answers"))
+		s.store.LoseResponses(rapid.IntRange(0, 10).Draw(s.rt, "lost answers"))
 	case 7:
 		s.store.LoseWrites(rapid.IntRange(0, 3).Draw(s.rt, "lost writes"))
 	case 8:
@@ -76,11 +76,11 @@
 func (s *schedule) fault() {
 	switch rapid.IntRange(0, 4).Draw(s.rt, "fault") {
 	case 0:
-		s.store.Stale(rapid.Bool().Draw(s.rt, "stale"))
+		s.store.SetStale(rapid.Bool().Draw(s.rt, "stale"))
 	case 1:
-		s.store.Outage(rapid.Bool().Draw(s.rt, "outage"))
+		s.store.SetOutage(rapid.Bool().Draw(s.rt, "outage"))
 	case 2:
-		s.store.Deliver()
+		s.store.DeliverDelayed()
 	case 3, 4:
 		s.network.mu.Lock()
 		s.network.loseReplies = rapid.IntRange(0, 3).Draw(s.rt, "lost calls")
@@ -153,12 +153,12 @@
 // endFaults ends all faults. A claim on each key must then have a definite result, and a key
 // that was won and not released must not be won again.
 func (s *schedule) endFaults() {
-	s.store.Outage(false)
-	s.store.Stale(false)
-	s.store.LoseAnswers(0)
+	s.store.SetOutage(false)
+	s.store.SetStale(false)
+	s.store.LoseResponses(0)
 	s.store.LoseWrites(0)
 	s.store.DelayWrites(0)
-	s.store.Deliver()
+	s.store.DeliverDelayed()
 	s.network.mu.Lock()
 	s.network.loseReplies = 0
 	s.network.mu.Unlock()
--- a/daemon/claim/shard.go
+++ b/daemon/claim/shard.go
@@ -290,7 +290,7 @@
 		return false
 	}
 	s.lastWrite = s.clock.Now()
-	v, err := s.store.Put(ctx, Kind, s.id.page(), next.page.encode(), platform.At(s.version))
+	v, err := s.store.Put(ctx, Kind, s.id.page(), next.page.encode(), platform.IfVersion(s.version))
 	c.noResponse = errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUnknown)
 	switch {
 	case err == nil:
@@ -336,7 +336,7 @@
 func (s *shard) deleteArchives(unlisted []archive) {
 	for _, a := range unlisted {
 		ctx, cancel := context.WithTimeout(context.Background(), s.rules.CommitTimeout.Duration())
-		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Always)
+		_ = s.store.Delete(ctx, Kind, s.id.archive(a), platform.Unconditional)
 		cancel()
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -64,7 +64,7 @@
 	dialer      *peer.Dialer
 	store       *recordedStore
 	members     *member.Members
-	pause       *member.Pause
+	pause       *member.PauseDetector
 	directory   *directory
 	// owner queues and places the requests of the pools that this VM owns.
 	owner *pool.Owner
@@ -112,13 +112,13 @@
 		peers:          peer.NewServer(),
 	}
 	d.work, d.endWork = context.WithCancel(context.Background())
-	d.ring = timeline.New("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
-	d.store = &recordedStore{Client: platform.New(s.Platform, platform.DefaultTimeouts), ring: d.ring}
+	d.ring = timeline.NewRing("snipeshiftd", string(s.Name), uint64(d.incarnation), timeline.DefaultSize, k)
+	d.store = &recordedStore{Client: platform.NewClient(s.Platform, platform.DefaultTimeouts), ring: d.ring}
 	self := peer.Member{VM: s.Name, Incarnation: d.incarnation, Domain: s.Domain, Address: s.Advertise, Operator: s.Contact}
-	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewList(s.Peers, d.store), k)
+	d.members = member.New(self, member.DefaultRules, d.dialer, member.NewSeedList(s.Peers, d.store), k)
 	d.directory = newDirectory(d.members, k, d.ring)
 	d.engines = engine.NewClient(dialTimeout)
-	d.pause = member.NewPause(k, member.Wall{}, pool.Lease, d.handlePause)
+	d.pause = member.NewPauseDetector(k, member.WallClock{}, pool.Lease, d.handlePause)
 	d.leases = lease.New(d.store, k, lease.DefaultRules, d.pause, self)
 	d.orders = orders.New(d.work, d.log, d.ring, d.config, d.engines, d.leases)
 	d.owner = pool.New(d.work, k, d.log, d.ring, d.engines, d.config, pool.NewGateClient(d.directory, d.dialer), d.orders, decide.Epoch(d.incarnation))
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -135,7 +135,7 @@
 
 // Fill implements member.Part: a heartbeat carries the summaries of the pools that this VM owns.
 func (d *directory) Fill(_ peer.VM, b *peer.BeatArgs) {
-	b.Stamp = d.ring.Send()
+	b.Stamp = d.ring.SendStamp()
 	ps := d.summaries()
 	b.Pools = append(b.Pools, ps...)
 	d.storeSummaries(ps)
@@ -143,7 +143,7 @@
 
 // Learn implements member.Part.
 func (d *directory) Learn(b *peer.BeatArgs, _ bool) {
-	d.ring.Receive(b.Stamp)
+	d.ring.ReceiveStamp(b.Stamp)
 	d.storeSummaries(b.Pools)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/daemon/directory_test.go
+++ b/daemon/directory_test.go
@@ -23,7 +23,7 @@
 	for i := range count - 1 {
 		require.NoError(t, r.Beat(&peer.BeatArgs{From: testMember(i + 1)}, &peer.BeatArgs{}))
 	}
-	return newDirectory(m, k, timeline.New("test", "vm-0", 1, 64, k)), r
+	return newDirectory(m, k, timeline.NewRing("test", "vm-0", 1, 64, k)), r
 }
 
 // A VM that owns a pool stops or crashes. If the cached owners were not recomputed, every further
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -40,9 +40,9 @@
 type Peers interface {
 	Self() peer.Member
 	Live() []peer.Member
-	Reached() clock.Milli
-	// Kick sends the next heartbeats at once.
-	Kick()
+	LastContact() clock.Milli
+	// BeatNow sends the next heartbeats at once.
+	BeatNow()
 }
 
 // Apply parses a document and puts it in force. If the document cannot be parsed or is inconsistent,
@@ -149,7 +149,7 @@
 	peers := f.peers
 	f.mu.Unlock()
 	if err == nil && peers != nil {
-		peers.Kick()
+		peers.BeatNow()
 	}
 	return err == nil
 }
@@ -182,7 +182,7 @@
 	revision, contact, peers := f.revision, f.storeContact, f.peers
 	f.mu.Unlock()
 	if peers != nil {
-		contact = max(contact, peers.Reached())
+		contact = max(contact, peers.LastContact())
 	}
 	return revision > 0 && contact > 0 && f.clock.Now()-contact <= f.rules.MaxContactAge
 }
--- a/daemon/follow/follow_test.go
+++ b/daemon/follow/follow_test.go
@@ -46,10 +46,10 @@
 	reached clock.Milli
 }
 
-func (p *fakePeers) Self() peer.Member    { return p.self }
-func (p *fakePeers) Live() []peer.Member  { return p.live }
-func (p *fakePeers) Kick()                {}
-func (p *fakePeers) Reached() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
+func (p *fakePeers) Self() peer.Member        { return p.self }
+func (p *fakePeers) Live() []peer.Member      { return p.live }
+func (p *fakePeers) BeatNow()                 {}
+func (p *fakePeers) LastContact() clock.Milli { p.mu.Lock(); defer p.mu.Unlock(); return p.reached }
 
 var errParse = errors.New("does not parse")
 
@@ -85,7 +85,7 @@
 }
 
 func (x *fixture) put(t *testing.T, text string) peer.Revision {
-	v, err := x.store.Put(t.Context(), DocumentKind, DocumentName, []byte(text), platform.Always)
+	v, err := x.store.Put(t.Context(), DocumentKind, DocumentName, []byte(text), platform.Unconditional)
 	require.NoError(t, err)
 	return peer.Revision(v)
 }
@@ -114,7 +114,7 @@
 // come into force.
 func TestPollFindsDocumentWhenWatchHangs(t *testing.T) {
 	x := newFixture()
-	x.store.DeadWatch(true)
+	x.store.SetWatchesHang(true)
 	f, _ := x.start(t, "a")
 	requireInForce(t, f, x.put(t, "one"))
 	requireInForce(t, f, x.put(t, "two"))
@@ -127,7 +127,7 @@
 	a, _ := x.start(t, "a")
 	r := x.put(t, "one")
 	requireInForce(t, a, r)
-	x.store.Outage(true)
+	x.store.SetOutage(true)
 	b, p := x.start(t, "b")
 	require.False(t, b.Ready())
 	sendHeartbeat(a, b, "a")
@@ -144,9 +144,9 @@
 	x := newFixture()
 	f, _ := x.start(t, "a")
 	requireInForce(t, f, x.put(t, "one"))
-	x.store.Outage(true)
+	x.store.SetOutage(true)
 	require.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, time.Millisecond)
-	x.store.Outage(false)
+	x.store.SetOutage(false)
 	require.Eventually(t, f.Ready, 5*time.Second, time.Millisecond)
 }
 
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -49,7 +49,7 @@
 // peer announces documents to it then.
 func (f *Follower) pollsAsWatcher() bool {
 	revision, _ := f.Newest()
-	alone := f.clock.Now()-f.peers.Reached() > f.rules.MaxContactAge
+	alone := f.clock.Now()-f.peers.LastContact() > f.rules.MaxContactAge
 	return revision == 0 || alone || IsWatcher(f.peers.Self(), f.peers.Live(), f.rules.Watchers)
 }
 
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -247,7 +247,7 @@
 		panic(fmt.Sprint("lease: ", err)) // no value of this type fails to encode
 	}
 	begun := l.clock.Now()
-	v, err := l.store.Put(ctx, Kind, n, value, platform.At(known))
+	v, err := l.store.Put(ctx, Kind, n, value, platform.IfVersion(known))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.states[n]
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -114,13 +114,13 @@
 func TestLostAnswerKeepsTheLease(t *testing.T) {
 	w := newWorld()
 	a := w.start("a", 0)
-	w.store.LoseAnswers(1)
+	w.store.LoseResponses(1)
 	a.tick(t)
 	require.False(t, a.holds())
 	w.now += DefaultRules.Renew
 	a.tick(t)
 	old := a.fence(t)
-	w.store.LoseAnswers(1)
+	w.store.LoseResponses(1)
 	w.now += DefaultRules.Renew
 	a.tick(t)
 	require.Equal(t, old, a.fence(t))
@@ -135,14 +135,14 @@
 	w := newWorld()
 	a := w.start("a", 0)
 	a.tick(t)
-	w.store.Outage(true)
+	w.store.SetOutage(true)
 	w.now += DefaultRules.Span - 1
 	a.tick(t)
 	require.True(t, a.holds())
 	w.now++
 	a.tick(t)
 	require.False(t, a.holds())
-	w.store.Outage(false)
+	w.store.SetOutage(false)
 	a.tick(t)
 	require.True(t, a.holds())
 }
@@ -170,13 +170,13 @@
 			case 6:
 				rapid.SampledFrom(vms).Draw(rt, "pause").paused = true
 			case 7:
-				w.store.LoseAnswers(rapid.IntRange(0, 3).Draw(rt, "lost answers"))
+				w.store.LoseResponses(rapid.IntRange(0, 3).Draw(rt, "lost answers"))
 			case 8:
 				w.store.DelayWrites(rapid.IntRange(0, 3).Draw(rt, "delayed"))
 			case 9:
-				w.store.Stale(rapid.Bool().Draw(rt, "stale"))
+				w.store.SetStale(rapid.Bool().Draw(rt, "stale"))
 			case 10:
-				w.store.Deliver()
+				w.store.DeliverDelayed()
 			}
 			held := 0
 			for i, v := range vms {
--- a/daemon/member/list_test.go
+++ b/daemon/member/list_test.go
@@ -18,12 +18,12 @@
 		platform.VM{Name: "b", Role: platform.Entry, Address: "127.0.0.1:2", State: platform.Leaving},
 		platform.VM{Name: "c", Role: platform.Upstream, Address: "127.0.0.1:3", State: platform.Live},
 	)
-	l := NewList([]string{"127.0.0.1:9"}, s)
-	s.Outage(true)
+	l := NewSeedList([]string{"127.0.0.1:9"}, s)
+	s.SetOutage(true)
 	require.Equal(t, []string{"127.0.0.1:9"}, l.Seeds(t.Context()))
-	s.Outage(false)
+	s.SetOutage(false)
 	want := []string{"127.0.0.1:9", "127.0.0.1:1"}
 	require.Equal(t, want, l.Seeds(t.Context()))
-	s.Outage(true)
+	s.SetOutage(true)
 	require.Equal(t, want, l.Seeds(t.Context()))
 }
--- a/daemon/member/members.go
+++ b/daemon/member/members.go
@@ -115,18 +115,18 @@
 // Owner names the owner of a pool.
 func (m *Members) Owner(p peer.PoolID) (peer.Member, bool) { return Owner(p, m.Live()) }
 
-// Neighbours lists the few members that this one always beats.
-func (m *Members) Neighbours() []peer.Member {
+// RingSuccessors lists the few members that this one always beats.
+func (m *Members) RingSuccessors() []peer.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Neighbours()
+	return m.table.RingSuccessors()
 }
 
-// Reached is when another member was last heard from; zero if never.
-func (m *Members) Reached() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.reached }
+// LastContact is when another member was last heard from; zero if never.
+func (m *Members) LastContact() clock.Milli { m.mu.Lock(); defer m.mu.Unlock(); return m.reached }
 
-// Kick sends the next beats at once, because a part has news.
-func (m *Members) Kick() {
+// BeatNow sends the next beats at once, because a part has news.
+func (m *Members) BeatNow() {
 	select {
 	case m.kick <- struct{}{}:
 	default:
@@ -138,7 +138,7 @@
 	m.mu.Lock()
 	m.table.Stop()
 	m.mu.Unlock()
-	m.Kick()
+	m.BeatNow()
 }
 
 // Leave tells the members beaten next that this one is gone, and returns when
@@ -156,13 +156,13 @@
 	m.mu.Lock()
 	m.table.Resume(m.clock.Now())
 	m.mu.Unlock()
-	m.Kick()
+	m.BeatNow()
 }
 
 // Run beats until ctx ends.
 func (m *Members) Run(ctx context.Context) error {
 	defer m.beats.Wait()
-	last := -m.rules.Sparse
+	last := -m.rules.SparseSeedPeriod
 	for ctx.Err() == nil {
 		now := m.clock.Now()
 		if now-last >= m.greetEvery() {
@@ -180,10 +180,10 @@
 
 // greetEvery is the time between two looks at the seeds.
 func (m *Members) greetEvery() clock.Milli {
-	if m.Reached() == 0 {
-		return m.rules.Alone
+	if m.LastContact() == 0 {
+		return m.rules.IsolatedSeedPeriod
 	}
-	return m.rules.Greet(m.size())
+	return m.rules.SeedPeriod(m.size())
 }
 
 // Superseded tells whether a later life of this VM's name was heard of.
@@ -199,8 +199,8 @@
 		return
 	}
 	period := m.period()
-	if m.Reached() == 0 {
-		period = min(period, m.rules.Alone)
+	if m.LastContact() == 0 {
+		period = min(period, m.rules.IsolatedSeedPeriod)
 	}
 	t := time.NewTimer((period - gap).Duration())
 	defer t.Stop()
@@ -254,7 +254,7 @@
 		m.start(ctx, t)
 	}
 	if changed {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -298,7 +298,7 @@
 	news := m.table.Missed(m.clock.Now(), to.VM)
 	m.mu.Unlock()
 	if news {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -307,7 +307,7 @@
 	m.mu.Lock()
 	view := m.table.View()
 	theirs, known := m.views[to]
-	b := &peer.BeatArgs{From: m.table.Self(), View: view, Known: m.table.News(to, !known || theirs != view)}
+	b := &peer.BeatArgs{From: m.table.Self(), View: view, Known: m.table.Updates(to, !known || theirs != view)}
 	m.mu.Unlock()
 	for _, p := range m.parts {
 		p.Fill(to, b)
@@ -335,7 +335,7 @@
 		m.contact(now)
 	}
 	if news {
-		m.Kick()
+		m.BeatNow()
 	}
 }
 
@@ -386,9 +386,9 @@
 	VMs(ctx context.Context) ([]platform.VM, error)
 }
 
-// List is Seeds from the settings and the platform's VM list. The list may
+// SeedList is Seeds from the settings and the platform's VM list. The list may
 // lag or be out of reach; then the last one read still helps.
-type List struct {
+type SeedList struct {
 	fixed  []string
 	lister lister
 
@@ -396,11 +396,11 @@
 	last []string
 }
 
-// NewList returns seeds of fixed addresses and of the entry VMs that l lists.
-func NewList(fixed []string, l lister) *List { return &List{fixed: fixed, lister: l} }
+// NewSeedList returns seeds of fixed addresses and of the entry VMs that l lists.
+func NewSeedList(fixed []string, l lister) *SeedList { return &SeedList{fixed: fixed, lister: l} }
 
 // Seeds implements Seeds.
-func (l *List) Seeds(ctx context.Context) []string {
+func (l *SeedList) Seeds(ctx context.Context) []string {
 	vms, err := l.lister.VMs(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/member/members_test.go
+++ b/daemon/member/members_test.go
@@ -138,7 +138,7 @@
 
 func TestDaemonsFindAndLoseEachOtherOverNetRPC(t *testing.T) {
 	nodes := startNodes(t, 4)
-	require.Positive(t, nodes[1].Reached())
+	require.Positive(t, nodes[1].LastContact())
 	var reply peer.DocumentReply
 	args := &peer.DocumentArgs{Above: 6}
 	require.NoError(t, nodes[1].dialer.Call(t.Context(), nodes[0].Self().Address, "Member.Document", args, &reply))
--- a/daemon/member/owner.go
+++ b/daemon/member/owner.go
@@ -60,13 +60,13 @@
 // strongPart is the part of the most capacity, one in so many, that a member needs to decide for others.
 const strongPart = 2
 
-// Strong returns the members with at least half of the most processor and half of the most link; all of them where no
+// HighCapacity returns the members with at least half of the most processor and half of the most link; all of them where no
 // settings say. If no member has both, it goes by the processor alone.
 //
 // The load: a fleet most of whose VMs are small, and hundreds of short requests a second for one service. Whoever places them gets
 // three messages a request. A small VM's processor is used up by them: it answers late while nothing waits in its
 // queue, and short requests are late for it.
-func Strong(members []peer.Member) []peer.Member {
+func HighCapacity(members []peer.Member) []peer.Member {
 	cores, link := most(members)
 	both := with(members, func(m peer.Member) bool { return m.Cores*strongPart >= cores && m.Link*strongPart >= link })
 	if len(both) > 0 {
@@ -95,9 +95,9 @@
 	return ms
 }
 
-// RankStrong orders members as Rank does, the strong ones first.
-func RankStrong(key string, members []peer.Member) []peer.Member {
-	strong := Strong(members)
+// RankByCapacity orders members as Rank does, the strong ones first.
+func RankByCapacity(key string, members []peer.Member) []peer.Member {
+	strong := HighCapacity(members)
 	if len(strong) == len(members) {
 		return Rank(key, members)
 	}
--- a/daemon/member/pause_test.go
+++ b/daemon/member/pause_test.go
@@ -18,7 +18,7 @@
 func TestPauseGivesDutiesUpBeforeTheNextAct(t *testing.T) {
 	mono, wall := &handClock{now: 100}, &handClock{now: 9000}
 	var gaps []clock.Milli
-	p := NewPause(mono, wall, 3000, func(gap clock.Milli) { gaps = append(gaps, gap) })
+	p := NewPauseDetector(mono, wall, 3000, func(gap clock.Milli) { gaps = append(gaps, gap) })
 	mono.now, wall.now = 3100, 12000
 	require.False(t, p.Check())
 	mono.now += 3001
--- a/daemon/member/table.go
+++ b/daemon/member/table.go
@@ -55,7 +55,7 @@
 
 // NewTable returns a table that knows only its own member.
 func NewTable(self peer.Member, r Rules) *Table {
-	return &Table{rules: r, self: self, rows: map[peer.VM]*row{}, tell: r.Tell}
+	return &Table{rules: r, self: self, rows: map[peer.VM]*row{}, tell: r.UpdateSends}
 }
 
 // Self is this member as it describes itself.
@@ -81,7 +81,7 @@
 func (t *Table) raise(above uint64) {
 	t.cache = nil
 	t.self.Seq = above + 1
-	t.tell = t.rules.Tell
+	t.tell = t.rules.UpdateSends
 }
 
 // newer tells whether word a replaces word b about one VM.
@@ -109,19 +109,19 @@
 			return false
 		}
 		t.cache = nil
-		t.rows[m.VM] = &row{member: m, heard: now, since: now, tell: t.rules.Tell}
+		t.rows[m.VM] = &row{member: m, heard: now, since: now, tell: t.rules.UpdateSends}
 		return true
 	}
 	if m.Health == peer.Gone && r.member.Health != peer.Gone {
 		// Another one gave it up. It may have been behind a cut that is gone
 		// by now, so it gets its time to contradict here as well.
-		m.Health = peer.Doubted
+		m.Health = peer.Suspected
 	}
 	if newer(r.member, m) && r.member.Seq == m.Seq && r.member.Incarnation == m.Incarnation {
 		// Others believe it live by a word that is not enough to clear it
 		// here. Only it can: spread the doubt until it hears of it. Without
 		// this the two sides of a healed cut would differ for good.
-		r.tell = t.rules.Tell
+		r.tell = t.rules.UpdateSends
 	}
 	if !newer(m, r.member) {
 		return false
@@ -129,7 +129,7 @@
 	if m.Health != r.member.Health || m.Incarnation != r.member.Incarnation {
 		r.since = now
 	}
-	r.member, r.missed, r.tell = m, 0, t.rules.Tell
+	r.member, r.missed, r.tell = m, 0, t.rules.UpdateSends
 	t.cache = nil
 	return true
 }
@@ -173,23 +173,23 @@
 		return false
 	}
 	r.missed++
-	if r.missed < t.rules.Misses {
+	if r.missed < t.rules.MaxMisses {
 		return false
 	}
-	t.setHealth(r, peer.Doubted, now)
+	t.setHealth(r, peer.Suspected, now)
 	return true
 }
 
 // Tick gives up members that did not contradict in time, and forgets old ones.
 func (t *Table) Tick(now clock.Milli) bool {
 	changed := false
-	doubt := t.rules.Doubt * t.rules.Period(t.size())
+	doubt := t.rules.RefutePeriods * t.rules.Period(t.size())
 	for v, r := range t.rows {
 		switch {
-		case r.member.Health == peer.Doubted && now-r.since >= doubt && now-r.heard >= doubt:
+		case r.member.Health == peer.Suspected && now-r.since >= doubt && now-r.heard >= doubt:
 			t.setHealth(r, peer.Gone, now)
 			changed = true
-		case r.member.Health == peer.Gone && now-r.since >= t.rules.Forget:
+		case r.member.Health == peer.Gone && now-r.since >= t.rules.ForgetAfter:
 			delete(t.rows, v)
 			t.cache = nil
 		}
@@ -199,7 +199,7 @@
 
 // setHealth changes the belief about a member.
 func (t *Table) setHealth(r *row, h peer.Health, now clock.Milli) {
-	r.member.Health, r.since, r.tell = h, now, t.rules.Tell
+	r.member.Health, r.since, r.tell = h, now, t.rules.UpdateSends
 	t.cache = nil
 }
 
@@ -259,8 +259,8 @@
 	return d.targets
 }
 
-// Neighbours lists the members that this one beats as long as they live.
-func (t *Table) Neighbours() []peer.Member {
+// RingSuccessors lists the members that this one beats as long as they live.
+func (t *Table) RingSuccessors() []peer.Member {
 	if t.derive().rotation < 0 {
 		t.Targets(0)
 	}
@@ -278,15 +278,15 @@
 	own := score("ring", t.self.VM)
 	order(others, func(m peer.Member) uint64 { return score("ring", m.VM) - own })
 	t.spread(others)
-	fixed := min(t.rules.Fixed, len(others))
+	fixed := min(t.rules.RingTargets, len(others))
 	neighbours = others[:fixed:fixed]
-	if len(others) < t.rules.Full {
+	if len(others) < t.rules.FullMesh {
 		return neighbours, others
 	}
 	rest := others[fixed:]
 	salt := string(t.self.VM) + strconv.FormatInt(int64(rotation), 10)
 	order(rest, func(m peer.Member) uint64 { return score(salt, m.VM) })
-	return neighbours, append(neighbours, rest[:min(t.rules.Random, len(rest))]...)
+	return neighbours, append(neighbours, rest[:min(t.rules.RandomTargets, len(rest))]...)
 }
 
 // spread moves the nearest member of another failure domain to the second
@@ -312,10 +312,10 @@
 	sort.Slice(ms, func(i, j int) bool { return numbers[ms[i].VM] < numbers[ms[j].VM] })
 }
 
-// News returns what a beat to a member carries: what changed of late, what is
+// Updates returns what a beat to a member carries: what changed of late, what is
 // believed of the receiver if that is not good, and with all set the next
 // stretch of the whole table.
-func (t *Table) News(to peer.VM, all bool) []peer.Member {
+func (t *Table) Updates(to peer.VM, all bool) []peer.Member {
 	var ms []peer.Member
 	if r := t.rows[to]; r != nil && r.member.Health != peer.Live {
 		ms = append(ms, r.member)
@@ -326,7 +326,7 @@
 	ms = t.tellRows(ms, to, true)
 	ms = t.tellRows(ms, to, false)
 	if all {
-		ms = append(ms, t.stretch(t.rules.Most-len(ms))...)
+		ms = append(ms, t.stretch(t.rules.MaxUpdates-len(ms))...)
 	}
 	return ms
 }
@@ -337,7 +337,7 @@
 func (t *Table) tellRows(ms []peer.Member, to peer.VM, strong bool) []peer.Member {
 	least := t.derive().cores
 	for v, r := range t.rows {
-		if r.tell == 0 || v == to || len(ms) >= t.rules.Most || strong != (r.member.Cores*strongPart >= least) {
+		if r.tell == 0 || v == to || len(ms) >= t.rules.MaxUpdates || strong != (r.member.Cores*strongPart >= least) {
 			continue
 		}
 		r.tell--
@@ -346,8 +346,8 @@
 	return ms
 }
 
-// Fresh tells whether there is news to send.
-func (t *Table) Fresh() bool {
+// HasUpdates tells whether there is news to send.
+func (t *Table) HasUpdates() bool {
 	if t.tell > 0 {
 		return true
 	}
--- a/daemon/member/table_test.go
+++ b/daemon/member/table_test.go
@@ -76,7 +76,7 @@
 
 func (g *group) deliver(from, to *Table, reply bool) {
 	a, b := from.Self().VM, to.Self().VM
-	known := from.News(b, g.views[[2]peer.VM{a, b}] != from.View())
+	known := from.Updates(b, g.views[[2]peer.VM{a, b}] != from.View())
 	if g.sent != nil {
 		g.sent(from, b, known, reply)
 	}
@@ -199,7 +199,7 @@
 	delete(g.tables, name(2))
 	g.until(60, 2)
 	require.Equal(t, 1, g.tables[name(0)].Lost())
-	g.now += DefaultRules.Forget
+	g.now += DefaultRules.ForgetAfter
 	g.round()
 	require.Zero(t, g.tables[name(0)].Lost())
 }
@@ -227,7 +227,7 @@
 	g.until(60, 9)
 	table := g.tables[name(1)]
 	table.Missed(g.now, name(2))
-	table.Learn(g.now, peer.Member{VM: name(2), Incarnation: 1, Health: peer.Doubted, Address: "x"})
+	table.Learn(g.now, peer.Member{VM: name(2), Incarnation: 1, Health: peer.Suspected, Address: "x"})
 	g.now += clock.Minute
 	table.Resume(g.now)
 	require.False(t, table.Tick(g.now))
@@ -241,7 +241,7 @@
 		g := newGroup(t, n)
 		g.until(60, n)
 		for _, table := range g.tables {
-			ns := table.Neighbours()
+			ns := table.RingSuccessors()
 			require.Len(t, ns, 2)
 			require.Equal(t, ns, table.Targets(g.now)[:2])
 			require.False(t, ns[0].Domain == table.Self().Domain && ns[1].Domain == table.Self().Domain)
@@ -330,7 +330,7 @@
 		}
 		ms = append(ms, m)
 	}
-	ranked := RankStrong("service", ms)
+	ranked := RankByCapacity("service", ms)
 	require.Len(t, ranked, 300)
 	for i, m := range ranked {
 		require.Equal(t, i < 15, m.Cores == 800)
@@ -338,10 +338,10 @@
 	for i := range ms {
 		ms[i].Stopping = ms[i].Cores == 800
 	}
-	require.Len(t, RankStrong("service", ms), 285, "without strong ones the others decide")
-	require.Len(t, Strong([]peer.Member{self(1), self(2)}), 2, "nobody says what it has")
+	require.Len(t, RankByCapacity("service", ms), 285, "without strong ones the others decide")
+	require.Len(t, HighCapacity([]peer.Member{self(1), self(2)}), 2, "nobody says what it has")
 	require.Equal(t, []peer.Member{{VM: "a", Cores: 4, Link: 1}},
-		Strong([]peer.Member{{VM: "a", Cores: 4, Link: 1}, {VM: "b", Cores: 1, Link: 9}}), "the processor goes first")
+		HighCapacity([]peer.Member{{VM: "a", Cores: 4, Link: 1}, {VM: "b", Cores: 1, Link: 9}}), "the processor goes first")
 }
 
 // Three hundred VMs start together and hear from a seed of as many members as a beat carries. If the strong ones are not
@@ -357,7 +357,7 @@
 		table.Learn(1, m)
 	}
 	strong := 0
-	for _, m := range table.News(name(7), false) {
+	for _, m := range table.Updates(name(7), false) {
 		if m.Cores == 800 {
 			strong++
 		}
--- a/daemon/operator/server_test.go
+++ b/daemon/operator/server_test.go
@@ -63,7 +63,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{
-		t: t, daemon: &fakeDaemon{}, ring: timeline.New("snipeshiftd", "vm-1", 1, 16, fixedClock{}),
+		t: t, daemon: &fakeDaemon{}, ring: timeline.NewRing("snipeshiftd", "vm-1", 1, 16, fixedClock{}),
 		log: &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: io.Discard}},
 	}
 	set := metrics.NewSet()
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -32,7 +32,7 @@
 // the fingerprints of requests that crash upstreams. A client that repeats such a request through
 // the new VM in between would crash a third engine.
 func (d *daemon) awaitingFirstPeer() bool {
-	return d.members.Reached() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < firstPeerWait
+	return d.members.LastContact() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < firstPeerWait
 }
 
 // operatorViews builds the responses of the operator address from the daemon's components.
@@ -82,7 +82,7 @@
 	switch {
 	case m.Stopping:
 		return answers.Draining
-	case m.Health == peer.Doubted:
+	case m.Health == peer.Suspected:
 		return answers.Silent
 	case m.Health == peer.Gone:
 		return answers.Gone
--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -30,8 +30,8 @@
 // Peers calls methods of other daemons.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
-	// Prove probes a daemon over a separate connection and returns nil if it answers.
-	Prove(ctx context.Context, address string) error
+	// Probe probes a daemon over a separate connection and returns nil if it answers.
+	Probe(ctx context.Context, address string) error
 }
 
 // Timeouts and intervals of the gate's side.
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -166,7 +166,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
 	probed := make(chan error, 1)
-	probe := func() { probed <- o.Peers.Prove(ctx, to.Address) }
+	probe := func() { probed <- o.Peers.Probe(ctx, to.Address) }
 	t := time.AfterFunc(probeAfter.Duration(), probe)
 	var reply AskReply
 	err := o.Peers.Call(ctx, to.Address, Name+".Ask", args, &reply)
--- a/daemon/placer/hold_test.go
+++ b/daemon/placer/hold_test.go
@@ -22,7 +22,7 @@
 	return ctx.Err()
 }
 
-func (halfAnswered) Prove(context.Context, string) error { return nil }
+func (halfAnswered) Probe(context.Context, string) error { return nil }
 
 // A forwarded query times out while its late answer is still being decoded. If the partial reply
 // were used, the caller would receive a placement that the holder did not grant.
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -161,7 +161,7 @@
 // successor returns the member to which this VM is to hand a service over, and the current epoch.
 func (h *Holders) successor(s route.ServiceID) (peer.Member, uint64, bool) {
 	live := h.members.Live()
-	highCapacity := len(member.Strong(live))
+	highCapacity := len(member.HighCapacity(live))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m, ok := h.table.Successor(s, h.ranks.of(s, live), highCapacity)
@@ -195,7 +195,7 @@
 	}
 	ranked, ok := r.byService[s]
 	if !ok {
-		ranked = member.RankStrong(string(s), live)
+		ranked = member.RankByCapacity(string(s), live)
 		r.byService[s] = ranked
 	}
 	return ranked
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// Prove implements Peers.
-func (s vmView) Prove(ctx context.Context, address string) error {
+// Probe implements Peers.
+func (s vmView) Probe(ctx context.Context, address string) error {
 	time.Sleep(2 * linkDelay)
 	s.fleet.mu.Lock()
 	off := !s.fleet.reaches(s.self.VM, peer.VM(address))
@@ -464,7 +464,7 @@
 func (f *lossFleet) nextRanked(owner peer.VM) peer.VM {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range member.RankStrong("s", f.live) {
+	for _, m := range member.RankByCapacity("s", f.live) {
 		if m.VM != owner {
 			return m.VM
 		}
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -102,8 +102,8 @@
 	return dispatch(o, method, args, reply)
 }
 
-// Prove implements Peers.
-func (n *network) Prove(ctx context.Context, address string) error {
+// Probe implements Peers.
+func (n *network) Probe(ctx context.Context, address string) error {
 	n.mu.Lock()
 	hanging, refusing := n.hanging[address], n.refusing[address]
 	n.mu.Unlock()
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -113,21 +113,21 @@
 // Acquire queues a request and waits for its grant or refusal. Peers call it as
 // Pool.Acquire over net/rpc.
 func (o *Owner) Acquire(args peer.AcquireArgs, reply *peer.AcquireReply) error {
-	o.ring.Receive(args.Stamp)
+	o.ring.ReceiveStamp(args.Stamp)
 	p, ok := o.open(args.Pool)
 	if !ok {
-		reply.Fault = peer.Wire(handingOverFault())
+		reply.Fault = peer.NewFault(handingOverFault())
 		return nil
 	}
 	*reply = p.acquire(args)
 	reply.Summary = p.summary()
-	reply.Stamp = o.ring.Send()
+	reply.Stamp = o.ring.SendStamp()
 	return nil
 }
 
 // Return ends a grant that its gate no longer needs.
 func (o *Owner) Return(args peer.ReturnArgs, _ *peer.Empty) error {
-	o.ring.Receive(args.Stamp)
+	o.ring.ReceiveStamp(args.Stamp)
 	if p := o.find(args.Pool); p != nil {
 		p.finish(args)
 	}
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -141,7 +141,7 @@
 	p.mu.Lock()
 	if p.handedOver {
 		p.mu.Unlock()
-		return peer.AcquireReply{Fault: peer.Wire(handingOverFault())}
+		return peer.AcquireReply{Fault: peer.NewFault(handingOverFault())}
 	}
 	now := p.owner.clock.Now()
 	r := args.Request
@@ -279,7 +279,7 @@
 		p.scheduler.Finish(now, g.ID, decide.Unused)
 	}
 	p.scheduler.Withdraw(now, id)
-	if p.reply(id, peer.AcquireReply{Fault: peer.Wire(fault.New(fault.Canceled, "withdrawn"))}) {
+	if p.reply(id, peer.AcquireReply{Fault: peer.NewFault(fault.New(fault.Canceled, "withdrawn"))}) {
 		p.recordEvent(timeline.Withdrawn, id, "", "", "")
 	}
 	p.tick(now)
@@ -292,7 +292,7 @@
 	now := p.owner.clock.Now()
 	for id := range p.waiters {
 		p.scheduler.Withdraw(now, id)
-		p.reply(id, peer.AcquireReply{Fault: peer.Wire(handingOverFault())})
+		p.reply(id, peer.AcquireReply{Fault: peer.NewFault(handingOverFault())})
 	}
 }
 
@@ -338,7 +338,7 @@
 	case decide.Refused:
 		e := fault.New(d.Fault, "%s", refusalText(d.Fault)).WithRan(fault.RanNo).WithRetry(d.Retry)
 		p.recordEvent(timeline.Refused, d.Request, "", "", e.Error())
-		p.reply(d.Request, peer.AcquireReply{Fault: peer.Wire(e)})
+		p.reply(d.Request, peer.AcquireReply{Fault: peer.NewFault(e)})
 	case decide.Lapsed:
 		p.recordEvent(timeline.Lapsed, d.Request, d.Grant.Workspace, d.Grant.Upstreams[0], "")
 		// The memory stays reserved until the engine reports it as free. freeOrphans
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -83,7 +83,7 @@
 // rankReaders orders members by capacity, with the first two in different failure domains, so that
 // the loss of one domain leaves a reader.
 func rankReaders(live []peer.Member) []peer.Member {
-	ranked := member.RankStrong("registry", live)
+	ranked := member.RankByCapacity("registry", live)
 	for i := 1; i < len(ranked); i++ {
 		if ranked[i].Domain == ranked[0].Domain {
 			continue
--- a/daemon/registry/handover.go
+++ b/daemon/registry/handover.go
@@ -44,7 +44,7 @@
 
 // addDocument adds the document to a reply, compressed if the peer supports that. The lock must be
 // held.
-func (r *Registry) addDocument(args *peer.RegistryWord, reply *peer.RegistryReply) error {
+func (r *Registry) addDocument(args *peer.RegistrySummary, reply *peer.RegistryReply) error {
 	d := r.table.Document()
 	if !args.Packs {
 		reply.Document = d
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -59,8 +59,8 @@
 
 // summary returns the versions and ages of this VM's state. A list with upstreams that are only
 // retained is omitted, since it proves nothing to others. The lock must be held.
-func (r *Registry) summary() peer.RegistryWord {
-	w := peer.RegistryWord{Shut: r.storeDown, Era: r.era}
+func (r *Registry) summary() peer.RegistrySummary {
+	w := peer.RegistrySummary{Shut: r.storeDown, Era: r.era}
 	now := r.clock.Now()
 	if r.table != nil {
 		w.Revision, w.RevisionAge = r.table.Revision(), now-r.tableVerified
@@ -85,7 +85,7 @@
 
 // learnSummary applies a peer's version summary that was written at an instant, and reports whether
 // the peer has later state than this VM.
-func (r *Registry) learnSummary(w peer.RegistryWord, now clock.Milli) bool {
+func (r *Registry) learnSummary(w peer.RegistrySummary, now clock.Milli) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ask := false
@@ -120,7 +120,7 @@
 func (r *Registry) fetch(ctx context.Context, from peer.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	args := &peer.RegistryWord{Packs: true}
+	args := &peer.RegistrySummary{Packs: true}
 	r.mu.Lock()
 	if r.table != nil {
 		args.Revision = r.table.Revision()
@@ -205,7 +205,7 @@
 
 // Tell replies with the document and the upstreams if they are newer than, or differ from, those in
 // the requester's summary.
-func (v *Receiver) Tell(args *peer.RegistryWord, reply *peer.RegistryReply) error {
+func (v *Receiver) Tell(args *peer.RegistrySummary, reply *peer.RegistryReply) error {
 	r := v.registry
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -237,7 +237,7 @@
 
 // addUpstreams adds the upstreams to a reply: only the changes if the requester's list is an
 // earlier one that is known here and they are few, otherwise the whole list. The lock must be held.
-func (r *Registry) addUpstreams(args *peer.RegistryWord, reply *peer.RegistryReply) {
+func (r *Registry) addUpstreams(args *peer.RegistrySummary, reply *peer.RegistryReply) {
 	if ids, ok := r.changes.Since(changes.Hash(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
 		c, _ := r.changes.Hash()
 		reply.Base, reply.Content = args.Content, uint64(c)
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -107,7 +107,7 @@
 	v := NewReceiver(b.Registry)
 	ask := func() *peer.RegistryReply {
 		var reply peer.RegistryReply
-		require.NoError(t, v.Tell(&peer.RegistryWord{Packs: true}, &reply))
+		require.NoError(t, v.Tell(&peer.RegistrySummary{Packs: true}, &reply))
 		return &reply
 	}
 	for range handoverLimit {
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -100,7 +100,7 @@
 type localPeer struct{ to *Registry }
 
 func (d localPeer) Call(_ context.Context, _, _ string, args, reply any) error {
-	return NewReceiver(d.to).Tell(args.(*peer.RegistryWord), reply.(*peer.RegistryReply))
+	return NewReceiver(d.to).Tell(args.(*peer.RegistrySummary), reply.(*peer.RegistryReply))
 }
 
 func document(revision route.Revision) *route.Document {
@@ -369,7 +369,7 @@
 	b := newHarness(t)
 	at := b.View().TableVerified
 	b.clock.advance(6 * clock.Second)
-	b.Learn(&peer.BeatArgs{Registry: peer.RegistryWord{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
+	b.Learn(&peer.BeatArgs{Registry: peer.RegistrySummary{Revision: 1, RevisionAge: 20 * clock.Second, Digest: b.digest, DigestAge: 20 * clock.Second}}, false)
 	require.Equal(t, at, b.View().TableVerified)
 	require.Equal(t, at, b.View().UpstreamsVerified)
 }
@@ -420,7 +420,7 @@
 	reconnected.Fill("", beat)
 	require.Zero(t, beat.Registry.Digest, "a list with retained entries is not offered to peers")
 	var reply peer.RegistryReply
-	require.NoError(t, NewReceiver(reconnected.Registry).Tell(&peer.RegistryWord{Revision: 1}, &reply))
+	require.NoError(t, NewReceiver(reconnected.Registry).Tell(&peer.RegistrySummary{Revision: 1}, &reply))
 	require.Empty(t, reply.Upstreams)
 
 	connected.learnPeerUpstreams(listing(upstreams("a", "b", "c")), mark(9), connected.clock.Now())
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -69,10 +69,10 @@
 // lose contact with each other, so a member may be suspected sooner than under the default rules.
 var relayMemberRules = func() member.Rules {
 	r := member.DefaultRules
-	r.Near, r.Misses, r.Doubt, r.Seeds = 400, 2, 2, 2*clock.Second
+	r.MeshPeriod, r.MaxMisses, r.RefutePeriods, r.MeshSeedPeriod = 400, 2, 2, 2*clock.Second
 	// After a power failure all VMs may start at once. Until they have found each other, each one
 	// decides placements by itself, and all choose the same engines. So seeds are tried often.
-	r.Alone = 100
+	r.IsolatedSeedPeriod = 100
 	return r
 }()
 
@@ -110,7 +110,7 @@
 func newRelayDaemon(s *settings.Relay) (*relayDaemon, error) {
 	logWriter := logline.NewWriter(os.Stdout, logQueueLines)
 	d := &relayDaemon{
-		settings: s, logWriter: logWriter, log: relayLogger(s, logWriter), dialer: peer.NewDialer(dialPeer).Within(peerDialTimeout), peers: peer.NewServer(),
+		settings: s, logWriter: logWriter, log: relayLogger(s, logWriter), dialer: peer.NewDialer(dialPeer).WithOpenTimeout(peerDialTimeout), peers: peer.NewServer(),
 		store: platform.NewStore(s.Store), stopping: make(chan struct{}),
 	}
 	d.startedAt = d.clock.Now()
@@ -127,10 +127,10 @@
 	d.holders = placer.NewHolders(d.members, d.clock, d.log)
 	d.members.Add(d.registry, q, d.holders)
 	pooled := upstreamTransport()
-	engines := platform.NewEngines(pooled)
+	engines := platform.NewEngineClient(pooled)
 	id := peer.Gate(s.Name, incarnation)
 	d.owner = placer.NewOwner(placer.OwnerNeeds{
-		Clock: d.clock, Knowledge: d.registry, Reports: engines, Gate: id, Name: string(s.Name), Alone: func() bool { return d.members.Reached() == 0 },
+		Clock: d.clock, Knowledge: d.registry, Reports: engines, Gate: id, Name: string(s.Name), Alone: func() bool { return d.members.LastContact() == 0 },
 		Holders: d.holders, Members: d.members, Peers: d.dialer, Log: d.log,
 	}, placer.Budget{
 		Share: ownerBudgetShare * s.Budget.Share, Floor: ownerBudgetShare * s.Budget.Floor, Window: s.Budget.Window,
@@ -152,7 +152,7 @@
 
 // hedgedDial opens connections to peers. It starts a second attempt in parallel if the first one
 // has not succeeded after dial.Again.
-var hedgedDial = dial.Hedged((&net.Dialer{}).DialContext, dial.Again)
+var hedgedDial = dial.Hedged((&net.Dialer{}).DialContext, dial.HedgeDelay)
 
 // dialPeer implements peer.Dial.
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
@@ -177,7 +177,7 @@
 
 func upstreamTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDialTimeout}).DialContext, dial.Again)),
+		DialContext:        relay.DialPoolHost(dial.Hedged((&net.Dialer{Timeout: upstreamDialTimeout}).DialContext, dial.HedgeDelay)),
 		DisableCompression: true, MaxIdleConnsPerHost: maxIdlePerUpstream, IdleConnTimeout: upstreamIdleTimeout,
 		WriteBufferSize: 16 << 10,
 	}
--- a/daemon/relay/watchdog.go
+++ b/daemon/relay/watchdog.go
@@ -118,7 +118,7 @@
 func (w *watchdog) check() {
 	defer guard.ReportPanic(w.gate.Log, "probe of an upstream that does not respond")
 	if w.gate.unreachable(w.address) {
-		w.gate.Log.Warn().Str(logline.Key, logline.Silent).Str("address", w.address).Msg("upstream does not respond and accepts no connection; send given up")
+		w.gate.Log.Warn().Str(logline.Key, logline.Unresponsive).Str("address", w.address).Msg("upstream does not respond and accepts no connection; send given up")
 		w.giveUp()
 		return
 	}
--- a/daemon/settings/relay.go
+++ b/daemon/settings/relay.go
@@ -60,28 +60,28 @@
 
 // relayFields describes each field of Relay. The parser applies its bounds and defaults.
 var relayFields = strict.Table{
-	"name":          {Need: true, Text: "name of this VM"},
-	"domain":        {Need: true, Min: 1, Max: maxNameLength, Text: "failure domain of this VM"},
-	"caller":        {Need: true, Text: "listen address for clients, IP address and port"},
-	"ready":         {Need: true, Text: "listen address for the balancer's readiness check, IP address and port"},
-	"peer":          {Need: true, Text: "listen address for other daemons, IP address and port; the network between VMs is trusted"},
-	"advertise":     {Text: "address that other daemons connect to, if it differs from peer"},
-	"metrics":       {Text: "listen address for metrics and profiles (/debug/pprof/), IP address and port; not served if empty"},
-	"store":         {Need: true, Text: "address of the platform's store, IP address and port"},
-	"peers":         {Text: "addresses of peers to contact first"},
-	"first":         {Text: "true at the first start of all VMs of the deployment, when there are no clients yet"},
-	"memory":        {Unit: "megabytes", Min: 64, Max: 1 << 20, Default: 256, Text: "memory that the process may use"},
-	"cores":         {Min: 0, Max: 1024, Text: "the VM's share of the processor, in cores; VMs with the most are preferred as owners, and all VMs rank alike if it is not set"},
-	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Text: "bandwidth of the VM's network link; used together with cores"},
-	"level":         {Only: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Text: "lowest level of log lines that are written"},
-	"bounds":        {Text: "times that the operators promise to their users"},
-	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Text: "time within which a new document is in force on all VMs"},
-	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Text: "time within which a revoked key is refused on all VMs"},
-	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Text: "time between the signal to stop and the end of the process"},
-	"budget":        {Text: "bounds of retries, over all VMs"},
-	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Text: "retries per request"},
-	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Text: "number of retries allowed in addition"},
-	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Text: "time over which requests and retries are counted"},
+	"name":          {Required: true, Description: "name of this VM"},
+	"domain":        {Required: true, Min: 1, Max: maxNameLength, Description: "failure domain of this VM"},
+	"caller":        {Required: true, Description: "listen address for clients, IP address and port"},
+	"ready":         {Required: true, Description: "listen address for the balancer's readiness check, IP address and port"},
+	"peer":          {Required: true, Description: "listen address for other daemons, IP address and port; the network between VMs is trusted"},
+	"advertise":     {Description: "address that other daemons connect to, if it differs from peer"},
+	"metrics":       {Description: "listen address for metrics and profiles (/debug/pprof/), IP address and port; not served if empty"},
+	"store":         {Required: true, Description: "address of the platform's store, IP address and port"},
+	"peers":         {Description: "addresses of peers to contact first"},
+	"first":         {Description: "true at the first start of all VMs of the deployment, when there are no clients yet"},
+	"memory":        {Unit: "megabytes", Min: 64, Max: 1 << 20, Default: 256, Description: "memory that the process may use"},
+	"cores":         {Min: 0, Max: 1024, Description: "the VM's share of the processor, in cores; VMs with the most are preferred as owners, and all VMs rank alike if it is not set"},
+	"link":          {Unit: "megabits/s", Min: 0, Max: 1 << 20, Description: "bandwidth of the VM's network link; used together with cores"},
+	"level":         {Enum: []string{"trace", "debug", "info", "warn", "error"}, Default: "info", Description: "lowest level of log lines that are written"},
+	"bounds":        {Description: "times that the operators promise to their users"},
+	"bounds.config": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 2000, Description: "time within which a new document is in force on all VMs"},
+	"bounds.revoke": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 5000, Description: "time within which a revoked key is refused on all VMs"},
+	"bounds.grace":  {Unit: "milliseconds", Min: 0, Max: float64(maxGrace), Default: 8000, Description: "time between the signal to stop and the end of the process"},
+	"budget":        {Description: "bounds of retries, over all VMs"},
+	"budget.share":  {Min: 0, Max: 1, Default: 0.2, Description: "retries per request"},
+	"budget.floor":  {Min: 0, Max: 1 << 20, Default: 100, Description: "number of retries allowed in addition"},
+	"budget.window": {Unit: "milliseconds", Min: 1, Max: float64(maxGrace), Default: 10000, Description: "time over which requests and retries are counted"},
 }
 
 // ReadRelay reads a file and checks it.
@@ -98,7 +98,7 @@
 func ParseRelay(text []byte, name string) (*Relay, error) {
 	s := &Relay{}
 	src := strict.Read(text, name, s, relayFields)
-	if !src.Faulty("") {
+	if !src.HasProblem("") {
 		s.check(src)
 	}
 	if err := src.Problems().Err(); err != nil {
@@ -108,8 +108,8 @@
 }
 
 func (s *Relay) check(src *strict.Source) {
-	if !vmName.MatchString(string(s.Name)) && !src.Faulty("name") {
-		src.Add("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
+	if !vmName.MatchString(string(s.Name)) && !src.HasProblem("name") {
+		src.AddProblem("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"ready", s.Ready}, {"peer", s.Peer}, {"store", s.Store},
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -66,7 +66,7 @@
 func Parse(text []byte, name string) (*Settings, error) {
 	s := &Settings{}
 	src := strict.Read(text, name, s, settingsFields)
-	if !src.Faulty("") {
+	if !src.HasProblem("") {
 		s.check(src)
 	}
 	if err := src.Problems().Err(); err != nil {
@@ -92,8 +92,8 @@
 var vmName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 func (s *Settings) check(src *strict.Source) {
-	if !vmName.MatchString(string(s.Name)) && !src.Faulty("name") {
-		src.Add("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
+	if !vmName.MatchString(string(s.Name)) && !src.HasProblem("name") {
+		src.AddProblem("name", "use 1 to 63 lower-case letters, digits and dashes, such as vm-1")
 	}
 	for _, a := range []struct{ field, address string }{
 		{"caller", s.Caller}, {"operator", s.Operator}, {"peer", s.Peer}, {"platform", s.Platform},
@@ -110,10 +110,10 @@
 
 func (t TLS) check(src *strict.Source) {
 	if (t.CA == "") != (t.Cert == "") || (t.CA == "") != (t.Key == "") {
-		src.Add("tls", "ca, cert and key go together: set all three or none")
+		src.AddProblem("tls", "ca, cert and key go together: set all three or none")
 	}
 	if (t.CallerCert == "") != (t.CallerKey == "") {
-		src.Add("tls", "callercert and callerkey go together: set both or none")
+		src.AddProblem("tls", "callercert and callerkey go together: set both or none")
 	}
 }
 
@@ -126,13 +126,13 @@
 func checkAdvertised(src *strict.Source, field, advertise, listenField, listen string) {
 	if advertise != "" {
 		checkAddress(src, field, advertise)
-		if unreachable(advertise) && !src.Faulty(field) {
-			src.Add(field, "is what others connect to: use the IP address and port at which they reach this VM")
+		if unreachable(advertise) && !src.HasProblem(field) {
+			src.AddProblem(field, "is what others connect to: use the IP address and port at which they reach this VM")
 		}
 		return
 	}
-	if unreachable(listen) && !src.Faulty(listenField) {
-		src.Add(field, "is needed, since %s is %s: set it to the IP address and port at which others reach this VM", listenField, listen)
+	if unreachable(listen) && !src.HasProblem(listenField) {
+		src.AddProblem(field, "is needed, since %s is %s: set it to the IP address and port at which others reach this VM", listenField, listen)
 	}
 }
 
@@ -145,7 +145,7 @@
 
 // checkAddress requires an IP address with a port.
 func checkAddress(src *strict.Source, field, a string) {
-	if _, err := netip.ParseAddrPort(a); err != nil && !src.Faulty(field) {
-		src.Add(field, `must be an IP address and a port, such as "10.0.0.7:7000"`)
+	if _, err := netip.ParseAddrPort(a); err != nil && !src.HasProblem(field) {
+		src.AddProblem(field, `must be an IP address and a port, such as "10.0.0.7:7000"`)
 	}
 }
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -30,7 +30,7 @@
 
 // Prover probes a daemon over a separate connection; nil means that it answered.
 type Prover interface {
-	Prove(ctx context.Context, address string) error
+	Probe(ctx context.Context, address string) error
 }
 
 // VMs records the VMs that did not answer this gate. The gate skips each of them until it answers a
@@ -109,7 +109,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		err := s.prover.Prove(ctx, m.Address)
+		err := s.prover.Probe(ctx, m.Address)
 		cancel()
 		if err == nil {
 			s.MarkResponsive(m)
--- a/daemon/silent/silent_test.go
+++ b/daemon/silent/silent_test.go
@@ -25,7 +25,7 @@
 
 func (f *fleet) Live() []peer.Member { return f.live }
 
-func (f *fleet) Prove(context.Context, string) error {
+func (f *fleet) Probe(context.Context, string) error {
 	f.probes.Add(1)
 	if f.up.Load() {
 		return nil
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -156,7 +156,7 @@
 	case statement.Limit:
 		e.Str(logline.Key, logline.Limit).Bool("named", st.Named).Float64("rate", float64(st.Rate)).Msg("upstream changed its rate limit")
 	case statement.BackOff:
-		e.Str(logline.Key, logline.Rest).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("upstream asks for back-off")
+		e.Str(logline.Key, logline.BackOff).Str("gate", string(st.Gate)).Int64("left", int64(st.Until-now)).Msg("upstream asks for back-off")
 	case statement.Leaving:
 		e.Str(logline.Key, logline.Leaving).Str("gate", string(st.Gate)).Msg("upstream is draining")
 	}
--- a/daemon/usage/usage.go
+++ b/daemon/usage/usage.go
@@ -212,7 +212,7 @@
 
 // isNeighbour reports whether a member is to store a copy of this VM's counters.
 func (b *Meter) isNeighbour(m peer.Member) bool {
-	for _, n := range b.peers.Neighbours() {
+	for _, n := range b.peers.RingSuccessors() {
 		if n.VM == m.VM && n.Incarnation == m.Incarnation {
 			return true
 		}
--- a/daemon/usage/usage_test.go
+++ b/daemon/usage/usage_test.go
@@ -30,7 +30,7 @@
 func (p *peers) Self() peer.Member   { return p.self }
 func (p *peers) Live() []peer.Member { p.mu.Lock(); defer p.mu.Unlock(); return p.live }
 
-func (p *peers) Neighbours() []peer.Member {
+func (p *peers) RingSuccessors() []peer.Member {
 	var ns []peer.Member
 	for _, m := range p.Live() {
 		if m.VM != p.self.VM {
@@ -150,7 +150,7 @@
 func TestWriteWithLostResponseCountsOnce(t *testing.T) {
 	x := newFixture("a")
 	x.meters["a"].Add("w", usageOf(1))
-	x.store.LoseAnswers(1)
+	x.store.LoseResponses(1)
 	require.Error(t, x.meters["a"].Flush(t.Context()))
 	x.meters["a"].Add("w", usageOf(1))
 	require.NoError(t, x.meters["a"].Flush(t.Context()))
@@ -166,7 +166,7 @@
 	require.Error(t, x.meters["a"].Flush(t.Context()))
 	x.meters["a"].Add("w", usageOf(1))
 	require.NoError(t, x.meters["a"].Flush(t.Context()))
-	x.store.Deliver()
+	x.store.DeliverDelayed()
 	require.Equal(t, usageOf(2), x.totals(t)["w"])
 }
 
@@ -232,7 +232,7 @@
 			case 4:
 				x.write(rt, v)
 			case 5:
-				x.store.LoseAnswers(rapid.IntRange(0, 2).Draw(rt, "lost answers"))
+				x.store.LoseResponses(rapid.IntRange(0, 2).Draw(rt, "lost answers"))
 			case 6:
 				x.store.DelayWrites(rapid.IntRange(0, 2).Draw(rt, "delayed"))
 			case 7:
@@ -248,14 +248,14 @@
 				x.start(v)
 			}
 		}
-		x.store.LoseAnswers(0)
+		x.store.LoseResponses(0)
 		x.store.DelayWrites(0)
 		for range 2 {
 			for _, v := range vms {
 				require.NoError(rt, x.meters[v].Flush(contextOf(rt)))
 			}
 		}
-		x.store.Deliver()
+		x.store.DeliverDelayed()
 		if used > 0 {
 			require.Equal(rt, usageOf(used), x.totals(rt)["w"])
 		}
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -38,7 +38,7 @@
 type Membership interface {
 	Self() peer.Member
 	Live() []peer.Member
-	Neighbours() []peer.Member
+	RingSuccessors() []peer.Member
 }
 
 // storedCounter is the stored form of one workspace's counter.
@@ -176,7 +176,7 @@
 			s, known = old, o.Version
 		}
 	}
-	return b.store.Put(ctx, Kind, inc.objectName(), s.encode(), platform.At(known))
+	return b.store.Put(ctx, Kind, inc.objectName(), s.encode(), platform.IfVersion(known))
 }
 
 // writeReplicas writes the copies of counters whose incarnation is no longer live.
--- a/emulator/caller/call_test.go
+++ b/emulator/caller/call_test.go
@@ -22,7 +22,7 @@
 	}))
 	defer srv.Close()
 	q.Address = strings.TrimPrefix(srv.URL, "http://")
-	q.Path, q.Prompt, q.Output = "/", "p", 2
+	q.Path, q.Prompt, q.OutputTokens = "/", "p", 2
 	q.Body = []byte("{}")
 	c := New()
 	defer c.Close()
@@ -30,7 +30,7 @@
 }
 
 func TestWholeAnswersAreChecked(t *testing.T) {
-	own := expect.Of("p").Answer(2)
+	own := expect.SeedOf("p").Answer(2)
 	answer := `{"id":"x","choices":[{"message":{"content":%q}}],"usage":{"completion_tokens":%d}}`
 	require.Equal(t, Finished, ask(t, Request{}, fmt.Sprintf(answer, own, 2)).Outcome)
 	require.Equal(t, Wrong, ask(t, Request{}, fmt.Sprintf(answer, own, 3)).Outcome)
@@ -41,7 +41,7 @@
 // A stream that ends early is no answer, and it must say so: with an error
 // event, or at least without an end mark.
 func TestStreamsAreChecked(t *testing.T) {
-	s := expect.Of("p")
+	s := expect.SeedOf("p")
 	event := func(id string, i int) string {
 		return fmt.Sprintf("data: {\"id\":%q,\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", id, s.Token(i))
 	}
@@ -62,7 +62,7 @@
 	} {
 		require.Equal(t, want, ask(t, Request{Stream: true}, text).Outcome, text)
 	}
-	require.Equal(t, "incomplete", ask(t, Request{Stream: true}, fmt.Sprintf(fault, "no")).Kind)
+	require.Equal(t, "incomplete", ask(t, Request{Stream: true}, fmt.Sprintf(fault, "no")).ErrorKind)
 }
 
 func TestServiceAnswersAreChecked(t *testing.T) {
--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -10,9 +10,9 @@
 // Dial opens a connection to an address (host:port).
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Again is how long a connect is given before another one is tried beside it: many times the few
+// HedgeDelay is how long a connect is given before another one is tried beside it: many times the few
 // milliseconds among VMs and upstreams of a region.
-const Again = 60 * time.Millisecond
+const HedgeDelay = 60 * time.Millisecond
 
 // Hedged tries again, beside the attempts under way, each time that a span passes without a connection. The first
 // connection counts, the others are closed.
--- a/lib/document/check.go
+++ b/lib/document/check.go
@@ -30,7 +30,7 @@
 	c.workspaces(models, kinds)
 	c.upstreams(domains, models, services)
 	if len(kinds) == 0 && (len(models) > 0 || len(services) > 0) {
-		c.source.Add("kinds", "has no entry, so no request could be served: add one")
+		c.source.AddProblem("kinds", "has no entry, so no request could be served: add one")
 	}
 }
 
@@ -39,7 +39,7 @@
 	seen := names{}
 	for i := range n {
 		at := fmt.Sprintf("%s[%d].name", path, i)
-		if c.source.Faulty(at) {
+		if c.source.HasProblem(at) {
 			continue
 		}
 		if !valid(name(i), extra) {
@@ -51,7 +51,7 @@
 }
 
 func (c *checker) invalid(path, extra string) {
-	c.source.Add(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extra)
+	c.source.AddProblem(path, "may hold letters, digits and any of ._-%s, and begins with a letter or digit", extra)
 }
 
 // valid tells whether a name is safe in paths, headers, metrics and pool ids.
@@ -72,15 +72,15 @@
 		seen[value] = path
 		return
 	}
-	c.source.Add(path, "%s, at line %d: use it once", text, c.source.Line(first))
+	c.source.AddProblem(path, "%s, at line %d: use it once", text, c.source.Line(first))
 }
 
 // refer reports a name that no entry of a table has.
 func (c *checker) refer(known names, name, path, table string) {
-	if _, ok := known[name]; ok || c.source.Faulty(path) {
+	if _, ok := known[name]; ok || c.source.HasProblem(path) {
 		return
 	}
-	c.source.Add(path, "names %q, which is not in %s: add it there or correct the name", name, table)
+	c.source.AddProblem(path, "names %q, which is not in %s: add it there or correct the name", name, table)
 }
 
 func (c *checker) services(models, kinds names) {
@@ -88,7 +88,7 @@
 		at := fmt.Sprintf("services[%d]", i)
 		c.refer(kinds, s.Kind, at+".kind", "kinds")
 		if first, ok := models[s.Name]; ok {
-			c.source.Add(at+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
+			c.source.AddProblem(at+".name", "is also a model, at line %d: rename one, since pools are identified by name", c.source.Line(first))
 		}
 	}
 }
@@ -116,11 +116,11 @@
 
 // key checks a key's hash and never repeats it: by mistake it may be the key itself.
 func (c *checker) key(seen names, key, path string) {
-	if c.source.Faulty(path) {
+	if c.source.HasProblem(path) {
 		return
 	}
 	if !hashed(key) {
-		c.source.Add(path, `must be "sha256:" and 64 lower-case hex digits: print it with snipeshift hash; if this is a key itself, replace the key`)
+		c.source.AddProblem(path, `must be "sha256:" and 64 lower-case hex digits: print it with snipeshift hash; if this is a key itself, replace the key`)
 		return
 	}
 	c.once(seen, key, path, "is a key in use already")
@@ -135,15 +135,15 @@
 		c.address(addresses, u.Address, at+".address")
 		switch {
 		case u.Model != "" && u.Service != "":
-			c.source.Add(at+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
+			c.source.AddProblem(at+".service", "contradicts model: an upstream is an engine or a plain service, remove one")
 		case u.Model != "":
 			c.refer(models, u.Model, at+".model", "models")
 			c.engine(u, at)
 		case u.Service != "":
 			c.refer(services, u.Service, at+".service", "services")
 			c.plain(u, at)
-		case !c.source.Faulty(at) && !c.source.Faulty(at+".model") && !c.source.Faulty(at+".service"):
-			c.source.Add(at, "serves nothing: add a model or a service")
+		case !c.source.HasProblem(at) && !c.source.HasProblem(at+".model") && !c.source.HasProblem(at+".service"):
+			c.source.AddProblem(at, "serves nothing: add a model or a service")
 		}
 	}
 }
@@ -158,12 +158,12 @@
 }
 
 func (c *checker) address(seen names, address, path string) {
-	if c.source.Faulty(path) {
+	if c.source.HasProblem(path) {
 		return
 	}
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		c.source.Add(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
+		c.source.AddProblem(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
 		return
 	}
 	c.once(seen, a.String(), path, "is the address of an earlier upstream")
@@ -178,8 +178,8 @@
 }
 
 func (c *checker) positive(n float64, path, unit string) {
-	if n <= 0 && !c.source.Faulty(path) {
-		c.source.Add(path, "must be above 0 for an engine: give its %s", unit)
+	if n <= 0 && !c.source.HasProblem(path) {
+		c.source.AddProblem(path, "must be above 0 for an engine: give its %s", unit)
 	}
 }
 
@@ -189,12 +189,12 @@
 	c.zero(float64(u.Prefill), at+".prefill")
 	c.zero(float64(u.Decode), at+".decode")
 	if u.Fenced {
-		c.source.Add(at+".fenced", "contradicts service: a plain service takes no orders, remove it")
+		c.source.AddProblem(at+".fenced", "contradicts service: a plain service takes no orders, remove it")
 	}
 }
 
 func (c *checker) zero(n float64, path string) {
 	if n != 0 {
-		c.source.Add(path, "contradicts service: a plain service has none, remove it")
+		c.source.AddProblem(path, "contradicts service: a plain service has none, remove it")
 	}
 }
--- a/lib/document/document.go
+++ b/lib/document/document.go
@@ -49,12 +49,12 @@
 	Name string `json:"name"`
 	// Urgency is 0 for answers needed immediately, up to 3 for work that can wait.
 	Urgency decide.Urgency `json:"urgency"`
-	// Allowed is the time from arrival to the end of the answer, in milliseconds.
-	Allowed clock.Milli `json:"allowed"`
+	// TimeLimit is the time from arrival to the end of the answer, in milliseconds.
+	TimeLimit clock.Milli `json:"allowed"`
 	// Output is the usual output length in tokens, for requests that name no limit.
 	Output decide.Tokens `json:"output"`
-	// Repeat is false for requests that must run at most once.
-	Repeat bool `json:"repeat"`
+	// Repeatable is false for requests that must run at most once.
+	Repeatable bool `json:"repeat"`
 }
 
 // Workspace is a team that is charged for what it uses.
--- a/lib/document/document_test.go
+++ b/lib/document/document_test.go
@@ -69,7 +69,7 @@
 	require.Len(t, d.Upstreams, 3)
 	require.Equal(t, clock.Milli(20000), d.Limits.Idle)
 	require.Equal(t, decide.Rate(40000), d.Workspaces[0].Rate)
-	require.False(t, d.Kinds[4].Repeat)
+	require.False(t, d.Kinds[4].Repeatable)
 }
 
 func TestDefaults(t *testing.T) {
@@ -91,12 +91,12 @@
 
 func TestIndex(t *testing.T) {
 	x := NewIndex(good(t, "directorate.hujson"))
-	w, ok := x.Key("test")
+	w, ok := x.WorkspaceByKey("test")
 	require.True(t, ok)
 	require.Equal(t, "ward-inspectors", w.Name)
-	_, ok = x.Key("tesu")
+	_, ok = x.WorkspaceByKey("tesu")
 	require.False(t, ok)
-	_, ok = x.Key("")
+	_, ok = x.WorkspaceByKey("")
 	require.False(t, ok)
 
 	k, ok := x.Kind("")
@@ -124,13 +124,13 @@
 
 	desk, ok := x.Workspace("sms-desk")
 	require.True(t, ok)
-	require.True(t, desk.Allows("sms-notice"))
-	require.False(t, desk.Allows("lab-summary"))
-	require.True(t, desk.Reaches("notice-writer"))
+	require.True(t, desk.AllowsKind("sms-notice"))
+	require.False(t, desk.AllowsKind("lab-summary"))
+	require.True(t, desk.AllowsModel("notice-writer"))
 }
 
 func TestHash(t *testing.T) {
-	require.Equal(t, "sha256:9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08", Hash("test"))
+	require.Equal(t, "sha256:9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08", HashKey("test"))
 }
 
 // A document comes from a person's editor or, after a fault of the store, cut
@@ -216,7 +216,7 @@
 	require.Empty(t, changes)
 
 	b.Kinds[0], b.Kinds[1] = b.Kinds[1], b.Kinds[0]
-	b.Kinds[1].Allowed = 5
+	b.Kinds[1].TimeLimit = 5
 	b.Upstreams = b.Upstreams[:2]
 	b.Workspaces[1].Kinds = []string{"sms-notice"}
 	changes, err = Compare(a, b)
--- a/lib/document/index.go
+++ b/lib/document/index.go
@@ -91,11 +91,11 @@
 // Document returns the document the index was built from.
 func (x *Index) Document() *Document { return x.document }
 
-// Key returns the workspace that holds an API key. The time it takes tells
+// WorkspaceByKey returns the workspace that holds an API key. The time it takes tells
 // nothing of how much of a guessed key is right: the map is keyed by a hash of
 // the guess, of which a guesser chooses no part, and within a bucket the whole
 // digests are compared in constant time.
-func (x *Index) Key(key string) (*Workspace, bool) {
+func (x *Index) WorkspaceByKey(key string) (*Workspace, bool) {
 	d := digest(sha256.Sum256([]byte(key)))
 	var found *Workspace
 	for _, e := range x.keys[bucket(d)] {
@@ -155,12 +155,12 @@
 	return PoolOf(u.Model+u.Service, peer.Domain(u.Domain))
 }
 
-// Allows tells whether the workspace may send a kind.
-func (w *Workspace) Allows(kind string) bool {
+// AllowsKind tells whether the workspace may send a kind.
+func (w *Workspace) AllowsKind(kind string) bool {
 	return len(w.Kinds) == 0 || slices.Contains(w.Kinds, kind)
 }
 
-// Reaches tells whether the workspace may use a model.
-func (w *Workspace) Reaches(model string) bool {
+// AllowsModel tells whether the workspace may use a model.
+func (w *Workspace) AllowsModel(model string) bool {
 	return len(w.Models) == 0 || slices.Contains(w.Models, model)
 }
--- a/lib/document/key.go
+++ b/lib/document/key.go
@@ -11,9 +11,9 @@
 // digest is the SHA-256 of an API key.
 type digest [sha256.Size]byte
 
-// Hash returns an API key as the document keeps it: "sha256:" and 64 hex digits.
+// HashKey returns an API key as the document keeps it: "sha256:" and 64 hex digits.
 // Keys must be long and random, since the hash is neither slow nor salted.
-func Hash(key string) string {
+func HashKey(key string) string {
 	d := digest(sha256.Sum256([]byte(key)))
 	return hashPrefix + hex.EncodeToString(d[:])
 }
--- a/lib/document/page_test.go
+++ b/lib/document/page_test.go
@@ -41,12 +41,12 @@
 func rows() string {
 	var b strings.Builder
 	for _, table := range tables {
-		fmt.Fprintf(&b, "\n### %s\n\n%s.\n\n", table, upper(fields[table].Text))
+		fmt.Fprintf(&b, "\n### %s\n\n%s.\n\n", table, upper(fields[table].Description))
 		b.WriteString("| field | unit | default | bounds | meaning |\n| --- | --- | --- | --- | --- |\n")
 		for _, path := range sorted() {
 			f := fields[path]
 			if strings.HasPrefix(path, table+".") {
-				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", path, or(f.Unit, "-"), initial(f), limits(f), f.Text)
+				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", path, or(f.Unit, "-"), initial(f), limits(f), f.Description)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 
 func initial(f strict.Field) string {
 	switch {
-	case f.Need:
+	case f.Required:
 		return "needed"
 	case f.Default != nil:
 		return fmt.Sprint(f.Default)
--- a/lib/document/parse.go
+++ b/lib/document/parse.go
@@ -26,7 +26,7 @@
 	}
 	d := &Document{}
 	s := strict.Read(text, name, d, fields)
-	if !s.Faulty("") {
+	if !s.HasProblem("") {
 		c := checker{source: s, document: d}
 		c.run()
 	}
--- a/lib/document/size_test.go
+++ b/lib/document/size_test.go
@@ -22,7 +22,7 @@
 	for i := range 3500 {
 		hashes := make([]string, keys)
 		for j := range hashes {
-			hashes[j] = `"` + Hash(fmt.Sprintf("key-%d-%d", i, j)) + `"`
+			hashes[j] = `"` + HashKey(fmt.Sprintf("key-%d-%d", i, j)) + `"`
 		}
 		fmt.Fprintf(&b, "{\"name\": \"workspace-%d\", \"weight\": 2, \"rate\": 40000, \"keys\": [%s]},\n", i, strings.Join(hashes, ", "))
 	}
@@ -67,6 +67,6 @@
 	d, _ := Parse([]byte(planned(1)), "planned")
 	x := NewIndex(d)
 	for b.Loop() {
-		x.Key("key-3000-0")
+		x.WorkspaceByKey("key-3000-0")
 	}
 }
--- a/lib/expect/expect.go
+++ b/lib/expect/expect.go
@@ -18,14 +18,14 @@
 // TokenBytes is the length of every token, and the number of bytes of a prompt that count as one.
 const TokenBytes = 4
 
-// Default is the number of output tokens where a request names no limit.
-const Default = 16
+// DefaultTokens is the number of output tokens where a request names no limit.
+const DefaultTokens = 16
 
 // Seed determines the whole answer to one prompt.
 type Seed uint64
 
-// Of returns the seed of a prompt.
-func Of(prompt string) Seed { return Seed(xxhash.Sum64String(prompt)) }
+// SeedOf returns the seed of a prompt.
+func SeedOf(prompt string) Seed { return Seed(xxhash.Sum64String(prompt)) }
 
 // Append adds token i to b.
 func (s Seed) Append(b []byte, i int) []byte {
@@ -52,7 +52,7 @@
 // Check compares an answer with the n tokens that the prompt calls for. Its
 // error tells an answer that stopped early from one that is not the prompt's own.
 func Check(prompt, answer string, n int) error {
-	want := Of(prompt).Answer(n)
+	want := SeedOf(prompt).Answer(n)
 	if answer == want {
 		return nil
 	}
--- a/lib/expect/expect_test.go
+++ b/lib/expect/expect_test.go
@@ -8,15 +8,15 @@
 )
 
 func TestAnswerIsItsPromptsOwn(t *testing.T) {
-	a := Of("ward 7").Answer(5)
+	a := SeedOf("ward 7").Answer(5)
 	require.Len(t, a, 5*TokenBytes)
-	require.Equal(t, a, Of("ward 7").Answer(5))
-	require.NotEqual(t, a, Of("ward 8").Answer(5))
-	require.Equal(t, a[4:8], Of("ward 7").Token(1))
+	require.Equal(t, a, SeedOf("ward 7").Answer(5))
+	require.NotEqual(t, a, SeedOf("ward 8").Answer(5))
+	require.Equal(t, a[4:8], SeedOf("ward 7").Token(1))
 }
 
 func TestCheckTellsShortFromForeign(t *testing.T) {
-	a := Of("ward 7").Answer(5)
+	a := SeedOf("ward 7").Answer(5)
 	require.NoError(t, Check("ward 7", a, 5))
 	require.ErrorContains(t, Check("ward 7", a[:8], 5), "stops after 8 of 20")
 	require.ErrorContains(t, Check("ward 7", a+"x", 5), "differs")
--- a/lib/fault/fault.go
+++ b/lib/fault/fault.go
@@ -62,8 +62,8 @@
 	Status int
 	// Ran is the default; an Error may carry a weaker claim, never a stronger one by accident.
 	Ran Ran
-	// Again tells whether the same request may succeed later; such answers carry Retry-After.
-	Again bool
+	// Retryable tells whether the same request may succeed later; such answers carry Retry-After.
+	Retryable bool
 }
 
 var answers = map[Kind]Answer{
--- a/lib/fault/fault_test.go
+++ b/lib/fault/fault_test.go
@@ -36,7 +36,7 @@
 		require.Contains(t, answers, k)
 		a := Lookup(k)
 		require.Equal(t, r[2:4], []string{fmt.Sprint(a.Status), string(a.Ran)}, k)
-		require.Equal(t, again[r[4]], a.Again, k)
+		require.Equal(t, again[r[4]], a.Retryable, k)
 		listed[k] = true
 	}
 	require.Len(t, listed, len(rows), "a kind stands twice")
--- a/lib/logline/logline_test.go
+++ b/lib/logline/logline_test.go
@@ -14,7 +14,7 @@
 func TestThePageNamesEveryEvent(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
-	for event, meaning := range Meanings {
+	for event, meaning := range Descriptions {
 		require.Contains(t, string(page), "| `"+event+"` | "+meaning+" |")
 	}
 }
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	for _, m := range regexp.MustCompile(`(?m)^\t(\w+) +=? +"(\w+)"$`).FindAllStringSubmatch(string(source), -1) {
 		if m[1] != "Key" {
-			require.Contains(t, Meanings, strings.ToLower(m[2]))
+			require.Contains(t, Descriptions, strings.ToLower(m[2]))
 		}
 	}
 }
--- a/lib/peer/dialer.go
+++ b/lib/peer/dialer.go
@@ -75,9 +75,9 @@
 	return &Dialer{dial: dial, patience: dialTimeout, links: map[string]*link{}}
 }
 
-// Within bounds the opening of a connection. It is called before any Call.
+// WithOpenTimeout bounds the opening of a connection. It is called before any Call.
 // The first packet to a VM that is up a moment later is lost and sent again after a second: for so long VMs that start together would know nobody.
-func (d *Dialer) Within(patience time.Duration) *Dialer {
+func (d *Dialer) WithOpenTimeout(patience time.Duration) *Dialer {
 	d.patience = patience
 	return d
 }
@@ -105,9 +105,9 @@
 	}
 }
 
-// Prove finds out over a connection of its own whether address answers before ctx ends. It tells a peer that is gone
+// Probe finds out over a connection of its own whether address answers before ctx ends. It tells a peer that is gone
 // from a kept connection that waits for a lost packet to be sent again.
-func (d *Dialer) Prove(ctx context.Context, address string) error {
+func (d *Dialer) Probe(ctx context.Context, address string) error {
 	conn, err := d.dial(ctx, address)
 	if err != nil {
 		return ErrUnreachable.Wrap(err)
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -142,9 +142,9 @@
 
 // The beliefs, from best to worst.
 const (
-	Live    Health = iota // it answers, or nobody has said otherwise
-	Doubted               // somebody's heartbeats to it were missed; it still counts as live
-	Gone                  // it did not contradict in time
+	Live      Health = iota // it answers, or nobody has said otherwise
+	Suspected               // somebody's heartbeats to it were missed; it still counts as live
+	Gone                    // it did not contradict in time
 )
 
 // BeatArgs is one heartbeat. The reply has the same shape.
@@ -164,7 +164,7 @@
 	// Usage holds the sender's absolute counters that changed since the last beat that was answered.
 	Usage []WorkspaceUsage
 	// Registry is how far the sender's knowledge of routes and upstreams goes.
-	Registry RegistryWord
+	Registry RegistrySummary
 	// Holders names who places the requests of each service, as far as the sender knows.
 	Holders []Holder
 }
@@ -183,9 +183,9 @@
 	Cores int
 }
 
-// RegistryWord is how far a daemon's knowledge of the store goes. Ages are spans
+// RegistrySummary is how far a daemon's knowledge of the store goes. Ages are spans
 // before the sending; zero revisions and digests mean that nothing is known.
-type RegistryWord struct {
+type RegistrySummary struct {
 	Revision    route.Revision
 	RevisionAge clock.Milli
 	// Digest is equal for equal sets of upstreams, Mark the position in the store's
@@ -204,7 +204,9 @@
 }
 
 // Position is the place in the store's history at which the set of upstreams was right.
-func (w *RegistryWord) Position() route.Position { return route.Position{Era: w.MarkEra, Mark: w.Mark} }
+func (w *RegistrySummary) Position() route.Position {
+	return route.Position{Era: w.MarkEra, Mark: w.Mark}
+}
 
 // RegistryReply is what a daemon knows of the store, whole.
 type RegistryReply struct {
@@ -229,7 +231,7 @@
 	// Doubted are entries of a copy of the store that the teller doubts: Upstreams lacks them, and does not say that they are gone.
 	Doubted []route.Upstream
 	// Word is how far the knowledge goes from which the reply is made.
-	Word RegistryWord
+	Word RegistrySummary
 }
 
 // Suspect is a request's fingerprint with the number of upstreams that died running it.
--- a/lib/peer/request.go
+++ b/lib/peer/request.go
@@ -57,8 +57,8 @@
 	return Origin{VM: VM(ps[0]), Incarnation: Incarnation(i), Deadline: clock.Milli(d) * clock.Second, Count: n}, true
 }
 
-// Wire makes a fault fit for a message; nil stays nil.
-func Wire(e *fault.Error) *Fault {
+// NewFault makes a fault fit for a message; nil stays nil.
+func NewFault(e *fault.Error) *Fault {
 	if e == nil {
 		return nil
 	}
--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -35,8 +35,8 @@
 	unavailable, unknown       atomic.Uint64
 }
 
-// New returns a client of the store at address (host:port).
-func New(address string, t Timeouts) *Client {
+// NewClient returns a client of the store at address (host:port).
+func NewClient(address string, t Timeouts) *Client {
 	dial := (&net.Dialer{Timeout: t.Dial.Duration()}).DialContext
 	return &Client{
 		base:     "http://" + address,
@@ -104,7 +104,7 @@
 
 // Put writes one object if the condition holds, and returns its new version.
 func (c *Client) Put(ctx context.Context, k Kind, n Name, value []byte, cond Condition) (Version, error) {
-	if len(value) > Limit {
+	if len(value) > MaxValueSize {
 		return 0, Class.Wrap(fmt.Errorf("%w: %s/%s has %d bytes", ErrRefused, k, n, len(value)))
 	}
 	a, err := c.write(ctx, http.MethodPut, c.object(k, n), value, cond)
--- a/lib/platform/client_test.go
+++ b/lib/platform/client_test.go
@@ -17,7 +17,7 @@
 func serve(t *testing.T, h http.HandlerFunc) *Client {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
-	return New(strings.TrimPrefix(s.URL, "http://"), Timeouts{Dial: 200, Read: 200, Write: 200})
+	return NewClient(strings.TrimPrefix(s.URL, "http://"), Timeouts{Dial: 200, Read: 200, Write: 200})
 }
 
 func TestEachStatusHasItsError(t *testing.T) {
@@ -36,7 +36,7 @@
 		cl := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(c.status) })
 		_, err := cl.Get(t.Context(), "config", "document")
 		require.ErrorIs(t, err, c.read, c.status)
-		_, err = cl.Put(t.Context(), "config", "document", nil, At(3))
+		_, err = cl.Put(t.Context(), "config", "document", nil, IfVersion(3))
 		require.ErrorIs(t, err, c.write, c.status)
 	}
 }
@@ -50,12 +50,12 @@
 	o, err := cl.Get(t.Context(), "claims", "a b")
 	require.NoError(t, err)
 	require.Equal(t, Object{Name: "a b", Version: 7, Value: []byte("GET /objects/claims/a b  ")}, o)
-	v, err := cl.Put(t.Context(), "claims", "a", []byte("x"), Absent)
+	v, err := cl.Put(t.Context(), "claims", "a", []byte("x"), IfAbsent)
 	require.NoError(t, err)
 	require.Equal(t, Version(7), v)
-	require.NoError(t, cl.Delete(t.Context(), "claims", "a", At(7)))
+	require.NoError(t, cl.Delete(t.Context(), "claims", "a", IfVersion(7)))
 	require.Equal(t, uint64(2), cl.Counts().Writes)
-	_, err = cl.Put(t.Context(), "claims", "a", make([]byte, Limit+1), Always)
+	_, err = cl.Put(t.Context(), "claims", "a", make([]byte, MaxValueSize+1), Unconditional)
 	require.ErrorIs(t, err, ErrRefused)
 }
 
@@ -64,8 +64,8 @@
 func TestRefusedDialProvesThatNothingWasWritten(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	s.Close()
-	cl := New(s.Listener.Addr().String(), DefaultTimeouts)
-	_, err := cl.Put(t.Context(), "claims", "a", nil, Absent)
+	cl := NewClient(s.Listener.Addr().String(), DefaultTimeouts)
+	_, err := cl.Put(t.Context(), "claims", "a", nil, IfAbsent)
 	require.ErrorIs(t, err, ErrUnavailable)
 	require.NotErrorIs(t, err, ErrUnknown)
 }
@@ -87,9 +87,9 @@
 	for i := range 20 {
 		_, err := cl.Get(t.Context(), "claims", "a") // leaves a kept connection
 		require.NoError(t, err)
-		_, err = cl.Put(t.Context(), "claims", "a", []byte("x"), Absent)
+		_, err = cl.Put(t.Context(), "claims", "a", []byte("x"), IfAbsent)
 		require.ErrorIs(t, err, ErrUnknown)
-		require.ErrorIs(t, cl.Delete(t.Context(), "claims", "a", At(1)), ErrUnknown)
+		require.ErrorIs(t, cl.Delete(t.Context(), "claims", "a", IfVersion(1)), ErrUnknown)
 		require.Equal(t, int32(2*(i+1)), writes.Load())
 	}
 }
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -44,14 +44,14 @@
 	return &Store{objects: map[key]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Outage makes every call fail with ErrUnavailable while on.
-func (s *Store) Outage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
+// SetOutage makes every call fail with ErrUnavailable while on.
+func (s *Store) SetOutage(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.outage = on }
 
-// DeadWatch makes watches wait in silence, whatever is written, while on.
-func (s *Store) DeadWatch(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.deaf = on }
+// SetWatchesHang makes watches wait in silence, whatever is written, while on.
+func (s *Store) SetWatchesHang(on bool) { s.mu.Lock(); defer s.mu.Unlock(); s.deaf = on }
 
-// LoseAnswers makes the next n writes take effect and answer ErrUnknown.
-func (s *Store) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostAnswers = n }
+// LoseResponses makes the next n writes take effect and answer ErrUnknown.
+func (s *Store) LoseResponses(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostAnswers = n }
 
 // LoseWrites makes the next n writes vanish and answer ErrUnknown.
 func (s *Store) LoseWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lostWrites = n }
@@ -59,8 +59,8 @@
 // DelayWrites makes the next n writes answer ErrUnknown and wait for Deliver.
 func (s *Store) DelayWrites(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.late = n }
 
-// Deliver applies the writes held back by DelayWrites, each under its condition.
-func (s *Store) Deliver() {
+// DeliverDelayed applies the writes held back by DelayWrites, each under its condition.
+func (s *Store) DeliverDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, apply := range s.delayed {
@@ -69,8 +69,8 @@
 	s.delayed = nil
 }
 
-// Stale answers reads from the present state while on, whatever is written later.
-func (s *Store) Stale(on bool) {
+// SetStale answers reads from the present state while on, whatever is written later.
+func (s *Store) SetStale(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = nil
@@ -83,8 +83,8 @@
 	}
 }
 
-// Hold makes every call wait until release is called or its context ends.
-func (s *Store) Hold() (release func()) {
+// BlockCalls makes every call wait until release is called or its context ends.
+func (s *Store) BlockCalls() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := make(chan struct{})
@@ -199,7 +199,7 @@
 
 // Put writes one object under a condition.
 func (s *Store) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
-	if len(value) > platform.Limit {
+	if len(value) > platform.MaxValueSize {
 		return 0, platform.ErrRefused
 	}
 	at := key{k, n}
--- a/lib/platform/types.go
+++ b/lib/platform/types.go
@@ -16,8 +16,8 @@
 	Version uint64
 )
 
-// Limit is the largest value in bytes that the store takes.
-const Limit = 1 << 20
+// MaxValueSize is the largest value in bytes that the store takes.
+const MaxValueSize = 1 << 20
 
 // Object is one value of the store.
 type Object struct {
@@ -34,16 +34,16 @@
 	Version Version
 }
 
-// Always is the condition of an unconditional write.
-var Always = Condition{}
+// Unconditional is the condition of an unconditional write.
+var Unconditional = Condition{}
 
-// Absent is the condition of a write that only creates.
-var Absent = Condition{Absent: true}
+// IfAbsent is the condition of a write that only creates.
+var IfAbsent = Condition{Absent: true}
 
-// At is the condition of a write that only replaces version v.
-func At(v Version) Condition {
+// IfVersion is the condition of a write that only replaces version v.
+func IfVersion(v Version) Condition {
 	if v == 0 {
-		return Absent
+		return IfAbsent
 	}
 	return Condition{Version: v}
 }
--- a/lib/strict/field.go
+++ b/lib/strict/field.go
@@ -6,16 +6,16 @@
 	Unit string
 	// Min and Max bound a number, or the length of a string or list; both zero for no bound.
 	Min, Max float64
-	// Need is set when the field may not be left out.
-	Need bool
+	// Required is set when the field may not be left out.
+	Required bool
 	// Default is what a field that was left out reads as; nil for the zero value.
 	Default any
-	// Ref is the table whose entries' names the field refers to; empty if none.
-	Ref string
-	// Only lists the strings that are allowed; empty for any.
-	Only []string
-	// Text is one line that says what the field is for.
-	Text string
+	// RefersTo is the table whose entries' names the field refers to; empty if none.
+	RefersTo string
+	// Enum lists the strings that are allowed; empty for any.
+	Enum []string
+	// Description is one line that says what the field is for.
+	Description string
 }
 
 // Table gives the Field of each path, without list positions: "upstreams.memory".
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -91,9 +91,9 @@
 	return s.problems
 }
 
-// Add reports a problem with a field. A path that the file does not contain is
+// AddProblem reports a problem with a field. A path that the file does not contain is
 // reported at the line of its nearest parent.
-func (s *Source) Add(path, format string, args ...any) {
+func (s *Source) AddProblem(path, format string, args ...any) {
 	s.report(s.Line(path), path, format, args...)
 }
 
@@ -130,7 +130,7 @@
 func (s *Source) object(v *hujson.Value, into reflect.Value, path, generic string) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
-		s.Add(path, "must be an object {...}, not %s", describe(v))
+		s.AddProblem(path, "must be an object {...}, not %s", describe(v))
 		return
 	}
 	fields := fieldsOf(into.Type())
@@ -163,8 +163,8 @@
 		}
 		into := into.Field(fields[name])
 		f := s.table[join(generic, name)]
-		if f.Need {
-			s.Add(join(path, name), "is missing: add it (%s)", f.Text)
+		if f.Required {
+			s.AddProblem(join(path, name), "is missing: add it (%s)", f.Description)
 		}
 		if f.Default != nil {
 			into.Set(reflect.ValueOf(f.Default).Convert(into.Type()))
@@ -179,7 +179,7 @@
 func (s *Source) list(v *hujson.Value, into reflect.Value, path, generic string) {
 	a, ok := v.Value.(*hujson.Array)
 	if !ok {
-		s.Add(path, "must be a list [...], not %s", describe(v))
+		s.AddProblem(path, "must be a list [...], not %s", describe(v))
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(a.Elements), len(a.Elements)))
@@ -194,14 +194,14 @@
 	switch into.Kind() {
 	case reflect.String:
 		if l.Kind() != '"' {
-			s.Add(path, "must be a string, not %s", describe(v))
+			s.AddProblem(path, "must be a string, not %s", describe(v))
 			return
 		}
 		into.SetString(l.String())
 		s.text(l.String(), f, path)
 	case reflect.Bool:
 		if l.Kind() != 't' && l.Kind() != 'f' {
-			s.Add(path, "must be true or false, not %s", describe(v))
+			s.AddProblem(path, "must be true or false, not %s", describe(v))
 			return
 		}
 		into.SetBool(l.Bool())
@@ -211,12 +211,12 @@
 }
 
 func (s *Source) text(text string, f Field, path string) {
-	if len(f.Only) > 0 && !slices.Contains(f.Only, text) {
-		s.Add(path, "is %s: use one of %s", quote(text), strings.Join(f.Only, ", "))
+	if len(f.Enum) > 0 && !slices.Contains(f.Enum, text) {
+		s.AddProblem(path, "is %s: use one of %s", quote(text), strings.Join(f.Enum, ", "))
 		return
 	}
 	if f.Max > 0 && (float64(len(text)) < f.Min || float64(len(text)) > f.Max) {
-		s.Add(path, "has %d bytes: use %s to %s", len(text), format(f.Min), format(f.Max))
+		s.AddProblem(path, "has %d bytes: use %s to %s", len(text), format(f.Min), format(f.Max))
 	}
 }
 
@@ -224,24 +224,24 @@
 	whole := into.Kind() != reflect.Float64
 	l := literal(v)
 	if l.Kind() != '0' {
-		s.Add(path, "must be a %s, not %s", wanted(whole, f.Unit), describe(v))
+		s.AddProblem(path, "must be a %s, not %s", wanted(whole, f.Unit), describe(v))
 		return
 	}
 	n, err := strconv.ParseFloat(string(l), 64)
 	if err != nil {
-		s.Add(path, "is too large: use %s", bounds(f))
+		s.AddProblem(path, "is too large: use %s", bounds(f))
 		return
 	}
 	if f.Max > f.Min && (n < f.Min || n > f.Max) {
-		s.Add(path, "is %s: use %s", l, bounds(f))
+		s.AddProblem(path, "is %s: use %s", l, bounds(f))
 		return
 	}
 	if whole && n != math.Trunc(n) {
-		s.Add(path, "is %s: must be a %s", l, wanted(whole, f.Unit))
+		s.AddProblem(path, "is %s: must be a %s", l, wanted(whole, f.Unit))
 		return
 	}
 	if !set(into, n) {
-		s.Add(path, "is %s: use a smaller number", l)
+		s.AddProblem(path, "is %s: use a smaller number", l)
 	}
 }
 
@@ -274,6 +274,6 @@
 	s.problems = append(s.problems, Problem{s.name, line, path, fmt.Sprintf(format, args...)})
 }
 
-// Faulty tells whether a problem with this very field was reported already, so
+// HasProblem tells whether a problem with this very field was reported already, so
 // that a later check does not report what follows from it.
-func (s *Source) Faulty(path string) bool { return s.faulty[path] }
+func (s *Source) HasProblem(path string) bool { return s.faulty[path] }
--- a/lib/strict/schema.go
+++ b/lib/strict/schema.go
@@ -33,7 +33,7 @@
 	for name, sub := range s.Properties {
 		at := join(path, name)
 		f := table[at]
-		if f.Need {
+		if f.Required {
 			s.Required = append(s.Required, name)
 		}
 		if err := describeField(sub, f); err != nil {
@@ -52,7 +52,7 @@
 }
 
 func describeField(s *jsonschema.Schema, f Field) error {
-	s.Description = f.Text
+	s.Description = f.Description
 	if len(s.Types) > 0 {
 		// The package lets a list be null; the reader does not.
 		s.Type, s.Types = "array", nil
@@ -72,14 +72,14 @@
 	if f.Unit != "" {
 		words[KeywordUnit] = f.Unit
 	}
-	if f.Ref != "" {
-		words[KeywordTable] = f.Ref
+	if f.RefersTo != "" {
+		words[KeywordTable] = f.RefersTo
 	}
 	return words
 }
 
 func bound(s *jsonschema.Schema, f Field) {
-	for _, o := range f.Only {
+	for _, o := range f.Enum {
 		s.Enum = append(s.Enum, o)
 	}
 	switch {
--- a/lib/strict/strict_test.go
+++ b/lib/strict/strict_test.go
@@ -16,7 +16,7 @@
 }
 
 var table = Table{
-	"level":       {Only: []string{"low", "high"}, Default: "low"},
+	"level":       {Enum: []string{"low", "high"}, Default: "low"},
 	"small":       {},
 	"inner.count": {Default: 7, Unit: "things"},
 }
@@ -49,6 +49,6 @@
 func TestLineOfAnAbsentFieldIsItsParents(t *testing.T) {
 	var f file
 	s := Read([]byte("{\n\"inner\": {\n}}"), "f", &f, table)
-	s.Add("inner.count", "is missing")
+	s.AddProblem("inner.count", "is missing")
 	require.Equal(t, 2, s.Problems()[0].Line)
 }
--- a/lib/timeline/ring.go
+++ b/lib/timeline/ring.go
@@ -10,10 +10,10 @@
 	// DefaultSize holds the last minute and a half of a VM with 30 requests a
 	// second of a dozen events each, in 5 MB, or 30 MB if every text is as long as allowed.
 	DefaultSize = 1 << 15
-	// MaxID and MaxText are the longest id and text kept, in bytes. A caller
+	// MaxIDLen and MaxTextLen are the longest id and text kept, in bytes. A caller
 	// may choose an id; without the bound one caller could fill the memory.
-	MaxID   = 128
-	MaxText = 256
+	MaxIDLen   = 128
+	MaxTextLen = 256
 )
 
 // Ring keeps the last events of a process and overwrites the oldest. All
@@ -30,8 +30,8 @@
 	seq uint64
 }
 
-// New makes a ring of size events for one life of a process.
-func New(process, vm string, incarnation uint64, size int, w Wall) *Ring {
+// NewRing makes a ring of size events for one life of a process.
+func NewRing(process, vm string, incarnation uint64, size int, w WallClock) *Ring {
 	return &Ring{
 		origin: Event{Process: process, VM: vm, Incarnation: incarnation},
 		clock:  hybrid{wall: w},
@@ -46,11 +46,11 @@
 		return
 	}
 	e.Process, e.VM, e.Incarnation = r.origin.Process, r.origin.VM, r.origin.Incarnation
-	e.Request = clip(e.Request, MaxID)
-	e.Workspace = clip(e.Workspace, MaxID)
-	e.Upstream = clip(e.Upstream, MaxID)
-	e.Peer = clip(e.Peer, MaxID)
-	e.Text = clip(e.Text, MaxText)
+	e.Request = clip(e.Request, MaxIDLen)
+	e.Workspace = clip(e.Workspace, MaxIDLen)
+	e.Upstream = clip(e.Upstream, MaxIDLen)
+	e.Peer = clip(e.Peer, MaxIDLen)
+	e.Text = clip(e.Text, MaxTextLen)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// The stamp is taken under the same lock as the number, so both rise together.
@@ -68,8 +68,8 @@
 	return S(strings.ToValidUTF8(strings.Clone(string(s[:most])), ""))
 }
 
-// Send returns the stamp to put into a message to another process.
-func (r *Ring) Send() Stamp {
+// SendStamp returns the stamp to put into a message to another process.
+func (r *Ring) SendStamp() Stamp {
 	if r == nil {
 		return 0
 	}
@@ -77,8 +77,8 @@
 	return s
 }
 
-// Receive takes the stamp of a message; events added later stand after it.
-func (r *Ring) Receive(s Stamp) {
+// ReceiveStamp takes the stamp of a message; events added later stand after it.
+func (r *Ring) ReceiveStamp(s Stamp) {
 	if r == nil {
 		return
 	}
--- a/lib/timeline/stamp.go
+++ b/lib/timeline/stamp.go
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// Wall reads the time of this process.
-type Wall interface {
+// WallClock reads the time of this process.
+type WallClock interface {
 	Now() clock.Milli
 }
 
 // hybrid hands out stamps that rise strictly.
 type hybrid struct {
-	wall Wall
+	wall WallClock
 	mu   sync.Mutex
 	// last is the largest stamp given out or received.
 	last Stamp
--- a/lib/timeline/timeline_test.go
+++ b/lib/timeline/timeline_test.go
@@ -22,13 +22,13 @@
 // the answer to a message would be drawn before the message, and an operator
 // would look for the cause on the wrong VM.
 func TestMergeOrdersCausesFirstDespiteClocks(t *testing.T) {
-	fast := New("daemon", "fast", 1, 8, &handClock{now: 2 * 3600 * clock.Second})
-	slow := New("daemon", "slow", 1, 8, &handClock{now: 3600 * clock.Second})
+	fast := NewRing("daemon", "fast", 1, 8, &handClock{now: 2 * 3600 * clock.Second})
+	slow := NewRing("daemon", "slow", 1, 8, &handClock{now: 3600 * clock.Second})
 
 	fast.Add(Event{Kind: Arrived, Request: "r"})
-	slow.Receive(fast.Send())
+	slow.ReceiveStamp(fast.SendStamp())
 	slow.Add(Event{Kind: Granted, Request: "r"})
-	fast.Receive(slow.Send())
+	fast.ReceiveStamp(slow.SendStamp())
 	fast.Add(Event{Kind: Sent, Request: "r"})
 
 	var got []Kind
@@ -41,9 +41,9 @@
 // A message arrives with a stamp from a broken clock, years ahead. If it were
 // taken over, every event of every VM would carry that year from then on.
 func TestReceiveIgnoresAStampFarAhead(t *testing.T) {
-	r := New("daemon", "a", 1, 8, &handClock{now: 1000})
-	r.Receive(Stamp(1<<64 - 1))
-	require.Less(t, r.Send(), StampOf(2000))
+	r := NewRing("daemon", "a", 1, 8, &handClock{now: 1000})
+	r.ReceiveStamp(Stamp(1<<64 - 1))
+	require.Less(t, r.SendStamp(), StampOf(2000))
 }
 
 func TestMergeIsCausalForAnyExchange(t *testing.T) {
@@ -53,7 +53,7 @@
 		var rings [processes]*Ring
 		for i := range rings {
 			clocks[i] = &handClock{now: clock.Milli(rapid.IntRange(0, 5000).Draw(t, "start"))}
-			rings[i] = New("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
+			rings[i] = NewRing("daemon", string(rune('a'+i)), 1, 1000, clocks[i])
 		}
 		// before[i] lists events that process i knows of: each must be drawn before its next one.
 		var before [processes][]string
@@ -64,7 +64,7 @@
 			clocks[i].now += clock.Milli(rapid.IntRange(0, 3).Draw(t, "pass"))
 			if rapid.Bool().Draw(t, "message") {
 				to := rapid.IntRange(0, processes-1).Draw(t, "to")
-				rings[to].Receive(rings[i].Send())
+				rings[to].ReceiveStamp(rings[i].SendStamp())
 				before[to] = append(before[to], before[i]...)
 				continue
 			}
@@ -90,7 +90,7 @@
 }
 
 func TestRingOverwritesTheOldest(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{now: 5})
+	r := NewRing("daemon", "a", 1, 3, &handClock{now: 5})
 	for range 5 {
 		r.Add(Event{Kind: Arrived})
 	}
@@ -101,17 +101,17 @@
 }
 
 func TestRingBoundsTexts(t *testing.T) {
-	r := New("daemon", "a", 1, 3, &handClock{})
+	r := NewRing("daemon", "a", 1, 3, &handClock{})
 	long := strings.Repeat("é", 500)
 	r.Add(Event{Request: decide.RequestID(long), Text: long})
 	e := r.Events(Filter{})[0]
-	require.LessOrEqual(t, len(e.Request), MaxID)
-	require.LessOrEqual(t, len(e.Text), MaxText)
+	require.LessOrEqual(t, len(e.Request), MaxIDLen)
+	require.LessOrEqual(t, len(e.Text), MaxTextLen)
 }
 
 func TestFilter(t *testing.T) {
 	c := &handClock{now: 100}
-	r := New("daemon", "a", 1, 8, c)
+	r := NewRing("daemon", "a", 1, 8, c)
 	r.Add(Event{Kind: Arrived, Request: "r1", Workspace: "w1"})
 	c.now = 200
 	r.Add(Event{Kind: Granted, Request: "r2", Workspace: "w1", Upstream: "u"})
@@ -124,7 +124,7 @@
 }
 
 func TestAddDoesNotAllocate(t *testing.T) {
-	r := New("daemon", "a", 1, 64, clock.New())
+	r := NewRing("daemon", "a", 1, 64, clock.New())
 	e := Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"}
 	require.Zero(t, testing.AllocsPerRun(200, func() { r.Add(e) }))
 }
@@ -132,7 +132,7 @@
 func TestNilRingKeepsNothing(t *testing.T) {
 	var r *Ring
 	r.Add(Event{Kind: Arrived})
-	r.Receive(r.Send())
+	r.ReceiveStamp(r.SendStamp())
 	require.Empty(t, r.Events(Filter{}))
 }
 
@@ -154,7 +154,7 @@
 }
 
 func BenchmarkAdd(b *testing.B) {
-	r := New("daemon", "a", 1, DefaultSize, clock.New())
+	r := NewRing("daemon", "a", 1, DefaultSize, clock.New())
 	e := Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"}
 	for b.Loop() {
 		r.Add(e)
@@ -177,7 +177,7 @@
 }
 
 func BenchmarkEvents(b *testing.B) {
-	r := New("daemon", "a", 1, DefaultSize, clock.New())
+	r := NewRing("daemon", "a", 1, DefaultSize, clock.New())
 	for range DefaultSize {
 		r.Add(Event{Kind: Granted, Request: "r", Workspace: "w", Upstream: "u", Text: "text"})
 	}
@@ -201,7 +201,7 @@
 // overwrite its oldest events. What is collected must still be whole events in
 // order, each once.
 func TestEventsWhileOthersAdd(t *testing.T) {
-	r := New("daemon", "a", 1, 2*batch, clock.New())
+	r := NewRing("daemon", "a", 1, 2*batch, clock.New())
 	var adders sync.WaitGroup
 	for range 2 {
 		adders.Go(func() {
--- a/operator/commands/flags.go
+++ b/operator/commands/flags.go
@@ -63,7 +63,7 @@
 	t := platform.DefaultTimeouts
 	limit := clock.Of(c.Duration(flagTimeout))
 	t.Read, t.Write = limit, limit
-	return platform.New(a, t), nil
+	return platform.NewClient(a, t), nil
 }
 
 // newClient returns a client of daemons.
--- a/operator/commands/hash.go
+++ b/operator/commands/hash.go
@@ -41,5 +41,5 @@
 	if len(key) < minKey || len(key) > maxKey || strings.ContainsAny(key, " \t\r\n") {
 		return usageError("a key has %d to %d characters and no spaces: make one by head -c 32 /dev/urandom | base64", minKey, maxKey)
 	}
-	return say(c, "%s", document.Hash(key))
+	return say(c, "%s", document.HashKey(key))
 }
--- a/operator/script_test.go
+++ b/operator/script_test.go
@@ -71,14 +71,14 @@
 	s := ts.Value(storeKey{}).(*platformtest.Store)
 	switch args[0] {
 	case "outage":
-		s.Outage(true)
+		s.SetOutage(true)
 	case "loseanswers":
-		s.LoseAnswers(1)
+		s.LoseResponses(1)
 	case "stale":
-		s.Stale(true)
+		s.SetStale(true)
 	case "put": // another operator's change
 		text := ts.ReadFile(args[1])
-		_, err := s.Put(context.Background(), "config", "document", []byte(text), platform.Always)
+		_, err := s.Put(context.Background(), "config", "document", []byte(text), platform.Unconditional)
 		ts.Check(err)
 	default:
 		ts.Fatalf("no fault %q", args[0])
--- a/operator/stand_test.go
+++ b/operator/stand_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 		base, _ := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
-		v, err := s.Put(r.Context(), platform.Kind(r.PathValue("kind")), platform.Name(r.PathValue("name")), text, platform.At(platform.Version(base)))
+		v, err := s.Put(r.Context(), platform.Kind(r.PathValue("kind")), platform.Name(r.PathValue("name")), text, platform.IfVersion(platform.Version(base)))
 		answer(w, v, nil, err)
 	})
 	return m
@@ -91,8 +91,8 @@
 // behind, and the request is tried twice.
 func (f *fleet) tell() {
 	one, two := &hand{noon}, &hand{noon - clock.Minute}
-	a := timeline.New("snipeshiftd", "vm-1", 1, 64, one)
-	b := timeline.New("snipeshiftd", "vm-2", 4, 64, two)
+	a := timeline.NewRing("snipeshiftd", "vm-1", 1, 64, one)
+	b := timeline.NewRing("snipeshiftd", "vm-2", 4, 64, two)
 	f.rings = []*timeline.Ring{a, b}
 	e := timeline.Event{Request: "r-1", Workspace: "ward-inspectors"}
 	add := func(r *timeline.Ring, k timeline.Kind, u decide.UpstreamID, peer, text string) {
@@ -101,15 +101,15 @@
 		one.now += 5
 	}
 	add(a, timeline.Arrived, "", "", "kind=ward-draft")
-	b.Receive(a.Send())
+	b.ReceiveStamp(a.SendStamp())
 	add(b, timeline.Queued, "", "vm-1", "")
 	add(b, timeline.Granted, "runner-01", "vm-1", "")
-	a.Receive(b.Send())
+	a.ReceiveStamp(b.SendStamp())
 	add(a, timeline.Sent, "runner-01", "", "")
 	add(a, timeline.Retried, "runner-01", "", "the connection was cut before the first token")
-	b.Receive(a.Send())
+	b.ReceiveStamp(a.SendStamp())
 	add(b, timeline.Granted, "runner-02", "vm-1", "")
-	a.Receive(b.Send())
+	a.ReceiveStamp(b.SendStamp())
 	add(a, timeline.Sent, "runner-02", "", "")
 	add(a, timeline.Finished, "runner-02", "", "")
 	a.Add(timeline.Event{Kind: timeline.Arrived, Request: "r-2", Workspace: "sms-desk"})
--- a/operator/store/store_test.go
+++ b/operator/store/store_test.go
@@ -32,10 +32,10 @@
 	_, err := Write(t.Context(), s, base, []byte("first"))
 	require.NoError(t, err)
 	_, err = Write(t.Context(), s, base, []byte("second"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 	require.Equal(t, "first", inForce(t, s))
 	_, err = Write(t.Context(), s, 0, []byte("new"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 }
 
 // The write takes effect and its answer is lost. Told "failed", the operator
@@ -43,7 +43,7 @@
 func TestALostAnswerIsSettledByReadingBack(t *testing.T) {
 	s := platformtest.New()
 	base := seed(t, s)
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	r, err := Write(t.Context(), s, base, []byte("new"))
 	require.NoError(t, err)
 	c, err := Read(t.Context(), s)
@@ -74,7 +74,7 @@
 	next, err := Write(t.Context(), s, r, []byte("newer"))
 	require.NoError(t, err)
 	require.Greater(t, next, r)
-	s.Deliver()
+	s.DeliverDelayed()
 	require.Equal(t, "newer", inForce(t, s))
 }
 
@@ -83,15 +83,15 @@
 func TestWhatCannotBeSettledIsCalledUnknown(t *testing.T) {
 	s := platformtest.New()
 	base := seed(t, s)
-	s.Stale(true)
-	s.LoseAnswers(1)
+	s.SetStale(true)
+	s.LoseResponses(1)
 	_, err := Write(t.Context(), s, base, []byte("new"))
 	require.ErrorIs(t, err, ErrUnknown)
 }
 
 func TestAnOutageIsNoUnknownOutcome(t *testing.T) {
 	s := platformtest.New()
-	s.Outage(true)
+	s.SetOutage(true)
 	_, err := Write(t.Context(), s, 0, []byte("new"))
 	require.ErrorIs(t, err, platform.ErrUnavailable)
 	require.NotErrorIs(t, err, ErrUnknown)
@@ -104,7 +104,7 @@
 	s := platformtest.New()
 	base := seed(t, s)
 	_, err := Write(t.Context(), overtaken{s}, base, []byte("new"))
-	require.ErrorIs(t, err, ErrLost)
+	require.ErrorIs(t, err, ErrSuperseded)
 	require.Equal(t, "theirs", inForce(t, s))
 }
 
--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -61,14 +61,14 @@
 		return f, err
 	}
 	for _, r := range f.Platform.Runners() {
-		l, err := f.newRelay(r.Listens())
+		l, err := f.newRelay(r.ListenAddress())
 		if err != nil {
 			return f, err
 		}
 		l.Name(identifyTimeout)
 		f.upstreams[l.Address()] = l
-		r.Dies, r.Origin = f.Crash, l.Source
-		r.Move(l.Address())
+		r.OnCrash, r.ResolveVM = f.Crash, l.Source
+		r.RegisterAt(l.Address())
 	}
 	for i := range vms {
 		if err := f.addVM(fmt.Sprintf("vm-%d", i+1)); err != nil {
@@ -151,20 +151,24 @@
 }
 
 // Renew starts a runner with a new id at the registered address of one that has crashed.
-func (f *Fleet) Renew(old *standin.Runner) error { return f.startSuccessor(old, f.Platform.Renew) }
+func (f *Fleet) Renew(old *standin.Runner) error {
+	return f.startSuccessor(old, f.Platform.ReplaceRunner)
+}
 
 // Revive starts the next incarnation of a crashed runner, with the same id and registered address.
-func (f *Fleet) Revive(old *standin.Runner) error { return f.startSuccessor(old, f.Platform.Revive) }
+func (f *Fleet) Revive(old *standin.Runner) error {
+	return f.startSuccessor(old, f.Platform.RestartRunner)
+}
 
 // startSuccessor starts the successor of a crashed runner and puts it behind the same relay.
 func (f *Fleet) startSuccessor(old *standin.Runner, start func(*standin.Runner) *standin.Runner) error {
 	l := f.Upstream(old)
 	r := start(old)
-	if err := l.Up(r.Listens()); err != nil {
+	if err := l.Up(r.ListenAddress()); err != nil {
 		return err
 	}
-	r.Dies, r.Origin = f.Crash, l.Source
-	r.Move(l.Address())
+	r.OnCrash, r.ResolveVM = f.Crash, l.Source
+	r.RegisterAt(l.Address())
 	return nil
 }
 
--- a/scenarios/world/answer.go
+++ b/scenarios/world/answer.go
@@ -179,7 +179,7 @@
 // checkPartialText sets the outcome to Wrong if the text received so far is not the beginning of the
 // text expected for the prompt.
 func (r *Result) checkPartialText() {
-	want := expect.Of(r.Call.prompt()).Answer(r.Call.Output)
+	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.Output)
 	if !strings.HasPrefix(want, r.Text) {
 		r.setOutcome(Wrong, fmt.Sprintf("partial text is not the beginning of the expected one: %q", r.Text))
 	}
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -135,7 +135,7 @@
 		if k.Name != c.Kind {
 			continue
 		}
-		c.Allowed, c.Once = k.Allowed, !k.Repeat
+		c.Allowed, c.Once = k.TimeLimit, !k.Repeatable
 		if c.Deadline > 0 {
 			c.Allowed = min(c.Allowed, c.Deadline)
 		}
--- a/scenarios/world/document.go
+++ b/scenarios/world/document.go
@@ -41,10 +41,10 @@
 		Models:   []document.Model{{Name: Model, Context: 1_000_000}},
 		Services: []document.Service{{Name: Service, Kind: Lookup}},
 		Kinds: []document.Kind{
-			{Name: Draft, Urgency: 1, Allowed: 20_000, Output: 32, Repeat: true},
-			{Name: Lookup, Urgency: 0, Allowed: 5_000, Output: 16, Repeat: true},
-			{Name: Dossier, Urgency: 3, Allowed: 60_000, Output: 64, Repeat: true},
-			{Name: Notice, Urgency: 0, Allowed: 10_000, Output: 16, Repeat: false},
+			{Name: Draft, Urgency: 1, TimeLimit: 20_000, Output: 32, Repeatable: true},
+			{Name: Lookup, Urgency: 0, TimeLimit: 5_000, Output: 16, Repeatable: true},
+			{Name: Dossier, Urgency: 3, TimeLimit: 60_000, Output: 64, Repeatable: true},
+			{Name: Notice, Urgency: 0, TimeLimit: 10_000, Output: 16, Repeatable: false},
 		},
 		Upstreams: upstreams,
 		Limits:    document.Limits{Body: 4 << 20, Idle: 2_000},
@@ -53,7 +53,7 @@
 		d.Domains = append(d.Domains, document.Domain{Name: h})
 	}
 	for _, w := range Workspaces {
-		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.Hash(KeyOf(w))}})
+		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.HashKey(KeyOf(w))}})
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
