--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -38,8 +38,8 @@
 type Fleet struct {
 	Platform *standin.Platform
 	VMs      []*VM
-	// Store is the relay for the connections of all VMs to the store.
-	Store *relay.Relay
+	// StoreRelay is the relay for the connections of all VMs to the store.
+	StoreRelay *relay.Relay
 
 	dir, program string
 	finder       *relay.Finder
@@ -55,9 +55,9 @@
 		Platform: standin.New(modelRunners, serviceRunners, "ward", "desk"), dir: dir, program: program,
 		finder: relay.NewFinder(), upstreams: map[string]*relay.Relay{},
 	}
-	f.finder.Know(os.Getpid(), Caller)
+	f.finder.Know(os.Getpid(), Client)
 	var err error
-	if f.Store, err = f.newRelay(f.Platform.Address()); err != nil {
+	if f.StoreRelay, err = f.newRelay(f.Platform.Address()); err != nil {
 		return f, err
 	}
 	for _, r := range f.Platform.Runners() {
@@ -95,8 +95,8 @@
 	identifyTimeout = 50 * time.Millisecond
 )
 
-// Caller is the name under which relays see connections of the test process itself, the client.
-const Caller = "caller"
+// Client is the name under which relays see connections of the test process itself, the client.
+const Client = "caller"
 
 // newRelay returns a new relay that forwards connections to an address.
 func (f *Fleet) newRelay(to string) (*relay.Relay, error) {
@@ -123,7 +123,7 @@
 	}
 	f.VMs = append(f.VMs, v)
 	text := fmt.Sprintf(`{"name": %q, "domain": "hall", "caller": %q, "ready": %q, "metrics": %q, "peer": %q, "advertise": %q, "store": %q, "peers": [%q], "bounds": {"grace": %d}}`,
-		v.Name, v.Caller, v.readyAddress, v.Metrics, v.peerAddress, v.Peer.Address(), f.Store.Address(), f.VMs[0].Peer.Address(), stopTimeout)
+		v.Name, v.Caller, v.readyAddress, v.Metrics, v.peerAddress, v.Peer.Address(), f.StoreRelay.Address(), f.VMs[0].Peer.Address(), stopTimeout)
 	return os.WriteFile(v.settingsPath, []byte(text), 0o600)
 }
 
@@ -141,28 +141,28 @@
 	return nil
 }
 
-// Upstream returns the relay in front of a runner.
-func (f *Fleet) Upstream(r *standin.Runner) *relay.Relay { return f.upstreams[r.Address()] }
+// UpstreamRelay returns the relay in front of a runner.
+func (f *Fleet) UpstreamRelay(r *standin.Runner) *relay.Relay { return f.upstreams[r.Address()] }
 
 // Crash crashes a runner. Its registered address then refuses connections.
 func (f *Fleet) Crash(r *standin.Runner) {
-	f.Upstream(r).Down()
+	f.UpstreamRelay(r).Down()
 	r.Crash()
 }
 
-// Renew starts a runner with a new id at the registered address of one that has crashed.
-func (f *Fleet) Renew(old *standin.Runner) error {
+// Replace starts a runner with a new id at the registered address of one that has crashed.
+func (f *Fleet) Replace(old *standin.Runner) error {
 	return f.startSuccessor(old, f.Platform.ReplaceRunner)
 }
 
-// Revive starts the next incarnation of a crashed runner, with the same id and registered address.
-func (f *Fleet) Revive(old *standin.Runner) error {
+// Restart starts the next incarnation of a crashed runner, with the same id and registered address.
+func (f *Fleet) Restart(old *standin.Runner) error {
 	return f.startSuccessor(old, f.Platform.RestartRunner)
 }
 
 // startSuccessor starts the successor of a crashed runner and puts it behind the same relay.
 func (f *Fleet) startSuccessor(old *standin.Runner, start func(*standin.Runner) *standin.Runner) error {
-	l := f.Upstream(old)
+	l := f.UpstreamRelay(old)
 	r := start(old)
 	if err := l.Up(r.ListenAddress()); err != nil {
 		return err
@@ -216,8 +216,8 @@
 	for _, l := range f.upstreams {
 		l.Close()
 	}
-	if f.Store != nil {
-		f.Store.Close()
+	if f.StoreRelay != nil {
+		f.StoreRelay.Close()
 	}
 	f.Platform.Close()
 }
--- a/scenarios/platform_era_test.go
+++ b/scenarios/platform_era_test.go
@@ -132,7 +132,7 @@
 	l.more(t)
 	old := f.Platform.Models[0] // streams go on elsewhere; a plain request that runs there may not run again
 	f.Crash(old)
-	require.NoError(t, f.Renew(old))
+	require.NoError(t, f.Replace(old))
 	young := f.Platform.Models[0]
 	require.Eventually(t, func() bool { return young.AttemptsRun() > 0 }, startLimit, 20*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
--- a/scenarios/platform_fleet_test.go
+++ b/scenarios/platform_fleet_test.go
@@ -37,7 +37,7 @@
 		l := newLoad(f)
 		time.Sleep(time.Second)
 		for _, v := range f.VMs[first : first+large/2] {
-			f.Store.Cut(v.Name)
+			f.StoreRelay.Cut(v.Name)
 		}
 		desk := standin.NewClient("desk")
 		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Complete)
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -171,7 +171,7 @@
 		case <-time.After(8 * time.Second):
 			require.Fail(t, "not stopped within its grace", v.Process.Tail())
 		}
-		require.True(t, v.Process.Clean(), v.Process.Status())
+		require.True(t, v.Process.Succeeded(), v.Process.Status())
 		require.NoError(t, f.Start(v))
 		require.NoError(t, v.AwaitReady(startLimit))
 	}
@@ -242,7 +242,7 @@
 	for _, r := range f.Platform.Desks {
 		r.OnCrash = func(r *standin.Runner) {
 			f.Crash(r)
-			time.AfterFunc(time.Second, func() { _ = f.Renew(r) })
+			time.AfterFunc(time.Second, func() { _ = f.Replace(r) })
 		}
 	}
 	c := standin.NewClient("ward")
@@ -297,7 +297,7 @@
 	old := f.Platform.Models[0]
 	f.Crash(old)
 	l.more(t)
-	require.NoError(t, f.Revive(old))
+	require.NoError(t, f.Restart(old))
 	revived := f.Platform.Models[0]
 	require.Eventually(t, func() bool { return revived.AttemptsRun() > 0 }, 3*time.Second, 50*time.Millisecond)
 	l.end(t, f)
--- a/scenarios/process/process.go
+++ b/scenarios/process/process.go
@@ -110,8 +110,8 @@
 	return p.cmd.ProcessState.String()
 }
 
-// Clean reports whether the program has exited with status 0.
-func (p *Process) Clean() bool { return !p.Running() && p.cmd.ProcessState.Success() }
+// Succeeded reports whether the program has exited with status 0.
+func (p *Process) Succeeded() bool { return !p.Running() && p.cmd.ProcessState.Success() }
 
 // Address waits up to limit for the ready line of an emulator and returns the address in it.
 func (p *Process) Address(timeout time.Duration) (string, error) {
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -181,13 +181,13 @@
 }
 
 func (r *Run) link(f Fault, v *fleet.VM) {
-	l := r.fleet.Store
+	l := r.fleet.StoreRelay
 	switch f.End {
 	case Peer:
 		l = r.fleet.VMs[f.Other%len(r.fleet.VMs)].Peer
 	case Upstream:
 		us := r.fleet.Platform.Runners()
-		l = r.fleet.Upstream(us[f.Other%len(us)])
+		l = r.fleet.UpstreamRelay(us[f.Other%len(us)])
 	case Store:
 	}
 	switch f.Kind {
@@ -266,5 +266,5 @@
 	}
 	r.fleet.Crash(u)
 	time.Sleep(f.Span)
-	return r.fleet.Renew(u)
+	return r.fleet.Replace(u)
 }
--- a/scenarios/world/answer.go
+++ b/scenarios/world/answer.go
@@ -53,7 +53,7 @@
 		r.readError(ctx, resp.Body)
 	case r.Call.Service:
 		r.readService(ctx, resp.Body)
-	case r.Call.Whole || r.Replayed:
+	case r.Call.NonStreaming || r.Replayed:
 		r.readCompletion(ctx, resp.Body)
 	default:
 		r.readStream(ctx, resp.Body)
@@ -84,11 +84,11 @@
 	}
 	var got serviceResponse
 	want := strconv.FormatUint(xxhash.Sum64String(r.Call.prompt()), 16)
-	if json.Unmarshal(b, &got) != nil || got.Hash != want || got.Path != "/"+r.Call.Text {
+	if json.Unmarshal(b, &got) != nil || got.Hash != want || got.Path != "/"+r.Call.PromptStart {
 		r.setOutcome(Wrong, fmt.Sprintf("response %s, want hash %s", b, want))
 		return
 	}
-	r.setOutcome(Whole, "")
+	r.setOutcome(Complete, "")
 }
 
 // readCompletion reads a completion that is not streamed.
@@ -109,11 +109,11 @@
 
 // checkText compares a complete text with the one that an emulated engine generates for the prompt.
 func (r *Result) checkText() {
-	if err := expect.Check(r.Call.prompt(), r.Text, r.Call.Output); err != nil {
+	if err := expect.Check(r.Call.prompt(), r.Text, r.Call.OutputLimit); err != nil {
 		r.setOutcome(Wrong, err.Error())
 		return
 	}
-	r.setOutcome(Whole, "")
+	r.setOutcome(Complete, "")
 }
 
 // readStream reads events up to the end mark, an error event or the end of the connection.
@@ -154,13 +154,13 @@
 	}
 	if c.Error != nil {
 		r.Error, r.Ran = c.Error.Type, c.Error.Ran
-		r.setOutcome(Stopped, string(data))
+		r.setOutcome(Aborted, string(data))
 		r.checkPartialText()
 		return true
 	}
 	r.mu.Lock()
-	if r.First == 0 {
-		r.First = time.Since(r.Begun)
+	if r.FirstChunk == 0 {
+		r.FirstChunk = time.Since(r.SentAt)
 	}
 	r.mu.Unlock()
 	for _, x := range c.Choices {
@@ -179,7 +179,7 @@
 // checkPartialText sets the outcome to Wrong if the text received so far is not the beginning of the
 // text expected for the prompt.
 func (r *Result) checkPartialText() {
-	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.Output)
+	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.OutputLimit)
 	if !strings.HasPrefix(want, r.Text) {
 		r.setOutcome(Wrong, fmt.Sprintf("partial text is not the beginning of the expected one: %q", r.Text))
 	}
--- a/scenarios/world/bad.go
+++ b/scenarios/world/bad.go
@@ -33,7 +33,7 @@
 const badInputTimeout = 15 * time.Second
 
 func requestHead(path, headers string) string {
-	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + KeyOf(Workspaces[0]) + "\r\n" + headers
+	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + APIKey(Workspaces[0]) + "\r\n" + headers
 }
 
 func badInputs() []badInput {
@@ -52,7 +52,7 @@
 		{"unknown service", requestHead("/services/nobody/x", ""), good, 404, fault.Unknown},
 		{"negative deadline", requestHead(chat, "Snipeshift-Deadline: -5\r\n"), good, 400, fault.Malformed},
 		{"deadline that is no number", requestHead(chat, "Snipeshift-Deadline: soon\r\n"), good, 400, fault.Malformed},
-		{"notice without a key", requestHead(chat, "Snipeshift-Kind: "+Notice+"\r\n"), good, 400, fault.Keyless},
+		{"notice without a key", requestHead(chat, "Snipeshift-Kind: "+KindNotice+"\r\n"), good, 400, fault.Keyless},
 		{"prompt over the context", requestHead(chat, ""), strings.Replace(good, `"messages"`, `"max_tokens":2000000,"messages"`, 1), 413, fault.Oversize},
 		{"wrong key", "POST " + chat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer nobody\r\n", good, 401, fault.Unauthorized},
 		{"no key", "POST " + chat + " HTTP/1.1\r\nHost: x\r\n", good, 401, fault.Unauthorized},
@@ -60,8 +60,8 @@
 	}
 }
 
-// Bad sends every bad input to a daemon, also a header that never ends, and checks the responses.
-func (w *World) Bad(ctx context.Context, name string) error {
+// CheckBadInputs sends every bad input to a daemon, also a header that never ends, and checks the responses.
+func (w *World) CheckBadInputs(ctx context.Context, name string) error {
 	n, err := w.node(name)
 	if err != nil {
 		return err
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -17,72 +17,73 @@
 type Call struct {
 	// Name is unique within the scenario.
 	Name string
-	// To is the daemon that the client connects to.
-	To string
-	// Kind is the request kind of the document; empty means Draft, or Lookup for the plain service.
+	// Daemon is the daemon that the client connects to.
+	Daemon string
+	// Kind is the request kind of the document; empty means KindDraft, or KindLookup for the
+	// plain service.
 	Kind string
 	// Workspace defaults to the first of Workspaces.
 	Workspace string
 	// Key is the idempotency key; empty for none.
 	Key string
-	// Text is the start of the prompt, or the path at the plain service. Calls with the same text are
-	// the same request. It defaults to Name.
-	Text string
-	// Prompt is the length of the prompt in tokens. Output is the limit of output tokens; zero means
-	// the limit of the kind.
-	Prompt, Output int
+	// PromptStart is the start of the prompt, or the path at the plain service. Calls with the same
+	// PromptStart are the same request. It defaults to Name.
+	PromptStart string
+	// PromptTokens is the length of the prompt. OutputLimit is the limit of output tokens; zero means the
+	// limit of the kind.
+	PromptTokens, OutputLimit int
 	// Deadline is the time limit that the client requests; zero for none. The limit of the kind
 	// applies if it is shorter.
 	Deadline clock.Milli
 	// Service sends the call to the plain service instead of the model.
 	Service bool
-	// Whole requests a response that is not streamed.
-	Whole bool
-	// Allowed is the time limit that applies: the shorter one of Deadline and the limit of the kind.
-	// Begin sets it.
-	Allowed clock.Milli
-	// Once is set for kinds that must run at most once. Begin sets it.
-	Once bool
+	// NonStreaming requests a response that is not streamed.
+	NonStreaming bool
+	// TimeLimit is the time limit that applies: the shorter one of Deadline and the limit of the kind.
+	// StartCall sets it.
+	TimeLimit clock.Milli
+	// AtMostOnce is set for kinds that must run at most once. StartCall sets it.
+	AtMostOnce bool
 }
 
-// End is the state or outcome of a call as its client sees it.
-type End string
+// Outcome is the state or outcome of a call as its client sees it.
+type Outcome string
 
 // States and outcomes of a call.
 const (
-	Running End = "running"
-	Whole   End = "whole"   // the complete, correct response
-	Refused End = "refused" // an error response with an error kind
-	Stopped End = "stopped" // a stream that ended with an error event
-	Cut     End = "cut"     // the connection broke before any of the above
-	Late    End = "late"    // the client gave up after the time limit
-	Left    End = "left"    // the client closed the connection
-	Wrong   End = "wrong"   // a response that belongs to another request or does not follow the API
+	Running      Outcome = "running"
+	Complete     Outcome = "whole"   // the complete, correct response
+	Refused      Outcome = "refused" // an error response with an error kind
+	Aborted      Outcome = "stopped" // a stream that ended with an error event
+	Disconnected Outcome = "cut"     // the connection broke before any of the above
+	TimedOut     Outcome = "late"    // the client gave up after the time limit
+	Canceled     Outcome = "left"    // the client closed the connection
+	Wrong        Outcome = "wrong"   // a response that belongs to another request or does not follow the API
 )
 
 // Result is the outcome of a call as its client sees it. The fields are final once Done is closed.
 type Result struct {
 	Call Call
-	// Begun is when the call was sent, Elapsed the time until its end.
-	Begun   time.Time
+	// SentAt is when the call was sent, Elapsed the time until its end.
+	SentAt  time.Time
 	Elapsed time.Duration
-	End     End
+	Outcome Outcome
 	// Status is the HTTP status; zero if no response came.
 	Status int
-	// Error is the error kind, Ran whether the request ran (no, yes or maybe), Retry the value of
-	// Retry-After, Request the request id and Key the state of the idempotency key. They come from
+	// Error is the error kind, Ran whether the request ran (no, yes or maybe), RetryAfter the value of
+	// Retry-After, RequestID the request id and KeyState the state of the idempotency key. They come from
 	// headers of the response; Error and Ran also from an error event of the stream.
-	Error, Ran, Retry, Request, Key string
-	// First is the time to the first chunk of the stream, zero if none came.
-	First time.Duration
+	Error, Ran, RetryAfter, RequestID, KeyState string
+	// FirstChunk is the time to the first chunk of the stream, zero if none came.
+	FirstChunk time.Duration
 	// Text is the generated text received, also if the response broke off.
 	Text string
-	// Problem explains an End other than Whole; empty for Left.
+	// Problem explains an Outcome other than Complete; empty for Canceled.
 	Problem string
 	// Replayed is set for a stored response to an earlier call with the same idempotency key.
 	Replayed bool
 
-	// mu guards First while the call runs.
+	// mu guards FirstChunk while the call runs.
 	mu   sync.Mutex
 	done chan struct{}
 	// cancel cancels the call, as when the client closes the connection.
@@ -93,9 +94,9 @@
 // in this time is seen to be late, instead of being cut off at the limit.
 const lateTimeout = 4 * time.Second
 
-// Begin sends a call and returns without waiting for the response. A name used before is an error.
-func (w *World) Begin(c Call) (*Result, error) {
-	n, err := w.node(c.To)
+// StartCall sends a call and returns without waiting for the response. A name used before is an error.
+func (w *World) StartCall(c Call) (*Result, error) {
+	n, err := w.node(c.Daemon)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +104,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &Result{Call: c, End: Running, Begun: time.Now(), done: make(chan struct{}), cancel: cancel}
+	r := &Result{Call: c, Outcome: Running, SentAt: time.Now(), done: make(chan struct{}), cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, ok := w.results[c.Name]; ok {
@@ -116,13 +117,13 @@
 
 // setDefaults fills in the defaults of a call, and what its kind in the document determines.
 func (w *World) setDefaults(c *Call) error {
-	if c.Text == "" {
-		c.Text = c.Name
+	if c.PromptStart == "" {
+		c.PromptStart = c.Name
 	}
 	if c.Kind == "" {
-		c.Kind = Draft
+		c.Kind = KindDraft
 		if c.Service {
-			c.Kind = Lookup
+			c.Kind = KindLookup
 		}
 	}
 	w.mu.Lock()
@@ -135,12 +136,12 @@
 		if k.Name != c.Kind {
 			continue
 		}
-		c.Allowed, c.Once = k.TimeLimit, !k.Repeatable
+		c.TimeLimit, c.AtMostOnce = k.TimeLimit, !k.Repeatable
 		if c.Deadline > 0 {
-			c.Allowed = min(c.Allowed, c.Deadline)
+			c.TimeLimit = min(c.TimeLimit, c.Deadline)
 		}
-		if c.Output == 0 {
-			c.Output = int(k.Output)
+		if c.OutputLimit == 0 {
+			c.OutputLimit = int(k.Output)
 		}
 	}
 	return nil
@@ -184,11 +185,11 @@
 	}
 }
 
-// Started reports whether a chunk of a streamed response has arrived.
-func (r *Result) Started() bool {
+// HasChunk reports whether a chunk of a streamed response has arrived.
+func (r *Result) HasChunk() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.First > 0
+	return r.FirstChunk > 0
 }
 
 // Wait waits for the end of the call, at the latest when the client gives up.
@@ -196,11 +197,11 @@
 
 // String describes the call and its outcome in one line, for messages of failed checks.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%s to %s (%s): %s", r.Call.Name, r.Call.To, r.Call.Kind, r.End)
-	if r.End == Running {
+	s := fmt.Sprintf("%s to %s (%s): %s", r.Call.Name, r.Call.Daemon, r.Call.Kind, r.Outcome)
+	if r.Outcome == Running {
 		return s
 	}
-	s += fmt.Sprintf(" after %v of %v, status %d, request %s", r.Elapsed.Round(time.Millisecond), r.Call.Allowed.Duration(), r.Status, r.Request)
+	s += fmt.Sprintf(" after %v of %v, status %d, request %s", r.Elapsed.Round(time.Millisecond), r.Call.TimeLimit.Duration(), r.Status, r.RequestID)
 	if r.Error != "" {
 		s += fmt.Sprintf(", error %s, ran %s", r.Error, r.Ran)
 	}
@@ -223,10 +224,10 @@
 func (r *Result) run(ctx context.Context, address string) {
 	defer close(r.done)
 	defer r.cancel()
-	ctx, cancel := context.WithTimeout(ctx, r.Call.Allowed.Duration()+lateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.Call.TimeLimit.Duration()+lateTimeout)
 	defer cancel()
 	r.exchange(ctx, address)
-	r.Elapsed = time.Since(r.Begun)
+	r.Elapsed = time.Since(r.SentAt)
 }
 
 // exchange sends the request on a new connection and reads the response.
@@ -249,8 +250,8 @@
 	defer resp.Body.Close()
 	r.Status = resp.StatusCode
 	h := resp.Header
-	r.Key = h.Get("Snipeshift-Key")
-	r.Request, r.Error, r.Ran, r.Retry = h.Get("Snipeshift-Request"), h.Get("Snipeshift-Error"), h.Get("Snipeshift-Ran"), h.Get("Retry-After")
+	r.KeyState = h.Get("Snipeshift-Key")
+	r.RequestID, r.Error, r.Ran, r.RetryAfter = h.Get("Snipeshift-Request"), h.Get("Snipeshift-Error"), h.Get("Snipeshift-Ran"), h.Get("Retry-After")
 	r.Replayed = h.Get("Idempotent-Replayed") != ""
 	r.read(ctx, resp)
 }
@@ -260,25 +261,25 @@
 func (r *Result) recordError(ctx context.Context, err error) {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
-		r.setOutcome(Late, "the client gave up")
+		r.setOutcome(TimedOut, "the client gave up")
 		return
 	case context.Canceled:
-		r.setOutcome(Left, "")
+		r.setOutcome(Canceled, "")
 		return
 	}
-	r.setOutcome(Cut, err.Error())
+	r.setOutcome(Disconnected, err.Error())
 }
 
-func (r *Result) setOutcome(e End, problem string) { r.End, r.Problem = e, problem }
+func (r *Result) setOutcome(e Outcome, problem string) { r.Outcome, r.Problem = e, problem }
 
-// prompt returns the complete prompt: Text and a colon, padded to the length in tokens.
+// prompt returns the complete prompt: PromptStart and a colon, padded to the length in tokens.
 func (c *Call) prompt() string {
 	const pad = " please draft this for the ward"
-	b := []byte(c.Text + ":")
-	for len(b) < c.Prompt*bytesPerToken {
+	b := []byte(c.PromptStart + ":")
+	for len(b) < c.PromptTokens*bytesPerToken {
 		b = append(b, pad...)
 	}
-	return string(b[:max(len(c.Text)+1, c.Prompt*bytesPerToken)])
+	return string(b[:max(len(c.PromptStart)+1, c.PromptTokens*bytesPerToken)])
 }
 
 // bytesPerToken is the ratio by which emulators and daemons convert the size of a prompt to tokens.
@@ -301,12 +302,12 @@
 	if c.Service {
 		return []byte(c.prompt()), nil
 	}
-	return json.Marshal(completionRequest{Model: Model, Stream: !c.Whole, Max: c.Output, Messages: []message{{"user", c.prompt()}}})
+	return json.Marshal(completionRequest{Model: Model, Stream: !c.NonStreaming, Max: c.OutputLimit, Messages: []message{{"user", c.prompt()}}})
 }
 
 func (c *Call) path() string {
 	if c.Service {
-		return "/services/" + Service + "/" + c.Text
+		return "/services/" + Service + "/" + c.PromptStart
 	}
 	return "/v1/chat/completions"
 }
@@ -325,7 +326,7 @@
 	if workspace == "" {
 		workspace = Workspaces[0]
 	}
-	h.Set("Authorization", "Bearer "+KeyOf(workspace))
+	h.Set("Authorization", "Bearer "+APIKey(workspace))
 	h.Set("Content-Type", "application/json")
 	h.Set("Snipeshift-Kind", c.Kind)
 	if c.Key != "" {
--- a/scenarios/world/check.go
+++ b/scenarios/world/check.go
@@ -14,30 +14,30 @@
 // way back to the client on a busy machine.
 const responseMargin = 1500 * time.Millisecond
 
-// CheckTime waits for all calls and checks that each ended within its time limit and
+// CheckTimeLimits waits for all calls and checks that each ended within its time limit and
 // margin. Calls named in except are not checked: their daemon was frozen or their
 // connection silent, so that no daemon could respond to the client.
-func (w *World) CheckTime(except map[string]bool) error {
+func (w *World) CheckTimeLimits(except map[string]bool) error {
 	var errs []error
 	for _, r := range w.Results("") {
 		r.Wait()
 		if except[r.Call.Name] {
 			continue
 		}
-		if r.End == Late || r.Elapsed > r.Call.Allowed.Duration()+responseMargin {
+		if r.Outcome == TimedOut || r.Elapsed > r.Call.TimeLimit.Duration()+responseMargin {
 			errs = append(errs, fmt.Errorf("time limit exceeded: %s", r))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// CheckWhole checks that no client received the response to another request, or an
+// CheckResponses checks that no client received the response to another request, or an
 // incomplete response that looks complete.
-func (w *World) CheckWhole() error {
+func (w *World) CheckResponses() error {
 	var errs []error
 	for _, r := range w.Results("") {
 		r.Wait()
-		if r.End == Wrong {
+		if r.Outcome == Wrong {
 			errs = append(errs, fmt.Errorf("wrong response: %s", r))
 		}
 	}
@@ -60,10 +60,10 @@
 		if r.Ran != "no" {
 			continue
 		}
-		if r.Request == "" {
+		if r.RequestID == "" {
 			errs = append(errs, fmt.Errorf("ran=no without a request id: %s", r))
 		}
-		for _, x := range l.Executed {
+		for _, x := range l.Executions {
 			if x.Ran() && contradicts(r, x) {
 				errs = append(errs, fmt.Errorf("ran=no, but %s ran the request (request %s, outcome %s): %s", x.Upstream, x.Request, x.Outcome, r))
 			}
@@ -73,26 +73,26 @@
 }
 
 // contradicts reports whether an execution disproves the ran=no of a response.
-func contradicts(r *Result, x *Executed) bool {
-	if x.Request == r.Request {
+func contradicts(r *Result, x *Execution) bool {
+	if x.Request == r.RequestID {
 		return true
 	}
-	if r.Key == string(fault.KeyUnknown) {
+	if r.KeyState == string(fault.KeyUnknown) {
 		return false
 	}
-	end := clock.Milli(r.Begun.Add(r.Elapsed).UnixMilli())
-	return r.Call.Once && r.Call.Key != "" && x.Key == r.Call.Key && x.Started < end
+	end := clock.Milli(r.SentAt.Add(r.Elapsed).UnixMilli())
+	return r.Call.AtMostOnce && r.Call.Key != "" && x.Key == r.Call.Key && x.Started < end
 }
 
-// CheckOurs checks that upstreams received no request without a request id, that is, none that no
-// client sent.
-func (w *World) CheckOurs() error {
+// CheckRequestIDs checks that upstreams received no request without a request id. Daemons give an id
+// to every request of a client, so a request without one comes from no client.
+func (w *World) CheckRequestIDs() error {
 	l, err := w.Ledger()
 	if err != nil {
 		return err
 	}
 	var errs []error
-	for _, x := range l.Executed {
+	for _, x := range l.Executions {
 		if x.Request == "" {
 			errs = append(errs, fmt.Errorf("%s executed %s without a request id: no client sent it", x.Upstream, x.Text))
 		}
@@ -100,20 +100,20 @@
 	return errors.Join(errs...)
 }
 
-// CheckOnce checks that no idempotency key of a kind that must run at most once ran twice.
-func (w *World) CheckOnce() error {
+// CheckAtMostOnce checks that no idempotency key of a kind that must run at most once ran twice.
+func (w *World) CheckAtMostOnce() error {
 	l, err := w.Ledger()
 	if err != nil {
 		return err
 	}
 	once := map[string]bool{}
 	for _, r := range w.Results("") {
-		if r.Call.Once {
+		if r.Call.AtMostOnce {
 			once[r.Call.Key] = true
 		}
 	}
-	ran := map[string][]*Executed{}
-	for _, x := range l.Executed {
+	ran := map[string][]*Execution{}
+	for _, x := range l.Executions {
 		if once[x.Key] && x.Ran() {
 			ran[x.Key] = append(ran[x.Key], x)
 		}
@@ -142,7 +142,7 @@
 			if n, _, err := w.runningProcess(name); err != nil || n.frozen {
 				continue
 			}
-			xs, err := w.Unexplained(ctx, name)
+			xs, err := w.OrphanedMemory(ctx, name)
 			if err != nil {
 				return false, err
 			}
--- a/scenarios/world/control.go
+++ b/scenarios/world/control.go
@@ -61,7 +61,7 @@
 	if n.role == roleDaemon {
 		d = peerEndpoint
 	}
-	if from == Caller {
+	if from == Client {
 		d = clientEndpoint
 	}
 	r, ok := n.relays[d]
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	if from == Caller {
+	if from == Client {
 		from = relay.Any
 	}
 	f(r, from)
@@ -123,8 +123,8 @@
 	return json.MarshalIndent(t, "", "  ")
 }
 
-// Accepting returns the revision of the last accepted document.
-func (w *World) Accepting() uint64 {
+// AcceptedRevision returns the revision of the last accepted document.
+func (w *World) AcceptedRevision() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
@@ -168,9 +168,9 @@
 	return result.Revision, json.Unmarshal(out, &result)
 }
 
-// Operate runs the operator command snipeshift against this deployment and returns its standard
+// RunOperator runs the operator command snipeshift against this deployment and returns its standard
 // output. Its standard error becomes part of the error.
-func (w *World) Operate(ctx context.Context, args ...string) (string, error) {
+func (w *World) RunOperator(ctx context.Context, args ...string) (string, error) {
 	c := exec.CommandContext(ctx, filepath.Join(w.programDir, "snipeshift"), args...)
 	c.Env = os.Environ()
 	for k, v := range w.OperatorEnv() {
@@ -194,18 +194,18 @@
 	if n, err := w.node(Store); err == nil {
 		env["SNIPESHIFT_STORE"] = n.address
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		maps.Copy(env, certificateEnv(w.certificateFiles(operatorHolder)))
 	}
 	return env
 }
 
-// AdoptIf records a document as accepted if the store contains it. It is for a
+// AcceptIfStored records a document as accepted if the store contains it. It is for a
 // write that returned an error, which may have succeeded with its response lost.
 // The read is repeated until the store responds, since it may be down.
-func (w *World) AdoptIf(ctx context.Context, text []byte) error {
+func (w *World) AcceptIfStored(ctx context.Context, text []byte) error {
 	return Await(ctx, readyTimeout, "response of the store", func() (bool, error) {
-		r, stored, err := w.Stored(ctx)
+		r, stored, err := w.StoredDocument(ctx)
 		if err != nil || !bytes.Equal(stored, text) {
 			return err == nil, nil //nolint:nilerr // asked again
 		}
@@ -251,8 +251,8 @@
 	return v, err
 }
 
-// Stored returns the revision and the text of the document in the store.
-func (w *World) Stored(ctx context.Context) (uint64, []byte, error) {
+// StoredDocument returns the revision and the text of the document in the store.
+func (w *World) StoredDocument(ctx context.Context) (uint64, []byte, error) {
 	resp, err := w.callStore(ctx, http.MethodGet, "/objects/config/document", nil, nil)
 	if err != nil {
 		return 0, nil, err
--- a/scenarios/world/deploy.go
+++ b/scenarios/world/deploy.go
@@ -71,7 +71,7 @@
 	if w.document, err = baseDocument(upstreams, p.Domains); err != nil {
 		return err
 	}
-	for _, e := range p.Document {
+	for _, e := range p.DocumentEdits {
 		if err := w.document.set(e); err != nil {
 			return err
 		}
@@ -118,7 +118,7 @@
 }
 
 func (w *World) startPlatform() error {
-	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, setFlags(w.plan.Platform)...)}
+	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, setFlags(w.plan.PlatformSettings)...)}
 	if err := w.addNode(n, mainEndpoint); err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 		Name: name, Model: Model, Slots: 16, Memory: 100_000, Prefill: 100_000, Decode: 200,
 		Ledger: filepath.Join(w.dir, name+".ledger"),
 	}
-	own, other, err := s.apply(w.plan.Engine)
+	own, other, err := s.apply(w.plan.EngineSettings)
 	if err != nil {
 		return document.Upstream{}, err
 	}
@@ -239,7 +239,7 @@
 		}
 		ns = append(ns, n)
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		if err := w.setUpTLS(); err != nil {
 			return err
 		}
@@ -265,7 +265,7 @@
 		Platform:  store.relays[mainEndpoint].Address(),
 		Peers:     []string{},
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		f := w.certificateFiles(n.name)
 		s.TLS = tlsFiles{CA: f.Authority, Cert: f.Certificate, Key: f.Key}
 	}
@@ -282,7 +282,7 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
-	for _, f := range w.plan.Daemon {
+	for _, f := range w.plan.DaemonSettings {
 		if err := t.set(f); err != nil {
 			return err
 		}
--- a/scenarios/world/document.go
+++ b/scenarios/world/document.go
@@ -14,19 +14,19 @@
 	// Model is the name of the language model, Service that of the plain service.
 	Model   = "drafter"
 	Service = "desk"
-	// Draft is the default kind of model requests; Lookup is urgent and short; Dossier is long and can
-	// wait; Notice is urgent and must run at most once.
-	Draft   = "draft"
-	Lookup  = "lookup"
-	Dossier = "dossier"
-	Notice  = "notice"
+	// KindDraft is the default kind of model requests; KindLookup is urgent and short; KindDossier is
+	// long and can wait; KindNotice is urgent and must run at most once.
+	KindDraft   = "draft"
+	KindLookup  = "lookup"
+	KindDossier = "dossier"
+	KindNotice  = "notice"
 )
 
 // Workspaces are the names of the workspaces, equal in weight.
 var Workspaces = []string{"ward", "depot"}
 
-// KeyOf returns the API key of a workspace.
-func KeyOf(workspace string) string { return "scenario-key-of-" + workspace }
+// APIKey returns the API key of a workspace.
+func APIKey(workspace string) string { return "scenario-key-of-" + workspace }
 
 // domains are the names of the failure domains, over which processes are spread in turn.
 var domains = []string{"hall-a", "hall-b", "hall-c"}
@@ -39,12 +39,12 @@
 func baseDocument(upstreams []document.Upstream, domainCount int) (jsonObject, error) {
 	d := document.Document{
 		Models:   []document.Model{{Name: Model, Context: 1_000_000}},
-		Services: []document.Service{{Name: Service, Kind: Lookup}},
+		Services: []document.Service{{Name: Service, Kind: KindLookup}},
 		Kinds: []document.Kind{
-			{Name: Draft, Urgency: 1, TimeLimit: 20_000, Output: 32, Repeatable: true},
-			{Name: Lookup, Urgency: 0, TimeLimit: 5_000, Output: 16, Repeatable: true},
-			{Name: Dossier, Urgency: 3, TimeLimit: 60_000, Output: 64, Repeatable: true},
-			{Name: Notice, Urgency: 0, TimeLimit: 10_000, Output: 16, Repeatable: false},
+			{Name: KindDraft, Urgency: 1, TimeLimit: 20_000, Output: 32, Repeatable: true},
+			{Name: KindLookup, Urgency: 0, TimeLimit: 5_000, Output: 16, Repeatable: true},
+			{Name: KindDossier, Urgency: 3, TimeLimit: 60_000, Output: 64, Repeatable: true},
+			{Name: KindNotice, Urgency: 0, TimeLimit: 10_000, Output: 16, Repeatable: false},
 		},
 		Upstreams: upstreams,
 		Limits:    document.Limits{Body: 4 << 20, Idle: 2_000},
@@ -53,7 +53,7 @@
 		d.Domains = append(d.Domains, document.Domain{Name: h})
 	}
 	for _, w := range Workspaces {
-		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.HashKey(KeyOf(w))}})
+		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.HashKey(APIKey(w))}})
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
--- a/scenarios/world/ledger.go
+++ b/scenarios/world/ledger.go
@@ -14,8 +14,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Executed is one request that an emulated engine or service received.
-type Executed struct {
+// Execution is one request that an emulated engine or service received.
+type Execution struct {
 	Upstream string
 	// Request is the request id, Key the idempotency key.
 	Request string
@@ -34,7 +34,7 @@
 }
 
 // Ran reports whether the upstream began to run the request.
-func (x *Executed) Ran() bool { return x.Started > 0 }
+func (x *Execution) Ran() bool { return x.Started > 0 }
 
 // Order is one order that reached an engine: a change of its role, model, adapter or version.
 type Order struct {
@@ -76,8 +76,8 @@
 
 // Ledger is what all emulated engines and services received.
 type Ledger struct {
-	Executed []*Executed
-	Orders   []Order
+	Executions []*Execution
+	Orders     []Order
 }
 
 // Ledger reads the ledger files of all engines and services. The files remain when an emulator is
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer f.Close()
-	seen := map[string]*Executed{}
+	seen := map[string]*Execution{}
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -121,8 +121,8 @@
 }
 
 // addLine adds a line about a request, or updates the execution in seen that it belongs to.
-func (l *Ledger) addLine(n *node, x ledgerLine, seen map[string]*Executed) {
-	e := &Executed{
+func (l *Ledger) addLine(n *node, x ledgerLine, seen map[string]*Execution) {
+	e := &Execution{
 		Upstream: n.name, Request: x.ID, Key: x.Key, Text: x.Text, Arrived: x.Arrived, Started: x.Started, Finished: x.Finished,
 		Prompt: x.Prompt, Cached: x.Cached, Output: x.Output, Reserved: x.Reserved, Outcome: x.Outcome,
 	}
@@ -135,14 +135,14 @@
 		return
 	}
 	seen[id] = e
-	l.Executed = append(l.Executed, e)
+	l.Executions = append(l.Executions, e)
 }
 
-// Of returns the executions whose prompt or path matches the text of a call.
-func (l *Ledger) Of(c Call) []*Executed {
-	var out []*Executed
-	for _, x := range l.Executed {
-		if x.Text == "/"+c.Text || strings.HasPrefix(x.Text, c.Text+":") {
+// ForCall returns the executions whose prompt or path matches the text of a call.
+func (l *Ledger) ForCall(c Call) []*Execution {
+	var out []*Execution
+	for _, x := range l.Executions {
+		if x.Text == "/"+c.PromptStart || strings.HasPrefix(x.Text, c.PromptStart+":") {
 			out = append(out, x)
 		}
 	}
@@ -177,9 +177,9 @@
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-// Unexplained describes the reservations and exports in an engine's memory that belong to no call
+// OrphanedMemory describes the reservations and exports in an engine's memory that belong to no call
 // that is still running.
-func (w *World) Unexplained(ctx context.Context, engine string) ([]string, error) {
+func (w *World) OrphanedMemory(ctx context.Context, engine string) ([]string, error) {
 	l, err := w.loadReport(ctx, engine)
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 		if r.Ended() {
 			continue
 		}
-		for _, x := range ledger.Of(r.Call) {
+		for _, x := range ledger.ForCall(r.Call) {
 			live[x.Request] = true
 		}
 	}
@@ -211,9 +211,9 @@
 	return out, nil
 }
 
-// Export makes an engine export the KV cache of a call that runs on it, which is
+// ExportCache makes an engine export the KV cache of a call that runs on it, which is
 // the first step of a transfer to another engine.
-func (w *World) Export(ctx context.Context, call string) error {
+func (w *World) ExportCache(ctx context.Context, call string) error {
 	r, err := w.Result(call)
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 	if err != nil {
 		return err
 	}
-	xs := l.Of(r.Call)
+	xs := l.ForCall(r.Call)
 	if len(xs) == 0 {
 		return fmt.Errorf("no upstream received call %s", call)
 	}
--- a/scenarios/world/monitor.go
+++ b/scenarios/world/monitor.go
@@ -88,10 +88,10 @@
 		m.mu.Lock()
 		required := m.requiredRevision()
 		m.mu.Unlock()
-		start := m.world.Lives(name)
+		start := m.world.Starts(name)
 		ready := m.world.Ready(ctx, name)
-		r, err := m.world.Revision(ctx, name)
-		if err != nil || start != m.world.Lives(name) {
+		r, err := m.world.DocumentRevision(ctx, name)
+		if err != nil || start != m.world.Starts(name) {
 			continue
 		}
 		m.check(name, start, r, required, ready)
@@ -128,9 +128,9 @@
 	return errors.Join(errs...)
 }
 
-// Relax makes the monitor ignore daemons that lag behind, for a run in which faults may
+// IgnoreDocumentLag makes the monitor ignore daemons that lag behind, for a run in which faults may
 // cut off any daemon. The run then has to call CheckDocument when the faults are over.
-func (w *World) Relax() {
+func (w *World) IgnoreDocumentLag() {
 	w.monitor.mu.Lock()
 	defer w.monitor.mu.Unlock()
 	w.monitor.ignoreLag = true
--- a/scenarios/world/secure.go
+++ b/scenarios/world/secure.go
@@ -69,18 +69,18 @@
 	return nil
 }
 
-// Renew replaces the certificate files of the operator and all daemons by those of a new authority,
-// while the processes run. It keeps a copy of the operator's old files for Former.
-func (w *World) Renew() error {
+// RenewCertificates replaces the certificate files of the operator and all daemons by those of a new
+// authority, while the processes run. It keeps a copy of the operator's old files for FormerOperatorEnv.
+func (w *World) RenewCertificates() error {
 	if err := os.CopyFS(filepath.Join(w.dir, "certificates", formerHolder), os.DirFS(filepath.Join(w.dir, "certificates", operatorHolder))); err != nil {
 		return err
 	}
 	return w.issueCertificates(append(nodeNames(w.nodesOf(roleDaemon)), operatorHolder)...)
 }
 
-// Former returns the environment variables with which the operator command trusts
+// FormerOperatorEnv returns the environment variables with which the operator command trusts
 // the current authority but presents its certificate from before the renewal.
-func (w *World) Former() map[string]string {
+func (w *World) FormerOperatorEnv() map[string]string {
 	f := w.certificateFiles(formerHolder)
 	f.Authority = w.certificateFiles(operatorHolder).Authority
 	return certificateEnv(f)
@@ -92,10 +92,10 @@
 	}
 }
 
-// Strangers calls a daemon's peer and operator addresses in plain text, without a
+// CheckUnauthorized calls a daemon's peer and operator addresses in plain text, without a
 // client certificate, and with a certificate of another authority. It returns an
 // error for each call that succeeds.
-func (w *World) Strangers(ctx context.Context, name string) error {
+func (w *World) CheckUnauthorized(ctx context.Context, name string) error {
 	n, _, err := w.runningProcess(name)
 	if err != nil {
 		return err
--- a/scenarios/world/status.go
+++ b/scenarios/world/status.go
@@ -43,18 +43,18 @@
 	return out
 }
 
-// Revision returns the revision of the document in force at a daemon.
-func (w *World) Revision(ctx context.Context, name string) (uint64, error) {
+// DocumentRevision returns the revision of the document in force at a daemon.
+func (w *World) DocumentRevision(ctx context.Context, name string) (uint64, error) {
 	var d operator.Document
 	err := w.readPage(ctx, name, operator.PathDocument, &d)
 	return uint64(d.Revision), err
 }
 
-// InForce reports whether the last accepted document is in force at a daemon.
+// DocumentInForce reports whether the last accepted document is in force at a daemon.
 // It returns false for a daemon that does not respond, which may be starting, and
 // an error for one with a later revision, which was never accepted.
-func (w *World) InForce(ctx context.Context, name string) (bool, error) {
-	r, err := w.Revision(ctx, name)
+func (w *World) DocumentInForce(ctx context.Context, name string) (bool, error) {
+	r, err := w.DocumentRevision(ctx, name)
 	if err != nil {
 		return false, nil //nolint:nilerr // it may be starting
 	}
@@ -72,7 +72,7 @@
 func (w *World) CheckDocument(ctx context.Context, timeout time.Duration) error {
 	var errs []error
 	for _, name := range w.responding() {
-		errs = append(errs, Await(ctx, timeout, "document in force at "+name, func() (bool, error) { return w.InForce(ctx, name) }))
+		errs = append(errs, Await(ctx, timeout, "document in force at "+name, func() (bool, error) { return w.DocumentInForce(ctx, name) }))
 	}
 	return errors.Join(errs...)
 }
@@ -102,8 +102,8 @@
 	return owner, err
 }
 
-// Sees reports whether a daemon lists another as a serving or draining member.
-func (w *World) Sees(ctx context.Context, name, other string) (bool, error) {
+// ListsMember reports whether a daemon lists another as a serving or draining member.
+func (w *World) ListsMember(ctx context.Context, name, other string) (bool, error) {
 	var ms []operator.Member
 	if err := w.readPage(ctx, name, operator.PathMembers, &ms); err != nil {
 		return false, err
@@ -113,14 +113,14 @@
 	}), nil
 }
 
-// Gone reports whether no other daemon lists a daemon as a serving or draining member any more.
+// MemberGone reports whether no other daemon lists a daemon as a serving or draining member any more.
 // Daemons that have exited or are frozen are left out.
-func (w *World) Gone(ctx context.Context, other string) (bool, error) {
+func (w *World) MemberGone(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
 			continue
 		}
-		seen, err := w.Sees(ctx, name, other)
+		seen, err := w.ListsMember(ctx, name, other)
 		if err != nil || seen {
 			return false, nil //nolint:nilerr // polled again
 		}
@@ -128,14 +128,14 @@
 	return true, nil
 }
 
-// Joined reports whether every other daemon lists a daemon as a serving or draining member. Daemons
+// MemberJoined reports whether every other daemon lists a daemon as a serving or draining member. Daemons
 // that have exited or are frozen are left out.
-func (w *World) Joined(ctx context.Context, other string) (bool, error) {
+func (w *World) MemberJoined(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
 			continue
 		}
-		seen, err := w.Sees(ctx, name, other)
+		seen, err := w.ListsMember(ctx, name, other)
 		if err != nil || !seen {
 			return false, nil //nolint:nilerr // polled again
 		}
@@ -143,9 +143,9 @@
 	return true, nil
 }
 
-// Granted reports whether any daemon lists a live grant for a request of a gate, the daemon that
+// HasGrant reports whether any daemon lists a live grant for a request of a gate, the daemon that
 // holds the client's connection.
-func (w *World) Granted(ctx context.Context, gate string) (bool, error) {
+func (w *World) HasGrant(ctx context.Context, gate string) (bool, error) {
 	for _, name := range w.responding() {
 		var gs []operator.Grant
 		if err := w.readPage(ctx, name, operator.PathGrants, &gs); err != nil {
@@ -169,8 +169,8 @@
 // balanceInterval is the interval between two readiness checks of the balancer.
 const balanceInterval = 500 * time.Millisecond
 
-// Balance starts a balancer, which runs until the context ends.
-func (w *World) Balance(ctx context.Context) *Balancer {
+// StartBalancer starts a balancer, which runs until the context ends.
+func (w *World) StartBalancer(ctx context.Context) *Balancer {
 	b := &Balancer{}
 	b.poll(ctx, w)
 	go func() {
@@ -203,8 +203,8 @@
 	}
 }
 
-// Choose returns the daemons in turn (round robin).
-func (b *Balancer) Choose() string {
+// Next returns the daemons in turn (round robin).
+func (b *Balancer) Next() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next++
--- a/scenarios/world/usage.go
+++ b/scenarios/world/usage.go
@@ -80,9 +80,9 @@
 			name = Workspaces[0]
 		}
 		lo, hi := least[name], most[name]
-		pending := r.Ended() && r.End == Whole
-		for _, x := range l.Of(r.Call) {
-			if x.Request != r.Request && r.Request != "" {
+		pending := r.Ended() && r.Outcome == Complete
+		for _, x := range l.ForCall(r.Call) {
+			if x.Request != r.RequestID && r.RequestID != "" {
 				continue
 			}
 			hi.add(x.maxCharge())
@@ -99,7 +99,7 @@
 }
 
 // charge returns what is charged for a request that ran to its end.
-func (x *Executed) charge() usage {
+func (x *Execution) charge() usage {
 	if x.Service {
 		return usage{requests: 1}
 	}
@@ -107,7 +107,7 @@
 }
 
 // maxCharge returns the upper bound of what may be charged for a request, whatever its outcome.
-func (x *Executed) maxCharge() usage {
+func (x *Execution) maxCharge() usage {
 	if x.Service {
 		return usage{requests: 1}
 	}
--- a/scenarios/world/world.go
+++ b/scenarios/world/world.go
@@ -20,7 +20,7 @@
 // Store is the process name of the emulated platform. Caller names the client as one end of a link.
 const (
 	Store  = "store"
-	Caller = "caller"
+	Client = "caller"
 )
 
 // readyTimeout is how long a process may take to become ready, on a busy machine too.
@@ -30,21 +30,21 @@
 type Plan struct {
 	// Daemons, Engines, Services and Domains are numbers of processes and of failure domains.
 	Daemons, Engines, Services, Domains int
-	// Engine and Daemon are settings, as FIELD=VALUE, of every emulated engine and of every daemon.
-	Engine, Daemon []string
-	// Document holds edits, as PATH=VALUE, of the configuration document.
-	Document []string
-	// Platform holds settings, as FIELD=VALUE, of the emulated platform.
-	Platform []string
-	// Secure requires mutual TLS for the daemons' peer and operator addresses.
-	Secure bool
+	// EngineSettings and DaemonSettings are settings, as FIELD=VALUE, of every emulated engine and of every daemon.
+	EngineSettings, DaemonSettings []string
+	// DocumentEdits holds edits, as PATH=VALUE, of the configuration document.
+	DocumentEdits []string
+	// PlatformSettings holds settings, as FIELD=VALUE, of the emulated platform.
+	PlatformSettings []string
+	// TLS requires mutual TLS for the daemons' peer and operator addresses.
+	TLS bool
 }
 
 // World is the deployment of one scenario.
 type World struct {
 	dir, programDir string
 	finder          *relay.Finder
-	// operatorClient is the HTTP client for the daemons' operator addresses. With Plan.Secure it has a
+	// operatorClient is the HTTP client for the daemons' operator addresses. With Plan.TLS it has a
 	// client certificate.
 	operatorClient *http.Client
 
@@ -317,7 +317,7 @@
 	if n.process == nil {
 		return true, true, nil
 	}
-	return !n.process.Running(), n.process.Clean(), nil
+	return !n.process.Running(), n.process.Succeeded(), nil
 }
 
 // Status describes how a started process exited, or returns "running".
@@ -329,8 +329,8 @@
 	return n.process.Status()
 }
 
-// Lives returns how often a process was started.
-func (w *World) Lives(name string) int {
+// Starts returns how often a process was started.
+func (w *World) Starts(name string) int {
 	n, err := w.node(name)
 	if err != nil {
 		return 0
