--- a/scenarios/chaos_test.go
+++ b/scenarios/chaos_test.go
@@ -12,28 +12,27 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Variables of the chaos run.
+// Environment variables of the chaos run.
 const (
-	// envSeed is the one seed to run in place of the fixed ones.
+	// envSeed sets the only seed to run, in place of the fixed seeds.
 	envSeed = "SEED"
-	// envLength is how long faults come.
+	// envLength sets how long faults are injected.
 	envLength = "CHAOS"
 )
 
-// fixedLength is how long faults come in CI, and longLength with a seed whose failure
-// needs more of them.
+// fixedLength is how long faults are injected in CI. longLength is for seeds whose failure needs a longer
+// series of faults.
 const (
 	fixedLength = 15 * time.Second
 	longLength  = 25 * time.Second
 )
 
-// fixedSeeds run in CI, each with faults for so long. Seed 7006 has plain services that turn
-// calls away for seconds: the workspaces were charged for them.
+// fixedSeeds are the seeds that run in CI, with the time for which each injects faults. With seed 7006 plain
+// services reject calls for seconds; workspaces were once charged for the rejected calls.
 var fixedSeeds = map[uint64]time.Duration{1: fixedLength, 2: fixedLength, 3: fixedLength, 7006: longLength}
 
-// Faults of every kind come at random, also two at a time, while callers send
-// requests of every kind. A user would notice any promise that holds under each
-// fault alone and not under two.
+// TestChaos injects faults of every kind at random, up to two at a time, while clients send requests of every
+// kind. It guards against guarantees that hold under each single fault but not under two at once.
 func TestChaos(t *testing.T) {
 	for seed, length := range seeds(t, fixedSeeds, envSeed, envLength, fixedLength) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runChaos(t, seed, length) })
--- a/scenarios/platform_era_test.go
+++ b/scenarios/platform_era_test.go
@@ -14,18 +14,20 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// Times of the drills, and of what is done before them.
+// Times of the tests that restore the store from an older copy.
 const (
-	// copyAge is how old the copy is.
+	// copyAge is the age of the copy that the store is restored from.
 	copyAge = 3 * time.Second
-	// rewriting is the time within which writers write again.
+	// rewriting is the time after the restore within which writers repeat the writes that the copy lacks.
 	rewriting = 2 * time.Second
-	away      = 300 * time.Millisecond
-	// leftSlack is the time within which an upstream that leaves must get nothing new.
+	// away is how long the store does not respond before the copy is restored.
+	away = 300 * time.Millisecond
+	// leftSlack is the time after which an upstream that announced that it leaves must not receive new requests.
 	leftSlack = 2 * time.Second
 )
 
-// requireServed requires that a VM serves a new route by an instant, and until then says that it does not know it.
+// requireServed polls a new route on a VM and requires that it is served before the time until, and that the VM
+// responds with 404 before that.
 func requireServed(t *testing.T, v *fleet.VM, route string, until time.Time) {
 	t.Helper()
 	c := standin.NewCaller("ward")
@@ -35,17 +37,17 @@
 			return
 		}
 		require.Equal(t, http.StatusNotFound, a.Status, "%s: %s", v.Name, a.Text)
-		require.True(t, time.Now().Before(until), "%s does not know route %s", v.Name, route)
+		require.True(t, time.Now().Before(until), "%s does not serve route %s in time", v.Name, route)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// drill has the store come back from a copy, and returns once all is written again.
+// drill restores the store from a copy of the given age and returns once all writes that the copy lacked are repeated.
 func drill(f *fleet.Fleet, age time.Duration, seed uint64) {
 	f.Platform.Drill(standin.Mute, away, age, rewriting, rand.New(rand.NewPCG(seed, 0)))
 }
 
-// knowsLeaving tells whether a VM knows that a runner leaves.
+// knowsLeaving reports whether a VM has logged that a runner leaves.
 func knowsLeaving(v *fleet.VM, r *standin.Runner) bool {
 	for _, line := range v.Process.Grep(fmt.Sprintf(`"event":"upstream","upstream":%q`, r.ID())) {
 		if strings.Contains(line, `"leaving":true`) {
@@ -55,7 +57,8 @@
 	return false
 }
 
-// The store comes back from a copy in which an upstream that has left is ready, and a key that was taken away opens. Nobody uses either.
+// The store is restored from a copy in which upstreams that have left since are listed as ready and a withdrawn API key
+// is valid. No VM may use the upstreams or accept the key.
 func TestPlatformNothingThatWasLeftComesBackWithACopy(t *testing.T) {
 	for _, vms := range []int{3, large} {
 		f := newFleet(t, vms)
@@ -63,7 +66,7 @@
 		l.more(t)
 		desk := standin.NewCaller("desk")
 		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Whole)
-		time.Sleep(copyAge) // the copy is of a time at which all was there
+		time.Sleep(copyAge) // so that the copy contains the upstreams as ready and the key
 		f.Platform.Models[0].Drain(leftSlack)
 		f.Platform.Desks[0].Drain(leftSlack)
 		f.Platform.Withdraw("desk")
@@ -87,25 +90,26 @@
 			}
 		}
 		time.Sleep(leftSlack)
-		require.Zero(t, opened, "requests of a key that was taken away")
-		require.Zero(t, f.Platform.Models[0].Late(), "requests of an upstream that had left")
-		require.Zero(t, f.Platform.Desks[0].Late(), "requests of an upstream that had left")
+		require.Zero(t, opened, "requests accepted with a withdrawn key")
+		require.Zero(t, f.Platform.Models[0].Late(), "requests sent to an upstream that had left")
+		require.Zero(t, f.Platform.Desks[0].Late(), "requests sent to an upstream that had left")
 		l.end(t, f)
 		f.Close()
 	}
 }
 
-// The store has counted past the positions of before its copy, where other things stand now. Whoever goes on from such a position, or
-// takes a lower one for older, misses what was written in between: an upstream leaves and a route is new, and nobody knows.
+// After the store is restored from an older copy it gives out the same revision numbers again, for other writes. A VM that
+// resumes from a revision of before the restore, or takes a lower revision for an older one, misses writes: here an upstream
+// that leaves and a new route.
 func TestPlatformNewsAfterACopyReachesEveryVM(t *testing.T) {
 	for _, vms := range []int{3, large} {
 		f := newFleet(t, vms)
 		l := newLoad(f)
 		l.more(t)
-		for i := range 30 { // positions that the copy does not have
+		for i := range 30 { // revisions that the copy lacks
 			f.Platform.AddRoute(fmt.Sprint("before", i))
 		}
-		time.Sleep(copyAge) // each VM has taken them up
+		time.Sleep(copyAge) // so that each VM has read them
 		drill(f, 2*copyAge, 2)
 		f.Platform.AddRoute("after")
 		added := time.Now()
@@ -125,12 +129,13 @@
 	}
 }
 
-// An upstream has come since the copy. It lives, and goes on being used until its entry is there again.
+// An upstream that registered after the copy was made is missing from the restored store although it is running. VMs must
+// keep using it until its entry is written again.
 func TestPlatformAnUpstreamThatACopyLacksIsKept(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.more(t)
-	old := f.Platform.Models[0] // streams go on elsewhere; a plain request that runs there may not run again
+	old := f.Platform.Models[0] // an engine, since other engines resume its streams; a plain service may run requests that must not run again
 	f.Crash(old)
 	require.NoError(t, f.Renew(old))
 	young := f.Platform.Models[0]
--- a/scenarios/platform_fleet_test.go
+++ b/scenarios/platform_fleet_test.go
@@ -10,11 +10,11 @@
 	"snipeshift.example/platform/standin"
 )
 
-// large is a fleet in which VMs keep no watches of their own.
+// large is a number of VMs at which most have no watches of their own on the store: a few readers watch it for all.
 const large = 14
 
-// Each VM that reads the store for itself, or for some others, makes calls as long as it lives, so the price of the store grows
-// with the fleet. In a calm fleet one VM proves that nothing is new, by 1.4 calls a second, and one more keeps two long watches.
+// If each VM reads the store for itself, or for a few others, the load on the store grows with the fleet. In a fleet
+// without changes one VM verifies that its copy is current, with 1.4 calls per second, and one more has two long watches open.
 func TestPlatformCallsOfTheStoreDoNotGrowWithTheFleet(t *testing.T) {
 	f := newFleet(t, large)
 	l := newLoad(f)
@@ -24,13 +24,14 @@
 		time.Sleep(5 * time.Second)
 		return calls() - before
 	}
-	// VMs that have just met still read for themselves.
+	// VMs that have just joined read the store for themselves for a while.
 	require.Eventually(t, func() bool { return calm() <= 12 }, 30*time.Second, time.Millisecond)
 	l.end(t, f)
 }
 
-// The store turns half of the VMs away for seconds, perhaps those that read for all, while an upstream leaves, a route is new and a
-// team is shut out. The other VMs step in: nothing new reaches the upstream, and all VMs obey.
+// Half of the VMs, which may include the readers, are cut off from the store for seconds. Meanwhile an upstream leaves, a
+// route is added and a workspace's key is withdrawn. The other VMs must stand in as readers: the upstream receives no new
+// requests, and all VMs apply the changes.
 func TestPlatformVMsStepInForReadersThatAreShutOff(t *testing.T) {
 	for _, first := range []int{0, large / 2} {
 		f := newFleet(t, large)
--- a/scenarios/platform_limit_test.go
+++ b/scenarios/platform_limit_test.go
@@ -10,27 +10,28 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// Limits named in these tests, in requests a second, and the times of a test.
+// Rate limits that upstreams declare in these tests, in requests per second, and the times of a test.
 const (
 	engineLimit = 2.1
 	deskLimit   = 1.0
-	// learnt is the time within which all VMs must keep to a limit.
+	// learnt is the time after which all VMs must respect a limit.
 	learnt = 3 * time.Second
-	// kept is how long it is checked that they do.
+	// kept is how long the tests check that they do.
 	kept = 6 * time.Second
 )
 
-// nobody excuses no VM.
+// nobody exempts no VM from a limit.
 func nobody(string, time.Time, time.Time) bool { return false }
 
-// limit has the first runner of each service name a limit.
+// limit has the first runner of each service declare a rate limit.
 func limit(f *fleet.Fleet) []*standin.Runner {
 	f.Platform.Models[0].Limit(engineLimit)
 	f.Platform.Desks[0].Limit(deskLimit)
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
-// An upstream in need names how many requests a second it takes, and gets them from each VM.
+// An upstream declares how many requests per second it accepts. All VMs together must not send more; the failure is that
+// each VM sends that many.
 func TestPlatformAnUpstreamGetsNoMoreThanItNamesFromAllVMs(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -40,7 +41,7 @@
 	time.Sleep(learnt + kept)
 	for _, r := range limited {
 		require.Empty(t, r.Exceeded(nobody))
-		require.Greater(t, r.Arrived(from), 2, "it gets what it takes")
+		require.Greater(t, r.Arrived(from), 2, "the upstream receives requests up to its limit")
 	}
 	for _, r := range limited {
 		r.Limit(-1)
@@ -49,12 +50,13 @@
 	over := time.Now()
 	time.Sleep(2 * learnt)
 	for _, r := range limited {
-		require.Greater(t, r.Arrived(over), 30, "it is used again once it names no limit")
+		require.Greater(t, r.Arrived(over), 30, "the upstream is used fully once it declares no limit")
 	}
 	l.end(t, f)
 }
 
-// The VMs that decide who gets work are killed one after the other, with all that they knew of the limit.
+// The VMs that own the services are killed one after the other. The declared limit, which they hold in memory only, must
+// still be respected by their successors.
 func TestPlatformALimitOutlivesTheVMsThatKeepIt(t *testing.T) {
 	f := newFleet(t, 4)
 	l := newLoad(f)
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -18,26 +18,28 @@
 
 // Times of these tests.
 const (
-	// storeAway is shorter than keys are believed without the store, also if their last proof was old and the store's return is noticed late.
+	// storeAway is shorter than the time for which API keys are accepted without the store, even if the keys were last
+	// verified some time before the outage and the end of the outage is noticed late.
 	storeAway = 2 * time.Second
-	// listed is how long the store lists what leaves as ready afterwards.
+	// listed is how long after the outage the store still lists the leaving upstreams as ready.
 	listed = 4 * time.Second
-	// shedding is how long an upstream asks for rest.
+	// shedding is how long an upstream rejects requests and asks for back-off.
 	shedding = 8 * time.Second
 )
 
-// noExcuses binds every VM by what it was answered.
+// noExcuses exempts no VM: each must follow the statements in all responses that it was sent.
 var noExcuses = standin.Excuses{
 	Unheard:   func(string, *standin.Runner, time.Time) bool { return false },
 	Restarted: nobody, Cut: nobody,
 }
 
-// firsts are the first upstream of each service.
+// firsts returns the first upstream of each service.
 func firsts(f *fleet.Fleet) []*standin.Runner {
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
-// Upstreams say in their answers that they leave, while the store is away and afterwards still lists them as ready.
+// Upstreams declare in their responses that they leave, while the store does not respond and afterwards still lists them as
+// ready. VMs must follow the responses and send no new requests.
 func TestPlatformAnUpstreamThatSaysItLeavesGetsNothingMore(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -53,7 +55,8 @@
 	require.Empty(t, f.Platform.Ignored(noExcuses))
 }
 
-// An upstream says that it leaves, and operators want to know who has heard of it and who decides: all VMs name one holder.
+// An upstream declares that it leaves. The status of the VMs must show operators which VMs have received this statement, and
+// all VMs must report the same holder of each service.
 func TestPlatformOperatorsSeeWhoHoldsAServiceAndWhatUpstreamsSay(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -78,7 +81,7 @@
 	}
 }
 
-// relaysOf is what each VM knows of services.
+// relaysOf returns the status of services that each VM reports.
 func relaysOf(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
 	relays := make([]operator.RelayStatus, len(f.VMs))
 	for i, v := range f.VMs {
@@ -89,12 +92,12 @@
 	return relays
 }
 
-// heard reports whether any VM has heard an upstream say something of itself.
+// heard reports whether any VM has received a statement of an upstream.
 func heard(relays []operator.RelayStatus) bool {
 	return slices.ContainsFunc(relays, func(r operator.RelayStatus) bool { return len(r.Statements) > 0 })
 }
 
-// oneHolder reports whether all VMs follow one holder of each service.
+// oneHolder reports whether all VMs report the same holder of each service.
 func oneHolder(relays []operator.RelayStatus) bool {
 	holders := map[route.ServiceID]peer.VM{}
 	for _, r := range relays {
@@ -108,7 +111,8 @@
 	return true
 }
 
-// audits calls for prompts that take the memory of several engines, until it is stopped. Too many for four engines, some are refused.
+// audits sends requests whose prompts need the memory of several engines, until stop is called. Four engines can't run all
+// of them, so some are refused; results are ignored.
 func audits(f *fleet.Fleet) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -128,7 +132,8 @@
 	return func() { close(done); wg.Wait() }
 }
 
-// An upstream of each service turns all requests and orders away for a while, and asks each VM for rest.
+// One upstream of each service rejects all requests and orders for a while and asks each VM for a back-off. The VMs must
+// comply, and use the upstream again afterwards.
 func TestPlatformAnUpstreamThatAsksForRestGetsIt(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -144,7 +149,7 @@
 	over := time.Now()
 	time.Sleep(2 * standin.Rest)
 	for _, r := range firsts(f) {
-		require.Greater(t, r.Arrived(over), 30, "it is used again")
+		require.Greater(t, r.Arrived(over), 30, "the upstream is used again")
 	}
 	stop()
 	l.end(t, f)
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -18,7 +18,7 @@
 // startLimit bounds the start of a fleet on a busy machine.
 const startLimit = 20 * time.Second
 
-// newFleet starts VMs on a stand-in of the platform.
+// newFleet starts a number of VMs on an emulated platform and waits until all are ready.
 func newFleet(t *testing.T, vms int) *fleet.Fleet {
 	t.Helper()
 	f, err := fleet.New(t.TempDir(), filepath.Join(bin, "snipeshiftd"), vms)
@@ -30,7 +30,7 @@
 	return f
 }
 
-// load calls in turn on all routes, through VMs that are ready, until it is stopped.
+// load sends requests to all routes in turn, through VMs that are ready, until it is stopped.
 type load struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
@@ -40,7 +40,7 @@
 	failures []string
 }
 
-// callers is how many callers a load has.
+// callers is the number of clients of a load.
 const callers = 6
 
 func newLoad(f *fleet.Fleet) *load {
@@ -63,7 +63,7 @@
 
 func (l *load) call(c *standin.Caller, v *fleet.VM, route string) {
 	if !v.Ready() {
-		time.Sleep(20 * time.Millisecond) // the balancer would choose another one
+		time.Sleep(20 * time.Millisecond) // a load balancer would choose another VM
 		return
 	}
 	a := c.Call(v.Caller, route)
@@ -75,10 +75,10 @@
 	}
 }
 
-// enough answers are some of each route from each VM.
+// enough is a number of responses that includes several of each route from each VM.
 const enough = 30
 
-// more waits until enough more requests are answered.
+// more waits for enough further responses.
 func (l *load) more(t *testing.T) {
 	t.Helper()
 	goal := l.count() + enough
@@ -87,7 +87,8 @@
 
 func (l *load) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.answers }
 
-// end stops the load and requires that each request got its whole answer.
+// end stops the load and requires that each request got its complete response, that no request that may not be repeated ran
+// twice, and that none ran for another workspace.
 func (l *load) end(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	close(l.stop)
@@ -95,8 +96,8 @@
 	require.Greater(t, l.answers, 20)
 	require.Empty(t, l.failures)
 	twice, wrong := f.Platform.Ran()
-	require.Zero(t, twice, "ran twice, and may not")
-	require.Zero(t, wrong, "ran for another workspace")
+	require.Zero(t, twice, "requests ran twice that may not be repeated")
+	require.Zero(t, wrong, "requests ran for another workspace")
 }
 
 func TestPlatformCalmDay(t *testing.T) {
@@ -106,7 +107,7 @@
 	l.end(t, f)
 }
 
-// The operator adds a route. A caller who was told of it meets a VM that does not know it.
+// The operator adds a route. Two seconds later every VM must serve it.
 func TestPlatformNewRouteIsServedSoon(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -119,8 +120,8 @@
 	l.end(t, f)
 }
 
-// The operator shuts a team out, and the store has lost its history on top. Five seconds later
-// nothing runs for that team, on any VM.
+// The operator withdraws the API key of a workspace, and the store has discarded its change history as well, so watches
+// can't resume. Two seconds later every VM must reject the key.
 func TestPlatformWithdrawnKeyIsRefused(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -135,8 +136,7 @@
 	l.end(t, f)
 }
 
-// An upstream announces that it leaves. Two seconds later it gets nothing new, and
-// nobody notices.
+// An upstream announces that it leaves. Two seconds later it must receive no new requests, and no request fails.
 func TestPlatformLeavingUpstreamGetsNothingNew(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -149,7 +149,7 @@
 	l.end(t, f)
 }
 
-// An engine crashes under its streams. They are continued by others.
+// An engine crashes while it serves streams. Other engines must resume them.
 func TestPlatformCrashedEngineCostsNoStream(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -159,7 +159,7 @@
 	l.end(t, f)
 }
 
-// Every VM is stopped and started in turn, under load. No request is cut off.
+// Every VM is stopped and started in turn, under load. No request may fail.
 func TestPlatformRollingRestart(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -169,7 +169,7 @@
 		select {
 		case <-v.Process.Done():
 		case <-time.After(8 * time.Second):
-			require.Fail(t, "not stopped within its grace", v.Process.Tail())
+			require.Fail(t, "VM did not stop within its grace period", v.Process.Tail())
 		}
 		require.True(t, v.Process.Clean(), v.Process.Status())
 		require.NoError(t, f.Start(v))
@@ -178,8 +178,8 @@
 	l.end(t, f)
 }
 
-// The store is away for as long as the keys known may be trusted, and its entries have
-// lapsed when it is back. Nobody notices.
+// The store is unavailable for less time than cached API keys may be accepted, and the entries of all upstreams have
+// expired when it is back. No request may fail.
 func TestPlatformShortOutageOfTheStore(t *testing.T) {
 	for _, mode := range []standin.Mode{standin.Busy, standin.Mute} {
 		f := newFleet(t, 3)
@@ -199,8 +199,8 @@
 	}
 }
 
-// The store stays away longer than that. Keys may have been withdrawn, so callers get a
-// truthful refusal, and VMs take themselves out of rotation.
+// The store is unavailable for longer than cached API keys may be accepted. Keys may have been withdrawn since, so clients
+// must get status 503, and VMs must report that they are not ready.
 func TestPlatformLongOutageOfTheStore(t *testing.T) {
 	f := newFleet(t, 2)
 	f.Platform.Fail(standin.Mute)
@@ -213,7 +213,7 @@
 	require.True(t, standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice").Whole)
 }
 
-// The VM that owns the services is killed. The others pass it over.
+// Each VM is killed in turn, so also the one that owns the services. The others must serve requests without waiting for it.
 func TestPlatformKilledOwner(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, v := range f.VMs {
@@ -234,9 +234,9 @@
 	}
 }
 
-// A caller's request crashes each upstream that begins to run it, and the caller sends it again and again, each
-// time to another VM. Crashed upstreams are back after a second. If each VM had to find out for
-// itself, the service would be down for everybody for as long as the caller goes on.
+// A poison request crashes each upstream that begins to run it, and its client repeats it, each time through another VM.
+// Crashed upstreams are back after a second. If each VM had to detect the request by itself, the service would be down for
+// all clients for as long as this one goes on.
 func TestPlatformKillerRequestIsMetByFewUpstreams(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, r := range f.Platform.Desks {
@@ -255,11 +255,12 @@
 	}
 	require.Positive(t, runs)
 	require.LessOrEqual(t, runs, 3)
-	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Whole }, 5*time.Second, 100*time.Millisecond, "others are served")
+	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Whole }, 5*time.Second, 100*time.Millisecond, "other requests are served")
 }
 
-// Another writer puts entries into the store that name no upstream, and overwrites one that does. A VM that took
-// the whole list for unreadable would refuse every request; one that took them at their word would send requests to nowhere.
+// Another writer adds invalid entries to the list of upstreams in the store and overwrites a valid one. A VM that rejected
+// the whole list would refuse every request; a VM that accepted the invalid entries would send requests to addresses
+// where nothing listens.
 func TestPlatformEntriesOfAnotherWriter(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -273,7 +274,7 @@
 	l.more(t)
 	spoilt.Register()
 	before := spoilt.Ran()
-	require.Eventually(t, func() bool { return spoilt.Ran() > before }, startLimit, 20*time.Millisecond, "it is used again")
+	require.Eventually(t, func() bool { return spoilt.Ran() > before }, startLimit, 20*time.Millisecond, "the upstream is used again")
 	l.end(t, f)
 	for _, v := range f.VMs {
 		v.Process.Kill()
@@ -282,14 +283,15 @@
 		require.NoError(t, f.Start(v))
 	}
 	for _, v := range f.VMs {
-		require.NoError(t, v.AwaitReady(startLimit), "VMs that all start anew have the store's list alone")
+		require.NoError(t, v.AwaitReady(startLimit), "VMs that all restart at once can read the list only from the store")
 		require.True(t, standin.NewCaller("ward").Call(v.Caller, "draft").Whole)
 		require.NotEmpty(t, v.Process.Grep(`"event":"unusable"`), v.Name)
 	}
 }
 
-// An engine crashes under its streams and starts again under its id and address. They are continued by others, and
-// the engine gets work again: it would stand idle if the books still held what its earlier life had.
+// An engine crashes while it serves streams and restarts with the same id and address. Other engines must resume the
+// streams, and the engine must receive requests again: it would stay idle if the owner still counted the grants of the
+// earlier incarnation as running.
 func TestPlatformRunnerComesBackUnderItsID(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
--- a/scenarios/profile_test.go
+++ b/scenarios/profile_test.go
@@ -18,18 +18,19 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// holds matches the metrics of a VM that holds a service.
+// holds matches the metrics of a VM that is the holder of a service.
 var holds = regexp.MustCompile(`snipeshift_service_held\{[^}]*\} 1\n`)
 
 const (
 	profileCallers = 48
-	// profileTime is that of a profile unless PROFILE asks for one to keep.
+	// profileTime is the duration of a profile, keptTime that of a profile written to the folder PROFILE.
 	profileTime = time.Second
 	keptTime    = 10 * time.Second
 )
 
-// The processors of VMs are used up and callers are late. Metrics tell that, and a profile by what. PROFILE=dir keeps the
-// profiles of the VM that holds the engines and of another one, both under load, in a folder.
+// If the processors of VMs are saturated and clients are served late, metrics show the delay but not its cause. So each VM
+// must serve a CPU profile while under load.
+// PROFILE=dir writes the profiles of all VMs to a folder, each file named by role: holder of a service, or gate.
 func TestPlatformProfileOfAVMUnderLoad(t *testing.T) {
 	dir, took := os.Getenv("PROFILE"), profileTime
 	if dir != "" {
@@ -67,7 +68,7 @@
 				}
 			}
 			if len(profile) == 0 {
-				t.Errorf("%s gave no profile", v.Name)
+				t.Errorf("%s served an empty profile", v.Name)
 			}
 		})
 	}
@@ -76,7 +77,7 @@
 	wg.Wait()
 }
 
-// get reads a page of a VM's metrics address.
+// get reads a page from a VM's metrics address.
 func get(t *testing.T, v *fleet.VM, path string, within time.Duration) string {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -12,31 +12,32 @@
 	"snipeshift.example/scenarios/script"
 )
 
-// Variables that users set.
+// Environment variables of the scenarios.
 const (
-	// envScripts is a folder of scripts from outside the repository.
+	// envScripts names a folder of scripts from outside the repository.
 	envScripts = "SCENARIOS"
-	// envBin is a folder of built programs; without it they are built first.
+	// envBin names a folder of built programs; if it is not set, the tests build them first.
 	envBin = "SNIPESHIFT_BIN"
 )
 
-// atOnce bounds scenarios that run side by side, about ten processes each.
+// atOnce is the maximum number of scenarios that run concurrently; each has about ten processes.
 const atOnce = 4
 
-// programs are what a scenario starts, by package.
+// programs maps the names of the programs that scenarios start to their packages.
 var programs = map[string]string{
 	"snipeshiftd": "snipeshift.example/daemon",
 	"snipeshift":  "snipeshift.example/operator",
 	"emulator":    "snipeshift.example/emulator",
 }
 
+// bin is the folder of the programs.
 var bin string
 
 func TestMain(m *testing.M) {
 	os.Exit(withPrograms(m))
 }
 
-// withPrograms builds the programs, so that no scenario runs stale ones.
+// withPrograms builds the programs, so that no scenario runs stale ones, and runs the tests. It returns the exit code.
 func withPrograms(m *testing.M) int {
 	if bin = os.Getenv(envBin); bin != "" {
 		return m.Run()
@@ -58,7 +59,7 @@
 	return m.Run()
 }
 
-// slots bound all scenarios of this process.
+// slots bounds the scenarios that run concurrently in this process.
 var slots = make(chan struct{}, atOnce)
 
 func newRunner() *script.Runner {
--- a/scenarios/seeds_test.go
+++ b/scenarios/seeds_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seeds returns the seeds to play with the time for which faults come. The variable seed names the
-// one to play in place of the fixed ones, for as long as given; length sets another time.
+// seeds returns the seeds to run, with the time for which each injects faults. The environment variable named seed sets a
+// single seed in place of the fixed ones, to run for the time given. The variable named length overrides the time of all.
 func seeds(t *testing.T, fixed map[uint64]time.Duration, seed, length string, given time.Duration) map[uint64]time.Duration {
 	t.Helper()
 	out := maps.Clone(fixed)
--- a/scenarios/soak_test.go
+++ b/scenarios/soak_test.go
@@ -13,35 +13,39 @@
 	"snipeshift.example/scenarios/soak"
 )
 
-// Variables of the soak.
+// Environment variables of the soak test.
 const (
-	// envSoak is the one seed to play in place of the fixed ones, envSoakLength how long faults come.
+	// envSoak sets the only seed to run, in place of the fixed seeds, envSoakLength how long faults are injected.
 	envSoak       = "SOAK"
 	envSoakLength = "SOAKFOR"
-	// envSoakLogs is a folder for the VMs' logs; without it they are gone with the test.
+	// envSoakLogs names a folder for the VMs' logs; if it is not set, they are deleted after the test.
 	envSoakLogs = "SOAKLOGS"
 )
 
-// soakLength is how long faults come in CI, longSoak with a seed whose failure needs more of them, handSoak as in runs by hand.
+// soakLength is how long faults are injected in CI. longSoak is for seeds whose failure needs a longer series of faults, and
+// for a seed that envSoak sets; handSoak is the duration of manual runs, for seeds that failed in these.
 const (
 	soakLength = 12 * time.Second
 	longSoak   = 25 * time.Second
 	handSoak   = 20 * time.Second
 )
 
-// soakSeeds are played in CI, each with faults for so long. After seed 10 long prompts were refused for
-// pressure on an idle fleet; with seed 23 the half of a stream was ended as a whole one; with 124,
-// 136 and 148 callers were told that nothing had run after a first send that had; 6001 and 6113 misled the checks: rests of VMs whose names
-// are not known, and a key that a copy of the store brought back. After 6127 two of four engines were lost to all VMs.
+// soakSeeds are the seeds that run in CI, with the time for which each injects faults. Failures they reproduced:
+//   - 10: long prompts were refused with reason "pressure" on an idle fleet.
+//   - 23: half of a stream was ended as if it were complete.
+//   - 124, 136, 148: clients were told that a request had not run although its first attempt had.
+//   - 6001, 6113: false alarms of the checks, over back-offs asked of VMs whose names are not known, and over an API key
+//     that a restored older copy of the store contained.
+//   - 6127: no VM used two of the four engines any more.
 var soakSeeds = map[uint64]time.Duration{
 	1: soakLength, 2: soakLength, 10: longSoak, 23: longSoak, 124: longSoak, 136: longSoak, 148: longSoak,
 	6001: handSoak, 6113: handSoak, 6127: handSoak,
 }
 
-// VMs on a platform are killed, frozen, stopped and told of changes, links between them, to the store
-// and to upstreams fail in every way, the store and upstreams as well, in series and together,
-// while callers go on over their open connections. A user would notice any promise that
-// holds under each fault alone and not under several.
+// TestSoak kills, freezes, stops and reconfigures VMs on an emulated platform and makes the links between them, to the store
+// and to upstreams fail in every way, as well as the store and the upstreams, one after the other and at the same time,
+// while clients send requests over connections that they keep open. It guards against guarantees that hold under each single
+// fault but not under several.
 func TestSoak(t *testing.T) {
 	for seed, length := range seeds(t, soakSeeds, envSoak, envSoakLength, longSoak) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
