--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -16,10 +16,10 @@
 	register("mark", mark)
 }
 
-// awaitLimit bounds waits that no promise bounds.
+// awaitLimit bounds waits for conditions that have no guaranteed time bound.
 const awaitLimit = 45 * time.Second
 
-// condition tells whether what a script waits for holds; an error ends the wait.
+// condition reports whether a condition of await holds for the process, call or load of that name. An error ends the wait.
 type condition func(s *session, name string) (bool, error)
 
 var conditions = map[string]condition{
@@ -38,7 +38,7 @@
 			return false, err
 		}
 		if r.Ended() && !r.Started() {
-			return false, fmt.Errorf("ended before its first chunk: %s", r)
+			return false, fmt.Errorf("call ended before its first chunk: %s", r)
 		}
 		return r.Started(), nil
 	},
@@ -50,7 +50,8 @@
 	"revision": func(s *session, name string) (bool, error) { return s.world.InForce(s.ctx, name) },
 }
 
-// await waits for a condition on every name: await [-within D] CONDITION NAME...
+// await waits until a condition holds for every name, by default for all daemons:
+// await [-within D] CONDITION NAME...
 func await(s *session, args []string) error {
 	limit := awaitLimit
 	if len(args) > 1 && args[0] == "-within" {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// result returns a call; nil if the load that it belongs to has not sent it yet.
+// result returns the result of a call, or nil if the call belongs to a load that is still sending and has sent none yet.
 func (s *session) result(name string) (*world.Result, error) {
 	load, _, _ := strings.Cut(name, ".")
 	sent, ok := s.loads[load]
@@ -94,7 +95,7 @@
 	return s.world.Result(name)
 }
 
-// exited wants the graceful end of a process.
+// exited reports whether a process has exited; an unclean exit is an error.
 func exited(s *session, name string) (bool, error) {
 	ended, clean, err := s.world.Exited(name)
 	if err == nil && ended && !clean {
@@ -103,7 +104,8 @@
 	return ended, err
 }
 
-// executed looks for a call in the ledgers.
+// executed reports whether an upstream has recorded the call, and with ran set, whether one began to run it. A call that
+// ended without that is an error.
 func executed(s *session, name string, ran bool) (bool, error) {
 	r, err := s.result(name)
 	if err != nil || r == nil {
@@ -119,12 +121,12 @@
 		}
 	}
 	if r.Ended() {
-		return false, fmt.Errorf("ended before it ran: %s", r)
+		return false, fmt.Errorf("call ended before an upstream ran it: %s", r)
 	}
 	return false, nil
 }
 
-// done waits for a call, or for all of a load.
+// done reports whether a call, or all calls of a load, have ended.
 func done(s *session, name string) (bool, error) {
 	if sent, ok := s.loads[name]; ok {
 		select {
@@ -145,14 +147,14 @@
 	return true, nil
 }
 
-// free tells whether an engine's memory holds nothing that no live call explains.
+// free reports whether an engine reserves memory only for calls that have not ended.
 func free(s *session, name string) (bool, error) {
 	left, err := s.world.Unexplained(s.ctx, name)
 	return len(left) == 0, err
 }
 
-// pass lets time go by, for what takes time by itself: a lease that lapses
-// while its holder is frozen. No verdict hangs on it.
+// pass sleeps: pass DURATION. It is for effects that need time and can't be awaited, such as a lease that expires while its
+// holder is frozen. It checks nothing.
 func pass(s *session, args []string) error {
 	if len(args) != 1 {
 		return usage("pass DURATION")
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// mark names the present instant, optionally later by a span: mark NAME [+D].
+// mark stores the current time, optionally plus a duration, under a name: mark NAME [+D]
 func mark(s *session, args []string) error {
 	if len(args) < 1 || len(args) > 2 {
 		return usage("mark NAME [+D]")
--- a/scenarios/script/bad.go
+++ b/scenarios/script/bad.go
@@ -8,13 +8,13 @@
 
 func init() { register("bad", bad) }
 
-// goroutinesLimit is how long a daemon may take to be rid of what bad inputs left.
+// goroutinesLimit is how long a daemon may take to end the goroutines that bad inputs started.
 const goroutinesLimit = 15 * time.Second
 
-// goroutinesNoise is by how many goroutines an idle daemon differs from moment to moment.
+// goroutinesNoise is by how much the number of goroutines of an idle daemon varies.
 const goroutinesNoise = 10
 
-// bad sends every kind of bad input to a daemon, and again, and wants no goroutine left: bad VM
+// bad sends every kind of bad input to a daemon, twice, and checks the responses and that no goroutines leak: bad VM
 func bad(s *session, args []string) error {
 	if len(args) != 1 {
 		return usage("bad VM")
@@ -28,7 +28,7 @@
 			return err
 		}
 	}
-	return world.Await(s.ctx, goroutinesLimit, "goroutines gone", func() (bool, error) {
+	return world.Await(s.ctx, goroutinesLimit, "end of leaked goroutines", func() (bool, error) {
 		now, err := s.world.Goroutines(s.ctx, args[0])
 		return now <= before+goroutinesNoise, err
 	})
--- a/scenarios/script/call.go
+++ b/scenarios/script/call.go
@@ -18,7 +18,7 @@
 	register("hangup", eachName(func(s *session, name string) error { return s.world.Hangup(name) }))
 }
 
-// callFlags are the flags that call and load share.
+// callFlags defines the flags that call and load share. It returns the value of -deadline, in milliseconds.
 func callFlags(f *flag.FlagSet, c *world.Call) (deadline *int64) {
 	f.StringVar(&c.Kind, "kind", "", "")
 	f.StringVar(&c.Workspace, "workspace", "", "")
@@ -31,7 +31,7 @@
 	return f.Int64("deadline", 0, "")
 }
 
-// call sends one request; with a last "&" it does not wait for the end.
+// call sends one request and waits for its end, or with a trailing "&" does not wait: call [flags] NAME [&]
 func call(s *session, args []string) error {
 	args, later := background(args)
 	var c world.Call
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// load sends many requests over several daemons, named NAME.1, NAME.2 and so on.
+// load sends many requests over several daemons and waits for their ends, or with a trailing "&" does not wait:
+// load [flags] NAME [&]. The calls are named NAME.1, NAME.2 and so on.
 func load(s *session, args []string) error {
 	args, later := background(args)
 	var c world.Call
@@ -97,21 +98,22 @@
 	return nil
 }
 
-// batch makes the calls of a load.
+// batch sends the calls of a load.
 type batch struct {
 	name   string
 	call   world.Call
 	gates  []string
 	mixed  bool
 	random *rand.Rand
-	// done is closed once all is sent.
+	// done is closed once all calls are sent.
 	done chan struct{}
-	// copies is how many daemons get each request at once, under one key.
+	// copies is how many daemons receive each request at the same time, with the same text and idempotency key.
 	copies int
-	// balancer chooses among daemons that said ready; nil sends to gates in turn.
+	// balancer chooses among the daemons that report ready; if nil, calls go to gates in turn.
 	balancer *world.Balancer
 }
 
+// send sends n calls, with a gap between two of them.
 func (b *batch) send(s *session, n int, gap time.Duration) error {
 	defer close(b.done)
 	t := time.NewTicker(max(gap, time.Nanosecond))
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// one sends one request, or several copies of it to different daemons.
+// one starts one call, or several copies of it through different daemons.
 func (b *batch) one(s *session, c world.Call) error {
 	if b.balancer != nil {
 		c.To = b.balancer.Choose()
@@ -152,6 +154,7 @@
 	return nil
 }
 
+// next returns call i of the load.
 func (b *batch) next(i int) world.Call {
 	c := b.call
 	c.Name = fmt.Sprintf("%s.%d", b.name, i+1)
@@ -166,7 +169,7 @@
 	return c
 }
 
-// mix makes every kind of request, streamed or not, short and long.
+// mix varies the kind, the lengths and the streaming of call i.
 func (b *batch) mix(c *world.Call, i int) {
 	c.Prompt = 10 + b.random.IntN(500)
 	c.Output = 4 + b.random.IntN(40)
--- a/scenarios/script/deploy.go
+++ b/scenarios/script/deploy.go
@@ -9,7 +9,7 @@
 
 func init() { register("deploy", deploy) }
 
-// deploy starts a deployment and waits until all daemons are ready.
+// deploy starts a deployment and waits until all daemons are ready: deploy [flags]
 func deploy(s *session, args []string) error {
 	var p world.Plan
 	var engine, daemon, platform, document many
@@ -28,7 +28,7 @@
 		return err
 	}
 	if len(rest) > 0 {
-		return usage("deploy takes flags only")
+		return usage("deploy [flags]")
 	}
 	p.Engine, p.Daemon, p.Platform, p.Document = engine, daemon, platform, document
 	if err := s.world.Deploy(s.ctx, p); err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// operators lets scripts run the operators' command by exec snipeshift.
+// operators sets the environment of the script so that "exec snipeshift" runs the operator command.
 func (s *session) operators() {
 	for k, v := range s.world.OperatorEnv() {
 		s.ts.Setenv(k, v)
--- a/scenarios/script/document.go
+++ b/scenarios/script/document.go
@@ -8,8 +8,7 @@
 	register("edit", edit)
 }
 
-// apply changes fields of the document and puts it in force by the operator
-// command: apply PATH=VALUE...
+// apply changes fields of the document and submits it with the operator command: apply PATH=VALUE...
 func apply(s *session, args []string) error {
 	text, err := s.world.Edit(args)
 	if err != nil {
@@ -18,8 +17,8 @@
 	return s.world.Apply(s.ctx, text, s.world.Accepting())
 }
 
-// edit writes an edited document to a file, with the revision that it was made
-// from, as a second operator's console would hold it: edit FILE PATH=VALUE...
+// edit writes an edited document to a file and remembers the revision that it is based on, as if a second operator edited
+// the document at the same time: edit FILE PATH=VALUE...
 func edit(s *session, args []string) error {
 	if len(args) < 2 {
 		return usage("edit FILE PATH=VALUE...")
@@ -32,14 +31,14 @@
 	return os.WriteFile(s.ts.MkAbs(args[0]), text, 0o600)
 }
 
-// applyFile writes the document of a file on the revision that it was made from.
+// applyFile submits the document in a file, on condition that the revision it is based on is still current: applyfile FILE
 func applyFile(s *session, args []string) error {
 	if len(args) != 1 {
 		return usage("applyfile FILE")
 	}
 	base, ok := s.bases[args[0]]
 	if !ok {
-		return usage("no edit " + args[0])
+		return usage("no file written by edit: " + args[0])
 	}
 	return s.world.Apply(s.ctx, []byte(s.ts.ReadFile(args[0])), base)
 }
--- a/scenarios/script/expect.go
+++ b/scenarios/script/expect.go
@@ -12,10 +12,10 @@
 
 func init() { register("expect", expectCall) }
 
-// shown is how many calls that did not end as wanted a failure shows.
+// shown is the maximum number of calls listed in an error message.
 const shown = 8
 
-// expectCall waits for calls to end and checks what their callers saw:
+// expectCall waits for calls to end and checks their results as the clients saw them:
 // expect [-least N|-exactly N|-most N] NAME FIELD=VALUE|VALUE...
 func expectCall(s *session, args []string) error {
 	f := flag.NewFlagSet("expect", flag.ContinueOnError)
@@ -60,10 +60,10 @@
 	case *least < 0 && *exactly < 0 && *most < 0 && len(unmet) == 0:
 		return nil
 	}
-	return fmt.Errorf("%d of %d calls match %v\n%s", matched, len(rs), rest[1:], strings.Join(unmet[:min(len(unmet), shown)], "\n"))
+	return fmt.Errorf("%d of %d calls match %v; calls that do not:\n%s", matched, len(rs), rest[1:], strings.Join(unmet[:min(len(unmet), shown)], "\n"))
 }
 
-// differs names the first field that is not as wanted.
+// differs describes the first field of a result that is not as expected; empty if all are.
 func differs(r *world.Result, wants []string) (string, error) {
 	for _, want := range wants {
 		field, value, _ := strings.Cut(want, "=")
@@ -82,7 +82,7 @@
 			return "", err
 		}
 		if !slices.Contains(strings.Split(value, "|"), got) {
-			return fmt.Sprintf("%s is %q, not %s", field, got, value), nil
+			return fmt.Sprintf("%s is %q, expected %s", field, got, value), nil
 		}
 	}
 	return "", nil
--- a/scenarios/script/fault.go
+++ b/scenarios/script/fault.go
@@ -18,7 +18,8 @@
 	register("service", control)
 }
 
-// outage takes the store down: refuse resets connections, hang answers nothing.
+// outage makes the store unavailable: refuse resets connections, hang accepts requests without responding to them, over
+// ends the outage.
 func outage(s *session, args []string) error {
 	if len(args) != 1 {
 		return usage("outage refuse|hang|over")
@@ -30,16 +31,17 @@
 	return s.world.Control(s.ctx, world.Store, fmt.Sprintf("outage=%q", kind))
 }
 
+// storeField makes a command that sets one field of the emulated store; unit names its argument.
 func storeField(field, unit string) run {
 	return func(s *session, args []string) error {
 		if len(args) != 1 {
-			return usage("give " + unit)
+			return usage("one argument needed: " + unit)
 		}
 		return s.world.Control(s.ctx, world.Store, field+"="+args[0])
 	}
 }
 
-// deadwatch keeps watches of the store open and unanswered.
+// deadwatch makes the store keep watches open without sending changes on them: deadwatch on|off
 func deadwatch(s *session, args []string) error {
 	if len(args) != 1 || args[0] != "on" && args[0] != "off" {
 		return usage("deadwatch on|off")
@@ -47,7 +49,7 @@
 	return s.world.Control(s.ctx, world.Store, fmt.Sprintf("deadwatch=%v", args[0] == "on"))
 }
 
-// control tells a stand-in what to do wrong.
+// control injects faults into an emulated upstream or store: control NAME FIELD=VALUE...
 func control(s *session, args []string) error {
 	if len(args) < 2 {
 		return usage("NAME FIELD=VALUE...")
--- a/scenarios/script/find.go
+++ b/scenarios/script/find.go
@@ -12,7 +12,7 @@
 	register("where", where)
 }
 
-// owner puts the name of a pool's owner into a variable: owner VAR POOL
+// owner sets a variable to the name of a pool's owner: owner VAR POOL
 func owner(s *session, args []string) error {
 	if len(args) != 2 {
 		return usage("owner VAR POOL")
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// where puts the name of the upstream that runs a call into a variable: where VAR CALL
+// where sets a variable to the name of the first upstream that ran a call: where VAR CALL
 func where(s *session, args []string) error {
 	if len(args) != 2 {
 		return usage("where VAR CALL")
@@ -44,10 +44,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s runs nowhere", args[1])
+	return fmt.Errorf("no upstream has run call %s", args[1])
 }
 
-// others puts the names of all daemons but some into a variable: others VAR NAME...
+// others sets a variable to the names of all daemons except those given, separated by commas: others VAR NAME...
 func others(s *session, args []string) error {
 	if len(args) < 2 {
 		return usage("others VAR NAME...")
--- a/scenarios/script/ledger.go
+++ b/scenarios/script/ledger.go
@@ -10,7 +10,7 @@
 
 func init() { register("ledger", ledger) }
 
-// ledgerCheck is one assertion over what the stand-ins executed.
+// ledgerCheck is one assertion over the requests that the emulated upstreams recorded.
 type ledgerCheck func(s *session, args []string) error
 
 var ledgerChecks = map[string]ledgerCheck{
@@ -32,13 +32,14 @@
 	"orders": checkOrders,
 }
 
-// Bounds of the promises, as docs/PROMISES.md states them.
+// Time bounds of the guarantees in docs/PROMISES.md.
 const (
 	memoryBound   = 15 * time.Second
 	documentBound = 8 * time.Second
 	usageBound    = 15 * time.Second
 )
 
+// ledger runs a check on the requests that upstreams recorded: ledger CHECK ARGUMENT...
 func ledger(s *session, args []string) error {
 	if len(args) == 0 || ledgerChecks[args[0]] == nil {
 		return usage("ledger time|whole|notrun|once|ours|memory|document|usage|all|empty|ran|quiet|died|orders")
@@ -46,7 +47,7 @@
 	return ledgerChecks[args[0]](s, args[1:])
 }
 
-// checkTime: ledger time [except NAME...]
+// checkTime checks that all calls, except those named, ended within their allowed time: ledger time [except NAME...]
 func checkTime(s *session, args []string) error {
 	except := map[string]bool{}
 	if len(args) > 0 && args[0] == "except" {
@@ -59,7 +60,7 @@
 	return s.world.CheckTime(except)
 }
 
-// checkMemory: ledger memory [BOUND]
+// checkMemory waits until engines reserve memory only for calls that have not ended: ledger memory [BOUND]
 func checkMemory(s *session, args []string) error {
 	bound := memoryBound
 	if len(args) == 1 {
@@ -72,7 +73,8 @@
 	return s.world.CheckMemory(s.ctx, bound)
 }
 
-// checkUsage: ledger usage [N]: but for N requests whose VM died.
+// checkUsage waits until the usage counters in the store cover what clients received completely, and checks that they never
+// exceed what upstreams executed. Up to N requests may be missing, because their VM was lost: ledger usage [N]
 func checkUsage(s *session, args []string) error {
 	missing := 0
 	if len(args) == 1 {
@@ -85,12 +87,12 @@
 	return s.world.CheckUsage(s.ctx, usageBound, int64(missing))
 }
 
-// checkAll: ledger all [except NAME...]
+// checkAll runs all checks of guarantees but those of usage and of the document's time bound: ledger all [except NAME...]
 func checkAll(s *session, args []string) error {
 	return errors.Join(checkTime(s, args), s.world.CheckWhole(), s.world.CheckNotRun(), s.world.CheckOnce(), s.world.CheckOurs(), checkMemory(s, nil), s.world.CheckRevisions())
 }
 
-// checkRan: ledger ran CALL N, N- or -N times: exactly, at least, at most.
+// checkRan checks that upstreams ran a call exactly N, at least N (N-) or at most N (-N) times: ledger ran CALL N|N-|-N
 func checkRan(s *session, args []string) error {
 	if len(args) != 2 {
 		return usage("ledger ran CALL N|N-|-N")
@@ -115,12 +117,12 @@
 	}
 	least, most := !strings.HasPrefix(args[1], "-"), !strings.HasSuffix(args[1], "-")
 	if least && len(where) < n || most && len(where) > n {
-		return fmt.Errorf("%s ran %d times, not %s: %v", args[0], len(where), args[1], where)
+		return fmt.Errorf("call %s ran %d times, expected %s: %v", args[0], len(where), args[1], where)
 	}
 	return nil
 }
 
-// checkEmpty: ledger empty: no upstream got anything.
+// checkEmpty checks that no request reached an upstream: ledger empty
 func checkEmpty(s *session, _ []string) error {
 	l, err := s.world.Ledger()
 	if err != nil {
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// checkQuiet: ledger quiet UPSTREAM MARK: nothing arrived there after the mark.
+// checkQuiet checks that no request arrived at an upstream after the time of a mark: ledger quiet UPSTREAM MARK
 func checkQuiet(s *session, args []string) error {
 	if len(args) != 2 {
 		return usage("ledger quiet UPSTREAM MARK")
@@ -148,16 +150,16 @@
 	var late []string
 	for _, x := range l.Executed {
 		if x.Upstream == args[0] && x.Arrived > since {
-			late = append(late, fmt.Sprintf("%s %d ms after", x.Request, x.Arrived-since))
+			late = append(late, fmt.Sprintf("%s %d ms later", x.Request, x.Arrived-since))
 		}
 	}
 	if len(late) > 0 {
-		return fmt.Errorf("%s got new work after %s: %v", args[0], args[1], late)
+		return fmt.Errorf("%s received requests after mark %s: %v", args[0], args[1], late)
 	}
 	return nil
 }
 
-// checkDied: ledger died N: at most so many upstreams ended without the script ending them.
+// checkDied checks that at most N upstreams are not running: ledger died N
 func checkDied(s *session, args []string) error {
 	if len(args) != 1 {
 		return usage("ledger died N")
@@ -173,13 +175,13 @@
 		}
 	}
 	if len(dead) > n {
-		return fmt.Errorf("%d upstreams died: %v", len(dead), dead)
+		return fmt.Errorf("%d upstreams have exited: %v", len(dead), dead)
 	}
 	return nil
 }
 
-// checkOrders: ledger orders [N]: no engine obeyed an order with an old fencing
-// number; at least N orders were sent.
+// checkOrders checks that no engine obeyed an order with a fencing number lower than an earlier one, and that at least N
+// orders were sent: ledger orders [N]
 func checkOrders(s *session, args []string) error {
 	l, err := s.world.Ledger()
 	if err != nil {
@@ -187,7 +189,7 @@
 	}
 	for _, o := range l.Orders {
 		if o.Old && !o.Refused {
-			return fmt.Errorf("%s obeyed an order with old fence %d: %s=%s", o.Upstream, o.Fence, o.Order, o.Value)
+			return fmt.Errorf("%s obeyed an order with old fencing number %d: %s=%s", o.Upstream, o.Fence, o.Order, o.Value)
 		}
 	}
 	if len(args) == 1 {
@@ -196,7 +198,7 @@
 			return usage(err.Error())
 		}
 		if len(l.Orders) < n {
-			return fmt.Errorf("%d orders were sent, not %d", len(l.Orders), n)
+			return fmt.Errorf("%d orders were sent, expected at least %d", len(l.Orders), n)
 		}
 	}
 	return nil
--- a/scenarios/script/link.go
+++ b/scenarios/script/link.go
@@ -13,11 +13,11 @@
 	register("silence", silence)
 }
 
-// link reads the two ends; between two daemons both dial, so a fault of the
-// network concerns two links unless the script names one.
+// link applies f to the link between the two processes in args, the dialling one first. Two daemons dial each other, so a
+// network fault between them concerns the links of both directions, unless one is set.
 func (s *session) link(args []string, one bool, f func(from, to string) error) error {
 	if len(args) != 2 {
-		return usage("name the two ends of a link, the one that dials first")
+		return usage("needs the names of two processes, the dialling one first")
 	}
 	if err := f(args[0], args[1]); err != nil {
 		return err
@@ -29,6 +29,7 @@
 	return f(args[1], args[0])
 }
 
+// cut resets the connections of a link and refuses new ones until heal: cut [-one] FROM TO
 func cut(s *session, args []string) error {
 	f := flag.NewFlagSet("cut", flag.ContinueOnError)
 	one := f.Bool("one", false, "")
@@ -39,11 +40,14 @@
 	return s.link(rest, *one, s.world.Cut)
 }
 
+// heal ends the fault of a link for connections opened from now on: heal FROM TO
 func heal(s *session, args []string) error {
 	return s.link(args, false, s.world.Heal)
 }
 
-// silence makes open connections carry nothing; with -new also those opened until heal.
+// silence keeps the connections of a link open but discards what is sent over them, with -there only what the dialling
+// process sends, with -back only what it would receive, with -new also over connections opened until heal:
+// silence [-one] [-new] [-there|-back] FROM TO
 func silence(s *session, args []string) error {
 	f := flag.NewFlagSet("silence", flag.ContinueOnError)
 	one := f.Bool("one", false, "")
--- a/scenarios/script/process.go
+++ b/scenarios/script/process.go
@@ -10,7 +10,7 @@
 	register("vm", setVM)
 }
 
-// setVM changes a VM's state in the platform's lagging list.
+// setVM changes the state of a VM in the platform's list, which processes see with a delay: vm NAME live|leaving|gone
 func setVM(s *session, args []string) error {
 	if len(args) != 2 {
 		return usage("vm NAME live|leaving|gone")
--- a/scenarios/script/script.go
+++ b/scenarios/script/script.go
@@ -1,5 +1,5 @@
-// Package script is the small language of the scenarios: commands for testscript
-// that drive a world of separate processes. docs/SCENARIOS.md documents each.
+// Package script implements the commands of the scenario scripts for testscript. They start and control a deployment of
+// separate processes and check its results. docs/SCENARIOS.md documents each command.
 package script
 
 import (
@@ -18,43 +18,43 @@
 
 // session is one running script.
 type session struct {
-	ctx   context.Context //nolint:containedctx // the life of the script
+	ctx   context.Context //nolint:containedctx // canceled at the end of the script
 	world *world.World
-	// bin holds the programs.
+	// bin is the folder of the programs.
 	bin string
 	ts  *testscript.TestScript
-	// marks are instants that the script named.
+	// marks holds the times that the script named with mark.
 	marks map[string]clock.Milli
-	// loads are closed once a load has sent its last request.
+	// loads has a channel for each load by name; it is closed once the load has sent its last request.
 	loads map[string]chan struct{}
-	// bases holds the revision that each edited file was made from.
+	// bases maps each edited file to the document revision that it is based on.
 	bases map[string]uint64
 }
 
-// run carries out a command; its error fails the script.
+// run runs a command; its error fails the script, unless the command follows "!".
 type run func(s *session, args []string) error
 
 var commands = map[string]run{}
 
-// register adds a command; the file of each command calls it from init.
+// register adds a command; the init function of each file registers the commands in it.
 func register(name string, r run) { commands[name] = r }
 
-// errUsage is an error in the script itself; "!" does not turn it into a success.
+// errUsage marks an error in the script itself; it fails the script even if the command follows "!".
 var errUsage = errors.New("usage")
 
 func usage(text string) error { return fmt.Errorf("%w: %s", errUsage, text) }
 
 type sessionKey struct{}
 
-// Runner runs scripts with programs of one folder.
+// Runner runs scripts with the programs of one folder.
 type Runner struct {
-	// Bin holds the programs.
+	// Bin is the folder of the programs.
 	Bin string
-	// Slots bounds how many scenarios run at once; each takes one of its own.
+	// Slots bounds how many scenarios run concurrently; each sends to it at its start and receives from it at its end.
 	Slots chan struct{}
 }
 
-// Params are testscript's for a folder of scripts.
+// Params returns the parameters of testscript for a folder of scripts.
 func (r *Runner) Params(dir string) testscript.Params {
 	cmds := map[string]func(*testscript.TestScript, bool, []string){}
 	for name, f := range commands {
@@ -63,6 +63,7 @@
 	return testscript.Params{Dir: dir, Setup: r.setup, Cmds: cmds, RequireUniqueNames: true}
 }
 
+// setup waits for a slot and prepares the session of a script.
 func (r *Runner) setup(env *testscript.Env) error {
 	r.Slots <- struct{}{}
 	env.Defer(func() { <-r.Slots })
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// wrap makes a command of testscript: "!" wants its error.
+// wrap makes a testscript command from f; after "!" the command must return an error.
 func wrap(name string, f run) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		s := ts.Value(sessionKey{}).(*session)
@@ -88,7 +89,7 @@
 		case neg && err == nil:
 			ts.Fatalf("%s: unexpected success", name)
 		case neg:
-			ts.Logf("%s: failed as wanted: %v", name, err)
+			ts.Logf("%s: failed as expected: %v", name, err)
 		case err != nil:
 			ts.Logf("%s", s.world.Logs())
 			ts.Fatalf("%s: %v", name, err)
@@ -111,11 +112,11 @@
 func (m *many) String() string     { return fmt.Sprint(*m) }
 func (m *many) Set(v string) error { *m = append(*m, v); return nil }
 
-// eachName makes a command that does one thing to every named process.
+// eachName makes a command that calls f with each of its arguments, the names of processes or calls.
 func eachName(f func(s *session, name string) error) run {
 	return func(s *session, args []string) error {
 		if len(args) == 0 {
-			return usage("name a process")
+			return usage("needs one or more names")
 		}
 		for _, name := range args {
 			if err := f(s, name); err != nil {
@@ -126,7 +127,7 @@
 	}
 }
 
-// background cuts a last "&" off.
+// background removes a trailing "&" and reports whether there was one.
 func background(args []string) ([]string, bool) {
 	if n := len(args); n > 0 && args[n-1] == "&" {
 		return args[:n-1], true
@@ -134,5 +135,5 @@
 	return args, false
 }
 
-// now is an instant as ledgers show it.
+// now returns the current time in the unit in which upstreams record requests.
 func now() clock.Milli { return clock.Milli(time.Now().UnixMilli()) }
--- a/scenarios/script/secure.go
+++ b/scenarios/script/secure.go
@@ -6,7 +6,7 @@
 	register("strangers", eachName(func(s *session, name string) error { return s.world.Strangers(s.ctx, name) }))
 }
 
-// renew replaces all certificates and their authority under the running processes.
+// renew replaces all certificates and their certificate authority while the processes run.
 func renew(s *session, args []string) error {
 	if len(args) > 0 {
 		return usage("renew")
@@ -14,7 +14,7 @@
 	return s.world.Renew()
 }
 
-// former makes exec snipeshift show the certificate from before the renewal.
+// former makes "exec snipeshift" present the client certificate from before the renewal.
 func former(s *session, args []string) error {
 	if len(args) > 0 {
 		return usage("former")
--- a/scenarios/script/shows.go
+++ b/scenarios/script/shows.go
@@ -10,8 +10,8 @@
 
 func init() { register("shows", shows) }
 
-// shows waits until the operators' command prints what a regular expression
-// matches: shows REGEXP ARGUMENT...
+// shows runs the operator command again and again until its output matches a regular expression:
+// shows REGEXP ARGUMENT...
 func shows(s *session, args []string) error {
 	if len(args) < 2 {
 		return usage("shows REGEXP ARGUMENT...")
@@ -23,7 +23,7 @@
 	var text string
 	var last error
 	err = world.Await(s.ctx, awaitLimit, "output "+args[0], func() (bool, error) {
-		// A daemon that is gone makes the command end with an error for some seconds.
+		// A daemon that was lost makes the command exit with an error for some seconds.
 		text, last = s.world.Operate(s.ctx, args[1:]...)
 		return want.MatchString(text), nil
 	})
--- a/scenarios/script/story.go
+++ b/scenarios/script/story.go
@@ -13,13 +13,12 @@
 
 func init() { register("story", story) }
 
-// scene is one event that a story must have: VM:KIND or VM:KIND:UPSTREAM.
+// scene is an event that the timeline of a call must contain: VM:KIND or VM:KIND:UPSTREAM.
 type scene struct{ vm, kind, upstream string }
 
-// story waits until the time line of a call, as the operators' command draws it
-// over all daemons, has some events in this order: story CALL VM:KIND[:UPSTREAM]...
-// Others may stand between them. The drawing for people must have the same events
-// as the JSON lines, in the same order.
+// story waits until the timeline of a call, which the operator command merges from all daemons, contains the given events
+// in this order, possibly with others in between: story CALL VM:KIND[:UPSTREAM]...
+// The table that the command prints must have the same events as its JSON output, in the same order.
 func story(s *session, args []string) error {
 	if len(args) < 2 {
 		return usage("story CALL VM:KIND[:UPSTREAM]...")
@@ -34,8 +33,8 @@
 	}
 	r.Wait()
 	var drawn string
-	// The owner hears of the end a moment after the caller.
-	err = world.Await(s.ctx, awaitLimit, "the story of "+args[0], func() (bool, error) {
+	// The owner records the end of the call slightly after the client receives it.
+	err = world.Await(s.ctx, awaitLimit, "timeline of call "+args[0], func() (bool, error) {
 		text, err := s.world.Operate(s.ctx, "timeline", "--request", r.Request)
 		if err != nil {
 			return false, err
@@ -48,6 +47,7 @@
 	return err
 }
 
+// scenesOf parses the expected events.
 func scenesOf(args []string) ([]scene, error) {
 	var ss []scene
 	for _, a := range args {
@@ -64,7 +64,7 @@
 	return ss, nil
 }
 
-// events reads the JSON lines of a request's time line.
+// events returns the timeline of a request from the JSON output of the operator command.
 func (s *session) events(request string) ([]timeline.Event, error) {
 	text, err := s.world.Operate(s.ctx, "--output", "json", "timeline", "--request", request)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return events, lines.Err()
 }
 
-// has tells whether the scenes are among the events, in their order.
+// has reports whether events contains the scenes in their order.
 func has(events []timeline.Event, scenes []scene) bool {
 	for _, e := range events {
 		if len(scenes) == 0 {
@@ -96,8 +96,8 @@
 	return len(scenes) == 0
 }
 
-// same tells whether a drawing has the events in their order: a heading, then a
-// line each with date, time, lanes, VM and kind.
+// same reports whether a printed table has the events in their order: a heading, then a line for each event with date,
+// time, lanes (a column of characters, one for each VM), VM and kind.
 func same(events []timeline.Event, drawn string) bool {
 	lines := bytes.Split(bytes.TrimSpace([]byte(drawn)), []byte("\n"))
 	if len(lines) != len(events)+1 {
