--- a/scenarios/chaos_test.go
+++ b/scenarios/chaos_test.go
@@ -14,27 +14,27 @@
 
 // Environment variables of the chaos run.
 const (
-	// envSeed sets the only seed to run, in place of the fixed seeds.
-	envSeed = "SEED"
-	// envLength sets how long faults are injected.
-	envLength = "CHAOS"
+	// envChaosSeed sets the only seed to run, in place of the fixed seeds.
+	envChaosSeed = "SEED"
+	// envChaosLength sets how long faults are injected.
+	envChaosLength = "CHAOS"
 )
 
-// fixedLength is how long faults are injected in CI. longLength is for seeds whose failure needs a longer
-// series of faults.
+// chaosLength is how long faults are injected in CI. longChaosLength is for seeds whose failure needs a longer series of
+// faults.
 const (
-	fixedLength = 15 * time.Second
-	longLength  = 25 * time.Second
+	chaosLength     = 15 * time.Second
+	longChaosLength = 25 * time.Second
 )
 
-// fixedSeeds are the seeds that run in CI, with the time for which each injects faults. With seed 7006 plain
+// chaosSeeds are the seeds that run in CI, with the time for which each injects faults. With seed 7006 plain
 // services reject calls for seconds; workspaces were once charged for the rejected calls.
-var fixedSeeds = map[uint64]time.Duration{1: fixedLength, 2: fixedLength, 3: fixedLength, 7006: longLength}
+var chaosSeeds = map[uint64]time.Duration{1: chaosLength, 2: chaosLength, 3: chaosLength, 7006: longChaosLength}
 
 // TestChaos injects faults of every kind at random, up to two at a time, while clients send requests of every
 // kind. It guards against guarantees that hold under each single fault but not under two at once.
 func TestChaos(t *testing.T) {
-	for seed, length := range seeds(t, fixedSeeds, envSeed, envLength, fixedLength) {
+	for seed, length := range seeds(t, chaosSeeds, envChaosSeed, envChaosLength, chaosLength) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runChaos(t, seed, length) })
 	}
 }
@@ -45,7 +45,7 @@
 	defer func() { <-slots }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := world.New(t.TempDir(), bin)
+	w := world.New(t.TempDir(), binDir)
 	defer w.Close()
 	p := world.Plan{
 		Daemons: 3, Engines: 4, Services: 2, Domains: 2,
--- a/scenarios/platform_era_test.go
+++ b/scenarios/platform_era_test.go
@@ -18,12 +18,12 @@
 const (
 	// copyAge is the age of the copy that the store is restored from.
 	copyAge = 3 * time.Second
-	// rewriting is the time after the restore within which writers repeat the writes that the copy lacks.
-	rewriting = 2 * time.Second
-	// away is how long the store does not respond before the copy is restored.
-	away = 300 * time.Millisecond
-	// leftSlack is the time after which an upstream that announced that it leaves must not receive new requests.
-	leftSlack = 2 * time.Second
+	// rewriteTime is the time after the restore within which writers repeat the writes that the copy lacks.
+	rewriteTime = 2 * time.Second
+	// outageTime is how long the store does not respond while it is restored.
+	outageTime = 300 * time.Millisecond
+	// leavingTime is the time after which an upstream that announced that it leaves must not receive new requests.
+	leavingTime = 2 * time.Second
 )
 
 // requireServed polls a new route on a VM and requires that it is served before the time until, and that the VM
@@ -42,13 +42,14 @@
 	}
 }
 
-// drill restores the store from a copy of the given age and returns once all writes that the copy lacked are repeated.
-func drill(f *fleet.Fleet, age time.Duration, seed uint64) {
-	f.Platform.Drill(standin.Mute, away, age, rewriting, rand.New(rand.NewPCG(seed, 0)))
+// restoreOlderCopy restores the store from a copy of the given age and returns once all writes that the copy lacked are
+// repeated.
+func restoreOlderCopy(f *fleet.Fleet, age time.Duration, seed uint64) {
+	f.Platform.Drill(standin.Mute, outageTime, age, rewriteTime, rand.New(rand.NewPCG(seed, 0)))
 }
 
-// knowsLeaving reports whether a VM has logged that a runner leaves.
-func knowsLeaving(v *fleet.VM, r *standin.Runner) bool {
+// loggedLeaving reports whether a VM has logged that a runner leaves.
+func loggedLeaving(v *fleet.VM, r *standin.Runner) bool {
 	for _, line := range v.Process.Grep(fmt.Sprintf(`"event":"upstream","upstream":%q`, r.ID())) {
 		if strings.Contains(line, `"leaving":true`) {
 			return true
@@ -59,41 +60,41 @@
 
 // The store is restored from a copy in which upstreams that have left since are listed as ready and a withdrawn API key
 // is valid. No VM may use the upstreams or accept the key.
-func TestPlatformNothingThatWasLeftComesBackWithACopy(t *testing.T) {
-	for _, vms := range []int{3, large} {
+func TestPlatformOlderCopyRestoresNoRemovedUpstreamsOrKeys(t *testing.T) {
+	for _, vms := range []int{3, largeFleet} {
 		f := newFleet(t, vms)
 		l := newLoad(f)
-		l.more(t)
+		l.awaitResponses(t)
 		desk := standin.NewCaller("desk")
 		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Whole)
 		time.Sleep(copyAge) // so that the copy contains the upstreams as ready and the key
-		f.Platform.Models[0].Drain(leftSlack)
-		f.Platform.Desks[0].Drain(leftSlack)
+		f.Platform.Models[0].Drain(leavingTime)
+		f.Platform.Desks[0].Drain(leavingTime)
 		f.Platform.Withdraw("desk")
 		time.Sleep(1500 * time.Millisecond)
 		f.Platform.Models[0].Lapse()
 		f.Platform.Desks[0].Lapse()
 		time.Sleep(500 * time.Millisecond)
 		done := make(chan struct{})
-		go func() { defer close(done); drill(f, copyAge, 1) }()
-		opened := 0
-		for over := false; !over; {
+		go func() { defer close(done); restoreOlderCopy(f, copyAge, 1) }()
+		accepted := 0
+		for finished := false; !finished; {
 			select {
 			case <-done:
-				over = true
+				finished = true
 			default:
 			}
 			for _, v := range f.VMs {
 				if a := desk.Call(v.Caller, "lookup"); a.Status != http.StatusUnauthorized && a.Status != http.StatusServiceUnavailable {
-					opened++
+					accepted++
 				}
 			}
 		}
-		time.Sleep(leftSlack)
-		require.Zero(t, opened, "requests accepted with a withdrawn key")
+		time.Sleep(leavingTime)
+		require.Zero(t, accepted, "requests accepted with a withdrawn key")
 		require.Zero(t, f.Platform.Models[0].Late(), "requests sent to an upstream that had left")
 		require.Zero(t, f.Platform.Desks[0].Late(), "requests sent to an upstream that had left")
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 		f.Close()
 	}
 }
@@ -101,52 +102,53 @@
 // After the store is restored from an older copy it gives out the same revision numbers again, for other writes. A VM that
 // resumes from a revision of before the restore, or takes a lower revision for an older one, misses writes: here an upstream
 // that leaves and a new route.
-func TestPlatformNewsAfterACopyReachesEveryVM(t *testing.T) {
-	for _, vms := range []int{3, large} {
+func TestPlatformChangesAfterOlderCopyReachEveryVM(t *testing.T) {
+	for _, vms := range []int{3, largeFleet} {
 		f := newFleet(t, vms)
 		l := newLoad(f)
-		l.more(t)
+		l.awaitResponses(t)
 		for i := range 30 { // revisions that the copy lacks
 			f.Platform.AddRoute(fmt.Sprint("before", i))
 		}
 		time.Sleep(copyAge) // so that each VM has read them
-		drill(f, 2*copyAge, 2)
+		restoreOlderCopy(f, 2*copyAge, 2)
 		f.Platform.AddRoute("after")
 		added := time.Now()
-		f.Platform.Models[1].Drain(leftSlack)
-		f.Platform.Desks[1].Drain(leftSlack)
+		f.Platform.Models[1].Drain(leavingTime)
+		f.Platform.Desks[1].Drain(leavingTime)
 		for _, v := range f.VMs {
-			require.Eventually(t, func() bool { return knowsLeaving(v, f.Platform.Models[1]) }, leftSlack, 20*time.Millisecond, v.Name)
+			require.Eventually(t, func() bool { return loggedLeaving(v, f.Platform.Models[1]) }, leavingTime, 20*time.Millisecond, v.Name)
 		}
 		for _, v := range f.VMs {
-			requireServed(t, v, "after", added.Add(leftSlack))
+			requireServed(t, v, "after", added.Add(leavingTime))
 		}
-		time.Sleep(leftSlack)
+		time.Sleep(leavingTime)
 		require.Zero(t, f.Platform.Models[1].Late())
 		require.Zero(t, f.Platform.Desks[1].Late())
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 		f.Close()
 	}
 }
 
 // An upstream that registered after the copy was made is missing from the restored store although it is running. VMs must
 // keep using it until its entry is written again.
-func TestPlatformAnUpstreamThatACopyLacksIsKept(t *testing.T) {
+func TestPlatformUpstreamMissingFromOlderCopyIsKept(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
-	old := f.Platform.Models[0] // an engine, since other engines resume its streams; a plain service may run requests that must not run again
-	f.Crash(old)
-	require.NoError(t, f.Renew(old))
-	young := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return young.Ran() > 0 }, startLimit, 20*time.Millisecond)
+	l.awaitResponses(t)
+	// An engine, since other engines resume its streams; a plain service may be running requests that must not run again.
+	crashed := f.Platform.Models[0]
+	f.Crash(crashed)
+	require.NoError(t, f.Renew(crashed))
+	replacement := f.Platform.Models[0]
+	require.Eventually(t, func() bool { return replacement.Ran() > 0 }, startTimeout, 20*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	done := make(chan struct{})
-	go func() { defer close(done); drill(f, copyAge, 3) }()
-	time.Sleep(away + 700*time.Millisecond)
-	before := young.Ran()
+	go func() { defer close(done); restoreOlderCopy(f, copyAge, 3) }()
+	time.Sleep(outageTime + 700*time.Millisecond)
+	before := replacement.Ran()
 	time.Sleep(800 * time.Millisecond)
-	require.Greater(t, young.Ran(), before)
+	require.Greater(t, replacement.Ran(), before)
 	<-done
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
--- a/scenarios/platform_fleet_test.go
+++ b/scenarios/platform_fleet_test.go
@@ -10,34 +10,34 @@
 	"snipeshift.example/platform/standin"
 )
 
-// large is a number of VMs at which most have no watches of their own on the store: a few readers watch it for all.
-const large = 14
+// largeFleet is a number of VMs at which most have no watches of their own on the store: a few readers watch it for all.
+const largeFleet = 14
 
 // If each VM reads the store for itself, or for a few others, the load on the store grows with the fleet. In a fleet
 // without changes one VM verifies that its copy is current, with 1.4 calls per second, and one more has two long watches open.
-func TestPlatformCallsOfTheStoreDoNotGrowWithTheFleet(t *testing.T) {
-	f := newFleet(t, large)
+func TestPlatformStoreCallsDoNotGrowWithFleet(t *testing.T) {
+	f := newFleet(t, largeFleet)
 	l := newLoad(f)
 	calls := f.Platform.Store.Calls
-	calm := func() int {
+	callsIn5s := func() int {
 		before := calls()
 		time.Sleep(5 * time.Second)
 		return calls() - before
 	}
 	// VMs that have just joined read the store for themselves for a while.
-	require.Eventually(t, func() bool { return calm() <= 12 }, 30*time.Second, time.Millisecond)
-	l.end(t, f)
+	require.Eventually(t, func() bool { return callsIn5s() <= 12 }, 30*time.Second, time.Millisecond)
+	l.stopAndCheck(t, f)
 }
 
 // Half of the VMs, which may include the readers, are cut off from the store for seconds. Meanwhile an upstream leaves, a
 // route is added and a workspace's key is withdrawn. The other VMs must stand in as readers: the upstream receives no new
 // requests, and all VMs apply the changes.
-func TestPlatformVMsStepInForReadersThatAreShutOff(t *testing.T) {
-	for _, first := range []int{0, large / 2} {
-		f := newFleet(t, large)
+func TestPlatformOtherVMsReplaceReadersCutOffFromStore(t *testing.T) {
+	for _, first := range []int{0, largeFleet / 2} {
+		f := newFleet(t, largeFleet)
 		l := newLoad(f)
 		time.Sleep(time.Second)
-		for _, v := range f.VMs[first : first+large/2] {
+		for _, v := range f.VMs[first : first+largeFleet/2] {
 			f.Store.Cut(v.Name)
 		}
 		desk := standin.NewCaller("desk")
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		require.Zero(t, f.Platform.Models[0].Late())
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 		f.Close()
 	}
 }
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -18,56 +18,56 @@
 
 // Times of these tests.
 const (
-	// storeAway is shorter than the time for which API keys are accepted without the store, even if the keys were last
+	// storeOutage is shorter than the time for which API keys are accepted without the store, even if the keys were last
 	// verified some time before the outage and the end of the outage is noticed late.
-	storeAway = 2 * time.Second
-	// listed is how long after the outage the store still lists the leaving upstreams as ready.
-	listed = 4 * time.Second
-	// shedding is how long an upstream rejects requests and asks for back-off.
-	shedding = 8 * time.Second
+	storeOutage = 2 * time.Second
+	// listedTime is how long after the outage the store still lists the leaving upstreams as ready.
+	listedTime = 4 * time.Second
+	// sheddingTime is how long an upstream rejects requests and asks for back-off.
+	sheddingTime = 8 * time.Second
 )
 
-// noExcuses exempts no VM: each must follow the statements in all responses that it was sent.
-var noExcuses = standin.Excuses{
+// noExemptions exempts no VM: each must follow the statements in all responses that it was sent.
+var noExemptions = standin.Excuses{
 	Unheard:   func(string, *standin.Runner, time.Time) bool { return false },
-	Restarted: nobody, Cut: nobody,
+	Restarted: exemptNone, Cut: exemptNone,
 }
 
-// firsts returns the first upstream of each service.
-func firsts(f *fleet.Fleet) []*standin.Runner {
+// firstRunners returns the first upstream of each service.
+func firstRunners(f *fleet.Fleet) []*standin.Runner {
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
 // Upstreams declare in their responses that they leave, while the store does not respond and afterwards still lists them as
 // ready. VMs must follow the responses and send no new requests.
-func TestPlatformAnUpstreamThatSaysItLeavesGetsNothingMore(t *testing.T) {
+func TestPlatformUpstreamThatDeclaresLeavingGetsNoRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.Fail(standin.Mute)
-	for _, r := range firsts(f) {
+	for _, r := range firstRunners(f) {
 		r.Leave()
 	}
-	time.Sleep(storeAway)
+	time.Sleep(storeOutage)
 	f.Platform.Fail(standin.Well)
-	time.Sleep(listed)
-	l.end(t, f)
-	require.Empty(t, f.Platform.Ignored(noExcuses))
+	time.Sleep(listedTime)
+	l.stopAndCheck(t, f)
+	require.Empty(t, f.Platform.Ignored(noExemptions))
 }
 
 // An upstream declares that it leaves. The status of the VMs must show operators which VMs have received this statement, and
 // all VMs must report the same holder of each service.
-func TestPlatformOperatorsSeeWhoHoldsAServiceAndWhatUpstreamsSay(t *testing.T) {
+func TestPlatformStatusShowsHoldersAndStatements(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.Models[0].Leave()
 	var relays []operator.RelayStatus
 	require.Eventually(t, func() bool {
-		relays = relaysOf(t, f)
-		return heard(relays) && oneHolder(relays)
+		relays = relayStatuses(t, f)
+		return anyStatement(relays) && sameHolders(relays)
 	}, 5*time.Second, 50*time.Millisecond)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 	for _, r := range relays {
 		require.Len(t, r.Services, 2, "%s", r.VM)
 		for _, s := range r.Services {
@@ -81,24 +81,24 @@
 	}
 }
 
-// relaysOf returns the status of services that each VM reports.
-func relaysOf(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
+// relayStatuses returns the status of services that each VM reports.
+func relayStatuses(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
 	relays := make([]operator.RelayStatus, len(f.VMs))
 	for i, v := range f.VMs {
-		if err := json.Unmarshal([]byte(get(t, v, operator.PathServices, time.Second)), &relays[i]); err != nil {
+		if err := json.Unmarshal([]byte(getPage(t, v, operator.PathServices, time.Second)), &relays[i]); err != nil {
 			t.Error(err)
 		}
 	}
 	return relays
 }
 
-// heard reports whether any VM has received a statement of an upstream.
-func heard(relays []operator.RelayStatus) bool {
+// anyStatement reports whether any VM has received a statement of an upstream.
+func anyStatement(relays []operator.RelayStatus) bool {
 	return slices.ContainsFunc(relays, func(r operator.RelayStatus) bool { return len(r.Statements) > 0 })
 }
 
-// oneHolder reports whether all VMs report the same holder of each service.
-func oneHolder(relays []operator.RelayStatus) bool {
+// sameHolders reports whether all VMs report the same holder of each service.
+func sameHolders(relays []operator.RelayStatus) bool {
 	holders := map[route.ServiceID]peer.VM{}
 	for _, r := range relays {
 		for _, s := range r.Services {
@@ -111,9 +111,9 @@
 	return true
 }
 
-// audits sends requests whose prompts need the memory of several engines, until stop is called. Four engines can't run all
-// of them, so some are refused; results are ignored.
-func audits(f *fleet.Fleet) (stop func()) {
+// startAudits sends requests whose prompts need the memory of several engines, until stop is called. Four engines can't run
+// all of them, so some are refused; results are ignored.
+func startAudits(f *fleet.Fleet) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, v := range f.VMs {
@@ -134,24 +134,24 @@
 
 // One upstream of each service rejects all requests and orders for a while and asks each VM for a back-off. The VMs must
 // comply, and use the upstream again afterwards.
-func TestPlatformAnUpstreamThatAsksForRestGetsIt(t *testing.T) {
+func TestPlatformUpstreamGetsRequestedBackOff(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	stop := audits(f)
-	l.more(t)
-	for _, r := range firsts(f) {
+	stop := startAudits(f)
+	l.awaitResponses(t)
+	for _, r := range firstRunners(f) {
 		r.Get(standin.Shedding)
 	}
-	time.Sleep(shedding)
-	for _, r := range firsts(f) {
+	time.Sleep(sheddingTime)
+	for _, r := range firstRunners(f) {
 		r.Get(standin.Fine)
 	}
-	over := time.Now()
+	endedAt := time.Now()
 	time.Sleep(2 * standin.Rest)
-	for _, r := range firsts(f) {
-		require.Greater(t, r.Arrived(over), 30, "the upstream is used again")
+	for _, r := range firstRunners(f) {
+		require.Greater(t, r.Arrived(endedAt), 30, "the upstream is used again")
 	}
 	stop()
-	l.end(t, f)
-	require.Empty(t, f.Platform.Ignored(noExcuses))
+	l.stopAndCheck(t, f)
+	require.Empty(t, f.Platform.Ignored(noExemptions))
 }
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -15,17 +15,18 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// startLimit bounds the start of a fleet on a busy machine.
-const startLimit = 20 * time.Second
+// startTimeout bounds the start of a fleet on a busy machine.
+const startTimeout = 20 * time.Second
 
-// newFleet starts a number of VMs on an emulated platform and waits until all are ready.
+// newFleet starts a number of VMs on an emulated platform, with the workspaces "ward" and "desk", and waits until all are
+// ready.
 func newFleet(t *testing.T, vms int) *fleet.Fleet {
 	t.Helper()
-	f, err := fleet.New(t.TempDir(), filepath.Join(bin, "snipeshiftd"), vms)
+	f, err := fleet.New(t.TempDir(), filepath.Join(binDir, "snipeshiftd"), vms)
 	t.Cleanup(f.Close)
 	require.NoError(t, err)
 	for _, v := range f.VMs {
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
 	return f
 }
@@ -35,17 +36,17 @@
 	stop chan struct{}
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	answers  int
-	failures []string
+	mu        sync.Mutex
+	responses int
+	failures  []string
 }
 
-// callers is the number of clients of a load.
-const callers = 6
+// loadClients is the number of clients of a load.
+const loadClients = 6
 
 func newLoad(f *fleet.Fleet) *load {
 	l := &load{stop: make(chan struct{})}
-	for i := range callers {
+	for i := range loadClients {
 		c := standin.NewCaller("ward")
 		l.wg.Go(func() {
 			for n := i; ; n++ {
@@ -54,14 +55,14 @@
 					return
 				default:
 				}
-				l.call(c, f.VMs[n%len(f.VMs)], []string{"draft", "lookup", "notice"}[n%3])
+				l.send(c, f.VMs[n%len(f.VMs)], []string{"draft", "lookup", "notice"}[n%3])
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) call(c *standin.Caller, v *fleet.VM, route string) {
+func (l *load) send(c *standin.Caller, v *fleet.VM, route string) {
 	if !v.Ready() {
 		time.Sleep(20 * time.Millisecond) // a load balancer would choose another VM
 		return
@@ -69,42 +70,42 @@
 	a := c.Call(v.Caller, route)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answers++
+	l.responses++
 	if !a.Whole {
 		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Took))
 	}
 }
 
-// enough is a number of responses that includes several of each route from each VM.
-const enough = 30
+// enoughResponses is a number of responses that includes several of each route from each VM.
+const enoughResponses = 30
 
-// more waits for enough further responses.
-func (l *load) more(t *testing.T) {
+// awaitResponses waits for enough further responses.
+func (l *load) awaitResponses(t *testing.T) {
 	t.Helper()
-	goal := l.count() + enough
-	require.Eventually(t, func() bool { return l.count() >= goal }, startLimit, 10*time.Millisecond)
+	goal := l.count() + enoughResponses
+	require.Eventually(t, func() bool { return l.count() >= goal }, startTimeout, 10*time.Millisecond)
 }
 
-func (l *load) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.answers }
+func (l *load) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.responses }
 
-// end stops the load and requires that each request got its complete response, that no request that may not be repeated ran
-// twice, and that none ran for another workspace.
-func (l *load) end(t *testing.T, f *fleet.Fleet) {
+// stopAndCheck stops the load and requires that each request got its complete response, that no request that may not be
+// repeated ran twice, and that none ran for another workspace.
+func (l *load) stopAndCheck(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	require.Greater(t, l.answers, 20)
+	require.Greater(t, l.responses, 20)
 	require.Empty(t, l.failures)
 	twice, wrong := f.Platform.Ran()
 	require.Zero(t, twice, "requests ran twice that may not be repeated")
 	require.Zero(t, wrong, "requests ran for another workspace")
 }
 
-func TestPlatformCalmDay(t *testing.T) {
+func TestPlatformServesWithoutFaults(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(2 * time.Second)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // The operator adds a route. Two seconds later every VM must serve it.
@@ -117,7 +118,7 @@
 	for _, v := range f.VMs {
 		require.True(t, c.Call(v.Caller, "extra").Whole)
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // The operator withdraws the API key of a workspace, and the store has discarded its change history as well, so watches
@@ -133,11 +134,11 @@
 	for _, v := range f.VMs {
 		require.Equal(t, http.StatusUnauthorized, c.Call(v.Caller, "lookup").Status)
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // An upstream announces that it leaves. Two seconds later it must receive no new requests, and no request fails.
-func TestPlatformLeavingUpstreamGetsNothingNew(t *testing.T) {
+func TestPlatformLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(500 * time.Millisecond)
@@ -146,17 +147,17 @@
 	time.Sleep(3500 * time.Millisecond)
 	require.Zero(t, f.Platform.Models[0].Late())
 	require.Zero(t, f.Platform.Desks[0].Late())
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // An engine crashes while it serves streams. Other engines must resume them.
-func TestPlatformCrashedEngineCostsNoStream(t *testing.T) {
+func TestPlatformStreamsResumeAfterEngineCrash(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(500 * time.Millisecond)
 	f.Platform.Models[0].Crash()
 	time.Sleep(2 * time.Second)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // Every VM is stopped and started in turn, under load. No request may fail.
@@ -173,9 +174,9 @@
 		}
 		require.True(t, v.Process.Clean(), v.Process.Status())
 		require.NoError(t, f.Start(v))
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
 // The store is unavailable for less time than cached API keys may be accepted, and the entries of all upstreams have
@@ -195,7 +196,7 @@
 			r.Register()
 		}
 		time.Sleep(2 * time.Second)
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 	}
 }
 
@@ -209,11 +210,12 @@
 	require.Equal(t, http.StatusServiceUnavailable, a.Status)
 	require.False(t, f.VMs[0].Ready())
 	f.Platform.Fail(standin.Well)
-	require.NoError(t, f.VMs[0].AwaitReady(startLimit))
+	require.NoError(t, f.VMs[0].AwaitReady(startTimeout))
 	require.True(t, standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice").Whole)
 }
 
-// Each VM is killed in turn, so also the one that owns the services. The others must serve requests without waiting for it.
+// Each VM is killed in turn, the owner of the services among them. The others must serve requests without waiting for the
+// killed VM.
 func TestPlatformKilledOwner(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, v := range f.VMs {
@@ -230,14 +232,14 @@
 			}
 		}
 		require.NoError(t, f.Start(v))
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
 }
 
 // A poison request crashes each upstream that begins to run it, and its client repeats it, each time through another VM.
 // Crashed upstreams are back after a second. If each VM had to detect the request by itself, the service would be down for
-// all clients for as long as this one goes on.
-func TestPlatformKillerRequestIsMetByFewUpstreams(t *testing.T) {
+// all clients for as long as this client goes on.
+func TestPlatformPoisonRequestCrashesFewUpstreams(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, r := range f.Platform.Desks {
 		r.Dies = func(r *standin.Runner) {
@@ -261,21 +263,21 @@
 // Another writer adds invalid entries to the list of upstreams in the store and overwrites a valid one. A VM that rejected
 // the whole list would refuse every request; a VM that accepted the invalid entries would send requests to addresses
 // where nothing listens.
-func TestPlatformEntriesOfAnotherWriter(t *testing.T) {
+func TestPlatformInvalidEntriesOfAnotherWriter(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.Forge()
-	spoilt := f.Platform.Models[0]
-	spoilt.Spoil()
+	corrupted := f.Platform.Models[0]
+	corrupted.Spoil()
 	for _, v := range f.VMs {
-		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+spoilt.ID()+`","reason"`)) > 0 }, startLimit, 20*time.Millisecond, v.Name)
+		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+corrupted.ID()+`","reason"`)) > 0 }, startTimeout, 20*time.Millisecond, v.Name)
 	}
-	l.more(t)
-	spoilt.Register()
-	before := spoilt.Ran()
-	require.Eventually(t, func() bool { return spoilt.Ran() > before }, startLimit, 20*time.Millisecond, "the upstream is used again")
-	l.end(t, f)
+	l.awaitResponses(t)
+	corrupted.Register()
+	before := corrupted.Ran()
+	require.Eventually(t, func() bool { return corrupted.Ran() > before }, startTimeout, 20*time.Millisecond, "the upstream is used again")
+	l.stopAndCheck(t, f)
 	for _, v := range f.VMs {
 		v.Process.Kill()
 	}
@@ -283,7 +285,7 @@
 		require.NoError(t, f.Start(v))
 	}
 	for _, v := range f.VMs {
-		require.NoError(t, v.AwaitReady(startLimit), "VMs that all restart at once can read the list only from the store")
+		require.NoError(t, v.AwaitReady(startTimeout), "VMs that all restart at once can read the list only from the store")
 		require.True(t, standin.NewCaller("ward").Call(v.Caller, "draft").Whole)
 		require.NotEmpty(t, v.Process.Grep(`"event":"unusable"`), v.Name)
 	}
@@ -292,15 +294,15 @@
 // An engine crashes while it serves streams and restarts with the same id and address. Other engines must resume the
 // streams, and the engine must receive requests again: it would stay idle if the owner still counted the grants of the
 // earlier incarnation as running.
-func TestPlatformRunnerComesBackUnderItsID(t *testing.T) {
+func TestPlatformEngineRestartsWithSameID(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
-	old := f.Platform.Models[0]
-	f.Crash(old)
-	l.more(t)
-	require.NoError(t, f.Revive(old))
-	revived := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return revived.Ran() > 0 }, 3*time.Second, 50*time.Millisecond)
-	l.end(t, f)
+	l.awaitResponses(t)
+	crashed := f.Platform.Models[0]
+	f.Crash(crashed)
+	l.awaitResponses(t)
+	require.NoError(t, f.Revive(crashed))
+	restarted := f.Platform.Models[0]
+	require.Eventually(t, func() bool { return restarted.Ran() > 0 }, 3*time.Second, 50*time.Millisecond)
+	l.stopAndCheck(t, f)
 }
--- a/scenarios/profile_test.go
+++ b/scenarios/profile_test.go
@@ -18,28 +18,28 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// holds matches the metrics of a VM that is the holder of a service.
-var holds = regexp.MustCompile(`snipeshift_service_held\{[^}]*\} 1\n`)
+// holderMetric matches the metrics of a VM that is the holder of a service.
+var holderMetric = regexp.MustCompile(`snipeshift_service_held\{[^}]*\} 1\n`)
 
 const (
-	profileCallers = 48
-	// profileTime is the duration of a profile, keptTime that of a profile written to the folder PROFILE.
-	profileTime = time.Second
-	keptTime    = 10 * time.Second
+	profileClients = 48
+	// profileTime is the duration of a profile, keptProfileTime that of a profile written to the folder PROFILE.
+	profileTime     = time.Second
+	keptProfileTime = 10 * time.Second
 )
 
 // If the processors of VMs are saturated and clients are served late, metrics show the delay but not its cause. So each VM
 // must serve a CPU profile while under load.
 // PROFILE=dir writes the profiles of all VMs to a folder, each file named by role: holder of a service, or gate.
 func TestPlatformProfileOfAVMUnderLoad(t *testing.T) {
-	dir, took := os.Getenv("PROFILE"), profileTime
+	dir, duration := os.Getenv("PROFILE"), profileTime
 	if dir != "" {
-		took = keptTime
+		duration = keptProfileTime
 	}
 	f := newFleet(t, 3)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	for i := range profileCallers {
+	for i := range profileClients {
 		c := standin.NewCaller("ward")
 		wg.Go(func() {
 			for n := i; ; n++ {
@@ -56,12 +56,12 @@
 	var profiles sync.WaitGroup
 	for _, v := range f.VMs {
 		profiles.Go(func() {
-			held := get(t, v, "/metrics", time.Second)
+			metrics := getPage(t, v, "/metrics", time.Second)
 			role := "gate"
-			if holds.MatchString(held) {
+			if holderMetric.MatchString(metrics) {
 				role = "holder"
 			}
-			profile := get(t, v, fmt.Sprintf("/debug/pprof/profile?seconds=%d", took/time.Second), took+5*time.Second)
+			profile := getPage(t, v, fmt.Sprintf("/debug/pprof/profile?seconds=%d", duration/time.Second), duration+5*time.Second)
 			if dir != "" {
 				if err := os.WriteFile(filepath.Join(dir, role+"-"+v.Name+".pprof"), []byte(profile), 0o600); err != nil {
 					t.Error(err)
@@ -77,9 +77,9 @@
 	wg.Wait()
 }
 
-// get reads a page from a VM's metrics address.
-func get(t *testing.T, v *fleet.VM, path string, within time.Duration) string {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// getPage reads a page from a VM's metrics address.
+func getPage(t *testing.T, v *fleet.VM, path string, timeout time.Duration) string {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+v.Metrics+path, http.NoBody)
 	require.NoError(t, err)
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -20,8 +20,8 @@
 	envBin = "SNIPESHIFT_BIN"
 )
 
-// atOnce is the maximum number of scenarios that run concurrently; each has about ten processes.
-const atOnce = 4
+// maxConcurrent is the maximum number of scenarios that run concurrently; each has about ten processes.
+const maxConcurrent = 4
 
 // programs maps the names of the programs that scenarios start to their packages.
 var programs = map[string]string{
@@ -30,8 +30,8 @@
 	"emulator":    "snipeshift.example/emulator",
 }
 
-// bin is the folder of the programs.
-var bin string
+// binDir is the folder of the programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(withPrograms(m))
@@ -39,7 +39,7 @@
 
 // withPrograms builds the programs, so that no scenario runs stale ones, and runs the tests. It returns the exit code.
 func withPrograms(m *testing.M) int {
-	if bin = os.Getenv(envBin); bin != "" {
+	if binDir = os.Getenv(envBin); binDir != "" {
 		return m.Run()
 	}
 	dir, err := os.MkdirTemp("", "snipeshift-scenarios-")
@@ -48,7 +48,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	for name, pkg := range programs {
 		out, err := exec.Command("go", "build", "-o", filepath.Join(dir, name), pkg).CombinedOutput()
 		if err != nil {
@@ -60,10 +60,10 @@
 }
 
 // slots bounds the scenarios that run concurrently in this process.
-var slots = make(chan struct{}, atOnce)
+var slots = make(chan struct{}, maxConcurrent)
 
 func newRunner() *script.Runner {
-	return &script.Runner{Bin: bin, Slots: slots}
+	return &script.Runner{Bin: binDir, Slots: slots}
 }
 
 // TestScenarios runs the project's own scripts.
@@ -71,8 +71,8 @@
 	testscript.Run(t, newRunner().Params(filepath.Join("testdata", "scripts")))
 }
 
-// TestOutside runs the scripts of the folder that SCENARIOS names.
-func TestOutside(t *testing.T) {
+// TestExternalScripts runs the scripts of the folder that SCENARIOS names.
+func TestExternalScripts(t *testing.T) {
 	dir := os.Getenv(envScripts)
 	if dir == "" {
 		t.Skip("SCENARIOS names no folder")
--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -16,8 +16,8 @@
 	register("mark", mark)
 }
 
-// awaitLimit bounds waits for conditions that have no guaranteed time bound.
-const awaitLimit = 45 * time.Second
+// awaitTimeout bounds waits for conditions that have no guaranteed time bound.
+const awaitTimeout = 45 * time.Second
 
 // condition reports whether a condition of await holds for the process, call or load of that name. An error ends the wait.
 type condition func(s *session, name string) (bool, error)
@@ -30,8 +30,8 @@
 		ended, _, err := s.world.Exited(name)
 		return ended, err
 	},
-	"arrived": func(s *session, name string) (bool, error) { return executed(s, name, false) },
-	"running": func(s *session, name string) (bool, error) { return executed(s, name, true) },
+	"arrived": func(s *session, name string) (bool, error) { return wasExecuted(s, name, false) },
+	"running": func(s *session, name string) (bool, error) { return wasExecuted(s, name, true) },
 	"first": func(s *session, name string) (bool, error) {
 		r, err := s.result(name)
 		if err != nil || r == nil {
@@ -44,8 +44,8 @@
 	},
 	"gone":     func(s *session, name string) (bool, error) { return s.world.Gone(s.ctx, name) },
 	"joined":   func(s *session, name string) (bool, error) { return s.world.Joined(s.ctx, name) },
-	"done":     done,
-	"free":     free,
+	"done":     allEnded,
+	"free":     memoryFree,
 	"granted":  func(s *session, name string) (bool, error) { return s.world.Granted(s.ctx, name) },
 	"revision": func(s *session, name string) (bool, error) { return s.world.InForce(s.ctx, name) },
 }
@@ -53,16 +53,16 @@
 // await waits until a condition holds for every name, by default for all daemons:
 // await [-within D] CONDITION NAME...
 func await(s *session, args []string) error {
-	limit := awaitLimit
+	limit := awaitTimeout
 	if len(args) > 1 && args[0] == "-within" {
 		d, err := time.ParseDuration(args[1])
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		limit, args = d, args[2:]
 	}
 	if len(args) < 1 || conditions[args[0]] == nil {
-		return usage("await [-within D] CONDITION NAME...")
+		return usageError("await [-within D] CONDITION NAME...")
 	}
 	names := args[1:]
 	if len(names) == 0 {
@@ -104,9 +104,9 @@
 	return ended, err
 }
 
-// executed reports whether an upstream has recorded the call, and with ran set, whether one began to run it. A call that
-// ended without that is an error.
-func executed(s *session, name string, ran bool) (bool, error) {
+// wasExecuted reports whether an upstream has recorded the call, and with started set, whether one began to run it. It
+// returns an error if the call ended without either.
+func wasExecuted(s *session, name string, started bool) (bool, error) {
 	r, err := s.result(name)
 	if err != nil || r == nil {
 		return false, err
@@ -116,7 +116,7 @@
 		return false, err
 	}
 	for _, x := range l.Of(r.Call) {
-		if x.Ran() || !ran {
+		if x.Ran() || !started {
 			return true, nil
 		}
 	}
@@ -126,8 +126,8 @@
 	return false, nil
 }
 
-// done reports whether a call, or all calls of a load, have ended.
-func done(s *session, name string) (bool, error) {
+// allEnded reports whether a call, or all calls of a load, have ended.
+func allEnded(s *session, name string) (bool, error) {
 	if sent, ok := s.loads[name]; ok {
 		select {
 		case <-sent:
@@ -147,21 +147,21 @@
 	return true, nil
 }
 
-// free reports whether an engine reserves memory only for calls that have not ended.
-func free(s *session, name string) (bool, error) {
-	left, err := s.world.Unexplained(s.ctx, name)
-	return len(left) == 0, err
+// memoryFree reports whether an engine reserves memory only for calls that have not ended.
+func memoryFree(s *session, name string) (bool, error) {
+	orphaned, err := s.world.Unexplained(s.ctx, name)
+	return len(orphaned) == 0, err
 }
 
 // pass sleeps: pass DURATION. It is for effects that need time and can't be awaited, such as a lease that expires while its
 // holder is frozen. It checks nothing.
 func pass(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("pass DURATION")
+		return usageError("pass DURATION")
 	}
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -175,13 +175,13 @@
 // mark stores the current time, optionally plus a duration, under a name: mark NAME [+D]
 func mark(s *session, args []string) error {
 	if len(args) < 1 || len(args) > 2 {
-		return usage("mark NAME [+D]")
+		return usageError("mark NAME [+D]")
 	}
 	at := now()
 	if len(args) == 2 {
 		d, err := time.ParseDuration(strings.TrimPrefix(args[1], "+"))
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		at += clock.Of(d)
 	}
--- a/scenarios/script/bad.go
+++ b/scenarios/script/bad.go
@@ -8,16 +8,16 @@
 
 func init() { register("bad", bad) }
 
-// goroutinesLimit is how long a daemon may take to end the goroutines that bad inputs started.
-const goroutinesLimit = 15 * time.Second
+// goroutinesTimeout is how long a daemon may take to end the goroutines that bad inputs started.
+const goroutinesTimeout = 15 * time.Second
 
-// goroutinesNoise is by how much the number of goroutines of an idle daemon varies.
-const goroutinesNoise = 10
+// goroutinesVariation is by how much the number of goroutines of an idle daemon varies.
+const goroutinesVariation = 10
 
 // bad sends every kind of bad input to a daemon, twice, and checks the responses and that no goroutines leak: bad VM
 func bad(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("bad VM")
+		return usageError("bad VM")
 	}
 	before, err := s.world.Goroutines(s.ctx, args[0])
 	if err != nil {
@@ -28,8 +28,8 @@
 			return err
 		}
 	}
-	return world.Await(s.ctx, goroutinesLimit, "end of leaked goroutines", func() (bool, error) {
+	return world.Await(s.ctx, goroutinesTimeout, "end of leaked goroutines", func() (bool, error) {
 		now, err := s.world.Goroutines(s.ctx, args[0])
-		return now <= before+goroutinesNoise, err
+		return now <= before+goroutinesVariation, err
 	})
 }
--- a/scenarios/script/call.go
+++ b/scenarios/script/call.go
@@ -33,21 +33,21 @@
 
 // call sends one request and waits for its end, or with a trailing "&" does not wait: call [flags] NAME [&]
 func call(s *session, args []string) error {
-	args, later := background(args)
+	args, async := background(args)
 	var c world.Call
 	f := flag.NewFlagSet("call", flag.ContinueOnError)
 	deadline := callFlags(f, &c)
 	f.StringVar(&c.To, "to", "vm-1", "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) != 1 {
-		return usage("call [flags] NAME [&]")
+		return usageError("call [flags] NAME [&]")
 	}
 	c.Name, c.Deadline = rest[0], clock.Milli(*deadline)
 	r, err := s.world.Begin(c)
-	if err != nil || later {
+	if err != nil || async {
 		return err
 	}
 	r.Wait()
@@ -58,7 +58,7 @@
 // load sends many requests over several daemons and waits for their ends, or with a trailing "&" does not wait:
 // load [flags] NAME [&]. The calls are named NAME.1, NAME.2 and so on.
 func load(s *session, args []string) error {
-	args, later := background(args)
+	args, async := background(args)
 	var c world.Call
 	f := flag.NewFlagSet("load", flag.ContinueOnError)
 	deadline := callFlags(f, &c)
@@ -68,12 +68,12 @@
 	mixed := f.Bool("mixed", false, "")
 	copies := f.Int("copies", 1, "")
 	ready := f.Bool("ready", false, "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) != 1 {
-		return usage("load [flags] NAME [&]")
+		return usageError("load [flags] NAME [&]")
 	}
 	c.Deadline = clock.Milli(*deadline)
 	gates := s.world.Daemons()
@@ -85,7 +85,7 @@
 		b.balancer = s.world.Balance(s.ctx)
 	}
 	s.loads[b.name] = b.done
-	if later {
+	if async {
 		go func() { _ = b.send(s, *n, *gap) }()
 		return nil
 	}
@@ -126,15 +126,15 @@
 				return s.ctx.Err()
 			}
 		}
-		if err := b.one(s, b.next(i)); err != nil {
+		if err := b.startOne(s, b.callAt(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// one starts one call, or several copies of it through different daemons.
-func (b *batch) one(s *session, c world.Call) error {
+// startOne starts one call, or several copies of it through different daemons.
+func (b *batch) startOne(s *session, c world.Call) error {
 	if b.balancer != nil {
 		c.To = b.balancer.Choose()
 	}
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// next returns call i of the load.
-func (b *batch) next(i int) world.Call {
+// callAt returns call i of the load.
+func (b *batch) callAt(i int) world.Call {
 	c := b.call
 	c.Name = fmt.Sprintf("%s.%d", b.name, i+1)
 	c.To = b.gates[i%len(b.gates)]
--- a/scenarios/script/deploy.go
+++ b/scenarios/script/deploy.go
@@ -12,7 +12,7 @@
 // deploy starts a deployment and waits until all daemons are ready: deploy [flags]
 func deploy(s *session, args []string) error {
 	var p world.Plan
-	var engine, daemon, platform, document many
+	var engine, daemon, platform, document stringList
 	f := flag.NewFlagSet("deploy", flag.ContinueOnError)
 	f.IntVar(&p.Daemons, "daemons", 3, "")
 	f.IntVar(&p.Engines, "engines", 2, "")
@@ -23,25 +23,25 @@
 	f.Var(&daemon, "daemon", "")
 	f.Var(&platform, "platform", "")
 	f.Var(&document, "document", "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) > 0 {
-		return usage("deploy [flags]")
+		return usageError("deploy [flags]")
 	}
 	p.Engine, p.Daemon, p.Platform, p.Document = engine, daemon, platform, document
 	if err := s.world.Deploy(s.ctx, p); err != nil {
 		return err
 	}
-	s.operators()
+	s.setOperatorEnv()
 	return nil
 }
 
-// operators sets the environment of the script so that "exec snipeshift" runs the operator command.
-func (s *session) operators() {
+// setOperatorEnv sets the environment of the script so that "exec snipeshift" runs the operator command.
+func (s *session) setOperatorEnv() {
 	for k, v := range s.world.OperatorEnv() {
 		s.ts.Setenv(k, v)
 	}
-	s.ts.Setenv("PATH", s.bin+string(os.PathListSeparator)+s.ts.Getenv("PATH"))
+	s.ts.Setenv("PATH", s.binDir+string(os.PathListSeparator)+s.ts.Getenv("PATH"))
 }
--- a/scenarios/script/document.go
+++ b/scenarios/script/document.go
@@ -12,7 +12,7 @@
 func apply(s *session, args []string) error {
 	text, err := s.world.Edit(args)
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
 	return s.world.Apply(s.ctx, text, s.world.Accepting())
 }
@@ -21,24 +21,24 @@
 // the document at the same time: edit FILE PATH=VALUE...
 func edit(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("edit FILE PATH=VALUE...")
+		return usageError("edit FILE PATH=VALUE...")
 	}
 	text, err := s.world.Edit(args[1:])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
-	s.bases[args[0]] = s.world.Accepting()
+	s.baseRevisions[args[0]] = s.world.Accepting()
 	return os.WriteFile(s.ts.MkAbs(args[0]), text, 0o600)
 }
 
 // applyFile submits the document in a file, on condition that the revision it is based on is still current: applyfile FILE
 func applyFile(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("applyfile FILE")
+		return usageError("applyfile FILE")
 	}
-	base, ok := s.bases[args[0]]
+	base, ok := s.baseRevisions[args[0]]
 	if !ok {
-		return usage("no file written by edit: " + args[0])
+		return usageError("no file written by edit: " + args[0])
 	}
 	return s.world.Apply(s.ctx, []byte(s.ts.ReadFile(args[0])), base)
 }
--- a/scenarios/script/expect.go
+++ b/scenarios/script/expect.go
@@ -12,22 +12,22 @@
 
 func init() { register("expect", expectCall) }
 
-// shown is the maximum number of calls listed in an error message.
-const shown = 8
+// maxShown is the maximum number of calls listed in an error message.
+const maxShown = 8
 
 // expectCall waits for calls to end and checks their results as the clients saw them:
 // expect [-least N|-exactly N|-most N] NAME FIELD=VALUE|VALUE...
 func expectCall(s *session, args []string) error {
 	f := flag.NewFlagSet("expect", flag.ContinueOnError)
-	least := f.Int("least", -1, "")
+	atLeast := f.Int("least", -1, "")
 	exactly := f.Int("exactly", -1, "")
-	most := f.Int("most", -1, "")
-	rest, err := flags(f, args)
+	atMost := f.Int("most", -1, "")
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) < 2 {
-		return usage("expect [-least N|-exactly N|-most N] NAME FIELD=VALUE...")
+		return usageError("expect [-least N|-exactly N|-most N] NAME FIELD=VALUE...")
 	}
 	var rs []*world.Result
 	for _, name := range strings.Split(rest[0], ",") {
@@ -36,41 +36,41 @@
 		}
 		found := s.world.Results(name)
 		if len(found) == 0 {
-			return usage("no call " + name)
+			return usageError("no call " + name)
 		}
 		rs = append(rs, found...)
 	}
 	matched := 0
-	var unmet []string
+	var mismatches []string
 	for _, r := range rs {
 		r.Wait()
-		why, err := differs(r, rest[1:])
+		diff, err := mismatch(r, rest[1:])
 		if err != nil {
 			return err
 		}
-		if why == "" {
+		if diff == "" {
 			matched++
 			continue
 		}
-		unmet = append(unmet, fmt.Sprintf("%s: %s", why, r))
+		mismatches = append(mismatches, fmt.Sprintf("%s: %s", diff, r))
 	}
 	switch {
-	case *least >= 0 && matched >= *least, *exactly >= 0 && matched == *exactly, *most >= 0 && matched <= *most:
+	case *atLeast >= 0 && matched >= *atLeast, *exactly >= 0 && matched == *exactly, *atMost >= 0 && matched <= *atMost:
 		return nil
-	case *least < 0 && *exactly < 0 && *most < 0 && len(unmet) == 0:
+	case *atLeast < 0 && *exactly < 0 && *atMost < 0 && len(mismatches) == 0:
 		return nil
 	}
-	return fmt.Errorf("%d of %d calls match %v; calls that do not:\n%s", matched, len(rs), rest[1:], strings.Join(unmet[:min(len(unmet), shown)], "\n"))
+	return fmt.Errorf("%d of %d calls match %v; calls that do not:\n%s", matched, len(rs), rest[1:], strings.Join(mismatches[:min(len(mismatches), maxShown)], "\n"))
 }
 
-// differs describes the first field of a result that is not as expected; empty if all are.
-func differs(r *world.Result, wants []string) (string, error) {
+// mismatch describes the first field of a result that is not as expected; empty if all are.
+func mismatch(r *world.Result, wants []string) (string, error) {
 	for _, want := range wants {
 		field, value, _ := strings.Cut(want, "=")
 		if field == "under" {
 			d, err := time.ParseDuration(value)
 			if err != nil {
-				return "", usage(err.Error())
+				return "", usageError(err.Error())
 			}
 			if r.Elapsed > d {
 				return want, nil
@@ -103,6 +103,6 @@
 	case "replayed":
 		return fmt.Sprint(r.Replayed), nil
 	default:
-		return "", usage("no field " + field)
+		return "", usageError("no field " + field)
 	}
 }
--- a/scenarios/script/fault.go
+++ b/scenarios/script/fault.go
@@ -22,7 +22,7 @@
 // ends the outage.
 func outage(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("outage refuse|hang|over")
+		return usageError("outage refuse|hang|over")
 	}
 	kind := args[0]
 	if kind == "over" {
@@ -32,10 +32,10 @@
 }
 
 // storeField makes a command that sets one field of the emulated store; unit names its argument.
-func storeField(field, unit string) run {
+func storeField(field, unit string) commandFunc {
 	return func(s *session, args []string) error {
 		if len(args) != 1 {
-			return usage("one argument needed: " + unit)
+			return usageError("one argument needed: " + unit)
 		}
 		return s.world.Control(s.ctx, world.Store, field+"="+args[0])
 	}
@@ -44,7 +44,7 @@
 // deadwatch makes the store keep watches open without sending changes on them: deadwatch on|off
 func deadwatch(s *session, args []string) error {
 	if len(args) != 1 || args[0] != "on" && args[0] != "off" {
-		return usage("deadwatch on|off")
+		return usageError("deadwatch on|off")
 	}
 	return s.world.Control(s.ctx, world.Store, fmt.Sprintf("deadwatch=%v", args[0] == "on"))
 }
@@ -52,7 +52,7 @@
 // control injects faults into an emulated upstream or store: control NAME FIELD=VALUE...
 func control(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("NAME FIELD=VALUE...")
+		return usageError("NAME FIELD=VALUE...")
 	}
 	return s.world.Control(s.ctx, args[0], args[1:]...)
 }
--- a/scenarios/script/find.go
+++ b/scenarios/script/find.go
@@ -15,7 +15,7 @@
 // owner sets a variable to the name of a pool's owner: owner VAR POOL
 func owner(s *session, args []string) error {
 	if len(args) != 2 {
-		return usage("owner VAR POOL")
+		return usageError("owner VAR POOL")
 	}
 	name, err := s.world.Owner(s.ctx, args[1])
 	if err != nil {
@@ -28,7 +28,7 @@
 // where sets a variable to the name of the first upstream that ran a call: where VAR CALL
 func where(s *session, args []string) error {
 	if len(args) != 2 {
-		return usage("where VAR CALL")
+		return usageError("where VAR CALL")
 	}
 	r, err := s.world.Result(args[1])
 	if err != nil {
@@ -50,14 +50,14 @@
 // others sets a variable to the names of all daemons except those given, separated by commas: others VAR NAME...
 func others(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("others VAR NAME...")
+		return usageError("others VAR NAME...")
 	}
-	var left []string
+	var names []string
 	for _, d := range s.world.Daemons() {
 		if !slices.Contains(args[1:], d) {
-			left = append(left, d)
+			names = append(names, d)
 		}
 	}
-	s.ts.Setenv(args[0], strings.Join(left, ","))
+	s.ts.Setenv(args[0], strings.Join(names, ","))
 	return nil
 }
--- a/scenarios/script/ledger.go
+++ b/scenarios/script/ledger.go
@@ -42,7 +42,7 @@
 // ledger runs a check on the requests that upstreams recorded: ledger CHECK ARGUMENT...
 func ledger(s *session, args []string) error {
 	if len(args) == 0 || ledgerChecks[args[0]] == nil {
-		return usage("ledger time|whole|notrun|once|ours|memory|document|usage|all|empty|ran|quiet|died|orders")
+		return usageError("ledger time|whole|notrun|once|ours|memory|document|usage|all|empty|ran|quiet|died|orders")
 	}
 	return ledgerChecks[args[0]](s, args[1:])
 }
@@ -66,7 +66,7 @@
 	if len(args) == 1 {
 		d, err := time.ParseDuration(args[0])
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		bound = d
 	}
@@ -80,7 +80,7 @@
 	if len(args) == 1 {
 		n, err := strconv.Atoi(args[0])
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		missing = n
 	}
@@ -95,7 +95,7 @@
 // checkRan checks that upstreams ran a call exactly N, at least N (N-) or at most N (-N) times: ledger ran CALL N|N-|-N
 func checkRan(s *session, args []string) error {
 	if len(args) != 2 {
-		return usage("ledger ran CALL N|N-|-N")
+		return usageError("ledger ran CALL N|N-|-N")
 	}
 	r, err := s.world.Result(args[0])
 	if err != nil {
@@ -107,17 +107,17 @@
 	}
 	n, err := strconv.Atoi(strings.Trim(args[1], "-"))
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
-	var where []string
+	var upstreams []string
 	for _, x := range l.Of(r.Call) {
 		if x.Ran() {
-			where = append(where, x.Upstream+" "+x.Outcome)
+			upstreams = append(upstreams, x.Upstream+" "+x.Outcome)
 		}
 	}
-	least, most := !strings.HasPrefix(args[1], "-"), !strings.HasSuffix(args[1], "-")
-	if least && len(where) < n || most && len(where) > n {
-		return fmt.Errorf("call %s ran %d times, expected %s: %v", args[0], len(where), args[1], where)
+	atLeast, atMost := !strings.HasPrefix(args[1], "-"), !strings.HasSuffix(args[1], "-")
+	if atLeast && len(upstreams) < n || atMost && len(upstreams) > n {
+		return fmt.Errorf("call %s ran %d times, expected %s: %v", args[0], len(upstreams), args[1], upstreams)
 	}
 	return nil
 }
@@ -137,11 +137,11 @@
 // checkQuiet checks that no request arrived at an upstream after the time of a mark: ledger quiet UPSTREAM MARK
 func checkQuiet(s *session, args []string) error {
 	if len(args) != 2 {
-		return usage("ledger quiet UPSTREAM MARK")
+		return usageError("ledger quiet UPSTREAM MARK")
 	}
 	since, ok := s.marks[args[1]]
 	if !ok {
-		return usage("no mark " + args[1])
+		return usageError("no mark " + args[1])
 	}
 	l, err := s.world.Ledger()
 	if err != nil {
@@ -162,20 +162,20 @@
 // checkDied checks that at most N upstreams are not running: ledger died N
 func checkDied(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("ledger died N")
+		return usageError("ledger died N")
 	}
 	n, err := strconv.Atoi(args[0])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
-	var dead []string
+	var exitedNames []string
 	for _, name := range s.world.Upstreams() {
 		if ended, _, _ := s.world.Exited(name); ended {
-			dead = append(dead, name)
+			exitedNames = append(exitedNames, name)
 		}
 	}
-	if len(dead) > n {
-		return fmt.Errorf("%d upstreams have exited: %v", len(dead), dead)
+	if len(exitedNames) > n {
+		return fmt.Errorf("%d upstreams have exited: %v", len(exitedNames), exitedNames)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	if len(args) == 1 {
 		n, err := strconv.Atoi(args[0])
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		if len(l.Orders) < n {
 			return fmt.Errorf("%d orders were sent, expected at least %d", len(l.Orders), n)
--- a/scenarios/script/link.go
+++ b/scenarios/script/link.go
@@ -13,17 +13,17 @@
 	register("silence", silence)
 }
 
-// link applies f to the link between the two processes in args, the dialling one first. Two daemons dial each other, so a
-// network fault between them concerns the links of both directions, unless one is set.
-func (s *session) link(args []string, one bool, f func(from, to string) error) error {
+// onLink applies f to the link between the two processes in args, the dialling one first. Two daemons dial each other, so
+// between them it applies f to the links of both directions, unless single is set.
+func (s *session) onLink(args []string, single bool, f func(from, to string) error) error {
 	if len(args) != 2 {
-		return usage("needs the names of two processes, the dialling one first")
+		return usageError("needs the names of two processes, the dialling one first")
 	}
 	if err := f(args[0], args[1]); err != nil {
 		return err
 	}
-	ds := s.world.Daemons()
-	if one || !slices.Contains(ds, args[0]) || !slices.Contains(ds, args[1]) {
+	daemons := s.world.Daemons()
+	if single || !slices.Contains(daemons, args[0]) || !slices.Contains(daemons, args[1]) {
 		return nil
 	}
 	return f(args[1], args[0])
@@ -32,17 +32,17 @@
 // cut resets the connections of a link and refuses new ones until heal: cut [-one] FROM TO
 func cut(s *session, args []string) error {
 	f := flag.NewFlagSet("cut", flag.ContinueOnError)
-	one := f.Bool("one", false, "")
-	rest, err := flags(f, args)
+	single := f.Bool("one", false, "")
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
-	return s.link(rest, *one, s.world.Cut)
+	return s.onLink(rest, *single, s.world.Cut)
 }
 
 // heal ends the fault of a link for connections opened from now on: heal FROM TO
 func heal(s *session, args []string) error {
-	return s.link(args, false, s.world.Heal)
+	return s.onLink(args, false, s.world.Heal)
 }
 
 // silence keeps the connections of a link open but discards what is sent over them, with -there only what the dialling
@@ -50,20 +50,20 @@
 // silence [-one] [-new] [-there|-back] FROM TO
 func silence(s *session, args []string) error {
 	f := flag.NewFlagSet("silence", flag.ContinueOnError)
-	one := f.Bool("one", false, "")
-	fresh := f.Bool("new", false, "")
+	single := f.Bool("one", false, "")
+	newToo := f.Bool("new", false, "")
 	there := f.Bool("there", false, "")
 	back := f.Bool("back", false, "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
-	ways := relay.Both
+	directions := relay.Both
 	switch {
 	case *there && !*back:
-		ways = relay.There
+		directions = relay.There
 	case *back && !*there:
-		ways = relay.Back
+		directions = relay.Back
 	}
-	return s.link(rest, *one, func(from, to string) error { return s.world.Silence(from, to, ways, *fresh) })
+	return s.onLink(rest, *single, func(from, to string) error { return s.world.Silence(from, to, directions, *newToo) })
 }
--- a/scenarios/script/process.go
+++ b/scenarios/script/process.go
@@ -13,7 +13,7 @@
 // setVM changes the state of a VM in the platform's list, which processes see with a delay: vm NAME live|leaving|gone
 func setVM(s *session, args []string) error {
 	if len(args) != 2 {
-		return usage("vm NAME live|leaving|gone")
+		return usageError("vm NAME live|leaving|gone")
 	}
 	return s.world.SetVM(s.ctx, args[0], args[1])
 }
--- a/scenarios/script/script.go
+++ b/scenarios/script/script.go
@@ -20,29 +20,29 @@
 type session struct {
 	ctx   context.Context //nolint:containedctx // canceled at the end of the script
 	world *world.World
-	// bin is the folder of the programs.
-	bin string
-	ts  *testscript.TestScript
+	// binDir is the folder of the programs.
+	binDir string
+	ts     *testscript.TestScript
 	// marks holds the times that the script named with mark.
 	marks map[string]clock.Milli
 	// loads has a channel for each load by name; it is closed once the load has sent its last request.
 	loads map[string]chan struct{}
-	// bases maps each edited file to the document revision that it is based on.
-	bases map[string]uint64
+	// baseRevisions maps each edited file to the document revision that it is based on.
+	baseRevisions map[string]uint64
 }
 
-// run runs a command; its error fails the script, unless the command follows "!".
-type run func(s *session, args []string) error
+// commandFunc runs a command; its error fails the script, unless the command follows "!".
+type commandFunc func(s *session, args []string) error
 
-var commands = map[string]run{}
+var commands = map[string]commandFunc{}
 
 // register adds a command; the init function of each file registers the commands in it.
-func register(name string, r run) { commands[name] = r }
+func register(name string, r commandFunc) { commands[name] = r }
 
 // errUsage marks an error in the script itself; it fails the script even if the command follows "!".
 var errUsage = errors.New("usage")
 
-func usage(text string) error { return fmt.Errorf("%w: %s", errUsage, text) }
+func usageError(text string) error { return fmt.Errorf("%w: %s", errUsage, text) }
 
 type sessionKey struct{}
 
@@ -58,7 +58,7 @@
 func (r *Runner) Params(dir string) testscript.Params {
 	cmds := map[string]func(*testscript.TestScript, bool, []string){}
 	for name, f := range commands {
-		cmds[name] = wrap(name, f)
+		cmds[name] = wrapCommand(name, f)
 	}
 	return testscript.Params{Dir: dir, Setup: r.setup, Cmds: cmds, RequireUniqueNames: true}
 }
@@ -73,12 +73,12 @@
 		w.Close()
 		cancel()
 	})
-	env.Values[sessionKey{}] = &session{ctx: ctx, world: w, bin: r.Bin, marks: map[string]clock.Milli{}, loads: map[string]chan struct{}{}, bases: map[string]uint64{}}
+	env.Values[sessionKey{}] = &session{ctx: ctx, world: w, binDir: r.Bin, marks: map[string]clock.Milli{}, loads: map[string]chan struct{}{}, baseRevisions: map[string]uint64{}}
 	return nil
 }
 
-// wrap makes a testscript command from f; after "!" the command must return an error.
-func wrap(name string, f run) func(*testscript.TestScript, bool, []string) {
+// wrapCommand makes a testscript command from f; after "!" the command must return an error.
+func wrapCommand(name string, f commandFunc) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		s := ts.Value(sessionKey{}).(*session)
 		s.ts = ts
@@ -97,26 +97,26 @@
 	}
 }
 
-// flags parses the flags of a command and returns what follows them.
-func flags(f *flag.FlagSet, args []string) ([]string, error) {
+// parseFlags parses the flags of a command and returns what follows them.
+func parseFlags(f *flag.FlagSet, args []string) ([]string, error) {
 	f.SetOutput(io.Discard)
 	if err := f.Parse(args); err != nil {
-		return nil, usage(err.Error())
+		return nil, usageError(err.Error())
 	}
 	return f.Args(), nil
 }
 
-// many is a flag that may be repeated.
-type many []string
+// stringList is a flag that may be repeated.
+type stringList []string
 
-func (m *many) String() string     { return fmt.Sprint(*m) }
-func (m *many) Set(v string) error { *m = append(*m, v); return nil }
+func (m *stringList) String() string     { return fmt.Sprint(*m) }
+func (m *stringList) Set(v string) error { *m = append(*m, v); return nil }
 
 // eachName makes a command that calls f with each of its arguments, the names of processes or calls.
-func eachName(f func(s *session, name string) error) run {
+func eachName(f func(s *session, name string) error) commandFunc {
 	return func(s *session, args []string) error {
 		if len(args) == 0 {
-			return usage("needs one or more names")
+			return usageError("needs one or more names")
 		}
 		for _, name := range args {
 			if err := f(s, name); err != nil {
--- a/scenarios/script/secure.go
+++ b/scenarios/script/secure.go
@@ -9,7 +9,7 @@
 // renew replaces all certificates and their certificate authority while the processes run.
 func renew(s *session, args []string) error {
 	if len(args) > 0 {
-		return usage("renew")
+		return usageError("renew")
 	}
 	return s.world.Renew()
 }
@@ -17,7 +17,7 @@
 // former makes "exec snipeshift" present the client certificate from before the renewal.
 func former(s *session, args []string) error {
 	if len(args) > 0 {
-		return usage("former")
+		return usageError("former")
 	}
 	for k, v := range s.world.Former() {
 		s.ts.Setenv(k, v)
--- a/scenarios/script/shows.go
+++ b/scenarios/script/shows.go
@@ -14,21 +14,21 @@
 // shows REGEXP ARGUMENT...
 func shows(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("shows REGEXP ARGUMENT...")
+		return usageError("shows REGEXP ARGUMENT...")
 	}
-	want, err := regexp.Compile("(?m)" + args[0])
+	pattern, err := regexp.Compile("(?m)" + args[0])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
 	var text string
-	var last error
-	err = world.Await(s.ctx, awaitLimit, "output "+args[0], func() (bool, error) {
+	var lastErr error
+	err = world.Await(s.ctx, awaitTimeout, "output "+args[0], func() (bool, error) {
 		// A daemon that was lost makes the command exit with an error for some seconds.
-		text, last = s.world.Operate(s.ctx, args[1:]...)
-		return want.MatchString(text), nil
+		text, lastErr = s.world.Operate(s.ctx, args[1:]...)
+		return pattern.MatchString(text), nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w; last output:\n%s", errors.Join(err, last), text)
+		return fmt.Errorf("%w; last output:\n%s", errors.Join(err, lastErr), text)
 	}
 	return nil
 }
--- a/scenarios/script/story.go
+++ b/scenarios/script/story.go
@@ -13,17 +13,17 @@
 
 func init() { register("story", story) }
 
-// scene is an event that the timeline of a call must contain: VM:KIND or VM:KIND:UPSTREAM.
-type scene struct{ vm, kind, upstream string }
+// expectedEvent is an event that the timeline of a call must contain: VM:KIND or VM:KIND:UPSTREAM.
+type expectedEvent struct{ vm, kind, upstream string }
 
 // story waits until the timeline of a call, which the operator command merges from all daemons, contains the given events
 // in this order, possibly with others in between: story CALL VM:KIND[:UPSTREAM]...
 // The table that the command prints must have the same events as its JSON output, in the same order.
 func story(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("story CALL VM:KIND[:UPSTREAM]...")
+		return usageError("story CALL VM:KIND[:UPSTREAM]...")
 	}
-	scenes, err := scenesOf(args[1:])
+	expected, err := parseExpected(args[1:])
 	if err != nil {
 		return err
 	}
@@ -32,33 +32,33 @@
 		return err
 	}
 	r.Wait()
-	var drawn string
+	var table string
 	// The owner records the end of the call slightly after the client receives it.
-	err = world.Await(s.ctx, awaitLimit, "timeline of call "+args[0], func() (bool, error) {
+	err = world.Await(s.ctx, awaitTimeout, "timeline of call "+args[0], func() (bool, error) {
 		text, err := s.world.Operate(s.ctx, "timeline", "--request", r.Request)
 		if err != nil {
 			return false, err
 		}
-		drawn = text
+		table = text
 		events, err := s.events(r.Request)
-		return err == nil && has(events, scenes) && same(events, text), err
+		return err == nil && containsInOrder(events, expected) && tableMatches(events, text), err
 	})
-	s.ts.Logf("%s", drawn)
+	s.ts.Logf("%s", table)
 	return err
 }
 
-// scenesOf parses the expected events.
-func scenesOf(args []string) ([]scene, error) {
-	var ss []scene
+// parseExpected parses the expected events.
+func parseExpected(args []string) ([]expectedEvent, error) {
+	var ss []expectedEvent
 	for _, a := range args {
 		parts := strings.Split(a, ":")
 		switch len(parts) {
 		case 2:
-			ss = append(ss, scene{vm: parts[0], kind: parts[1]})
+			ss = append(ss, expectedEvent{vm: parts[0], kind: parts[1]})
 		case 3:
-			ss = append(ss, scene{vm: parts[0], kind: parts[1], upstream: parts[2]})
+			ss = append(ss, expectedEvent{vm: parts[0], kind: parts[1], upstream: parts[2]})
 		default:
-			return nil, usage(fmt.Sprintf("%q is not VM:KIND or VM:KIND:UPSTREAM", a))
+			return nil, usageError(fmt.Sprintf("%q is not VM:KIND or VM:KIND:UPSTREAM", a))
 		}
 	}
 	return ss, nil
@@ -82,24 +82,24 @@
 	return events, lines.Err()
 }
 
-// has reports whether events contains the scenes in their order.
-func has(events []timeline.Event, scenes []scene) bool {
+// containsInOrder reports whether events contains the expected ones in their order.
+func containsInOrder(events []timeline.Event, expected []expectedEvent) bool {
 	for _, e := range events {
-		if len(scenes) == 0 {
+		if len(expected) == 0 {
 			return true
 		}
-		x := scenes[0]
+		x := expected[0]
 		if e.VM == x.vm && e.Kind.String() == x.kind && (x.upstream == "" || string(e.Upstream) == x.upstream) {
-			scenes = scenes[1:]
+			expected = expected[1:]
 		}
 	}
-	return len(scenes) == 0
+	return len(expected) == 0
 }
 
-// same reports whether a printed table has the events in their order: a heading, then a line for each event with date,
+// tableMatches reports whether a printed table has the events in their order: a heading, then a line for each event with date,
 // time, lanes (a column of characters, one for each VM), VM and kind.
-func same(events []timeline.Event, drawn string) bool {
-	lines := bytes.Split(bytes.TrimSpace([]byte(drawn)), []byte("\n"))
+func tableMatches(events []timeline.Event, table string) bool {
+	lines := bytes.Split(bytes.TrimSpace([]byte(table)), []byte("\n"))
 	if len(lines) != len(events)+1 {
 		return false
 	}
--- a/scenarios/seeds_test.go
+++ b/scenarios/seeds_test.go
@@ -12,17 +12,17 @@
 
 // seeds returns the seeds to run, with the time for which each injects faults. The environment variable named seed sets a
 // single seed in place of the fixed ones, to run for the time given. The variable named length overrides the time of all.
-func seeds(t *testing.T, fixed map[uint64]time.Duration, seed, length string, given time.Duration) map[uint64]time.Duration {
+func seeds(t *testing.T, fixedSeeds map[uint64]time.Duration, seedVar, lengthVar string, defaultLength time.Duration) map[uint64]time.Duration {
 	t.Helper()
-	out := maps.Clone(fixed)
-	if s := os.Getenv(seed); s != "" {
+	out := maps.Clone(fixedSeeds)
+	if s := os.Getenv(seedVar); s != "" {
 		n, err := strconv.ParseUint(s, 10, 64)
-		require.NoError(t, err, seed)
-		out = map[uint64]time.Duration{n: given}
+		require.NoError(t, err, seedVar)
+		out = map[uint64]time.Duration{n: defaultLength}
 	}
-	if s := os.Getenv(length); s != "" {
+	if s := os.Getenv(lengthVar); s != "" {
 		d, err := time.ParseDuration(s)
-		require.NoError(t, err, length)
+		require.NoError(t, err, lengthVar)
 		for n := range out {
 			out[n] = d
 		}
--- a/scenarios/soak_test.go
+++ b/scenarios/soak_test.go
@@ -15,19 +15,19 @@
 
 // Environment variables of the soak test.
 const (
-	// envSoak sets the only seed to run, in place of the fixed seeds, envSoakLength how long faults are injected.
-	envSoak       = "SOAK"
+	// envSoakSeed sets the only seed to run, in place of the fixed seeds, envSoakLength how long faults are injected.
+	envSoakSeed   = "SOAK"
 	envSoakLength = "SOAKFOR"
 	// envSoakLogs names a folder for the VMs' logs; if it is not set, they are deleted after the test.
 	envSoakLogs = "SOAKLOGS"
 )
 
-// soakLength is how long faults are injected in CI. longSoak is for seeds whose failure needs a longer series of faults, and
-// for a seed that envSoak sets; handSoak is the duration of manual runs, for seeds that failed in these.
+// soakLength is how long faults are injected in CI. longSoakLength is for seeds whose failure needs a longer series of
+// faults, and for a seed that envSoakSeed sets. manualSoakLength is the duration of manual runs, for seeds that failed there.
 const (
-	soakLength = 12 * time.Second
-	longSoak   = 25 * time.Second
-	handSoak   = 20 * time.Second
+	soakLength       = 12 * time.Second
+	longSoakLength   = 25 * time.Second
+	manualSoakLength = 20 * time.Second
 )
 
 // soakSeeds are the seeds that run in CI, with the time for which each injects faults. Failures they reproduced:
@@ -38,8 +38,8 @@
 //     that a restored older copy of the store contained.
 //   - 6127: no VM used two of the four engines any more.
 var soakSeeds = map[uint64]time.Duration{
-	1: soakLength, 2: soakLength, 10: longSoak, 23: longSoak, 124: longSoak, 136: longSoak, 148: longSoak,
-	6001: handSoak, 6113: handSoak, 6127: handSoak,
+	1: soakLength, 2: soakLength, 10: longSoakLength, 23: longSoakLength, 124: longSoakLength, 136: longSoakLength, 148: longSoakLength,
+	6001: manualSoakLength, 6113: manualSoakLength, 6127: manualSoakLength,
 }
 
 // TestSoak kills, freezes, stops and reconfigures VMs on an emulated platform and makes the links between them, to the store
@@ -47,20 +47,20 @@
 // while clients send requests over connections that they keep open. It guards against guarantees that hold under each single
 // fault but not under several.
 func TestSoak(t *testing.T) {
-	for seed, length := range seeds(t, soakSeeds, envSoak, envSoakLength, longSoak) {
+	for seed, length := range seeds(t, soakSeeds, envSoakSeed, envSoakLength, longSoakLength) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			dir := t.TempDir()
-			if kept := os.Getenv(envSoakLogs); kept != "" {
-				dir = kept
+			if logDir := os.Getenv(envSoakLogs); logDir != "" {
+				dir = logDir
 			}
-			f, err := fleet.New(dir, filepath.Join(bin, "snipeshiftd"), 4)
+			f, err := fleet.New(dir, filepath.Join(binDir, "snipeshiftd"), 4)
 			t.Cleanup(f.Close)
 			require.NoError(t, err)
 			for _, v := range f.VMs {
-				require.NoError(t, v.AwaitReady(startLimit))
+				require.NoError(t, v.AwaitReady(startTimeout))
 			}
 			err = soak.New(f, seed, t.Logf).Go(length)
 			if err != nil {
