--- a/scenarios/chaos/check.go
+++ b/scenarios/chaos/check.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, name := range w.Daemons() {
-		err := world.Await(ctx, readyBound, name+" joined after all faults", func() (bool, error) { return w.Joined(ctx, name) })
+		err := world.Await(ctx, readyBound, name+" joined after all faults", func() (bool, error) { return w.MemberJoined(ctx, name) })
 		if err != nil {
 			return err
 		}
@@ -48,12 +48,12 @@
 		c.Wait()
 	}
 	errs := []error{
-		w.CheckTime(r.untold()),
+		w.CheckTimeLimits(r.untold()),
 		r.checkCuts(),
-		w.CheckWhole(),
+		w.CheckResponses(),
 		w.CheckNotRun(),
-		w.CheckOnce(),
-		w.CheckOurs(),
+		w.CheckAtMostOnce(),
+		w.CheckRequestIDs(),
 		w.CheckMemory(ctx, memoryBound),
 		w.CheckDocument(ctx, documentBound),
 		w.CheckRevisions(),
@@ -67,12 +67,12 @@
 	}
 	for _, c := range w.Results("after") {
 		c.Wait()
-		if c.End != world.Whole && !(c.Call.Once && c.Error == "duplicate") {
+		if c.Outcome != world.Complete && !(c.Call.AtMostOnce && c.Error == "duplicate") {
 			errs = append(errs, fmt.Errorf("all is healed: %s", c))
 		}
 	}
 	r.summary()
-	return errors.Join(append(errs, w.CheckOnce(), w.CheckNotRun())...)
+	return errors.Join(append(errs, w.CheckAtMostOnce(), w.CheckNotRun())...)
 }
 
 // uncounted is how many requests may be missing from usage: those that a daemon
@@ -80,8 +80,8 @@
 func (r *Run) uncounted() int64 {
 	n := int64(0)
 	for _, c := range r.world.Results("load") {
-		end := c.Begun.Add(c.Elapsed)
-		for _, s := range r.spells[c.Call.To] {
+		end := c.SentAt.Add(c.Elapsed)
+		for _, s := range r.spells[c.Call.Daemon] {
 			if s.killed && end.After(s.from.Add(-tail)) && end.Before(s.to) {
 				n++
 				break
@@ -106,12 +106,12 @@
 // disturbed tells whether a spell of its daemon overlaps a call. A planned stop
 // excuses only calls that began after it.
 func (r *Run) disturbed(c *world.Result, planned bool) bool {
-	end := c.Begun.Add(c.Elapsed)
-	for _, s := range r.spells[c.Call.To] {
-		if s.planned && (!planned || c.Begun.Before(s.from)) {
+	end := c.SentAt.Add(c.Elapsed)
+	for _, s := range r.spells[c.Call.Daemon] {
+		if s.planned && (!planned || c.SentAt.Before(s.from)) {
 			continue
 		}
-		if c.Begun.Before(s.to) && end.After(s.from) {
+		if c.SentAt.Before(s.to) && end.After(s.from) {
 			return true
 		}
 	}
@@ -122,7 +122,7 @@
 func (r *Run) checkCuts() error {
 	var errs []error
 	for _, c := range r.world.Results("load") {
-		if c.End == world.Cut && !r.disturbed(c, true) {
+		if c.Outcome == world.Disconnected && !r.disturbed(c, true) {
 			errs = append(errs, fmt.Errorf("cut off without a fault of its daemon: %s", c))
 		}
 	}
@@ -131,9 +131,9 @@
 
 // summary logs how the calls ended.
 func (r *Run) summary() {
-	ends := map[world.End]int{}
+	ends := map[world.Outcome]int{}
 	for _, c := range r.world.Results("") {
-		ends[c.End]++
+		ends[c.Outcome]++
 	}
 	r.log("ends of calls: %v", ends)
 }
--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -49,7 +49,7 @@
 
 // Go plays the schedule under load, heals all and checks the promises.
 func (r *Run) Go(ctx context.Context, length time.Duration) error {
-	r.world.Relax()
+	r.world.IgnoreDocumentLag()
 	faults := Plan(r.seed, length, Fleet{r.world.Daemons(), r.world.Engines(), r.world.Services()})
 	for _, f := range faults {
 		r.log("%s", f)
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	if f.Target == world.Caller {
+	if f.Target == world.Client {
 		defer func() { r.spell(f.Other, from, f.Kind) }()
 	}
 	pause(ctx, f.Span)
@@ -219,9 +219,9 @@
 	if err != nil {
 		return err
 	}
-	if err := r.world.Apply(ctx, text, r.world.Accepting()); err != nil {
+	if err := r.world.Apply(ctx, text, r.world.AcceptedRevision()); err != nil {
 		r.log("apply: %v", err)
-		return r.world.AdoptIf(ctx, text)
+		return r.world.AcceptIfStored(ctx, text)
 	}
 	return nil
 }
@@ -249,23 +249,23 @@
 // send sends one request; every fourth notice goes to two daemons at once.
 func (r *Run) send(name string, i int, random *rand.Rand) error {
 	ds := r.world.Daemons()
-	c := world.Call{Name: name, Text: name, To: ds[random.IntN(len(ds))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
-	c.Prompt, c.Output, c.Whole = 10+random.IntN(400), 4+random.IntN(120), random.IntN(3) == 0
+	c := world.Call{Name: name, PromptStart: name, Daemon: ds[random.IntN(len(ds))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
+	c.PromptTokens, c.OutputLimit, c.NonStreaming = 10+random.IntN(400), 4+random.IntN(120), random.IntN(3) == 0
 	switch i % 4 {
 	case 0:
 		c.Service = true
 	case 1:
-		c.Kind, c.Key, c.Service = world.Notice, name, true
+		c.Kind, c.Key, c.Service = world.KindNotice, name, true
 	case 2:
-		c.Kind, c.Key = world.Notice, name
+		c.Kind, c.Key = world.KindNotice, name
 	}
-	if _, err := r.world.Begin(c); err != nil {
+	if _, err := r.world.StartCall(c); err != nil {
 		return err
 	}
-	if !(c.Kind == world.Notice && random.IntN(4) == 0) {
+	if !(c.Kind == world.KindNotice && random.IntN(4) == 0) {
 		return nil
 	}
-	c.Name, c.To = name+".again", ds[random.IntN(len(ds))]
-	_, err := r.world.Begin(c)
+	c.Name, c.Daemon = name+".again", ds[random.IntN(len(ds))]
+	_, err := r.world.StartCall(c)
 	return err
 }
--- a/scenarios/platform_era_test.go
+++ b/scenarios/platform_era_test.go
@@ -30,10 +30,10 @@
 // responds with 404 before that.
 func requireServed(t *testing.T, v *fleet.VM, route string, until time.Time) {
 	t.Helper()
-	c := standin.NewCaller("ward")
+	c := standin.NewClient("ward")
 	for {
 		a := c.Call(v.Caller, route)
-		if a.Whole {
+		if a.Complete {
 			return
 		}
 		require.Equal(t, http.StatusNotFound, a.Status, "%s: %s", v.Name, a.Text)
@@ -45,7 +45,7 @@
 // restoreOlderCopy restores the store from a copy of the given age and returns once all writes that the copy lacked are
 // repeated.
 func restoreOlderCopy(f *fleet.Fleet, age time.Duration, seed uint64) {
-	f.Platform.Drill(standin.Mute, outageTime, age, rewriteTime, rand.New(rand.NewPCG(seed, 0)))
+	f.Platform.RestoreOlderCopy(standin.Unresponsive, outageTime, age, rewriteTime, rand.New(rand.NewPCG(seed, 0)))
 }
 
 // loggedLeaving reports whether a VM has logged that a runner leaves.
@@ -65,15 +65,15 @@
 		f := newFleet(t, vms)
 		l := newLoad(f)
 		l.awaitResponses(t)
-		desk := standin.NewCaller("desk")
-		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Whole)
+		desk := standin.NewClient("desk")
+		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Complete)
 		time.Sleep(copyAge) // so that the copy contains the upstreams as ready and the key
 		f.Platform.Models[0].Drain(leavingTime)
 		f.Platform.Desks[0].Drain(leavingTime)
-		f.Platform.Withdraw("desk")
+		f.Platform.RevokeKeys("desk")
 		time.Sleep(1500 * time.Millisecond)
-		f.Platform.Models[0].Lapse()
-		f.Platform.Desks[0].Lapse()
+		f.Platform.Models[0].RemoveEntry()
+		f.Platform.Desks[0].RemoveEntry()
 		time.Sleep(500 * time.Millisecond)
 		done := make(chan struct{})
 		go func() { defer close(done); restoreOlderCopy(f, copyAge, 1) }()
@@ -92,8 +92,8 @@
 		}
 		time.Sleep(leavingTime)
 		require.Zero(t, accepted, "requests accepted with a withdrawn key")
-		require.Zero(t, f.Platform.Models[0].Late(), "requests sent to an upstream that had left")
-		require.Zero(t, f.Platform.Desks[0].Late(), "requests sent to an upstream that had left")
+		require.Zero(t, f.Platform.Models[0].LateRequests(), "requests sent to an upstream that had left")
+		require.Zero(t, f.Platform.Desks[0].LateRequests(), "requests sent to an upstream that had left")
 		l.stopAndCheck(t, f)
 		f.Close()
 	}
@@ -123,8 +123,8 @@
 			requireServed(t, v, "after", added.Add(leavingTime))
 		}
 		time.Sleep(leavingTime)
-		require.Zero(t, f.Platform.Models[1].Late())
-		require.Zero(t, f.Platform.Desks[1].Late())
+		require.Zero(t, f.Platform.Models[1].LateRequests())
+		require.Zero(t, f.Platform.Desks[1].LateRequests())
 		l.stopAndCheck(t, f)
 		f.Close()
 	}
@@ -139,16 +139,16 @@
 	// An engine, since other engines resume its streams; a plain service may be running requests that must not run again.
 	crashed := f.Platform.Models[0]
 	f.Crash(crashed)
-	require.NoError(t, f.Renew(crashed))
+	require.NoError(t, f.Replace(crashed))
 	replacement := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return replacement.Ran() > 0 }, startTimeout, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return replacement.AttemptsRun() > 0 }, startTimeout, 20*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	done := make(chan struct{})
 	go func() { defer close(done); restoreOlderCopy(f, copyAge, 3) }()
 	time.Sleep(outageTime + 700*time.Millisecond)
-	before := replacement.Ran()
+	before := replacement.AttemptsRun()
 	time.Sleep(800 * time.Millisecond)
-	require.Greater(t, replacement.Ran(), before)
+	require.Greater(t, replacement.AttemptsRun(), before)
 	<-done
 	l.stopAndCheck(t, f)
 }
--- a/scenarios/platform_limit_test.go
+++ b/scenarios/platform_limit_test.go
@@ -25,8 +25,8 @@
 
 // declareLimits has the first runner of each service declare a rate limit.
 func declareLimits(f *fleet.Fleet) []*standin.Runner {
-	f.Platform.Models[0].Limit(engineLimit)
-	f.Platform.Desks[0].Limit(deskLimit)
+	f.Platform.Models[0].DeclareLimit(engineLimit)
+	f.Platform.Desks[0].DeclareLimit(deskLimit)
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
@@ -40,17 +40,17 @@
 	from := time.Now().Add(limitSettleTime)
 	time.Sleep(limitSettleTime + limitCheckTime)
 	for _, r := range limited {
-		require.Empty(t, r.Exceeded(exemptNone))
-		require.Greater(t, r.Arrived(from), 2, "the upstream receives requests up to its limit")
+		require.Empty(t, r.LimitViolations(exemptNone))
+		require.Greater(t, r.RequestsSince(from), 2, "the upstream receives requests up to its limit")
 	}
 	for _, r := range limited {
-		r.Limit(-1)
+		r.DeclareLimit(-1)
 	}
 	l.awaitResponses(t)
 	liftedAt := time.Now()
 	time.Sleep(2 * limitSettleTime)
 	for _, r := range limited {
-		require.Greater(t, r.Arrived(liftedAt), 30, "the upstream is used fully once it declares no limit")
+		require.Greater(t, r.RequestsSince(liftedAt), 30, "the upstream is used fully once it declares no limit")
 	}
 	l.stopAndCheck(t, f)
 }
@@ -71,7 +71,7 @@
 		time.Sleep(limitCheckTime / 4)
 	}
 	for _, r := range limited {
-		require.Empty(t, r.Exceeded(exemptNone))
+		require.Empty(t, r.LimitViolations(exemptNone))
 	}
 	close(l.stop)
 	l.wg.Wait()
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -28,9 +28,9 @@
 )
 
 // noExemptions exempts no VM: each must follow the statements in all responses that it was sent.
-var noExemptions = standin.Excuses{
-	Unheard:   func(string, *standin.Runner, time.Time) bool { return false },
-	Restarted: exemptNone, Cut: exemptNone,
+var noExemptions = standin.Exemptions{
+	MissedResponse: func(string, *standin.Runner, time.Time) bool { return false },
+	Restarted:      exemptNone, RestartedOrCut: exemptNone,
 }
 
 // firstRunners returns the first upstream of each service.
@@ -44,15 +44,15 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.awaitResponses(t)
-	f.Platform.Fail(standin.Mute)
+	f.Platform.SetMode(standin.Unresponsive)
 	for _, r := range firstRunners(f) {
-		r.Leave()
+		r.DeclareDraining()
 	}
 	time.Sleep(storeOutage)
-	f.Platform.Fail(standin.Well)
+	f.Platform.SetMode(standin.Healthy)
 	time.Sleep(listedTime)
 	l.stopAndCheck(t, f)
-	require.Empty(t, f.Platform.Ignored(noExemptions))
+	require.Empty(t, f.Platform.IgnoredStatements(noExemptions))
 }
 
 // An upstream declares that it leaves. The status of the VMs must show operators which VMs have received this statement, and
@@ -61,7 +61,7 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.awaitResponses(t)
-	f.Platform.Models[0].Leave()
+	f.Platform.Models[0].DeclareDraining()
 	var relays []operator.RelayStatus
 	require.Eventually(t, func() bool {
 		relays = relayStatuses(t, f)
@@ -117,7 +117,7 @@
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, v := range f.VMs {
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		wg.Go(func() {
 			for {
 				select {
@@ -140,18 +140,18 @@
 	stop := startAudits(f)
 	l.awaitResponses(t)
 	for _, r := range firstRunners(f) {
-		r.Get(standin.Shedding)
+		r.SetFault(standin.Shedding)
 	}
 	time.Sleep(sheddingTime)
 	for _, r := range firstRunners(f) {
-		r.Get(standin.Fine)
+		r.SetFault(standin.NoFault)
 	}
 	endedAt := time.Now()
-	time.Sleep(2 * standin.Rest)
+	time.Sleep(2 * standin.BackOff)
 	for _, r := range firstRunners(f) {
-		require.Greater(t, r.Arrived(endedAt), 30, "the upstream is used again")
+		require.Greater(t, r.RequestsSince(endedAt), 30, "the upstream is used again")
 	}
 	stop()
 	l.stopAndCheck(t, f)
-	require.Empty(t, f.Platform.Ignored(noExemptions))
+	require.Empty(t, f.Platform.IgnoredStatements(noExemptions))
 }
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -47,7 +47,7 @@
 func newLoad(f *fleet.Fleet) *load {
 	l := &load{stop: make(chan struct{})}
 	for i := range loadClients {
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		l.wg.Go(func() {
 			for n := i; ; n++ {
 				select {
@@ -62,7 +62,7 @@
 	return l
 }
 
-func (l *load) send(c *standin.Caller, v *fleet.VM, route string) {
+func (l *load) send(c *standin.Client, v *fleet.VM, route string) {
 	if !v.Ready() {
 		time.Sleep(20 * time.Millisecond) // a load balancer would choose another VM
 		return
@@ -71,8 +71,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.responses++
-	if !a.Whole {
-		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Took))
+	if !a.Complete {
+		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Duration))
 	}
 }
 
@@ -96,7 +96,7 @@
 	l.wg.Wait()
 	require.Greater(t, l.responses, 20)
 	require.Empty(t, l.failures)
-	twice, wrong := f.Platform.Ran()
+	twice, wrong := f.Platform.RunViolations()
 	require.Zero(t, twice, "requests ran twice that may not be repeated")
 	require.Zero(t, wrong, "requests ran for another workspace")
 }
@@ -114,9 +114,9 @@
 	l := newLoad(f)
 	f.Platform.AddRoute("extra")
 	time.Sleep(2 * time.Second)
-	c := standin.NewCaller("ward")
+	c := standin.NewClient("ward")
 	for _, v := range f.VMs {
-		require.True(t, c.Call(v.Caller, "extra").Whole)
+		require.True(t, c.Call(v.Caller, "extra").Complete)
 	}
 	l.stopAndCheck(t, f)
 }
@@ -126,10 +126,10 @@
 func TestPlatformWithdrawnKeyIsRefused(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	c := standin.NewCaller("desk")
-	require.True(t, c.Call(f.VMs[0].Caller, "lookup").Whole)
-	f.Platform.Forget()
-	f.Platform.Withdraw("desk")
+	c := standin.NewClient("desk")
+	require.True(t, c.Call(f.VMs[0].Caller, "lookup").Complete)
+	f.Platform.DropHistory()
+	f.Platform.RevokeKeys("desk")
 	time.Sleep(2 * time.Second)
 	for _, v := range f.VMs {
 		require.Equal(t, http.StatusUnauthorized, c.Call(v.Caller, "lookup").Status)
@@ -145,8 +145,8 @@
 	f.Platform.Models[0].Drain(2 * time.Second)
 	f.Platform.Desks[0].Drain(2 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
-	require.Zero(t, f.Platform.Models[0].Late())
-	require.Zero(t, f.Platform.Desks[0].Late())
+	require.Zero(t, f.Platform.Models[0].LateRequests())
+	require.Zero(t, f.Platform.Desks[0].LateRequests())
 	l.stopAndCheck(t, f)
 }
 
@@ -172,7 +172,7 @@
 		case <-time.After(8 * time.Second):
 			require.Fail(t, "VM did not stop within its grace period", v.Process.Tail())
 		}
-		require.True(t, v.Process.Clean(), v.Process.Status())
+		require.True(t, v.Process.Succeeded(), v.Process.Status())
 		require.NoError(t, f.Start(v))
 		require.NoError(t, v.AwaitReady(startTimeout))
 	}
@@ -182,15 +182,15 @@
 // The store is unavailable for less time than cached API keys may be accepted, and the entries of all upstreams have
 // expired when it is back. No request may fail.
 func TestPlatformShortOutageOfTheStore(t *testing.T) {
-	for _, mode := range []standin.Mode{standin.Busy, standin.Mute} {
+	for _, mode := range []standin.StoreMode{standin.Unavailable, standin.Unresponsive} {
 		f := newFleet(t, 3)
 		l := newLoad(f)
-		f.Platform.Fail(mode)
+		f.Platform.SetMode(mode)
 		time.Sleep(1500 * time.Millisecond)
 		for _, r := range append(f.Platform.Models, f.Platform.Desks...) {
-			r.Lapse()
+			r.RemoveEntry()
 		}
-		f.Platform.Fail(standin.Well)
+		f.Platform.SetMode(standin.Healthy)
 		time.Sleep(time.Second)
 		for _, r := range append(f.Platform.Models, f.Platform.Desks...) {
 			r.Register()
@@ -204,14 +204,14 @@
 // must get status 503, and VMs must report that they are not ready.
 func TestPlatformLongOutageOfTheStore(t *testing.T) {
 	f := newFleet(t, 2)
-	f.Platform.Fail(standin.Mute)
+	f.Platform.SetMode(standin.Unresponsive)
 	time.Sleep(5500 * time.Millisecond)
-	a := standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice")
+	a := standin.NewClient("ward").Call(f.VMs[0].Caller, "notice")
 	require.Equal(t, http.StatusServiceUnavailable, a.Status)
 	require.False(t, f.VMs[0].Ready())
-	f.Platform.Fail(standin.Well)
+	f.Platform.SetMode(standin.Healthy)
 	require.NoError(t, f.VMs[0].AwaitReady(startTimeout))
-	require.True(t, standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice").Whole)
+	require.True(t, standin.NewClient("ward").Call(f.VMs[0].Caller, "notice").Complete)
 }
 
 // Each VM is killed in turn, the owner of the services among them. The others must serve requests without waiting for the
@@ -220,15 +220,15 @@
 	f := newFleet(t, 3)
 	for _, v := range f.VMs {
 		v.Process.Kill()
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		for _, o := range f.VMs {
 			if o == v {
 				continue
 			}
 			for _, r := range []string{"draft", "lookup", "notice"} {
 				a := c.Call(o.Caller, r)
-				require.True(t, a.Whole, a.Text)
-				require.Less(t, a.Took, 2*time.Second)
+				require.True(t, a.Complete, a.Text)
+				require.Less(t, a.Duration, 2*time.Second)
 			}
 		}
 		require.NoError(t, f.Start(v))
@@ -242,22 +242,22 @@
 func TestPlatformPoisonRequestCrashesFewUpstreams(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, r := range f.Platform.Desks {
-		r.Dies = func(r *standin.Runner) {
+		r.OnCrash = func(r *standin.Runner) {
 			f.Crash(r)
-			time.AfterFunc(time.Second, func() { _ = f.Renew(r) })
+			time.AfterFunc(time.Second, func() { _ = f.Replace(r) })
 		}
 	}
-	c := standin.NewCaller("ward")
+	c := standin.NewClient("ward")
 	runs := 0
 	for i := range 9 {
-		a := c.CallLethal(f.VMs[i%3].Caller, "lookup")
+		a := c.CallPoison(f.VMs[i%3].Caller, "lookup")
 		require.NotEqual(t, http.StatusOK, a.Status)
-		runs += f.Platform.Runs(a.ID)
+		runs += f.Platform.RunCount(a.ID)
 		time.Sleep(200 * time.Millisecond)
 	}
 	require.Positive(t, runs)
 	require.LessOrEqual(t, runs, 3)
-	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Whole }, 5*time.Second, 100*time.Millisecond, "other requests are served")
+	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Complete }, 5*time.Second, 100*time.Millisecond, "other requests are served")
 }
 
 // Another writer adds invalid entries to the list of upstreams in the store and overwrites a valid one. A VM that rejected
@@ -267,16 +267,16 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.awaitResponses(t)
-	f.Platform.Forge()
+	f.Platform.AddInvalidEntries()
 	corrupted := f.Platform.Models[0]
-	corrupted.Spoil()
+	corrupted.CorruptEntry()
 	for _, v := range f.VMs {
 		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+corrupted.ID()+`","reason"`)) > 0 }, startTimeout, 20*time.Millisecond, v.Name)
 	}
 	l.awaitResponses(t)
 	corrupted.Register()
-	before := corrupted.Ran()
-	require.Eventually(t, func() bool { return corrupted.Ran() > before }, startTimeout, 20*time.Millisecond, "the upstream is used again")
+	before := corrupted.AttemptsRun()
+	require.Eventually(t, func() bool { return corrupted.AttemptsRun() > before }, startTimeout, 20*time.Millisecond, "the upstream is used again")
 	l.stopAndCheck(t, f)
 	for _, v := range f.VMs {
 		v.Process.Kill()
@@ -286,7 +286,7 @@
 	}
 	for _, v := range f.VMs {
 		require.NoError(t, v.AwaitReady(startTimeout), "VMs that all restart at once can read the list only from the store")
-		require.True(t, standin.NewCaller("ward").Call(v.Caller, "draft").Whole)
+		require.True(t, standin.NewClient("ward").Call(v.Caller, "draft").Complete)
 		require.NotEmpty(t, v.Process.Grep(`"event":"unusable"`), v.Name)
 	}
 }
@@ -301,8 +301,8 @@
 	crashed := f.Platform.Models[0]
 	f.Crash(crashed)
 	l.awaitResponses(t)
-	require.NoError(t, f.Revive(crashed))
+	require.NoError(t, f.Restart(crashed))
 	restarted := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return restarted.Ran() > 0 }, 3*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return restarted.AttemptsRun() > 0 }, 3*time.Second, 50*time.Millisecond)
 	l.stopAndCheck(t, f)
 }
--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -37,17 +37,17 @@
 		if err != nil || r == nil {
 			return false, err
 		}
-		if r.Ended() && !r.Started() {
+		if r.Ended() && !r.HasChunk() {
 			return false, fmt.Errorf("call ended before its first chunk: %s", r)
 		}
-		return r.Started(), nil
+		return r.HasChunk(), nil
 	},
-	"gone":     func(s *session, name string) (bool, error) { return s.world.Gone(s.ctx, name) },
-	"joined":   func(s *session, name string) (bool, error) { return s.world.Joined(s.ctx, name) },
+	"gone":     func(s *session, name string) (bool, error) { return s.world.MemberGone(s.ctx, name) },
+	"joined":   func(s *session, name string) (bool, error) { return s.world.MemberJoined(s.ctx, name) },
 	"done":     allEnded,
 	"free":     memoryFree,
-	"granted":  func(s *session, name string) (bool, error) { return s.world.Granted(s.ctx, name) },
-	"revision": func(s *session, name string) (bool, error) { return s.world.InForce(s.ctx, name) },
+	"granted":  func(s *session, name string) (bool, error) { return s.world.HasGrant(s.ctx, name) },
+	"revision": func(s *session, name string) (bool, error) { return s.world.DocumentInForce(s.ctx, name) },
 }
 
 // await waits until a condition holds for every name, by default for all daemons:
@@ -115,7 +115,7 @@
 	if err != nil {
 		return false, err
 	}
-	for _, x := range l.Of(r.Call) {
+	for _, x := range l.ForCall(r.Call) {
 		if x.Ran() || !started {
 			return true, nil
 		}
@@ -149,7 +149,7 @@
 
 // memoryFree reports whether an engine reserves memory only for calls that have not ended.
 func memoryFree(s *session, name string) (bool, error) {
-	orphaned, err := s.world.Unexplained(s.ctx, name)
+	orphaned, err := s.world.OrphanedMemory(s.ctx, name)
 	return len(orphaned) == 0, err
 }
 
--- a/scenarios/script/document.go
+++ b/scenarios/script/document.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return usageError(err.Error())
 	}
-	return s.world.Apply(s.ctx, text, s.world.Accepting())
+	return s.world.Apply(s.ctx, text, s.world.AcceptedRevision())
 }
 
 // edit writes an edited document to a file and remembers the revision that it is based on, as if a second operator edited
@@ -27,7 +27,7 @@
 	if err != nil {
 		return usageError(err.Error())
 	}
-	s.baseRevisions[args[0]] = s.world.Accepting()
+	s.baseRevisions[args[0]] = s.world.AcceptedRevision()
 	return os.WriteFile(s.ts.MkAbs(args[0]), text, 0o600)
 }
 
--- a/scenarios/script/shows.go
+++ b/scenarios/script/shows.go
@@ -24,7 +24,7 @@
 	var lastErr error
 	err = world.Await(s.ctx, awaitTimeout, "output "+args[0], func() (bool, error) {
 		// A daemon that was lost makes the command exit with an error for some seconds.
-		text, lastErr = s.world.Operate(s.ctx, args[1:]...)
+		text, lastErr = s.world.RunOperator(s.ctx, args[1:]...)
 		return pattern.MatchString(text), nil
 	})
 	if err != nil {
--- a/scenarios/script/story.go
+++ b/scenarios/script/story.go
@@ -35,12 +35,12 @@
 	var table string
 	// The owner records the end of the call slightly after the client receives it.
 	err = world.Await(s.ctx, awaitTimeout, "timeline of call "+args[0], func() (bool, error) {
-		text, err := s.world.Operate(s.ctx, "timeline", "--request", r.Request)
+		text, err := s.world.RunOperator(s.ctx, "timeline", "--request", r.RequestID)
 		if err != nil {
 			return false, err
 		}
 		table = text
-		events, err := s.events(r.Request)
+		events, err := s.events(r.RequestID)
 		return err == nil && containsInOrder(events, expected) && tableMatches(events, text), err
 	})
 	s.ts.Logf("%s", table)
@@ -66,7 +66,7 @@
 
 // events returns the timeline of a request from the JSON output of the operator command.
 func (s *session) events(request string) ([]timeline.Event, error) {
-	text, err := s.world.Operate(s.ctx, "--output", "json", "timeline", "--request", request)
+	text, err := s.world.RunOperator(s.ctx, "--output", "json", "timeline", "--request", request)
 	if err != nil {
 		return nil, err
 	}
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -39,13 +39,13 @@
 	vm               *fleet.VM
 	route, workspace string
 	at               time.Time
-	answer           standin.Answer
+	answer           standin.Response
 }
 
-func (c *call) end() time.Time { return c.at.Add(c.answer.Took) }
+func (c *call) end() time.Time { return c.at.Add(c.answer.Duration) }
 
 func (c *call) String() string {
-	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.answer.ID, c.vm.Name, c.answer.Status, c.answer.Took.Round(time.Millisecond), c.answer.Text)
+	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.answer.ID, c.vm.Name, c.answer.Status, c.answer.Duration.Round(time.Millisecond), c.answer.Text)
 }
 
 // call makes calls, one after the other, until it is stopped. It goes on using a connection
@@ -56,7 +56,7 @@
 	if i%5 == 4 {
 		workspace = other
 	}
-	c := standin.NewCaller(workspace)
+	c := standin.NewClient(workspace)
 	for n := random.IntN(len(routes)); ; {
 		v := r.fleet.VMs[random.IntN(len(r.fleet.VMs))]
 		for range sticky {
@@ -95,22 +95,22 @@
 			r.tell(&calls[i])
 		}
 	}
-	if twice, wrong := p.Ran(); twice+wrong > 0 {
+	if twice, wrong := p.RunViolations(); twice+wrong > 0 {
 		errs = append(errs, fmt.Errorf("%d ran twice that may not, %d for another workspace", twice, wrong))
 	}
-	for _, f := range p.Faults() {
+	for _, f := range p.ReservationErrors() {
 		errs = append(errs, errors.New(f))
 	}
-	for _, text := range p.Exceeded(r.excused) {
+	for _, text := range p.LimitViolations(r.excused) {
 		errs = append(errs, errors.New(text))
 	}
-	for _, text := range p.Ignored(standin.Excuses{Unheard: r.unheard, Restarted: r.restarted, Cut: r.cut}) {
+	for _, text := range p.IgnoredStatements(standin.Exemptions{MissedResponse: r.unheard, Restarted: r.restarted, RestartedOrCut: r.cut}) {
 		errs = append(errs, errors.New(text))
 	}
 	errs = append(errs, r.after()...)
 	r.log("ends of %d calls: %v", len(calls), ends(calls))
-	r.log("the store lists %v", p.Listed("servers"))
-	told, unknown := p.Told()
+	r.log("the store lists %v", p.Names("servers"))
+	told, unknown := p.StatementCounts()
 	r.log("%d answers asked a VM for rest or said to it that their upstream leaves; of %d it is not known which VM", told, unknown)
 	return errors.Join(errs...)
 }
@@ -137,11 +137,11 @@
 	p, a := r.fleet.Platform, c.answer
 	switch a.Status {
 	case http.StatusOK:
-		if !a.Whole {
+		if !a.Complete {
 			return errNotWhole
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if p.Runs(a.ID) > 0 {
+		if p.RunCount(a.ID) > 0 {
 			return errRan
 		}
 	case http.StatusUnauthorized:
@@ -151,11 +151,11 @@
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusNotFound:
 		return errDenied
 	}
-	if c.workspace == other && !r.withdrawn.IsZero() && c.at.After(r.confirmed().Add(revocation)) && p.Runs(a.ID) > 0 {
+	if c.workspace == other && !r.withdrawn.IsZero() && c.at.After(r.confirmed().Add(revocation)) && p.RunCount(a.ID) > 0 {
 		return errKey
 	}
 	hit := r.hit(c)
-	if a.Took > timeouts[c.route]+lateness && !hit {
+	if a.Duration > timeouts[c.route]+lateness && !hit {
 		return errLate
 	}
 	if a.Status == 0 && !hit && c.route != "draft" && c.route != "audit" {
@@ -163,7 +163,7 @@
 	}
 	// Ten callers ask for more long prompts than four engines read, so some are refused.
 	refused := c.route == "audit" && a.Status == http.StatusServiceUnavailable
-	if !a.Whole && !refused && c.workspace == mine && r.calm(c) {
+	if !a.Complete && !refused && c.workspace == mine && r.calm(c) {
 		return errCalm
 	}
 	return nil
@@ -173,9 +173,9 @@
 // key is good, until the operator has written it again.
 func (r *Run) confirmed() time.Time {
 	at := r.withdrawn
-	for _, w := range r.fleet.Platform.Rewrites() {
-		if w.Kind == "config" && !w.First.Before(r.withdrawing) && w.Again.After(at) {
-			at = w.Again
+	for _, w := range r.fleet.Platform.RepeatedWrites() {
+		if w.Kind == "config" && !w.First.Before(r.withdrawing) && w.Repeated.After(at) {
+			at = w.Repeated
 		}
 	}
 	return at
@@ -285,11 +285,11 @@
 // nobody uses.
 func (r *Run) after() []error {
 	var errs []error
-	c := standin.NewCaller(mine)
+	c := standin.NewClient(mine)
 	for _, v := range r.fleet.VMs {
 		for _, route := range routes {
 			x := call{vm: v, route: route, workspace: mine, at: time.Now(), answer: c.Call(v.Caller, route)}
-			if !x.answer.Whole {
+			if !x.answer.Complete {
 				errs = append(errs, fmt.Errorf("%w: %s", errCalm, &x))
 			}
 		}
@@ -307,7 +307,7 @@
 	out := map[string]int{}
 	for i := range calls {
 		a := calls[i].answer
-		if a.Whole {
+		if a.Complete {
 			out["whole"]++
 			continue
 		}
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -81,8 +81,8 @@
 	// Fresh lets connections opened during the fault be silent too.
 	Fresh   bool
 	Held    time.Duration
-	Mode    standin.Mode
-	Trouble standin.Trouble
+	Mode    standin.StoreMode
+	Trouble standin.RunnerFault
 	// Rate is the limit that an upstream names, in requests a second.
 	Rate float64
 	// Age is that of the copy from which the store comes back.
@@ -178,7 +178,7 @@
 	var out []Fault
 	for at := p.between(0, drillPause/2); at < length; at += p.between(0, drillPause) {
 		out = append(out, Fault{
-			Kind: Drill, Mode: []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)], Age: p.between(leastAge, mostAge),
+			Kind: Drill, Mode: []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)], Age: p.between(leastAge, mostAge),
 			At: at, Span: p.between(0, mostAway),
 		})
 	}
@@ -230,7 +230,7 @@
 	return Fault{
 		Kind: p.kind(), VM: p.IntN(wide), Other: p.IntN(wide), End: []End{Store, Peer, Peer, Upstream}[p.IntN(4)],
 		Ways: []relay.Ways{relay.There, relay.Back, relay.Both}[p.IntN(3)], Fresh: p.IntN(2) == 0, Held: p.between(10*time.Millisecond, mostHeld),
-		Mode:    []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)],
-		Trouble: []standin.Trouble{standin.Full, standin.Failing, standin.Losing, standin.Silent}[p.IntN(4)],
+		Mode:    []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)],
+		Trouble: []standin.RunnerFault{standin.Rejecting, standin.Failing, standin.Resetting, standin.Hanging}[p.IntN(4)],
 	}
 }
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -78,7 +78,7 @@
 	play.Go(func() {
 		time.Sleep(length / 2)
 		began := time.Now()
-		r.fleet.Platform.Withdraw(other)
+		r.fleet.Platform.RevokeKeys(other)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.withdrawing, r.withdrawn = began, time.Now()
@@ -141,9 +141,9 @@
 	case Limit:
 		us := r.fleet.Platform.Runners()
 		u := us[f.Other%len(us)]
-		u.Limit(f.Rate)
+		u.DeclareLimit(f.Rate)
 		time.Sleep(f.Span)
-		u.Limit(-1)
+		u.DeclareLimit(-1)
 	case Document:
 		r.mu.Lock()
 		r.routes++
@@ -181,13 +181,13 @@
 }
 
 func (r *Run) link(f Fault, v *fleet.VM) {
-	l := r.fleet.Store
+	l := r.fleet.StoreRelay
 	switch f.End {
 	case Peer:
 		l = r.fleet.VMs[f.Other%len(r.fleet.VMs)].Peer
 	case Upstream:
 		us := r.fleet.Platform.Runners()
-		l = r.fleet.Upstream(us[f.Other%len(us)])
+		l = r.fleet.UpstreamRelay(us[f.Other%len(us)])
 	case Store:
 	}
 	switch f.Kind {
@@ -213,21 +213,21 @@
 func (r *Run) storage(f Fault) {
 	p := r.fleet.Platform
 	if f.Kind == Forget {
-		p.Forget()
+		p.DropHistory()
 		return
 	}
 	if f.Kind == Drill {
-		p.Drill(f.Mode, f.Span, f.Age, rewriting, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
+		p.RestoreOlderCopy(f.Mode, f.Span, f.Age, rewriting, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
 		return
 	}
-	p.Fail(f.Mode)
+	p.SetMode(f.Mode)
 	time.Sleep(f.Span)
 	if f.Kind == Lapse {
 		for _, u := range p.Runners() {
-			u.Lapse()
+			u.RemoveEntry()
 		}
 	}
-	p.Fail(standin.Well)
+	p.SetMode(standin.Healthy)
 	if f.Kind == Lapse {
 		time.Sleep(time.Second)
 		for _, u := range p.Runners() {
@@ -247,17 +247,17 @@
 	defer r.release(address)
 	switch f.Kind {
 	case Sick:
-		u.Get(f.Trouble)
+		u.SetFault(f.Trouble)
 		time.Sleep(f.Span)
-		u.Get(standin.Fine)
+		u.SetFault(standin.NoFault)
 		return nil
 	case Shed:
-		u.Get(standin.Shedding)
+		u.SetFault(standin.Shedding)
 		time.Sleep(f.Span)
-		u.Get(standin.Fine)
+		u.SetFault(standin.NoFault)
 		return nil
 	case Leave:
-		u.Leave()
+		u.DeclareDraining()
 		time.Sleep(f.Span)
 	case Drain:
 		u.Drain(drains)
@@ -266,5 +266,5 @@
 	}
 	r.fleet.Crash(u)
 	time.Sleep(f.Span)
-	return r.fleet.Renew(u)
+	return r.fleet.Replace(u)
 }
