--- a/scenarios/chaos_test.go
+++ b/scenarios/chaos_test.go
@@ -12,30 +12,29 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Variables of the chaos run.
+// Environment variables of the chaos run.
 const (
-	// envSeed is the one seed to run in place of the fixed ones.
-	envSeed = "SEED"
-	// envLength is how long faults come.
-	envLength = "CHAOS"
+	// envChaosSeed sets the only seed to run, in place of the fixed seeds.
+	envChaosSeed = "SEED"
+	// envChaosLength sets how long faults are injected.
+	envChaosLength = "CHAOS"
 )
 
-// fixedLength is how long faults come in CI, and longLength with a seed whose failure
-// needs more of them.
+// chaosLength is how long faults are injected in CI. longChaosLength is for seeds whose failure needs a longer series of
+// faults.
 const (
-	fixedLength = 15 * time.Second
-	longLength  = 25 * time.Second
+	chaosLength     = 15 * time.Second
+	longChaosLength = 25 * time.Second
 )
 
-// fixedSeeds run in CI, each with faults for so long. Seed 7006 has plain services that turn
-// calls away for seconds: the workspaces were charged for them.
-var fixedSeeds = map[uint64]time.Duration{1: fixedLength, 2: fixedLength, 3: fixedLength, 7006: longLength}
+// chaosSeeds are the seeds that run in CI, with the time for which each injects faults. With seed 7006 plain
+// services reject calls for seconds; workspaces were once charged for the rejected calls.
+var chaosSeeds = map[uint64]time.Duration{1: chaosLength, 2: chaosLength, 3: chaosLength, 7006: longChaosLength}
 
-// Faults of every kind come at random, also two at a time, while callers send
-// requests of every kind. A user would notice any promise that holds under each
-// fault alone and not under two.
+// TestChaos injects faults of every kind at random, up to two at a time, while clients send requests of every
+// kind. It guards against guarantees that hold under each single fault but not under two at once.
 func TestChaos(t *testing.T) {
-	for seed, length := range seeds(t, fixedSeeds, envSeed, envLength, fixedLength) {
+	for seed, length := range seeds(t, chaosSeeds, envChaosSeed, envChaosLength, chaosLength) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runChaos(t, seed, length) })
 	}
 }
@@ -46,7 +45,7 @@
 	defer func() { <-slots }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := world.New(t.TempDir(), bin)
+	w := world.New(t.TempDir(), binDir)
 	defer w.Close()
 	p := world.Plan{
 		Daemons: 3, Engines: 4, Services: 2, Domains: 2,
--- a/scenarios/platform_fleet_test.go
+++ b/scenarios/platform_fleet_test.go
@@ -10,33 +10,34 @@
 	"snipeshift.example/platform/standin"
 )
 
-// large is a fleet in which VMs keep no watches of their own.
-const large = 14
+// largeFleet is a number of VMs at which most have no watches of their own on the store: a few readers watch it for all.
+const largeFleet = 14
 
-// Each VM that reads the store for itself, or for some others, makes calls as long as it lives, so the price of the store grows
-// with the fleet. In a calm fleet one VM proves that nothing is new, by 1.4 calls a second, and one more keeps two long watches.
-func TestPlatformCallsOfTheStoreDoNotGrowWithTheFleet(t *testing.T) {
-	f := newFleet(t, large)
+// If each VM reads the store for itself, or for a few others, the load on the store grows with the fleet. In a fleet
+// without changes one VM verifies that its copy is current, with 1.4 calls per second, and one more has two long watches open.
+func TestPlatformStoreCallsDoNotGrowWithFleet(t *testing.T) {
+	f := newFleet(t, largeFleet)
 	l := newLoad(f)
 	calls := f.Platform.Store.Calls
-	calm := func() int {
+	callsIn5s := func() int {
 		before := calls()
 		time.Sleep(5 * time.Second)
 		return calls() - before
 	}
-	// VMs that have just met still read for themselves.
-	require.Eventually(t, func() bool { return calm() <= 12 }, 30*time.Second, time.Millisecond)
-	l.end(t, f)
+	// VMs that have just joined read the store for themselves for a while.
+	require.Eventually(t, func() bool { return callsIn5s() <= 12 }, 30*time.Second, time.Millisecond)
+	l.stopAndCheck(t, f)
 }
 
-// The store turns half of the VMs away for seconds, perhaps those that read for all, while an upstream leaves, a route is new and a
-// team is shut out. The other VMs step in: nothing new reaches the upstream, and all VMs obey.
-func TestPlatformVMsStepInForReadersThatAreShutOff(t *testing.T) {
-	for _, first := range []int{0, large / 2} {
-		f := newFleet(t, large)
+// Half of the VMs, which may include the readers, are cut off from the store for seconds. Meanwhile an upstream leaves, a
+// route is added and a workspace's key is withdrawn. The other VMs must stand in as readers: the upstream receives no new
+// requests, and all VMs apply the changes.
+func TestPlatformOtherVMsReplaceReadersCutOffFromStore(t *testing.T) {
+	for _, first := range []int{0, largeFleet / 2} {
+		f := newFleet(t, largeFleet)
 		l := newLoad(f)
 		time.Sleep(time.Second)
-		for _, v := range f.VMs[first : first+large/2] {
+		for _, v := range f.VMs[first : first+largeFleet/2] {
 			f.StoreRelay.Cut(v.Name)
 		}
 		desk := standin.NewClient("desk")
@@ -52,7 +53,7 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		require.Zero(t, f.Platform.Models[0].LateRequests())
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 		f.Close()
 	}
 }
--- a/scenarios/platform_limit_test.go
+++ b/scenarios/platform_limit_test.go
@@ -10,66 +10,68 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// Limits named in these tests, in requests a second, and the times of a test.
+// Rate limits that upstreams declare in these tests, in requests per second, and the times of a test.
 const (
 	engineLimit = 2.1
 	deskLimit   = 1.0
-	// learnt is the time within which all VMs must keep to a limit.
-	learnt = 3 * time.Second
-	// kept is how long it is checked that they do.
-	kept = 6 * time.Second
+	// limitSettleTime is the time after which all VMs must respect a limit.
+	limitSettleTime = 3 * time.Second
+	// limitCheckTime is how long the tests check that they do.
+	limitCheckTime = 6 * time.Second
 )
 
-// nobody excuses no VM.
-func nobody(string, time.Time, time.Time) bool { return false }
+// exemptNone exempts no VM from a limit.
+func exemptNone(string, time.Time, time.Time) bool { return false }
 
-// limit has the first runner of each service name a limit.
-func limit(f *fleet.Fleet) []*standin.Runner {
+// declareLimits has the first runner of each service declare a rate limit.
+func declareLimits(f *fleet.Fleet) []*standin.Runner {
 	f.Platform.Models[0].DeclareLimit(engineLimit)
 	f.Platform.Desks[0].DeclareLimit(deskLimit)
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
-// An upstream in need names how many requests a second it takes, and gets them from each VM.
-func TestPlatformAnUpstreamGetsNoMoreThanItNamesFromAllVMs(t *testing.T) {
+// An upstream declares how many requests per second it accepts. All VMs together must not send more; the failure is that
+// each VM sends that many.
+func TestPlatformDeclaredLimitHoldsAcrossAllVMs(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
-	limited := limit(f)
-	from := time.Now().Add(learnt)
-	time.Sleep(learnt + kept)
+	l.awaitResponses(t)
+	limited := declareLimits(f)
+	from := time.Now().Add(limitSettleTime)
+	time.Sleep(limitSettleTime + limitCheckTime)
 	for _, r := range limited {
-		require.Empty(t, r.LimitViolations(nobody))
-		require.Greater(t, r.RequestsSince(from), 2, "it gets what it takes")
+		require.Empty(t, r.LimitViolations(exemptNone))
+		require.Greater(t, r.RequestsSince(from), 2, "the upstream receives requests up to its limit")
 	}
 	for _, r := range limited {
 		r.DeclareLimit(-1)
 	}
-	l.more(t)
-	over := time.Now()
-	time.Sleep(2 * learnt)
+	l.awaitResponses(t)
+	liftedAt := time.Now()
+	time.Sleep(2 * limitSettleTime)
 	for _, r := range limited {
-		require.Greater(t, r.RequestsSince(over), 30, "it is used again once it names no limit")
+		require.Greater(t, r.RequestsSince(liftedAt), 30, "the upstream is used fully once it declares no limit")
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// The VMs that decide who gets work are killed one after the other, with all that they knew of the limit.
-func TestPlatformALimitOutlivesTheVMsThatKeepIt(t *testing.T) {
+// The VMs that own the services are killed one after the other. The declared limit, which they hold in memory only, must
+// still be respected by their successors.
+func TestPlatformDeclaredLimitSurvivesLossOfOwners(t *testing.T) {
 	f := newFleet(t, 4)
 	l := newLoad(f)
-	l.more(t)
-	limited := limit(f)
-	time.Sleep(learnt)
+	l.awaitResponses(t)
+	limited := declareLimits(f)
+	time.Sleep(limitSettleTime)
 	for _, v := range f.VMs {
 		v.Process.Kill()
-		time.Sleep(kept / 4)
+		time.Sleep(limitCheckTime / 4)
 		require.NoError(t, f.Start(v))
-		require.NoError(t, v.AwaitReady(startLimit))
-		time.Sleep(kept / 4)
+		require.NoError(t, v.AwaitReady(startTimeout))
+		time.Sleep(limitCheckTime / 4)
 	}
 	for _, r := range limited {
-		require.Empty(t, r.LimitViolations(nobody))
+		require.Empty(t, r.LimitViolations(exemptNone))
 	}
 	close(l.stop)
 	l.wg.Wait()
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -18,53 +18,56 @@
 
 // Times of these tests.
 const (
-	// storeAway is shorter than keys are believed without the store, also if their last proof was old and the store's return is noticed late.
-	storeAway = 2 * time.Second
-	// listed is how long the store lists what leaves as ready afterwards.
-	listed = 4 * time.Second
-	// shedding is how long an upstream asks for rest.
-	shedding = 8 * time.Second
+	// storeOutage is shorter than the time for which API keys are accepted without the store, even if the keys were last
+	// verified some time before the outage and the end of the outage is noticed late.
+	storeOutage = 2 * time.Second
+	// listedTime is how long after the outage the store still lists the leaving upstreams as ready.
+	listedTime = 4 * time.Second
+	// sheddingTime is how long an upstream rejects requests and asks for back-off.
+	sheddingTime = 8 * time.Second
 )
 
-// noExcuses binds every VM by what it was answered.
-var noExcuses = standin.Exemptions{
+// noExemptions exempts no VM: each must follow the statements in all responses that it was sent.
+var noExemptions = standin.Exemptions{
 	MissedResponse: func(string, *standin.Runner, time.Time) bool { return false },
-	Restarted:      nobody, RestartedOrCut: nobody,
+	Restarted:      exemptNone, RestartedOrCut: exemptNone,
 }
 
-// firsts are the first upstream of each service.
-func firsts(f *fleet.Fleet) []*standin.Runner {
+// firstRunners returns the first upstream of each service.
+func firstRunners(f *fleet.Fleet) []*standin.Runner {
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
-// Upstreams say in their answers that they leave, while the store is away and afterwards still lists them as ready.
-func TestPlatformAnUpstreamThatSaysItLeavesGetsNothingMore(t *testing.T) {
+// Upstreams declare in their responses that they leave, while the store does not respond and afterwards still lists them as
+// ready. VMs must follow the responses and send no new requests.
+func TestPlatformUpstreamThatDeclaresLeavingGetsNoRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.SetMode(standin.Unresponsive)
-	for _, r := range firsts(f) {
+	for _, r := range firstRunners(f) {
 		r.DeclareDraining()
 	}
-	time.Sleep(storeAway)
+	time.Sleep(storeOutage)
 	f.Platform.SetMode(standin.Healthy)
-	time.Sleep(listed)
-	l.end(t, f)
-	require.Empty(t, f.Platform.IgnoredStatements(noExcuses))
+	time.Sleep(listedTime)
+	l.stopAndCheck(t, f)
+	require.Empty(t, f.Platform.IgnoredStatements(noExemptions))
 }
 
-// An upstream says that it leaves, and operators want to know who has heard of it and who decides: all VMs name one holder.
-func TestPlatformOperatorsSeeWhoHoldsAServiceAndWhatUpstreamsSay(t *testing.T) {
+// An upstream declares that it leaves. The status of the VMs must show operators which VMs have received this statement, and
+// all VMs must report the same holder of each service.
+func TestPlatformStatusShowsHoldersAndStatements(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.Models[0].DeclareDraining()
 	var relays []operator.RelayStatus
 	require.Eventually(t, func() bool {
-		relays = relaysOf(t, f)
-		return heard(relays) && oneHolder(relays)
+		relays = relayStatuses(t, f)
+		return anyStatement(relays) && sameHolders(relays)
 	}, 5*time.Second, 50*time.Millisecond)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 	for _, r := range relays {
 		require.Len(t, r.Services, 2, "%s", r.VM)
 		for _, s := range r.Services {
@@ -78,24 +81,24 @@
 	}
 }
 
-// relaysOf is what each VM knows of services.
-func relaysOf(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
+// relayStatuses returns the status of services that each VM reports.
+func relayStatuses(t *testing.T, f *fleet.Fleet) []operator.RelayStatus {
 	relays := make([]operator.RelayStatus, len(f.VMs))
 	for i, v := range f.VMs {
-		if err := json.Unmarshal([]byte(get(t, v, operator.PathServices, time.Second)), &relays[i]); err != nil {
+		if err := json.Unmarshal([]byte(getPage(t, v, operator.PathServices, time.Second)), &relays[i]); err != nil {
 			t.Error(err)
 		}
 	}
 	return relays
 }
 
-// heard reports whether any VM has heard an upstream say something of itself.
-func heard(relays []operator.RelayStatus) bool {
+// anyStatement reports whether any VM has received a statement of an upstream.
+func anyStatement(relays []operator.RelayStatus) bool {
 	return slices.ContainsFunc(relays, func(r operator.RelayStatus) bool { return len(r.Statements) > 0 })
 }
 
-// oneHolder reports whether all VMs follow one holder of each service.
-func oneHolder(relays []operator.RelayStatus) bool {
+// sameHolders reports whether all VMs report the same holder of each service.
+func sameHolders(relays []operator.RelayStatus) bool {
 	holders := map[route.ServiceID]peer.VM{}
 	for _, r := range relays {
 		for _, s := range r.Services {
@@ -108,8 +111,9 @@
 	return true
 }
 
-// audits calls for prompts that take the memory of several engines, until it is stopped. Too many for four engines, some are refused.
-func audits(f *fleet.Fleet) (stop func()) {
+// startAudits sends requests whose prompts need the memory of several engines, until stop is called. Four engines can't run
+// all of them, so some are refused; results are ignored.
+func startAudits(f *fleet.Fleet) (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, v := range f.VMs {
@@ -128,25 +132,26 @@
 	return func() { close(done); wg.Wait() }
 }
 
-// An upstream of each service turns all requests and orders away for a while, and asks each VM for rest.
-func TestPlatformAnUpstreamThatAsksForRestGetsIt(t *testing.T) {
+// One upstream of each service rejects all requests and orders for a while and asks each VM for a back-off. The VMs must
+// comply, and use the upstream again afterwards.
+func TestPlatformUpstreamGetsRequestedBackOff(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	stop := audits(f)
-	l.more(t)
-	for _, r := range firsts(f) {
+	stop := startAudits(f)
+	l.awaitResponses(t)
+	for _, r := range firstRunners(f) {
 		r.SetFault(standin.Shedding)
 	}
-	time.Sleep(shedding)
-	for _, r := range firsts(f) {
+	time.Sleep(sheddingTime)
+	for _, r := range firstRunners(f) {
 		r.SetFault(standin.NoFault)
 	}
-	over := time.Now()
+	endedAt := time.Now()
 	time.Sleep(2 * standin.BackOff)
-	for _, r := range firsts(f) {
-		require.Greater(t, r.RequestsSince(over), 30, "it is used again")
+	for _, r := range firstRunners(f) {
+		require.Greater(t, r.RequestsSince(endedAt), 30, "the upstream is used again")
 	}
 	stop()
-	l.end(t, f)
-	require.Empty(t, f.Platform.IgnoredStatements(noExcuses))
+	l.stopAndCheck(t, f)
+	require.Empty(t, f.Platform.IgnoredStatements(noExemptions))
 }
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -15,37 +15,38 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// startLimit bounds the start of a fleet on a busy machine.
-const startLimit = 20 * time.Second
+// startTimeout bounds the start of a fleet on a busy machine.
+const startTimeout = 20 * time.Second
 
-// newFleet starts VMs on a stand-in of the platform.
+// newFleet starts a number of VMs on an emulated platform, with the workspaces "ward" and "desk", and waits until all are
+// ready.
 func newFleet(t *testing.T, vms int) *fleet.Fleet {
 	t.Helper()
-	f, err := fleet.New(t.TempDir(), filepath.Join(bin, "snipeshiftd"), vms)
+	f, err := fleet.New(t.TempDir(), filepath.Join(binDir, "snipeshiftd"), vms)
 	t.Cleanup(f.Close)
 	require.NoError(t, err)
 	for _, v := range f.VMs {
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
 	return f
 }
 
-// load calls in turn on all routes, through VMs that are ready, until it is stopped.
+// load sends requests to all routes in turn, through VMs that are ready, until it is stopped.
 type load struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
-	mu       sync.Mutex
-	answers  int
-	failures []string
+	mu        sync.Mutex
+	responses int
+	failures  []string
 }
 
-// callers is how many callers a load has.
-const callers = 6
+// loadClients is the number of clients of a load.
+const loadClients = 6
 
 func newLoad(f *fleet.Fleet) *load {
 	l := &load{stop: make(chan struct{})}
-	for i := range callers {
+	for i := range loadClients {
 		c := standin.NewClient("ward")
 		l.wg.Go(func() {
 			for n := i; ; n++ {
@@ -54,59 +55,60 @@
 					return
 				default:
 				}
-				l.call(c, f.VMs[n%len(f.VMs)], []string{"draft", "lookup", "notice"}[n%3])
+				l.send(c, f.VMs[n%len(f.VMs)], []string{"draft", "lookup", "notice"}[n%3])
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) call(c *standin.Client, v *fleet.VM, route string) {
+func (l *load) send(c *standin.Client, v *fleet.VM, route string) {
 	if !v.Ready() {
-		time.Sleep(20 * time.Millisecond) // the balancer would choose another one
+		time.Sleep(20 * time.Millisecond) // a load balancer would choose another VM
 		return
 	}
 	a := c.Call(v.Caller, route)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answers++
+	l.responses++
 	if !a.Complete {
 		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Duration))
 	}
 }
 
-// enough answers are some of each route from each VM.
-const enough = 30
+// enoughResponses is a number of responses that includes several of each route from each VM.
+const enoughResponses = 30
 
-// more waits until enough more requests are answered.
-func (l *load) more(t *testing.T) {
+// awaitResponses waits for enough further responses.
+func (l *load) awaitResponses(t *testing.T) {
 	t.Helper()
-	goal := l.count() + enough
-	require.Eventually(t, func() bool { return l.count() >= goal }, startLimit, 10*time.Millisecond)
+	goal := l.count() + enoughResponses
+	require.Eventually(t, func() bool { return l.count() >= goal }, startTimeout, 10*time.Millisecond)
 }
 
-func (l *load) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.answers }
+func (l *load) count() int { l.mu.Lock(); defer l.mu.Unlock(); return l.responses }
 
-// end stops the load and requires that each request got its whole answer.
-func (l *load) end(t *testing.T, f *fleet.Fleet) {
+// stopAndCheck stops the load and requires that each request got its complete response, that no request that may not be
+// repeated ran twice, and that none ran for another workspace.
+func (l *load) stopAndCheck(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	require.Greater(t, l.answers, 20)
+	require.Greater(t, l.responses, 20)
 	require.Empty(t, l.failures)
 	twice, wrong := f.Platform.RunViolations()
-	require.Zero(t, twice, "ran twice, and may not")
-	require.Zero(t, wrong, "ran for another workspace")
+	require.Zero(t, twice, "requests ran twice that may not be repeated")
+	require.Zero(t, wrong, "requests ran for another workspace")
 }
 
-func TestPlatformCalmDay(t *testing.T) {
+func TestPlatformServesWithoutFaults(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(2 * time.Second)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// The operator adds a route. A caller who was told of it meets a VM that does not know it.
+// The operator adds a route. Two seconds later every VM must serve it.
 func TestPlatformNewRouteIsServedSoon(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -116,11 +118,11 @@
 	for _, v := range f.VMs {
 		require.True(t, c.Call(v.Caller, "extra").Complete)
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// The operator shuts a team out, and the store has lost its history on top. Five seconds later
-// nothing runs for that team, on any VM.
+// The operator withdraws the API key of a workspace, and the store has discarded its change history as well, so watches
+// can't resume. Two seconds later every VM must reject the key.
 func TestPlatformWithdrawnKeyIsRefused(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -132,12 +134,11 @@
 	for _, v := range f.VMs {
 		require.Equal(t, http.StatusUnauthorized, c.Call(v.Caller, "lookup").Status)
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// An upstream announces that it leaves. Two seconds later it gets nothing new, and
-// nobody notices.
-func TestPlatformLeavingUpstreamGetsNothingNew(t *testing.T) {
+// An upstream announces that it leaves. Two seconds later it must receive no new requests, and no request fails.
+func TestPlatformLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(500 * time.Millisecond)
@@ -146,20 +147,20 @@
 	time.Sleep(3500 * time.Millisecond)
 	require.Zero(t, f.Platform.Models[0].LateRequests())
 	require.Zero(t, f.Platform.Desks[0].LateRequests())
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// An engine crashes under its streams. They are continued by others.
-func TestPlatformCrashedEngineCostsNoStream(t *testing.T) {
+// An engine crashes while it serves streams. Other engines must resume them.
+func TestPlatformStreamsResumeAfterEngineCrash(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	time.Sleep(500 * time.Millisecond)
 	f.Platform.Models[0].Crash()
 	time.Sleep(2 * time.Second)
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// Every VM is stopped and started in turn, under load. No request is cut off.
+// Every VM is stopped and started in turn, under load. No request may fail.
 func TestPlatformRollingRestart(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
@@ -169,17 +170,17 @@
 		select {
 		case <-v.Process.Done():
 		case <-time.After(8 * time.Second):
-			require.Fail(t, "not stopped within its grace", v.Process.Tail())
+			require.Fail(t, "VM did not stop within its grace period", v.Process.Tail())
 		}
 		require.True(t, v.Process.Succeeded(), v.Process.Status())
 		require.NoError(t, f.Start(v))
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
-	l.end(t, f)
+	l.stopAndCheck(t, f)
 }
 
-// The store is away for as long as the keys known may be trusted, and its entries have
-// lapsed when it is back. Nobody notices.
+// The store is unavailable for less time than cached API keys may be accepted, and the entries of all upstreams have
+// expired when it is back. No request may fail.
 func TestPlatformShortOutageOfTheStore(t *testing.T) {
 	for _, mode := range []standin.StoreMode{standin.Unavailable, standin.Unresponsive} {
 		f := newFleet(t, 3)
@@ -195,12 +196,12 @@
 			r.Register()
 		}
 		time.Sleep(2 * time.Second)
-		l.end(t, f)
+		l.stopAndCheck(t, f)
 	}
 }
 
-// The store stays away longer than that. Keys may have been withdrawn, so callers get a
-// truthful refusal, and VMs take themselves out of rotation.
+// The store is unavailable for longer than cached API keys may be accepted. Keys may have been withdrawn since, so clients
+// must get status 503, and VMs must report that they are not ready.
 func TestPlatformLongOutageOfTheStore(t *testing.T) {
 	f := newFleet(t, 2)
 	f.Platform.SetMode(standin.Unresponsive)
@@ -209,11 +210,12 @@
 	require.Equal(t, http.StatusServiceUnavailable, a.Status)
 	require.False(t, f.VMs[0].Ready())
 	f.Platform.SetMode(standin.Healthy)
-	require.NoError(t, f.VMs[0].AwaitReady(startLimit))
+	require.NoError(t, f.VMs[0].AwaitReady(startTimeout))
 	require.True(t, standin.NewClient("ward").Call(f.VMs[0].Caller, "notice").Complete)
 }
 
-// The VM that owns the services is killed. The others pass it over.
+// Each VM is killed in turn, the owner of the services among them. The others must serve requests without waiting for the
+// killed VM.
 func TestPlatformKilledOwner(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, v := range f.VMs {
@@ -230,14 +232,14 @@
 			}
 		}
 		require.NoError(t, f.Start(v))
-		require.NoError(t, v.AwaitReady(startLimit))
+		require.NoError(t, v.AwaitReady(startTimeout))
 	}
 }
 
-// A caller's request crashes each upstream that begins to run it, and the caller sends it again and again, each
-// time to another VM. Crashed upstreams are back after a second. If each VM had to find out for
-// itself, the service would be down for everybody for as long as the caller goes on.
-func TestPlatformKillerRequestIsMetByFewUpstreams(t *testing.T) {
+// A poison request crashes each upstream that begins to run it, and its client repeats it, each time through another VM.
+// Crashed upstreams are back after a second. If each VM had to detect the request by itself, the service would be down for
+// all clients for as long as this client goes on.
+func TestPlatformPoisonRequestCrashesFewUpstreams(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, r := range f.Platform.Desks {
 		r.OnCrash = func(r *standin.Runner) {
@@ -255,26 +257,27 @@
 	}
 	require.Positive(t, runs)
 	require.LessOrEqual(t, runs, 3)
-	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Complete }, 5*time.Second, 100*time.Millisecond, "others are served")
+	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Complete }, 5*time.Second, 100*time.Millisecond, "other requests are served")
 }
 
-// Another writer puts entries into the store that name no upstream, and overwrites one that does. A VM that took
-// the whole list for unreadable would refuse every request; one that took them at their word would send requests to nowhere.
-func TestPlatformEntriesOfAnotherWriter(t *testing.T) {
+// Another writer adds invalid entries to the list of upstreams in the store and overwrites a valid one. A VM that rejected
+// the whole list would refuse every request; a VM that accepted the invalid entries would send requests to addresses
+// where nothing listens.
+func TestPlatformInvalidEntriesOfAnotherWriter(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
+	l.awaitResponses(t)
 	f.Platform.AddInvalidEntries()
-	spoilt := f.Platform.Models[0]
-	spoilt.CorruptEntry()
+	corrupted := f.Platform.Models[0]
+	corrupted.CorruptEntry()
 	for _, v := range f.VMs {
-		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+spoilt.ID()+`","reason"`)) > 0 }, startLimit, 20*time.Millisecond, v.Name)
+		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+corrupted.ID()+`","reason"`)) > 0 }, startTimeout, 20*time.Millisecond, v.Name)
 	}
-	l.more(t)
-	spoilt.Register()
-	before := spoilt.AttemptsRun()
-	require.Eventually(t, func() bool { return spoilt.AttemptsRun() > before }, startLimit, 20*time.Millisecond, "it is used again")
-	l.end(t, f)
+	l.awaitResponses(t)
+	corrupted.Register()
+	before := corrupted.AttemptsRun()
+	require.Eventually(t, func() bool { return corrupted.AttemptsRun() > before }, startTimeout, 20*time.Millisecond, "the upstream is used again")
+	l.stopAndCheck(t, f)
 	for _, v := range f.VMs {
 		v.Process.Kill()
 	}
@@ -282,23 +285,24 @@
 		require.NoError(t, f.Start(v))
 	}
 	for _, v := range f.VMs {
-		require.NoError(t, v.AwaitReady(startLimit), "VMs that all start anew have the store's list alone")
+		require.NoError(t, v.AwaitReady(startTimeout), "VMs that all restart at once can read the list only from the store")
 		require.True(t, standin.NewClient("ward").Call(v.Caller, "draft").Complete)
 		require.NotEmpty(t, v.Process.Grep(`"event":"unusable"`), v.Name)
 	}
 }
 
-// An engine crashes under its streams and starts again under its id and address. They are continued by others, and
-// the engine gets work again: it would stand idle if the books still held what its earlier life had.
-func TestPlatformRunnerComesBackUnderItsID(t *testing.T) {
+// An engine crashes while it serves streams and restarts with the same id and address. Other engines must resume the
+// streams, and the engine must receive requests again: it would stay idle if the owner still counted the grants of the
+// earlier incarnation as running.
+func TestPlatformEngineRestartsWithSameID(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	l.more(t)
-	old := f.Platform.Models[0]
-	f.Crash(old)
-	l.more(t)
-	require.NoError(t, f.Restart(old))
-	revived := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return revived.AttemptsRun() > 0 }, 3*time.Second, 50*time.Millisecond)
-	l.end(t, f)
+	l.awaitResponses(t)
+	crashed := f.Platform.Models[0]
+	f.Crash(crashed)
+	l.awaitResponses(t)
+	require.NoError(t, f.Restart(crashed))
+	restarted := f.Platform.Models[0]
+	require.Eventually(t, func() bool { return restarted.AttemptsRun() > 0 }, 3*time.Second, 50*time.Millisecond)
+	l.stopAndCheck(t, f)
 }
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -12,33 +12,34 @@
 	"snipeshift.example/scenarios/script"
 )
 
-// Variables that users set.
+// Environment variables of the scenarios.
 const (
-	// envScripts is a folder of scripts from outside the repository.
+	// envScripts names a folder of scripts from outside the repository.
 	envScripts = "SCENARIOS"
-	// envBin is a folder of built programs; without it they are built first.
+	// envBin names a folder of built programs; if it is not set, the tests build them first.
 	envBin = "SNIPESHIFT_BIN"
 )
 
-// atOnce bounds scenarios that run side by side, about ten processes each.
-const atOnce = 4
+// maxConcurrent is the maximum number of scenarios that run concurrently; each has about ten processes.
+const maxConcurrent = 4
 
-// programs are what a scenario starts, by package.
+// programs maps the names of the programs that scenarios start to their packages.
 var programs = map[string]string{
 	"snipeshiftd": "snipeshift.example/daemon",
 	"snipeshift":  "snipeshift.example/operator",
 	"emulator":    "snipeshift.example/emulator",
 }
 
-var bin string
+// binDir is the folder of the programs.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(withPrograms(m))
 }
 
-// withPrograms builds the programs, so that no scenario runs stale ones.
+// withPrograms builds the programs, so that no scenario runs stale ones, and runs the tests. It returns the exit code.
 func withPrograms(m *testing.M) int {
-	if bin = os.Getenv(envBin); bin != "" {
+	if binDir = os.Getenv(envBin); binDir != "" {
 		return m.Run()
 	}
 	dir, err := os.MkdirTemp("", "snipeshift-scenarios-")
@@ -47,7 +48,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	for name, pkg := range programs {
 		out, err := exec.Command("go", "build", "-o", filepath.Join(dir, name), pkg).CombinedOutput()
 		if err != nil {
@@ -58,11 +59,11 @@
 	return m.Run()
 }
 
-// slots bound all scenarios of this process.
-var slots = make(chan struct{}, atOnce)
+// slots bounds the scenarios that run concurrently in this process.
+var slots = make(chan struct{}, maxConcurrent)
 
 func newRunner() *script.Runner {
-	return &script.Runner{Bin: bin, Slots: slots}
+	return &script.Runner{Bin: binDir, Slots: slots}
 }
 
 // TestScenarios runs the project's own scripts.
@@ -70,8 +71,8 @@
 	testscript.Run(t, newRunner().Params(filepath.Join("testdata", "scripts")))
 }
 
-// TestOutside runs the scripts of the folder that SCENARIOS names.
-func TestOutside(t *testing.T) {
+// TestExternalScripts runs the scripts of the folder that SCENARIOS names.
+func TestExternalScripts(t *testing.T) {
 	dir := os.Getenv(envScripts)
 	if dir == "" {
 		t.Skip("SCENARIOS names no folder")
--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -16,10 +16,10 @@
 	register("mark", mark)
 }
 
-// awaitLimit bounds waits that no promise bounds.
-const awaitLimit = 45 * time.Second
+// awaitTimeout bounds waits for conditions that have no guaranteed time bound.
+const awaitTimeout = 45 * time.Second
 
-// condition tells whether what a script waits for holds; an error ends the wait.
+// condition reports whether a condition of await holds for the process, call or load of that name. An error ends the wait.
 type condition func(s *session, name string) (bool, error)
 
 var conditions = map[string]condition{
@@ -30,38 +30,39 @@
 		ended, _, err := s.world.Exited(name)
 		return ended, err
 	},
-	"arrived": func(s *session, name string) (bool, error) { return executed(s, name, false) },
-	"running": func(s *session, name string) (bool, error) { return executed(s, name, true) },
+	"arrived": func(s *session, name string) (bool, error) { return wasExecuted(s, name, false) },
+	"running": func(s *session, name string) (bool, error) { return wasExecuted(s, name, true) },
 	"first": func(s *session, name string) (bool, error) {
 		r, err := s.result(name)
 		if err != nil || r == nil {
 			return false, err
 		}
 		if r.Ended() && !r.HasChunk() {
-			return false, fmt.Errorf("ended before its first chunk: %s", r)
+			return false, fmt.Errorf("call ended before its first chunk: %s", r)
 		}
 		return r.HasChunk(), nil
 	},
 	"gone":     func(s *session, name string) (bool, error) { return s.world.MemberGone(s.ctx, name) },
 	"joined":   func(s *session, name string) (bool, error) { return s.world.MemberJoined(s.ctx, name) },
-	"done":     done,
-	"free":     free,
+	"done":     allEnded,
+	"free":     memoryFree,
 	"granted":  func(s *session, name string) (bool, error) { return s.world.HasGrant(s.ctx, name) },
 	"revision": func(s *session, name string) (bool, error) { return s.world.DocumentInForce(s.ctx, name) },
 }
 
-// await waits for a condition on every name: await [-within D] CONDITION NAME...
+// await waits until a condition holds for every name, by default for all daemons:
+// await [-within D] CONDITION NAME...
 func await(s *session, args []string) error {
-	limit := awaitLimit
+	limit := awaitTimeout
 	if len(args) > 1 && args[0] == "-within" {
 		d, err := time.ParseDuration(args[1])
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		limit, args = d, args[2:]
 	}
 	if len(args) < 1 || conditions[args[0]] == nil {
-		return usage("await [-within D] CONDITION NAME...")
+		return usageError("await [-within D] CONDITION NAME...")
 	}
 	names := args[1:]
 	if len(names) == 0 {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// result returns a call; nil if the load that it belongs to has not sent it yet.
+// result returns the result of a call, or nil if the call belongs to a load that is still sending and has sent none yet.
 func (s *session) result(name string) (*world.Result, error) {
 	load, _, _ := strings.Cut(name, ".")
 	sent, ok := s.loads[load]
@@ -94,7 +95,7 @@
 	return s.world.Result(name)
 }
 
-// exited wants the graceful end of a process.
+// exited reports whether a process has exited; an unclean exit is an error.
 func exited(s *session, name string) (bool, error) {
 	ended, clean, err := s.world.Exited(name)
 	if err == nil && ended && !clean {
@@ -103,8 +104,9 @@
 	return ended, err
 }
 
-// executed looks for a call in the ledgers.
-func executed(s *session, name string, ran bool) (bool, error) {
+// wasExecuted reports whether an upstream has recorded the call, and with started set, whether one began to run it. It
+// returns an error if the call ended without either.
+func wasExecuted(s *session, name string, started bool) (bool, error) {
 	r, err := s.result(name)
 	if err != nil || r == nil {
 		return false, err
@@ -114,18 +116,18 @@
 		return false, err
 	}
 	for _, x := range l.ForCall(r.Call) {
-		if x.Ran() || !ran {
+		if x.Ran() || !started {
 			return true, nil
 		}
 	}
 	if r.Ended() {
-		return false, fmt.Errorf("ended before it ran: %s", r)
+		return false, fmt.Errorf("call ended before an upstream ran it: %s", r)
 	}
 	return false, nil
 }
 
-// done waits for a call, or for all of a load.
-func done(s *session, name string) (bool, error) {
+// allEnded reports whether a call, or all calls of a load, have ended.
+func allEnded(s *session, name string) (bool, error) {
 	if sent, ok := s.loads[name]; ok {
 		select {
 		case <-sent:
@@ -145,21 +147,21 @@
 	return true, nil
 }
 
-// free tells whether an engine's memory holds nothing that no live call explains.
-func free(s *session, name string) (bool, error) {
-	left, err := s.world.OrphanedMemory(s.ctx, name)
-	return len(left) == 0, err
+// memoryFree reports whether an engine reserves memory only for calls that have not ended.
+func memoryFree(s *session, name string) (bool, error) {
+	orphaned, err := s.world.OrphanedMemory(s.ctx, name)
+	return len(orphaned) == 0, err
 }
 
-// pass lets time go by, for what takes time by itself: a lease that lapses
-// while its holder is frozen. No verdict hangs on it.
+// pass sleeps: pass DURATION. It is for effects that need time and can't be awaited, such as a lease that expires while its
+// holder is frozen. It checks nothing.
 func pass(s *session, args []string) error {
 	if len(args) != 1 {
-		return usage("pass DURATION")
+		return usageError("pass DURATION")
 	}
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -170,16 +172,16 @@
 	return nil
 }
 
-// mark names the present instant, optionally later by a span: mark NAME [+D].
+// mark stores the current time, optionally plus a duration, under a name: mark NAME [+D]
 func mark(s *session, args []string) error {
 	if len(args) < 1 || len(args) > 2 {
-		return usage("mark NAME [+D]")
+		return usageError("mark NAME [+D]")
 	}
 	at := now()
 	if len(args) == 2 {
 		d, err := time.ParseDuration(strings.TrimPrefix(args[1], "+"))
 		if err != nil {
-			return usage(err.Error())
+			return usageError(err.Error())
 		}
 		at += clock.Of(d)
 	}
--- a/scenarios/script/call.go
+++ b/scenarios/script/call.go
@@ -18,7 +18,7 @@
 	register("hangup", eachName(func(s *session, name string) error { return s.world.Hangup(name) }))
 }
 
-// callFlags are the flags that call and load share.
+// callFlags defines the flags that call and load share. It returns the value of -deadline, in milliseconds.
 func callFlags(f *flag.FlagSet, c *world.Call) (deadline *int64) {
 	f.StringVar(&c.Kind, "kind", "", "")
 	f.StringVar(&c.Workspace, "workspace", "", "")
@@ -31,23 +31,23 @@
 	return f.Int64("deadline", 0, "")
 }
 
-// call sends one request; with a last "&" it does not wait for the end.
+// call sends one request and waits for its end, or with a trailing "&" does not wait: call [flags] NAME [&]
 func call(s *session, args []string) error {
-	args, later := background(args)
+	args, async := background(args)
 	var c world.Call
 	f := flag.NewFlagSet("call", flag.ContinueOnError)
 	deadline := callFlags(f, &c)
 	f.StringVar(&c.Daemon, "to", "vm-1", "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) != 1 {
-		return usage("call [flags] NAME [&]")
+		return usageError("call [flags] NAME [&]")
 	}
 	c.Name, c.Deadline = rest[0], clock.Milli(*deadline)
 	r, err := s.world.StartCall(c)
-	if err != nil || later {
+	if err != nil || async {
 		return err
 	}
 	r.Wait()
@@ -55,9 +55,10 @@
 	return nil
 }
 
-// load sends many requests over several daemons, named NAME.1, NAME.2 and so on.
+// load sends many requests over several daemons and waits for their ends, or with a trailing "&" does not wait:
+// load [flags] NAME [&]. The calls are named NAME.1, NAME.2 and so on.
 func load(s *session, args []string) error {
-	args, later := background(args)
+	args, async := background(args)
 	var c world.Call
 	f := flag.NewFlagSet("load", flag.ContinueOnError)
 	deadline := callFlags(f, &c)
@@ -67,12 +68,12 @@
 	mixed := f.Bool("mixed", false, "")
 	copies := f.Int("copies", 1, "")
 	ready := f.Bool("ready", false, "")
-	rest, err := flags(f, args)
+	rest, err := parseFlags(f, args)
 	if err != nil {
 		return err
 	}
 	if len(rest) != 1 {
-		return usage("load [flags] NAME [&]")
+		return usageError("load [flags] NAME [&]")
 	}
 	c.Deadline = clock.Milli(*deadline)
 	gates := s.world.Daemons()
@@ -84,7 +85,7 @@
 		b.balancer = s.world.StartBalancer(s.ctx)
 	}
 	s.loads[b.name] = b.done
-	if later {
+	if async {
 		go func() { _ = b.send(s, *n, *gap) }()
 		return nil
 	}
@@ -97,21 +98,22 @@
 	return nil
 }
 
-// batch makes the calls of a load.
+// batch sends the calls of a load.
 type batch struct {
 	name   string
 	call   world.Call
 	gates  []string
 	mixed  bool
 	random *rand.Rand
-	// done is closed once all is sent.
+	// done is closed once all calls are sent.
 	done chan struct{}
-	// copies is how many daemons get each request at once, under one key.
+	// copies is how many daemons receive each request at the same time, with the same text and idempotency key.
 	copies int
-	// balancer chooses among daemons that said ready; nil sends to gates in turn.
+	// balancer chooses among the daemons that report ready; if nil, calls go to gates in turn.
 	balancer *world.Balancer
 }
 
+// send sends n calls, with a gap between two of them.
 func (b *batch) send(s *session, n int, gap time.Duration) error {
 	defer close(b.done)
 	t := time.NewTicker(max(gap, time.Nanosecond))
@@ -124,15 +126,15 @@
 				return s.ctx.Err()
 			}
 		}
-		if err := b.one(s, b.next(i)); err != nil {
+		if err := b.startOne(s, b.callAt(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// one sends one request, or several copies of it to different daemons.
-func (b *batch) one(s *session, c world.Call) error {
+// startOne starts one call, or several copies of it through different daemons.
+func (b *batch) startOne(s *session, c world.Call) error {
 	if b.balancer != nil {
 		c.Daemon = b.balancer.Next()
 	}
@@ -152,7 +154,8 @@
 	return nil
 }
 
-func (b *batch) next(i int) world.Call {
+// callAt returns call i of the load.
+func (b *batch) callAt(i int) world.Call {
 	c := b.call
 	c.Name = fmt.Sprintf("%s.%d", b.name, i+1)
 	c.Daemon = b.gates[i%len(b.gates)]
@@ -166,7 +169,7 @@
 	return c
 }
 
-// mix makes every kind of request, streamed or not, short and long.
+// mix varies the kind, the lengths and the streaming of call i.
 func (b *batch) mix(c *world.Call, i int) {
 	c.PromptTokens = 10 + b.random.IntN(500)
 	c.OutputLimit = 4 + b.random.IntN(40)
--- a/scenarios/script/secure.go
+++ b/scenarios/script/secure.go
@@ -6,18 +6,18 @@
 	register("strangers", eachName(func(s *session, name string) error { return s.world.CheckUnauthorized(s.ctx, name) }))
 }
 
-// renew replaces all certificates and their authority under the running processes.
+// renew replaces all certificates and their certificate authority while the processes run.
 func renew(s *session, args []string) error {
 	if len(args) > 0 {
-		return usage("renew")
+		return usageError("renew")
 	}
 	return s.world.RenewCertificates()
 }
 
-// former makes exec snipeshift show the certificate from before the renewal.
+// former makes "exec snipeshift" present the client certificate from before the renewal.
 func former(s *session, args []string) error {
 	if len(args) > 0 {
-		return usage("former")
+		return usageError("former")
 	}
 	for k, v := range s.world.FormerOperatorEnv() {
 		s.ts.Setenv(k, v)
--- a/scenarios/script/shows.go
+++ b/scenarios/script/shows.go
@@ -10,25 +10,25 @@
 
 func init() { register("shows", shows) }
 
-// shows waits until the operators' command prints what a regular expression
-// matches: shows REGEXP ARGUMENT...
+// shows runs the operator command again and again until its output matches a regular expression:
+// shows REGEXP ARGUMENT...
 func shows(s *session, args []string) error {
 	if len(args) < 2 {
-		return usage("shows REGEXP ARGUMENT...")
+		return usageError("shows REGEXP ARGUMENT...")
 	}
-	want, err := regexp.Compile("(?m)" + args[0])
+	pattern, err := regexp.Compile("(?m)" + args[0])
 	if err != nil {
-		return usage(err.Error())
+		return usageError(err.Error())
 	}
 	var text string
-	var last error
-	err = world.Await(s.ctx, awaitLimit, "output "+args[0], func() (bool, error) {
-		// A daemon that is gone makes the command end with an error for some seconds.
-		text, last = s.world.RunOperator(s.ctx, args[1:]...)
-		return want.MatchString(text), nil
+	var lastErr error
+	err = world.Await(s.ctx, awaitTimeout, "output "+args[0], func() (bool, error) {
+		// A daemon that was lost makes the command exit with an error for some seconds.
+		text, lastErr = s.world.RunOperator(s.ctx, args[1:]...)
+		return pattern.MatchString(text), nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w; last output:\n%s", errors.Join(err, last), text)
+		return fmt.Errorf("%w; last output:\n%s", errors.Join(err, lastErr), text)
 	}
 	return nil
 }
