--- a/scenarios/chaos/check.go
+++ b/scenarios/chaos/check.go
@@ -10,27 +10,28 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Bounds after the last fault has ended.
+// Limits on the time that the deployment needs to recover after the last fault.
 const (
 	readyBound    = 30 * time.Second
 	memoryBound   = 15 * time.Second
 	documentBound = 8 * time.Second
 	usageBound    = 20 * time.Second
-	// tail is how much of a dead daemon's last work may be missing from usage.
+	// usageLossWindow is the time before a daemon was killed whose requests may be missing from the
+	// recorded usage.
 	tail = 2 * time.Second
 )
 
-// recover waits until the deployment serves everybody again.
+// recover waits until every daemon is ready and is a live member for all others.
 func (r *Run) recover(ctx context.Context) error {
 	w := r.world
 	for _, name := range w.Daemons() {
-		err := world.Await(ctx, readyBound, name+" ready after all faults", func() (bool, error) { return w.Ready(ctx, name), nil })
+		err := world.Await(ctx, readyBound, name+" ready after the last fault", func() (bool, error) { return w.Ready(ctx, name), nil })
 		if err != nil {
 			return err
 		}
 	}
 	for _, name := range w.Daemons() {
-		err := world.Await(ctx, readyBound, name+" joined after all faults", func() (bool, error) { return w.Joined(ctx, name) })
+		err := world.Await(ctx, readyBound, name+" member again after the last fault", func() (bool, error) { return w.Joined(ctx, name) })
 		if err != nil {
 			return err
 		}
@@ -38,10 +39,10 @@
 	return nil
 }
 
-// after is how many requests must all be served whole once the faults are over.
+// finalRequests is the number of requests sent after recovery. Each must get a complete response.
 const after = 24
 
-// check checks every promise.
+// check checks the guarantees of the deployment over all requests.
 func (r *Run) check(ctx context.Context) error {
 	w := r.world
 	for _, c := range w.Results("load") {
@@ -68,15 +69,15 @@
 	for _, c := range w.Results("after") {
 		c.Wait()
 		if c.End != world.Whole && !(c.Call.Once && c.Error == "duplicate") {
-			errs = append(errs, fmt.Errorf("all is healed: %s", c))
+			errs = append(errs, fmt.Errorf("not served after recovery: %s", c))
 		}
 	}
 	r.summary()
 	return errors.Join(append(errs, w.CheckOnce(), w.CheckNotRun())...)
 }
 
-// uncounted is how many requests may be missing from usage: those that a daemon
-// served in its last moments before it was killed.
+// maxUncounted returns how many requests may be missing from the recorded usage: those that ended
+// less than usageLossWindow before their daemon was killed, or while it was not running.
 func (r *Run) uncounted() int64 {
 	n := int64(0)
 	for _, c := range r.world.Results("load") {
@@ -91,8 +92,8 @@
 	return n
 }
 
-// untold names the calls whose own daemon could not tell them: it stood still,
-// was dead, or was cut off from its callers while they waited.
+// unanswerable returns the names of the calls that their daemon could not answer in time, because it
+// was frozen, not running or cut off from its clients during the call.
 func (r *Run) untold() map[string]bool {
 	out := map[string]bool{}
 	for _, c := range r.world.Results("load") {
@@ -103,8 +104,8 @@
 	return out
 }
 
-// disturbed tells whether a spell of its daemon overlaps a call. A planned stop
-// excuses only calls that began after it.
+// disrupted reports whether a disruption of its daemon overlaps a call. Graceful stops count only
+// if withStops is set, and then only for calls that began after the stop.
 func (r *Run) disturbed(c *world.Result, planned bool) bool {
 	end := c.Begun.Add(c.Elapsed)
 	for _, s := range r.spells[c.Call.To] {
@@ -118,22 +119,22 @@
 	return false
 }
 
-// checkCuts checks that no caller lost his connection but by a fault of his own daemon.
+// checkDisconnects checks that no client lost its connection without a fault of its own daemon.
 func (r *Run) checkCuts() error {
 	var errs []error
 	for _, c := range r.world.Results("load") {
 		if c.End == world.Cut && !r.disturbed(c, true) {
-			errs = append(errs, fmt.Errorf("cut off without a fault of its daemon: %s", c))
+			errs = append(errs, fmt.Errorf("connection lost without a fault of its daemon: %s", c))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// summary logs how the calls ended.
+// summary logs how many calls ended with each outcome.
 func (r *Run) summary() {
 	ends := map[world.End]int{}
 	for _, c := range r.world.Results("") {
 		ends[c.End]++
 	}
-	r.log("ends of calls: %v", ends)
+	r.log("calls by outcome: %v", ends)
 }
--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -15,39 +15,41 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Log takes one line.
+// Log formats and prints one line of the run's output.
 type Log func(format string, args ...any)
 
-// Run is one chaos run.
+// Run plays one schedule of faults against a deployment under load.
 type Run struct {
 	world *world.World
 	log   Log
 	seed  uint64
 
 	mu sync.Mutex
-	// down counts the faults that keep a process from running.
+	// faulted holds the names of the processes that a fault currently targets.
 	down map[string]bool
-	// spells holds, by daemon, the times in which its callers could not be told.
+	// disruptions holds, by daemon, the intervals in which it could not answer its clients.
 	spells map[string][]spell
-	// draft is the output length that the last document set.
+	// draftOutput is the output length of the kind draft that the last document set.
 	draft int
 }
 
-// spell is a time in which a daemon was frozen, dead or cut off from callers.
+// disruption is an interval in which a daemon was frozen, not running or cut off from clients.
 type spell struct {
 	from, to time.Time
-	// planned is set for a planned stop, which may cut off no call that came before it.
+	// planned is set for a graceful stop, which must let every request that arrived before it finish.
 	planned bool
-	// killed is set where the process died.
+	// killed is set if the process was killed.
 	killed bool
 }
 
-// New returns a run against a deployment that is ready.
+// New returns a run with the schedule of seed. The deployment w must be ready.
 func New(w *world.World, seed uint64, l Log) *Run {
 	return &Run{world: w, log: l, seed: seed, down: map[string]bool{}, spells: map[string][]spell{}, draft: 32}
 }
 
-// Go plays the schedule under load, heals all and checks the promises.
+// Go injects the faults of the schedule under load, waits until the deployment has recovered and
+// checks its guarantees. The returned error joins all faults that could not be injected and all
+// guarantees that were violated.
 func (r *Run) Go(ctx context.Context, length time.Duration) error {
 	r.world.Relax()
 	faults := Plan(r.seed, length, Fleet{r.world.Daemons(), r.world.Engines(), r.world.Services()})
@@ -74,7 +76,7 @@
 	return errors.Join(err, load.Wait(), r.recover(ctx), r.check(ctx))
 }
 
-// pause waits, unless ctx ends.
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
@@ -84,7 +86,7 @@
 	}
 }
 
-// take marks a process as hit; false if another fault has it already.
+// acquire reserves a process for one fault. It returns false if another fault targets the process.
 func (r *Run) take(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,7 +109,7 @@
 	r.spells[name] = append(r.spells[name], spell{from, time.Now(), k == Stop, k == Kill})
 }
 
-// play begins a fault, waits for its span and ends it.
+// inject starts a fault, waits for its duration and ends it.
 func (r *Run) play(ctx context.Context, f Fault) error {
 	w := r.world
 	switch f.Kind {
@@ -168,14 +170,15 @@
 	if err := w.Start(f.Target); err != nil {
 		return err
 	}
-	// Until it is ready no balancer sends callers there, and its door may be closed.
+	// Until the daemon is ready its client listener may be closed, and no load balancer would send
+	// it clients, so the disruption lasts until then.
 	if slices.Contains(w.Daemons(), f.Target) {
 		return world.Await(ctx, readyBound, f.Target+" ready again", func() (bool, error) { return w.Ready(ctx, f.Target), nil })
 	}
 	return nil
 }
 
-// stopLimit bounds a planned stop: the longest allowed time of a request that may be in work.
+// stopTimeout bounds a graceful stop. It is the longest time limit of a request that may be running.
 const stopLimit = 90 * time.Second
 
 func (r *Run) link(ctx context.Context, f Fault) error {
@@ -210,7 +213,8 @@
 	return r.world.Control(ctx, name, f.Reset)
 }
 
-// apply changes the document. While the store is down an operator cannot.
+// apply applies a changed document as an operator does. An apply that fails, as while the store is
+// down, is logged and is no error of the run.
 func (r *Run) apply(ctx context.Context) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -226,7 +230,7 @@
 	return nil
 }
 
-// loadGap is the time between two requests of the load.
+// loadInterval is the time between two requests of the load.
 const loadGap = 40 * time.Millisecond
 
 // load sends requests of every kind until ctx ends.
@@ -246,7 +250,8 @@
 	}
 }
 
-// send sends one request; every fourth notice goes to two daemons at once.
+// send starts one request. One notice in four, drawn at random, is sent a second time at once, to
+// a daemon drawn again, to test that a request that must not repeat runs at most once.
 func (r *Run) send(name string, i int, random *rand.Rand) error {
 	ds := r.world.Daemons()
 	c := world.Call{Name: name, Text: name, To: ds[random.IntN(len(ds))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
--- a/scenarios/chaos/schedule.go
+++ b/scenarios/chaos/schedule.go
@@ -1,5 +1,5 @@
 // Package chaos runs a seeded random schedule of faults, one or two at a time,
-// against a deployment under load, and checks the promises at the end.
+// against a deployment under load, and checks the guarantees of the deployment at the end.
 package chaos
 
 import (
@@ -11,21 +11,21 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The faults.
+// The kinds of fault.
 const (
-	Kill      Kind = "kill"      // a process dies and is started again
-	Freeze    Kind = "freeze"    // a process stands still
-	Stop      Kind = "stop"      // a planned stop of a daemon and its start
-	Cut       Kind = "cut"       // a link is reset and refused
-	Silence   Kind = "silence"   // the open connections of a link carry nothing
-	Blackhole Kind = "blackhole" // a link carries nothing, new connections included
-	Outage    Kind = "outage"    // the store is down
-	Slow      Kind = "slow"      // the store is slow
-	Lose      Kind = "lose"      // answers to writes are lost
-	Stale     Kind = "stale"     // reads see the version before the last
-	Deadwatch Kind = "deadwatch" // watches never answer
-	Engine    Kind = "engine"    // an engine does what Setting says
-	Service   Kind = "service"   // a service does what Setting says
+	Kill      Kind = "kill"      // a process is killed and started again
+	Freeze    Kind = "freeze"    // a process is paused
+	Stop      Kind = "stop"      // a daemon is stopped gracefully and started again
+	Cut       Kind = "cut"       // connections of a link are reset and new ones refused
+	Silence   Kind = "silence"   // the open connections of a link drop all data
+	Blackhole Kind = "blackhole" // all connections of a link, also new ones, drop all data
+	Outage    Kind = "outage"    // the store is unavailable
+	Slow      Kind = "slow"      // the store responds slowly
+	Lose      Kind = "lose"      // the store executes writes and drops their responses
+	Stale     Kind = "stale"     // reads of the store return the version before the last
+	Deadwatch Kind = "deadwatch" // watches of the store never return
+	Engine    Kind = "engine"    // an engine misbehaves as Setting defines
+	Service   Kind = "service"   // a service misbehaves as Setting defines
 	Leaving   Kind = "leaving"   // the platform lists an upstream as leaving
 	Apply     Kind = "apply"     // an operator changes the document
 )
@@ -33,15 +33,17 @@
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind Kind
-	// Target is a process, Other the far end of a link.
+	// Target is the process, upstream or dialing end of a link that the fault hits. It is empty
+	// for faults of the store and for Apply. Other is the end of the link that accepts connections.
 	Target, Other string
-	// Setting is a field of a stand-in, Reset what ends the fault.
+	// Setting is the setting (field=value) of an emulated engine, service or store that causes the
+	// fault, Reset the setting that ends it, empty if the fault ends by itself.
 	Setting, Reset string
-	// At is when it begins, from the start of the schedule; Span how long it lasts.
+	// At is the time from the start of the schedule to the start of the fault, Span how long the fault lasts.
 	At, Span time.Duration
 }
 
-// String is one line of the printed schedule.
+// String returns the fault's line in the printed schedule.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%6v %-9s %s", f.At.Round(time.Millisecond), f.Kind, f.Target)
 	if f.Other != "" {
@@ -53,22 +55,21 @@
 	return fmt.Sprintf("%s for %v", s, f.Span.Round(time.Millisecond))
 }
 
-// Fleet names what faults may hit.
+// Fleet lists the names of the processes that faults may target.
 type Fleet struct{ Daemons, Engines, Services []string }
 
-// Times of a schedule. A fault is long enough to outlast leases and timeouts now
-// and then, and the pauses are short enough that the next one often comes while
-// the last one's traces are still there.
+// Times of a schedule. Faults last long enough that some outlast leases and timeouts. Pauses are
+// short enough that the next fault often starts before the system has recovered from the last.
 const (
 	leastSpan  = 500 * time.Millisecond
 	mostSpan   = 7 * time.Second
 	leastPause = 200 * time.Millisecond
 	mostPause  = 2500 * time.Millisecond
-	// twice is how often two faults come together, one in so many.
+	// pairOdds is n if one in n times two faults start together.
 	twice = 3
 )
 
-// weights say how often each kind comes.
+// weights are the relative frequencies of the kinds.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -90,7 +91,7 @@
 	{Apply, 2},
 }
 
-// settings of a fault and of its end.
+// settings holds the setting that causes a fault and the one that ends it.
 type settings struct{ set, reset string }
 
 var engineSettings = []settings{
@@ -113,7 +114,8 @@
 	{"delay=800", "delay=0"},
 }
 
-// Plan returns the schedule of a seed. The same seed always gives the same one.
+// Plan returns the schedule of faults for seed; faults start within length. Equal arguments give
+// equal schedules.
 func Plan(seed uint64, length time.Duration, f Fleet) []Fault {
 	p := planner{random: rand.New(rand.NewPCG(seed, 0)), fleet: f}
 	var out []Fault
@@ -191,7 +193,7 @@
 	return f
 }
 
-// link picks a daemon and something that it dials, or the caller and a daemon.
+// link picks the ends of a link: a daemon and a process that it dials, or the client and a daemon.
 func (p *planner) link() (from, to string) {
 	from = p.one(p.fleet.Daemons)
 	switch p.random.IntN(5) {
--- a/scenarios/chaos/schedule_test.go
+++ b/scenarios/chaos/schedule_test.go
@@ -9,8 +9,8 @@
 
 var fleet = Fleet{Daemons: []string{"vm-1", "vm-2", "vm-3"}, Engines: []string{"engine-1", "engine-2"}, Services: []string{"desk-1"}}
 
-// A seed that showed a fault is the proof that the fault is mended, so it must
-// always give the same schedule.
+// A seed whose schedule exposed a bug is run again to verify the fix, so a seed must always give
+// the same schedule.
 func TestPlanIsTheSameForASeed(t *testing.T) {
 	require.Equal(t, Plan(7, time.Minute, fleet), Plan(7, time.Minute, fleet))
 	require.NotEqual(t, Plan(7, time.Minute, fleet), Plan(8, time.Minute, fleet))
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// bufferSize is how much one direction holds at most, in bytes.
+// bufferSize is the size of the copy buffer of one direction, in bytes.
 const bufferSize = 32 << 10
 
-// conn is one connection with both its ends.
+// conn is one relayed connection: the accepted connection and the one dialed to the target.
 type conn struct {
 	near *net.TCPConn
-	// source names the process that dialled; empty until it is known. Relay.mu guards it.
+	// source is the name of the process that dialed, empty until it is known. Relay.mu protects it.
 	source string
-	// found is closed once source was looked for.
+	// identified is closed when the lookup of source is done, whether or not it found a name.
 	found chan struct{}
-	// mute holds the Ways that are silent.
+	// silenced holds the Ways in which data is dropped.
 	mute atomic.Uint32
-	// delay is how long each piece is held up in both directions, a time.Duration.
+	// delay is the time by which each read is delayed in both directions, a time.Duration.
 	delay atomic.Int64
 
 	mu  sync.Mutex
 	far *net.TCPConn
-	// gone is set once the connection was reset.
+	// wasReset is set by reset. A target connection that is dialed later is reset too.
 	gone bool
 }
 
@@ -36,7 +36,7 @@
 
 func (c *conn) silent(w Ways) bool { return c.mute.Load()&uint32(w) != 0 }
 
-// run carries both directions until both have ended.
+// run copies data in both directions until both have ended.
 func (c *conn) run(far *net.TCPConn) {
 	c.mu.Lock()
 	c.far = far
@@ -55,8 +55,8 @@
 		_ = far.Close()
 		return
 	}
-	// Both ends of a silent connection stay open: neither learns that the other left.
-	// Reset closes them with the relay.
+	// Both ends of a silent connection stay open, so that neither sees the other close. They are
+	// closed by reset, at the latest when the relay closes.
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone {
@@ -65,8 +65,8 @@
 	}
 }
 
-// copy carries one direction. A silent one reads on and passes nothing, not
-// even the end: whoever sends sees his writes succeed.
+// copy copies the data of one direction. While the direction is silent copy reads and drops the
+// data, so that the sender's writes succeed, and does not pass on the end of the stream either.
 func (c *conn) copy(to, from *net.TCPConn, w Ways) {
 	b := make([]byte, bufferSize)
 	for {
@@ -95,21 +95,21 @@
 	}
 }
 
-// reaches tells whether the target sees the connection come from an address.
+// hasTargetSide reports whether address is the remote address of the connection as the target sees it.
 func (c *conn) reaches(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.far != nil && c.far.LocalAddr().String() == address
 }
 
-// lost passes a broken end on to the other one, unless the link is silent.
+// propagateError resets both connections after one of them has failed, unless a direction is silent.
 func (c *conn) lost() {
 	if !c.silent(Both) {
 		c.reset()
 	}
 }
 
-// reset breaks the connection for both ends.
+// reset resets the connections to both ends.
 func (c *conn) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +126,7 @@
 	return c.gone
 }
 
-// hardClose closes with a reset in place of an orderly end.
+// hardClose closes a connection with RST instead of FIN.
 func hardClose(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/scenarios/relay/finder.go
+++ b/scenarios/relay/finder.go
@@ -11,14 +11,13 @@
 	"sync"
 )
 
-// Finder tells which process holds the other end of a loopback connection. All
-// daemons dial from the same address, so the system's table of sockets is the
-// only place where two of them differ.
+// Finder determines which process dialed a loopback connection. All daemons dial from the same IP
+// address, so only the kernel's socket table tells their connections apart.
 type Finder struct {
 	mu sync.Mutex
-	// names by process id.
+	// names holds the name of each known process by process id.
 	names map[int]string
-	// waiting are the questions that the next look answers together.
+	// pending holds the lookups that the next read of the socket table resolves together.
 	waiting []question
 	looking bool
 }
@@ -28,37 +27,36 @@
 	answer chan string
 }
 
-// ends are the two ends of a connection as the system's table writes them, seen
-// from who dialled. The dialling port alone would not do: the system gives it to
-// several connections at once.
+// addrPair holds the two addresses of a connection in the format of /proc/net/tcp, seen from the
+// process that dialed. The local port alone is not enough: the kernel uses one ephemeral port for
+// several connections with different remote addresses.
 type ends struct{ local, remote string }
 
-// endOf writes an address as the table does: the bytes of the IP number in the
-// machine's order, little endian, and the port.
+// procAddr formats an address as /proc/net/tcp does: the bytes of the IP address in host byte order,
+// which is taken to be little endian, and the port.
 func endOf(a *net.TCPAddr) string {
 	ip := a.IP.To4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port)
 }
 
-// NewFinder returns a finder that knows no process.
+// NewFinder returns a finder without processes.
 func NewFinder() *Finder { return &Finder{names: map[int]string{}} }
 
-// Know adds a process.
+// Know adds a process and its name.
 func (f *Finder) Know(pid int, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.names[pid] = name
 }
 
-// Forget removes a process that ended, since its id may be used again.
+// Forget removes a process that has ended, since the system may reuse its id.
 func (f *Finder) Forget(pid int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.names, pid)
 }
 
-// Find names the process that dialled a connection which was accepted here;
-// empty if it is not known.
+// Find returns the name of the process that dialed an accepted connection, empty if it is not known.
 func (f *Finder) Find(accepted net.Conn) string {
 	from, ok := accepted.RemoteAddr().(*net.TCPAddr)
 	to, ok2 := accepted.LocalAddr().(*net.TCPAddr)
@@ -77,7 +75,8 @@
 	return <-q.answer
 }
 
-// look answers questions until there is none; one reading of the table serves many.
+// resolve resolves pending lookups until there are none. One read of the socket table serves all
+// lookups that are pending at the time.
 func (f *Finder) look() {
 	for {
 		f.mu.Lock()
@@ -100,7 +99,7 @@
 	}
 }
 
-// Fields of a line in the system's table of sockets.
+// Indexes of the fields in a line of /proc/net/tcp, and the least number of fields of a usable line.
 const (
 	fieldLocal  = 1
 	fieldRemote = 2
@@ -108,7 +107,7 @@
 	fieldsLeast = 10
 )
 
-// sockets reads the inode of every socket from the system's table.
+// socketInodes reads the inode of every TCP socket from /proc/net/tcp. Without that file the map is empty.
 func sockets() map[ends]string {
 	out := map[ends]string{}
 	file, err := os.Open("/proc/net/tcp")
@@ -126,7 +125,7 @@
 	return out
 }
 
-// holdersOf maps the inode of every socket of the processes to their names.
+// namesByInode maps the inode of each open socket of the given processes to the process's name.
 func holdersOf(names map[int]string) map[string]string {
 	out := map[string]string{}
 	for pid, name := range names {
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay carries TCP connections between the processes of a scenario, so
-// that a script can cut a link or let it go silent. Each address that a process
-// is told leads to one relay; the relay knows which process dialled.
+// Package relay forwards TCP connections between the processes of a scenario, so that a script can
+// cut, silence or delay a link. Every address in the configuration of a process is the address of a
+// relay. A relay determines which process dialed, so that faults can be limited to one source.
 package relay
 
 import (
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// Any stands for every source in a rule.
+// Any as the source of a rule matches every source.
 const Any = "any"
 
-// Ways are the directions of a link that a fault concerns.
+// Ways is a set of the directions of a link that a fault affects.
 type Ways uint8
 
-// The directions, seen from the process that dialled.
+// The directions, seen from the process that dialed.
 const (
-	There Ways = 1 << iota // what the source sends does not arrive
-	Back                   // what comes back does not arrive
+	There Ways = 1 << iota // from the dialing process to the target
+	Back                   // from the target to the dialing process
 	Both  = There | Back
 )
 
-// dialLimit bounds a connect to a process on this machine.
+// dialTimeout limits a connect to a process on this machine.
 const dialLimit = time.Second
 
-// rule is what happens to connections of one source.
+// rule is the fault in force for the connections of one source.
 type rule struct {
 	// cut resets connections.
 	cut bool
-	// silent swallows what new connections carry.
+	// silent is the set of directions in which new connections drop all data.
 	silent Ways
-	// delay holds up each piece that they carry.
+	// delay delays the data of new connections.
 	delay time.Duration
 }
 
-// Relay passes connections on to one target.
+// Relay forwards connections to one target.
 type Relay struct {
 	address string
 	finder  *Finder
@@ -51,40 +51,40 @@
 	conns    map[*conn]struct{}
 	rules    map[string]rule
 	closed   bool
-	// named is how long connections wait at most until it is known who dialled.
+	// sourceWait is the longest time that a new connection waits until its source is known.
 	named time.Duration
 }
 
-// Ports are chosen below those that the system gives to outgoing connections,
-// so that a relay which was down finds its port free again.
+// Ports are chosen below the system's range of ephemeral ports, so that no outgoing connection
+// occupies the port of a relay while the relay is down.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
 	portTries = 200
 )
 
-// Bits of a process id that make a loopback address.
+// How the bits of a process id are distributed over the bytes of a loopback address.
 const (
 	lowBits  = 8
 	highBits = 16
 	lowMask  = 0xff
-	// highest keeps clear of 127.255.255.255, which is no address of a host.
+	// highest avoids 127.255.255.255, the broadcast address.
 	highest = 250
 )
 
-// host is a loopback address of this test process alone. Two test processes on
-// one machine would otherwise take each other's ports while a daemon is down.
+// host is a loopback address that only this test process uses. Otherwise two test processes on one
+// machine could take each other's ports while a daemon is down.
 var host = hostOf(os.Getpid())
 
 func hostOf(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>highBits%highest, pid>>lowBits&lowMask, pid&lowMask)
 }
 
-// chosen holds the ports that this process gave out, in use or not.
+// allocated holds the addresses that FreeAddress returned in this process, in use or not.
 var chosen sync.Map
 
-// FreeAddress returns a loopback address that nobody listens on, and that is
-// not given out again.
+// FreeAddress returns a loopback address (host:port) that no process listens on. It never returns an
+// address twice.
 func FreeAddress() (string, error) {
 	for range portTries {
 		a := fmt.Sprintf("%s:%d", host, firstPort+rand.IntN(lastPort-firstPort))
@@ -101,20 +101,22 @@
 	return "", fmt.Errorf("no free port after %d tries", portTries)
 }
 
-// New returns a relay that is down; Up opens it. Its address stays the same.
+// New returns a relay that does not listen until Up is called. Its address never changes.
 func New(f *Finder) (*Relay, error) {
 	a, err := FreeAddress()
 	return &Relay{address: a, finder: f, conns: map[*conn]struct{}{}, rules: map[string]rule{}}, err
 }
 
-// Name has new connections wait until it is known who dialled: of one that ends before, it would never be known. They wait for a time at most, or a
-// busy machine would make those that they lead to look silent.
+// Name makes new connections wait until their source is known, because the source of a connection
+// that ends earlier can no longer be determined. They wait for most at the longest: without a limit
+// the target would appear unresponsive on a busy machine.
 func (r *Relay) Name(most time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.named = most }
 
-// Address is where the relay listens while it is up.
+// Address returns the address (host:port) that the relay listens on while it is up.
 func (r *Relay) Address() string { return r.address }
 
-// Up makes the relay take connections for a target.
+// Up sets the target and makes the relay listen. It does nothing more on a relay that listens already
+// or is closed.
 func (r *Relay) Up(target string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,14 +133,14 @@
 	return nil
 }
 
-// Listening again on an address that was just given up is tried for so long.
+// Retries of listen on an address that is still in use.
 const (
 	listenTries = 20
 	listenPause = 50 * time.Millisecond
 )
 
-// listen takes an address that may still be held for a moment.
-// A program that is being started meanwhile holds a copy of the socket until it runs.
+// listen listens on address and retries while the address is in use. A child process that is being
+// started inherits a copy of a listening socket and keeps the address in use until its exec.
 func listen(address string) (net.Listener, error) {
 	for try := 1; ; try++ {
 		l, err := net.Listen("tcp", address) //nolint:noctx // closed by Down
@@ -149,7 +151,8 @@
 	}
 }
 
-// Down refuses new connections, as the system does for a process that is gone.
+// Down stops listening, so that new connections are refused as for a process that does not run.
+// Open connections continue.
 func (r *Relay) Down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,7 +162,7 @@
 	}
 }
 
-// Close ends the relay with all its connections.
+// Close stops listening for good and resets all connections.
 func (r *Relay) Close() {
 	r.Down()
 	r.mu.Lock()
@@ -170,7 +173,7 @@
 	}
 }
 
-// Cut resets the connections of a source, present and future, until Heal.
+// Cut resets the open connections of a source, and new ones until Heal.
 func (r *Relay) Cut(source string) {
 	r.settle()
 	r.mu.Lock()
@@ -183,8 +186,8 @@
 	}
 }
 
-// Silence swallows what the present connections of a source carry, for good.
-// With fresh set, connections opened until Heal are silent too.
+// Silence drops all data in the directions w of the open connections of a source. Heal does not undo
+// this. With fresh set, connections opened until Heal are silent too, for good as well.
 func (r *Relay) Silence(source string, w Ways, fresh bool) {
 	r.settle()
 	r.mu.Lock()
@@ -199,7 +202,7 @@
 	}
 }
 
-// Delay holds up what the connections of a source carry, present and future, until Heal.
+// Delay delays the data of a source's connections, open and new, by d until Heal.
 func (r *Relay) Delay(source string, d time.Duration) {
 	r.settle()
 	r.mu.Lock()
@@ -212,8 +215,8 @@
 	}
 }
 
-// settle waits until it is known who dialled the present connections, so that
-// a fault of one source misses none of them.
+// awaitSources waits until the source of every open connection is known, so that a fault of one
+// source misses none of its connections.
 func (r *Relay) settle() {
 	r.mu.Lock()
 	found := make([]chan struct{}, 0, len(r.conns))
@@ -226,7 +229,8 @@
 	}
 }
 
-// Heal lets new connections of a source work again, and ends the delay of present ones.
+// Heal removes the rule of a source, so that its new connections work, and ends the delay of its open
+// ones.
 func (r *Relay) Heal(source string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -248,7 +252,7 @@
 	}
 }
 
-// carry serves one connection to its end.
+// serve forwards one connection until it ends.
 func (r *Relay) carry(near *net.TCPConn) {
 	c := &conn{near: near, found: make(chan struct{})}
 	target, ok := r.add(c)
@@ -270,8 +274,8 @@
 	c.run(far.(*net.TCPConn))
 }
 
-// identify finds out who dialled. While there are rules the connection waits for it, where names are wanted for a
-// time; false means that a rule cuts it.
+// identify starts the lookup of the connection's source. While rules exist it waits for the result,
+// otherwise for sourceWait at most. It returns false if a rule has cut the connection.
 func (r *Relay) identify(c *conn) bool {
 	go func() {
 		defer close(c.found)
@@ -294,7 +298,7 @@
 	return !c.isGone()
 }
 
-// apply brings the rules to a connection whose source is known now. It needs mu.
+// applyRules applies the rules to a connection whose source has been determined. The caller holds mu.
 func (r *Relay) apply(c *conn) {
 	for s, x := range r.rules {
 		switch {
@@ -308,8 +312,9 @@
 	}
 }
 
-// Source returns what names the process that dialled the connection which reaches the target from an address; empty if there
-// is none. To find the process takes time, for which the name waits and the connection does not.
+// Source returns a function that returns the name of the process whose connection the target sees
+// come from address, empty if there is no such connection or its process is not known. Source must
+// be called while the connection is open; the returned function waits until the lookup is done.
 func (r *Relay) Source(address string) func() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers every line with itself.
+// echo starts a server that sends back everything it receives, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 func requireReset(t *testing.T, c net.Conn) {
 	_, err := ask(c, 5*time.Second)
 	require.Error(t, err)
-	require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "silent in place of reset")
+	require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "connection is silent instead of reset")
 }
 
 func TestRelayCarriesBothWaysAndTheEnd(t *testing.T) {
@@ -97,8 +97,8 @@
 	requireWorks(t, dial(t, r))
 }
 
-// A program is started while an address is looked for, and holds a copy of the socket until it runs. The address is
-// in use for a moment, and nobody else has it.
+// A child process that is being started holds a copy of a listening socket until its exec, so an address can
+// still be in use for a moment after its listener was closed. Up must retry.
 func TestAnAddressThatIsHeldForAMomentIsTaken(t *testing.T) {
 	r, err := New(NewFinder())
 	require.NoError(t, err)
@@ -142,7 +142,7 @@
 	requireWorks(t, dial(t, r))
 }
 
-// A link between two VMs is slow for a while: what was sent arrives late, and whole.
+// Delayed data arrives late and complete, and Heal ends the delay.
 func TestDelayHoldsUpAndHealEndsIt(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
@@ -160,7 +160,8 @@
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 }
 
-// A connection that ends at once is gone before it is found out who dialled it, and what an upstream said over it binds nobody.
+// The source of a connection that closes at once could not be determined afterwards, and a check of which VM received
+// an upstream's statement over it would have to skip it. Relay.Name makes the connection wait for the lookup.
 func TestAShortConnectionHasAName(t *testing.T) {
 	f := NewFinder()
 	f.Know(os.Getpid(), "me")
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -14,27 +14,27 @@
 
 const (
 	callers = 10
-	// mine keeps its key, other loses it in the middle of the run.
+	// The key of steadyWorkspace stays valid, that of revokedWorkspace is revoked in the middle of the run.
 	mine, other = "ward", "desk"
-	// sticky is how many calls a caller makes over its connection before it turns to another VM.
+	// callsPerVM is how many calls a client makes to one VM before it chooses a VM again.
 	sticky = 12
 )
 
-// revocation is the time within which a withdrawn key must be refused everywhere.
+// revocationLimit is the time within which every VM must reject a revoked key.
 const revocation = 5 * time.Second
 
-// lateness is by how much an answer may pass its route's timeout, on a busy machine.
+// tolerance is the time by which a response may exceed its route's timeout, as happens on a busy machine.
 const lateness = 1500 * time.Millisecond
 
-// timeouts are those of the stand-in's routes.
+// timeouts holds the timeouts of the routes that the emulated platform configures.
 var timeouts = map[string]time.Duration{
 	"draft": 8 * time.Second, "audit": 12 * time.Second, "lookup": 2 * time.Second, "notice": 2 * time.Second,
 }
 
-// routes are called in turn.
+// routes is the cycle of routes that a client calls.
 var routes = []string{"draft", "lookup", "notice", "draft", "lookup", "notice", "audit"}
 
-// call is one request with its answer.
+// call is one request with its response.
 type call struct {
 	vm               *fleet.VM
 	route, workspace string
@@ -48,8 +48,9 @@
 	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.answer.ID, c.vm.Name, c.answer.Status, c.answer.Took.Round(time.Millisecond), c.answer.Text)
 }
 
-// call makes calls, one after the other, until it is stopped. It goes on using a connection
-// whatever its VM says of itself.
+// runClient makes calls one after the other until stop is closed. It uses its connection to a VM for
+// all callsPerVM calls, also after the VM has announced that it stops, and leaves it only after a call
+// whose status is not 200.
 func (r *Run) call(i int, stop chan struct{}) {
 	random := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
 	workspace := mine
@@ -79,7 +80,8 @@
 	}
 }
 
-// check checks every promise over all calls.
+// check checks the guarantees of the fleet over all calls and returns the violations, joined with the
+// errors of faults that could not be injected.
 func (r *Run) check(failed <-chan error) error {
 	var errs []error
 	for err := range failed {
@@ -96,7 +98,7 @@
 		}
 	}
 	if twice, wrong := p.Ran(); twice+wrong > 0 {
-		errs = append(errs, fmt.Errorf("%d ran twice that may not, %d for another workspace", twice, wrong))
+		errs = append(errs, fmt.Errorf("%d attempts ran more than once, %d ran for a workspace other than the key's", twice, wrong))
 	}
 	for _, f := range p.Faults() {
 		errs = append(errs, errors.New(f))
@@ -108,29 +110,29 @@
 		errs = append(errs, errors.New(text))
 	}
 	errs = append(errs, r.after()...)
-	r.log("ends of %d calls: %v", len(calls), ends(calls))
-	r.log("the store lists %v", p.Listed("servers"))
+	r.log("%d calls by outcome: %v", len(calls), ends(calls))
+	r.log("upstreams in the store: %v", p.Listed("servers"))
 	told, unknown := p.Told()
-	r.log("%d answers asked a VM for rest or said to it that their upstream leaves; of %d it is not known which VM", told, unknown)
+	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", told, unknown)
 	return errors.Join(errs...)
 }
 
-// tell logs what the VM wrote of a call.
+// logCall logs the lines in the VM's log about a call.
 func (r *Run) tell(c *call) {
 	for _, line := range c.vm.Process.Grep(c.answer.ID + `"`) {
 		r.log("%s", line)
 	}
 }
 
-// What breaks a promise.
+// Violations of the guarantees by one call.
 var (
-	errRan      = errors.New("it ran, and its caller got the answer that it had not")
-	errNotWhole = errors.New("a success that is not the whole answer of its own")
-	errDenied   = errors.New("a proper request was denied")
-	errLate     = errors.New("answered long after its timeout")
-	errKey      = errors.New("it ran for a key that was taken away")
-	errBroken   = errors.New("cut off without a fault of its VM")
-	errCalm     = errors.New("not served on a calm fleet")
+	errRan      = errors.New("request ran, but its client got a response that reports it did not run")
+	errNotWhole = errors.New("status 200, but the response is incomplete or belongs to another request")
+	errDenied   = errors.New("valid request denied")
+	errLate     = errors.New("response long after the route's timeout")
+	errKey      = errors.New("request ran with a revoked key")
+	errBroken   = errors.New("connection lost without a fault of its VM")
+	errCalm     = errors.New("not served although no fault was near")
 )
 
 func (r *Run) judge(c *call) error {
@@ -161,7 +163,7 @@
 	if a.Status == 0 && !hit && c.route != "draft" && c.route != "audit" {
 		return errBroken
 	}
-	// Ten callers ask for more long prompts than four engines read, so some are refused.
+	// Ten clients send more long prompts than four engines can prefill, so some are refused.
 	refused := c.route == "audit" && a.Status == http.StatusServiceUnavailable
 	if !a.Whole && !refused && c.workspace == mine && r.calm(c) {
 		return errCalm
@@ -169,8 +171,8 @@
 	return nil
 }
 
-// confirmed is when the taking away of the key was confirmed last: a store that comes back from a copy without it answers that the
-// key is good, until the operator has written it again.
+// revocationConfirmed returns when the store last confirmed the revocation of the key. A store restored from a copy without the
+// revocation reports the key as valid until the operator has written the revocation again.
 func (r *Run) confirmed() time.Time {
 	at := r.withdrawn
 	for _, w := range r.fleet.Platform.Rewrites() {
@@ -181,8 +183,8 @@
 	return at
 }
 
-// hit tells whether the process of a call's VM was stopped, killed or standing still during it. A
-// planned stop excuses only calls that began after it.
+// processFaulted reports whether the process of a call's VM was stopped, killed or paused during the
+// call. A graceful stop counts only for calls that began after it.
 func (r *Run) hit(c *call) bool {
 	for _, s := range r.spells {
 		if s.vm != c.vm || c.at.After(s.to.Add(lateness)) || c.end().Before(s.from) {
@@ -201,10 +203,12 @@
 	return false
 }
 
-// excusedAfter is how long after a fault of its own a VM still need not know what others do.
+// peerSyncTime is how long after a fault that hit a VM's process or a link to a peer the VM may still
+// be unaware of what other VMs do.
 const excusedAfter = 3 * time.Second
 
-// excused tells whether a VM was stopped, killed, standing still or cut off from other VMs in a span.
+// unsynced reports whether a VM may have been unaware of what other VMs do between from and to,
+// because it was stopped, killed or paused, or a link between it and a peer was hit.
 func (r *Run) excused(vm string, from, to time.Time) bool {
 	for _, s := range r.spells {
 		if s.to.Add(excusedAfter).Before(from) || s.from.After(to) {
@@ -226,10 +230,12 @@
 	return false
 }
 
-// answerSpan is how long the answer that a VM may have got, or not, was on its way.
+// responseTime is the time before and after an instant in which a fault may have kept a response of that
+// instant from its VM.
 const answerSpan = time.Second
 
-// unheard tells whether a VM may not have got an upstream's answer of an instant, since it or the link between them was hit.
+// mayHaveMissed reports whether a VM may not have received a response that upstream u sent at the given time, because a
+// fault hit the VM's process or its link to the upstream.
 func (r *Run) unheard(vm string, u *standin.Runner, at time.Time) bool {
 	from, to := at.Add(-answerSpan), at.Add(answerSpan)
 	if r.restarted(vm, from, to) {
@@ -244,34 +250,37 @@
 	return false
 }
 
-// restarted tells whether a VM was stopped, killed or standing still in a span.
+// restarted reports whether a VM was stopped, killed or paused between from and to.
 func (r *Run) restarted(vm string, from, to time.Time) bool {
 	return slices.ContainsFunc(r.spells, func(s spell) bool { return s.vm.Name == vm && s.process() && s.overlaps(from, to) })
 }
 
-// cut tells whether a VM was that, or any link of it was hit.
+// disrupted reports whether a VM was stopped, killed or paused, or a link that it dials was hit, between
+// from and to.
 func (r *Run) cut(vm string, from, to time.Time) bool {
 	return r.restarted(vm, from, to) || slices.ContainsFunc(r.spells, func(s spell) bool {
 		return s.vm.Name == vm && s.link() && s.overlaps(from, to)
 	})
 }
 
-// process tells whether a fault hits a VM's process, link whether it hits one of its links.
+// hitsProcess reports whether the fault hits a VM's process.
 func (s *spell) process() bool {
 	return s.fault.Kind == Kill || s.fault.Kind == Freeze || s.fault.Kind == Stop
 }
 
+// hitsLink reports whether the fault hits a link that a VM dials.
 func (s *spell) link() bool {
 	return s.fault.Kind == Cut || s.fault.Kind == Reset || s.fault.Kind == Silence || s.fault.Kind == Delay
 }
 
 func (s *spell) overlaps(from, to time.Time) bool { return !s.to.Before(from) && !s.from.After(to) }
 
-// calmAfter is how long the traces of a fault may last: an owner's books know of grants that have
-// ended for three seconds, upstreams are shut out for four, lapsed entries kept for two.
+// recoveryTime is how long a fault may have effects after its end: an owner counts grants that have
+// ended for up to 3 s, excludes failed upstreams for 4 s, and retains expired entries for 2 s.
 const calmAfter = 5 * time.Second
 
-// calm tells whether no fault was near a call.
+// undisturbed reports whether no fault of any kind lasted during a call or ended less than recoveryTime
+// before it.
 func (r *Run) calm(c *call) bool {
 	for _, s := range r.spells {
 		if c.end().After(s.from) && c.at.Before(s.to.Add(calmAfter)) {
@@ -281,8 +290,8 @@
 	return true
 }
 
-// after makes calls on the healed fleet, all of which must be served, and looks for memory that
-// nobody uses.
+// checkRecovered makes calls after all faults have ended, all of which must be served, and then checks
+// that no upstream has memory reserved.
 func (r *Run) after() []error {
 	var errs []error
 	c := standin.NewCaller(mine)
@@ -297,12 +306,13 @@
 	time.Sleep(settling)
 	for _, u := range r.fleet.Platform.Runners() {
 		if n := u.Reserved(); n > 0 {
-			errs = append(errs, fmt.Errorf("%d tokens of memory are still set aside at %s", n, u.Address()))
+			errs = append(errs, fmt.Errorf("%d tokens of memory are still reserved at %s", n, u.Address()))
 		}
 	}
 	return errs
 }
 
+// countOutcomes counts the calls with a complete response, and all others by status.
 func ends(calls []call) map[string]int {
 	out := map[string]int{}
 	for i := range calls {
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak plays a seeded random schedule of faults against a fleet of real processes
-// on a stand-in of the platform, and checks from what callers and upstreams see that every
-// promise holds. Faults come in series and overlap.
+// Package soak injects a seeded random schedule of faults into a fleet of real VM processes on an
+// emulated platform. It checks the guarantees of the fleet by what clients and upstreams observe.
+// Faults come in bursts and overlap.
 package soak
 
 import (
@@ -16,30 +16,30 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The faults.
+// The kinds of fault.
 const (
-	Kill     Kind = "kill"     // a VM's process dies and is started again
-	Freeze   Kind = "freeze"   // a VM's process stands still
-	Stop     Kind = "stop"     // a planned stop of a VM and its start
-	Hangup   Kind = "hangup"   // a VM hears that its settings changed
-	Cut      Kind = "cut"      // a link is reset and refused
+	Kill     Kind = "kill"     // a VM's process is killed and started again
+	Freeze   Kind = "freeze"   // a VM's process is paused
+	Stop     Kind = "stop"     // a VM is stopped gracefully and started again
+	Hangup   Kind = "hangup"   // a VM gets SIGHUP, on which it reads its settings again
+	Cut      Kind = "cut"      // connections of a link are reset, new ones included
 	Reset    Kind = "reset"    // the open connections of a link are reset
-	Silence  Kind = "silence"  // a link carries nothing, one way or both
-	Delay    Kind = "delay"    // a link is slow
-	Outage   Kind = "outage"   // the store is away
-	Forget   Kind = "forget"   // the store drops its history
-	Lapse    Kind = "lapse"    // the store is away, and entries of upstreams lapse meanwhile
-	Crash    Kind = "crash"    // an upstream dies, and another life of it comes
-	Drain    Kind = "drain"    // an upstream announces that it leaves, goes, and another comes
-	Sick     Kind = "sick"     // an upstream does what Trouble says
+	Silence  Kind = "silence"  // a link drops all data in one direction or both
+	Delay    Kind = "delay"    // the data of a link is delayed
+	Outage   Kind = "outage"   // the store is unavailable
+	Forget   Kind = "forget"   // the store drops its history, so that watchers must list again
+	Lapse    Kind = "lapse"    // the store is unavailable, and the entries of all upstreams expire meanwhile
+	Crash    Kind = "crash"    // an upstream crashes and starts again with a new incarnation
+	Drain    Kind = "drain"    // an upstream announces in the store that it drains, ends and starts again
+	Sick     Kind = "sick"     // an upstream misbehaves as Trouble defines
 	Document Kind = "document" // the operator adds a route
-	Limit    Kind = "limit"    // an upstream names a limit for some time
-	Drill    Kind = "drill"    // the store comes back from an older copy
-	Leave    Kind = "leave"    // an upstream says in its answers alone that it leaves, goes, and another comes
-	Shed     Kind = "shed"     // an upstream turns all requests away and asks for rest
+	Limit    Kind = "limit"    // an upstream declares a rate limit for some time
+	Drill    Kind = "drill"    // the store is restored from an older copy
+	Leave    Kind = "leave"    // an upstream announces only in its responses that it drains, ends and starts again
+	Shed     Kind = "shed"     // an upstream rejects all requests and asks for back-off
 )
 
-// weights say how often each kind comes.
+// weights are the relative frequencies of the kinds that fault draws. The other kinds have schedules of their own.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -71,38 +71,40 @@
 	Upstream End = "upstream"
 )
 
-// Fault is one fault of a schedule. Indexes are taken modulo the size of what they choose from.
+// Fault is one fault of a schedule. The indexes VM and Other are reduced modulo the number of VMs, peers or upstreams.
 type Fault struct {
 	Kind Kind
-	// VM is hit, or dials the link that is; Other is the peer or upstream at its far end.
+	// VM is the index of the VM that is hit or that dials the link that is hit. Other is the index of
+	// the peer at the link's far end, or of the upstream there or that is hit.
 	VM, Other int
 	End       End
 	Ways      relay.Ways
-	// Fresh lets connections opened during the fault be silent too.
-	Fresh   bool
+	// Fresh makes Silence affect connections opened during the fault too.
+	Fresh bool
+	// Held is the time by which Delay delays data.
 	Held    time.Duration
 	Mode    standin.Mode
 	Trouble standin.Trouble
-	// Rate is the limit that an upstream names, in requests a second.
+	// Rate is the limit that an upstream declares, in requests per second.
 	Rate float64
-	// Age is that of the copy from which the store comes back.
+	// Age is the age of the copy from which the store is restored.
 	Age time.Duration
-	// At is when it begins, from the start of the schedule; Span how long it lasts.
+	// At is the time from the start of the schedule to the start of the fault, Span how long the fault lasts.
 	At, Span time.Duration
 }
 
-// String is one line of the printed schedule.
+// String returns the fault's line in the printed schedule.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%6v %-8s vm %d", f.At.Round(time.Millisecond), f.Kind, f.VM+1)
 	switch f.Kind {
 	case Cut, Reset, Silence, Delay:
-		s += fmt.Sprintf(" to %s %d, ways %d, fresh %v, held %v", f.End, f.Other, f.Ways, f.Fresh, f.Held)
+		s += fmt.Sprintf(" to %s %d, directions %d, new connections too %v, delay %v", f.End, f.Other, f.Ways, f.Fresh, f.Held)
 	case Crash, Drain, Sick, Leave, Shed:
-		s += fmt.Sprintf(" upstream %d, trouble %d", f.Other, f.Trouble)
+		s += fmt.Sprintf(" upstream %d, runner fault %d", f.Other, f.Trouble)
 	case Limit:
-		s += fmt.Sprintf(" upstream %d, %.1f a second", f.Other, f.Rate)
+		s += fmt.Sprintf(" upstream %d, %.1f requests/s", f.Other, f.Rate)
 	case Drill:
-		s += fmt.Sprintf(" mode %d, copy of %v before", f.Mode, f.Age.Round(time.Millisecond))
+		s += fmt.Sprintf(" mode %d, copy %v old", f.Mode, f.Age.Round(time.Millisecond))
 	case Outage, Lapse:
 		s += fmt.Sprintf(" mode %d", f.Mode)
 	default:
@@ -110,21 +112,22 @@
 	return s + fmt.Sprintf(" for %v", f.Span.Round(time.Millisecond))
 }
 
-// Times of a schedule: spans outlast leases and timeouts now and then, and the next fault often
-// comes while the last one lasts.
+// Times of a schedule. Some faults outlast leases and timeouts, and the next fault often starts
+// before the last one has ended.
 const (
 	leastSpan  = 200 * time.Millisecond
 	mostSpan   = 5 * time.Second
 	leastPause = 100 * time.Millisecond
 	mostPause  = 2500 * time.Millisecond
 	mostHeld   = 400 * time.Millisecond
-	// series is how often a fault comes again soon, one in so many, up to seriesMost times.
+	// burstOdds is n if one in n faults starts a burst: the fault is repeated, at the same or the next
+	// VM and after less than maxBurstGap each time, until it has been injected 2 to maxBurst times.
 	series     = 4
 	seriesMost = 4
 	seriesGap  = 800 * time.Millisecond
 )
 
-// Plan returns the schedule of a seed. The same seed always gives the same one.
+// Plan returns the schedule of faults for seed. Equal arguments give equal schedules.
 func Plan(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 0))}
 	var out []Fault
@@ -146,7 +149,7 @@
 	return slices.Concat(out, limits(seed, length), drills(seed, length), declarations(seed, length))
 }
 
-// Times and sizes of limits that upstreams name.
+// Durations, rates (requests per second) and pauses of the limits that upstreams declare.
 const (
 	leastLimited = 4 * time.Second
 	mostLimited  = 9 * time.Second
@@ -154,7 +157,8 @@
 	limitPause   = 5 * time.Second
 )
 
-// limits are drawn by themselves, so that the other faults of a seed stay what they were.
+// limitFaults draws the faults of kind Limit from a random source of their own, so that they do not
+// change the other faults of a seed.
 func limits(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 1))}
 	var out []Fault
@@ -164,7 +168,8 @@
 	return out
 }
 
-// Times of drills.
+// Times of restores of the store from an older copy: how long the store is unavailable, the age of
+// the copy and the pause between two restores.
 const (
 	mostAway   = time.Second
 	mostAge    = 8 * time.Second
@@ -172,7 +177,8 @@
 	drillPause = 25 * time.Second
 )
 
-// drills are drawn by themselves, as limits are. One may follow while the last one is not digested.
+// restoreFaults draws the faults of kind Drill from a random source of their own, like limitFaults. A
+// restore may start before the fleet has recovered from the last one.
 func drills(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 2))}
 	var out []Fault
@@ -185,14 +191,15 @@
 	return out
 }
 
-// Times of what upstreams declare: that they leave, and that they want rest.
+// Times of the faults in which upstreams declare that they drain or ask for back-off.
 const (
 	leastDeclared = 2500 * time.Millisecond
 	mostDeclared  = 7 * time.Second
 	declaredPause = 12 * time.Second
 )
 
-// declarations are drawn by themselves, as limits are.
+// declarationFaults draws the faults of kinds Leave and Shed, each from a random source of its own,
+// like limitFaults.
 func declarations(seed uint64, length time.Duration) []Fault {
 	var out []Fault
 	for i, kind := range []Kind{Leave, Shed} {
@@ -224,6 +231,7 @@
 	return Kill
 }
 
+// indexRange is the range of a Fault's random indexes.
 const wide = 1 << 10
 
 func (p planner) fault() Fault {
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -11,52 +11,56 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// Log takes one line.
+// Log formats and prints one line of the run's output.
 type Log func(format string, args ...any)
 
-// Run is one play of a schedule.
+// Run injects one schedule of faults into a fleet under load.
 type Run struct {
 	fleet *fleet.Fleet
 	log   Log
 	seed  uint64
 
 	mu sync.Mutex
-	// down holds the VMs and upstreams that a fault keeps from running.
+	// faulted holds the VMs and the addresses of the upstreams that a fault of their process
+	// currently targets.
 	down map[any]bool
-	// spells holds the faults that were played.
+	// injected holds the faults that have ended.
 	spells []spell
 	calls  []call
-	// withdrawing and withdrawn are when the taking away of the second workspace's key began and was confirmed: in between a
-	// VM may know of it already, and need not.
+	// revokeStart and revoked are the times when the revocation of revokedWorkspace's key was started
+	// and confirmed. In between a VM may accept or reject the key.
 	withdrawing, withdrawn time.Time
 	routes                 int
-	// store orders faults of the store: one at a time.
+	// storeMu serializes the faults of the store.
 	store sync.Mutex
 }
 
-// spell is a fault as it was played.
+// injection is a fault with the VM that its index chose and the times when it started and ended.
 type spell struct {
 	fault    Fault
 	vm       *fleet.VM
 	from, to time.Time
 }
 
-// New returns a play against a fleet that is ready.
+// New returns a run with the schedule of seed. The VMs of the fleet f must be ready.
 func New(f *fleet.Fleet, seed uint64, l Log) *Run {
 	return &Run{fleet: f, log: l, seed: seed, down: map[any]bool{}}
 }
 
-// Bounds after the last fault.
+// Limits on the time that VMs and upstreams need to recover from a fault.
 const (
 	readyBound = 20 * time.Second
 	stopBound  = 8 * time.Second
-	// rewriting is the time within which writers write again what the store lost.
+	// rewriteTime is the time within which writers write again what the store lost in a restore.
 	rewriting = 2 * time.Second
-	// settling is the time for lapsed entries to be believed and abandoned memory to be freed.
+	// settleTime is the time for VMs to accept that entries have expired and for upstreams to free
+	// memory of abandoned requests.
 	settling = 5 * time.Second
 )
 
-// Go plays the schedule under load, heals all, and checks the promises.
+// Go injects the faults of the schedule under load, waits until the fleet has recovered and checks its
+// guarantees. The returned error joins all faults that could not be injected and all guarantees that
+// were violated.
 func (r *Run) Go(length time.Duration) error {
 	faults := Plan(r.seed, length)
 	stop := make(chan struct{})
@@ -96,7 +100,8 @@
 	return r.check(errs)
 }
 
-// take marks something as hit; false if another fault has it already.
+// acquire reserves a VM or an upstream's address for one fault. It returns false if another fault of
+// its process is in progress.
 func (r *Run) take(what any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +118,7 @@
 	delete(r.down, what)
 }
 
-// play plays one fault from its beginning to its end.
+// inject starts a fault, waits for its duration, ends it and records it.
 func (r *Run) play(f Fault) error {
 	v := r.fleet.VMs[f.VM%len(r.fleet.VMs)]
 	from := time.Now()
@@ -171,7 +176,7 @@
 		select {
 		case <-v.Process.Done():
 		case <-time.After(stopBound):
-			return fmt.Errorf("%s has not stopped within %v", v.Name, stopBound)
+			return fmt.Errorf("%s did not stop within %v", v.Name, stopBound)
 		}
 	default:
 		v.Process.Kill()
@@ -204,7 +209,8 @@
 	}
 	time.Sleep(f.Span)
 	if f.Kind == Silence {
-		// Silenced connections would stay so for good, and hit whoever holds them after the fault.
+		// Silenced connections stay silent for good, and would disturb the VMs that use them after the
+		// fault, so they are reset.
 		l.Cut(v.Name)
 	}
 	l.Heal(v.Name)
@@ -236,7 +242,7 @@
 	}
 }
 
-// drains is how long an upstream serves on once it has said that it leaves.
+// drainTime is how long an upstream continues to serve after it has announced in the store that it drains.
 const drains = 2500 * time.Millisecond
 
 func (r *Run) upstream(f Fault, u *standin.Runner) error {
