--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -26,15 +26,15 @@
 
 	mu sync.Mutex
 	// faulted holds the names of the processes that a fault currently targets.
-	down map[string]bool
+	faulted map[string]bool
 	// disruptions holds, by daemon, the intervals in which it could not answer its clients.
-	spells map[string][]spell
+	disruptions map[string][]disruption
 	// draftOutput is the output length of the kind draft that the last document set.
-	draft int
+	draftOutput int
 }
 
 // disruption is an interval in which a daemon was frozen, not running or cut off from clients.
-type spell struct {
+type disruption struct {
 	from, to time.Time
 	// planned is set for a graceful stop, which must let every request that arrived before it finish.
 	planned bool
@@ -44,7 +44,7 @@
 
 // New returns a run with the schedule of seed. The deployment w must be ready.
 func New(w *world.World, seed uint64, l Log) *Run {
-	return &Run{world: w, log: l, seed: seed, down: map[string]bool{}, spells: map[string][]spell{}, draft: 32}
+	return &Run{world: w, log: l, seed: seed, faulted: map[string]bool{}, disruptions: map[string][]disruption{}, draftOutput: 32}
 }
 
 // Go injects the faults of the schedule under load, waits until the deployment has recovered and
@@ -56,24 +56,24 @@
 	for _, f := range faults {
 		r.log("%s", f)
 	}
-	loading, stop := context.WithCancel(ctx)
-	defer stop()
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer stopLoad()
 	var load errgroup.Group
-	load.Go(func() error { return r.load(loading) })
+	load.Go(func() error { return r.load(loadCtx) })
 	var g errgroup.Group
-	begun := time.Now()
+	start := time.Now()
 	for _, f := range faults {
 		g.Go(func() error {
-			pause(ctx, f.At-time.Since(begun))
-			if err := r.play(ctx, f); err != nil {
+			pause(ctx, f.At-time.Since(start))
+			if err := r.inject(ctx, f); err != nil {
 				return fmt.Errorf("%s: %w", f, err)
 			}
 			return nil
 		})
 	}
 	err := g.Wait()
-	stop()
-	return errors.Join(err, load.Wait(), r.recover(ctx), r.check(ctx))
+	stopLoad()
+	return errors.Join(err, load.Wait(), r.awaitRecovery(ctx), r.check(ctx))
 }
 
 // pause waits for d or until ctx is done.
@@ -87,46 +87,46 @@
 }
 
 // acquire reserves a process for one fault. It returns false if another fault targets the process.
-func (r *Run) take(name string) bool {
+func (r *Run) acquire(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down[name] {
+	if r.faulted[name] {
 		return false
 	}
-	r.down[name] = true
+	r.faulted[name] = true
 	return true
 }
 
 func (r *Run) release(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.down, name)
+	delete(r.faulted, name)
 }
 
-func (r *Run) spell(name string, from time.Time, k Kind) {
+func (r *Run) recordDisruption(name string, from time.Time, k Kind) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spells[name] = append(r.spells[name], spell{from, time.Now(), k == Stop, k == Kill})
+	r.disruptions[name] = append(r.disruptions[name], disruption{from, time.Now(), k == Stop, k == Kill})
 }
 
 // inject starts a fault, waits for its duration and ends it.
-func (r *Run) play(ctx context.Context, f Fault) error {
+func (r *Run) inject(ctx context.Context, f Fault) error {
 	w := r.world
 	switch f.Kind {
 	case Kill, Freeze, Stop:
-		if !r.take(f.Target) {
+		if !r.acquire(f.Target) {
 			return nil
 		}
 		defer r.release(f.Target)
-		return r.process(ctx, f)
+		return r.injectProcessFault(ctx, f)
 	case Cut, Silence, Blackhole:
-		return r.link(ctx, f)
+		return r.injectLinkFault(ctx, f)
 	case Engine, Service:
-		if !r.take(f.Target) {
+		if !r.acquire(f.Target) {
 			return nil
 		}
 		defer r.release(f.Target)
-		return r.setting(ctx, f.Target, f)
+		return r.applySetting(ctx, f.Target, f)
 	case Leaving:
 		if err := w.SetVM(ctx, f.Target, "leaving"); err != nil {
 			return err
@@ -134,15 +134,15 @@
 		pause(ctx, f.Span)
 		return w.SetVM(ctx, f.Target, "live")
 	case Apply:
-		return r.apply(ctx)
+		return r.applyDocument(ctx)
 	default:
-		return r.setting(ctx, world.Store, f)
+		return r.applySetting(ctx, world.Store, f)
 	}
 }
 
-func (r *Run) process(ctx context.Context, f Fault) error {
+func (r *Run) injectProcessFault(ctx context.Context, f Fault) error {
 	w, from := r.world, time.Now()
-	defer func() { r.spell(f.Target, from, f.Kind) }()
+	defer func() { r.recordDisruption(f.Target, from, f.Kind) }()
 	switch f.Kind {
 	case Freeze:
 		if err := w.Freeze(f.Target); err != nil {
@@ -154,7 +154,7 @@
 		if err := w.Stop(f.Target); err != nil {
 			return err
 		}
-		err := world.Await(ctx, stopLimit, "stop of "+f.Target, func() (bool, error) {
+		err := world.Await(ctx, stopTimeout, "stop of "+f.Target, func() (bool, error) {
 			ended, _, err := w.Exited(f.Target)
 			return ended, err
 		})
@@ -173,15 +173,15 @@
 	// Until the daemon is ready its client listener may be closed, and no load balancer would send
 	// it clients, so the disruption lasts until then.
 	if slices.Contains(w.Daemons(), f.Target) {
-		return world.Await(ctx, readyBound, f.Target+" ready again", func() (bool, error) { return w.Ready(ctx, f.Target), nil })
+		return world.Await(ctx, readyTimeout, f.Target+" ready again", func() (bool, error) { return w.Ready(ctx, f.Target), nil })
 	}
 	return nil
 }
 
 // stopTimeout bounds a graceful stop. It is the longest time limit of a request that may be running.
-const stopLimit = 90 * time.Second
+const stopTimeout = 90 * time.Second
 
-func (r *Run) link(ctx context.Context, f Fault) error {
+func (r *Run) injectLinkFault(ctx context.Context, f Fault) error {
 	w, from := r.world, time.Now()
 	var err error
 	switch f.Kind {
@@ -196,13 +196,13 @@
 		return err
 	}
 	if f.Target == world.Caller {
-		defer func() { r.spell(f.Other, from, f.Kind) }()
+		defer func() { r.recordDisruption(f.Other, from, f.Kind) }()
 	}
 	pause(ctx, f.Span)
 	return w.Heal(f.Target, f.Other)
 }
 
-func (r *Run) setting(ctx context.Context, name string, f Fault) error {
+func (r *Run) applySetting(ctx context.Context, name string, f Fault) error {
 	if err := r.world.Control(ctx, name, f.Setting); err != nil {
 		return err
 	}
@@ -213,13 +213,13 @@
 	return r.world.Control(ctx, name, f.Reset)
 }
 
-// apply applies a changed document as an operator does. An apply that fails, as while the store is
+// applyDocument applies a changed document as an operator does. An apply that fails, as while the store is
 // down, is logged and is no error of the run.
-func (r *Run) apply(ctx context.Context) error {
+func (r *Run) applyDocument(ctx context.Context) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.draft++
-	text, err := r.world.Edit([]string{fmt.Sprintf("kinds.draft.output=%d", r.draft)})
+	r.draftOutput++
+	text, err := r.world.Edit([]string{fmt.Sprintf("kinds.draft.output=%d", r.draftOutput)})
 	if err != nil {
 		return err
 	}
@@ -231,12 +231,12 @@
 }
 
 // loadInterval is the time between two requests of the load.
-const loadGap = 40 * time.Millisecond
+const loadInterval = 40 * time.Millisecond
 
 // load sends requests of every kind until ctx ends.
 func (r *Run) load(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(r.seed, 1))
-	t := time.NewTicker(loadGap)
+	t := time.NewTicker(loadInterval)
 	defer t.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -244,15 +244,15 @@
 			return nil
 		case <-t.C:
 		}
-		if err := r.send(fmt.Sprintf("load.%d", i), i, random); err != nil {
+		if err := r.startRequest(fmt.Sprintf("load.%d", i), i, random); err != nil {
 			return err
 		}
 	}
 }
 
-// send starts one request. One notice in four, drawn at random, is sent a second time at once, to
+// startRequest starts one request. One notice in four, drawn at random, is sent a second time at once, to
 // a daemon drawn again, to test that a request that must not repeat runs at most once.
-func (r *Run) send(name string, i int, random *rand.Rand) error {
+func (r *Run) startRequest(name string, i int, random *rand.Rand) error {
 	ds := r.world.Daemons()
 	c := world.Call{Name: name, Text: name, To: ds[random.IntN(len(ds))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
 	c.Prompt, c.Output, c.Whole = 10+random.IntN(400), 4+random.IntN(120), random.IntN(3) == 0
--- a/scenarios/chaos/schedule.go
+++ b/scenarios/chaos/schedule.go
@@ -61,12 +61,12 @@
 // Times of a schedule. Faults last long enough that some outlast leases and timeouts. Pauses are
 // short enough that the next fault often starts before the system has recovered from the last.
 const (
-	leastSpan  = 500 * time.Millisecond
-	mostSpan   = 7 * time.Second
-	leastPause = 200 * time.Millisecond
-	mostPause  = 2500 * time.Millisecond
+	minDuration = 500 * time.Millisecond
+	maxDuration = 7 * time.Second
+	minPause    = 200 * time.Millisecond
+	maxPause    = 2500 * time.Millisecond
 	// pairOdds is n if one in n times two faults start together.
-	twice = 3
+	pairOdds = 3
 )
 
 // weights are the relative frequencies of the kinds.
@@ -91,10 +91,10 @@
 	{Apply, 2},
 }
 
-// settings holds the setting that causes a fault and the one that ends it.
-type settings struct{ set, reset string }
+// settingPair holds the setting that causes a fault and the one that ends it.
+type settingPair struct{ set, reset string }
 
-var engineSettings = []settings{
+var engineSettings = []settingPair{
 	{"truncate=3", "truncate=0"},
 	{"cross=true", "cross=false"},
 	{"duplicate=2", "duplicate=0"},
@@ -107,7 +107,7 @@
 	{"mute=true", "mute=false"},
 }
 
-var serviceSettings = []settings{
+var serviceSettings = []settingPair{
 	{"die=3", "die=0"},
 	{"silent=true", "silent=false"},
 	{"refuse=true", "refuse=false"},
@@ -117,30 +117,30 @@
 // Plan returns the schedule of faults for seed; faults start within length. Equal arguments give
 // equal schedules.
 func Plan(seed uint64, length time.Duration, f Fleet) []Fault {
-	p := planner{random: rand.New(rand.NewPCG(seed, 0)), fleet: f}
+	p := planner{rng: rand.New(rand.NewPCG(seed, 0)), fleet: f}
 	var out []Fault
-	for at := p.between(leastPause, mostPause); at < length; at += p.between(leastPause, mostPause) {
+	for at := p.duration(minPause, maxPause); at < length; at += p.duration(minPause, maxPause) {
 		n := 1
-		if p.random.IntN(twice) == 0 {
+		if p.rng.IntN(pairOdds) == 0 {
 			n = 2
 		}
 		for range n {
 			x := p.fault()
-			x.At, x.Span = at, p.between(leastSpan, mostSpan)
+			x.At, x.Span = at, p.duration(minDuration, maxDuration)
 			out = append(out, x)
 		}
-		at += leastSpan
+		at += minDuration
 	}
 	return out
 }
 
 type planner struct {
-	random *rand.Rand
-	fleet  Fleet
+	rng   *rand.Rand
+	fleet Fleet
 }
 
-func (p *planner) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(p.random.Int64N(int64(most-least)))
+func (p *planner) duration(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(p.rng.Int64N(int64(hi-lo)))
 }
 
 func (p *planner) kind() Kind {
@@ -148,7 +148,7 @@
 	for _, w := range weights {
 		total += w.weight
 	}
-	n := p.random.IntN(total)
+	n := p.rng.IntN(total)
 	for _, w := range weights {
 		if n -= w.weight; n < 0 {
 			return w.kind
@@ -157,28 +157,28 @@
 	return Kill
 }
 
-func (p *planner) one(of []string) string { return of[p.random.IntN(len(of))] }
+func (p *planner) pick(names []string) string { return names[p.rng.IntN(len(names))] }
 
 func (p *planner) fault() Fault {
 	f := Fault{Kind: p.kind()}
 	switch f.Kind {
 	case Kill, Freeze:
-		f.Target = p.one(append(append([]string{}, p.fleet.Daemons...), p.fleet.Engines...))
+		f.Target = p.pick(append(append([]string{}, p.fleet.Daemons...), p.fleet.Engines...))
 	case Stop:
-		f.Target = p.one(p.fleet.Daemons)
+		f.Target = p.pick(p.fleet.Daemons)
 	case Cut, Silence, Blackhole:
 		f.Target, f.Other = p.link()
 	case Engine:
-		x := engineSettings[p.random.IntN(len(engineSettings))]
-		f.Target, f.Setting, f.Reset = p.one(p.fleet.Engines), x.set, x.reset
+		x := engineSettings[p.rng.IntN(len(engineSettings))]
+		f.Target, f.Setting, f.Reset = p.pick(p.fleet.Engines), x.set, x.reset
 	case Service:
-		x := serviceSettings[p.random.IntN(len(serviceSettings))]
-		f.Target, f.Setting, f.Reset = p.one(p.fleet.Services), x.set, x.reset
+		x := serviceSettings[p.rng.IntN(len(serviceSettings))]
+		f.Target, f.Setting, f.Reset = p.pick(p.fleet.Services), x.set, x.reset
 	case Leaving:
-		f.Target = p.one(p.fleet.Engines)
+		f.Target = p.pick(p.fleet.Engines)
 	case Outage:
 		f.Setting, f.Reset = `outage="refuse"`, `outage=""`
-		if p.random.IntN(2) == 0 {
+		if p.rng.IntN(2) == 0 {
 			f.Setting = `outage="hang"`
 		}
 	case Slow:
@@ -195,19 +195,19 @@
 
 // link picks the ends of a link: a daemon and a process that it dials, or the client and a daemon.
 func (p *planner) link() (from, to string) {
-	from = p.one(p.fleet.Daemons)
-	switch p.random.IntN(5) {
+	from = p.pick(p.fleet.Daemons)
+	switch p.rng.IntN(5) {
 	case 0:
 		return "caller", from
 	case 1:
 		return from, "store"
 	case 2:
-		return from, p.one(p.fleet.Engines)
+		return from, p.pick(p.fleet.Engines)
 	case 3:
-		return from, p.one(p.fleet.Services)
+		return from, p.pick(p.fleet.Services)
 	}
 	for {
-		if to = p.one(p.fleet.Daemons); to != from {
+		if to = p.pick(p.fleet.Daemons); to != from {
 			return from, to
 		}
 	}
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -14,54 +14,54 @@
 
 // conn is one relayed connection: the accepted connection and the one dialed to the target.
 type conn struct {
-	near *net.TCPConn
+	client *net.TCPConn
 	// source is the name of the process that dialed, empty until it is known. Relay.mu protects it.
 	source string
 	// identified is closed when the lookup of source is done, whether or not it found a name.
-	found chan struct{}
+	identified chan struct{}
 	// silenced holds the Ways in which data is dropped.
-	mute atomic.Uint32
+	silenced atomic.Uint32
 	// delay is the time by which each read is delayed in both directions, a time.Duration.
 	delay atomic.Int64
 
-	mu  sync.Mutex
-	far *net.TCPConn
+	mu     sync.Mutex
+	target *net.TCPConn
 	// wasReset is set by reset. A target connection that is dialed later is reset too.
-	gone bool
+	wasReset bool
 }
 
-func (c *conn) from(source string) bool { return source == Any || source == c.source }
+func (c *conn) matches(source string) bool { return source == Any || source == c.source }
 
-func (c *conn) silence(w Ways) { c.mute.Or(uint32(w)) }
+func (c *conn) silence(w Ways) { c.silenced.Or(uint32(w)) }
 
-func (c *conn) silent(w Ways) bool { return c.mute.Load()&uint32(w) != 0 }
+func (c *conn) silent(w Ways) bool { return c.silenced.Load()&uint32(w) != 0 }
 
-// run copies data in both directions until both have ended.
-func (c *conn) run(far *net.TCPConn) {
+// forward copies data in both directions until both have ended.
+func (c *conn) forward(target *net.TCPConn) {
 	c.mu.Lock()
-	c.far = far
-	gone := c.gone
+	c.target = target
+	wasReset := c.wasReset
 	c.mu.Unlock()
-	if gone {
-		hardClose(far)
+	if wasReset {
+		hardClose(target)
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.copy(far, c.near, There) })
-	wg.Go(func() { c.copy(c.near, far, Back) })
+	wg.Go(func() { c.copy(target, c.client, There) })
+	wg.Go(func() { c.copy(c.client, target, Back) })
 	wg.Wait()
 	if !c.silent(Both) {
-		_ = c.near.Close()
-		_ = far.Close()
+		_ = c.client.Close()
+		_ = target.Close()
 		return
 	}
 	// Both ends of a silent connection stay open, so that neither sees the other close. They are
 	// closed by reset, at the latest when the relay closes.
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone {
-		hardClose(c.near)
-		hardClose(far)
+	if c.wasReset {
+		hardClose(c.client)
+		hardClose(target)
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		if n > 0 {
 			if _, werr := to.Write(b[:n]); werr != nil {
-				c.lost()
+				c.propagateError()
 				return
 			}
 		}
@@ -89,21 +89,21 @@
 			return
 		}
 		if err != nil {
-			c.lost()
+			c.propagateError()
 			return
 		}
 	}
 }
 
 // hasTargetSide reports whether address is the remote address of the connection as the target sees it.
-func (c *conn) reaches(address string) bool {
+func (c *conn) hasTargetSide(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.far != nil && c.far.LocalAddr().String() == address
+	return c.target != nil && c.target.LocalAddr().String() == address
 }
 
 // propagateError resets both connections after one of them has failed, unless a direction is silent.
-func (c *conn) lost() {
+func (c *conn) propagateError() {
 	if !c.silent(Both) {
 		c.reset()
 	}
@@ -113,17 +113,17 @@
 func (c *conn) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = true
-	hardClose(c.near)
-	if c.far != nil {
-		hardClose(c.far)
+	c.wasReset = true
+	hardClose(c.client)
+	if c.target != nil {
+		hardClose(c.target)
 	}
 }
 
-func (c *conn) isGone() bool {
+func (c *conn) isReset() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone
+	return c.wasReset
 }
 
 // hardClose closes a connection with RST instead of FIN.
--- a/scenarios/relay/finder.go
+++ b/scenarios/relay/finder.go
@@ -18,23 +18,23 @@
 	// names holds the name of each known process by process id.
 	names map[int]string
 	// pending holds the lookups that the next read of the socket table resolves together.
-	waiting []question
-	looking bool
+	pending   []lookup
+	resolving bool
 }
 
-type question struct {
-	link   ends
-	answer chan string
+type lookup struct {
+	addrs  addrPair
+	result chan string
 }
 
 // addrPair holds the two addresses of a connection in the format of /proc/net/tcp, seen from the
 // process that dialed. The local port alone is not enough: the kernel uses one ephemeral port for
 // several connections with different remote addresses.
-type ends struct{ local, remote string }
+type addrPair struct{ local, remote string }
 
 // procAddr formats an address as /proc/net/tcp does: the bytes of the IP address in host byte order,
 // which is taken to be little endian, and the port.
-func endOf(a *net.TCPAddr) string {
+func procAddr(a *net.TCPAddr) string {
 	ip := a.IP.To4()
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port)
 }
@@ -63,26 +63,26 @@
 	if !ok || !ok2 {
 		return ""
 	}
-	q := question{link: ends{endOf(from), endOf(to)}, answer: make(chan string, 1)}
+	q := lookup{addrs: addrPair{procAddr(from), procAddr(to)}, result: make(chan string, 1)}
 	f.mu.Lock()
-	f.waiting = append(f.waiting, q)
-	start := !f.looking
-	f.looking = true
+	f.pending = append(f.pending, q)
+	start := !f.resolving
+	f.resolving = true
 	f.mu.Unlock()
 	if start {
-		go f.look()
+		go f.resolve()
 	}
-	return <-q.answer
+	return <-q.result
 }
 
 // resolve resolves pending lookups until there are none. One read of the socket table serves all
 // lookups that are pending at the time.
-func (f *Finder) look() {
+func (f *Finder) resolve() {
 	for {
 		f.mu.Lock()
-		qs := f.waiting
-		f.waiting = nil
-		f.looking = len(qs) > 0
+		qs := f.pending
+		f.pending = nil
+		f.resolving = len(qs) > 0
 		names := make(map[int]string, len(f.names))
 		for pid, n := range f.names {
 			names[pid] = n
@@ -91,10 +91,10 @@
 		if len(qs) == 0 {
 			return
 		}
-		inodes := sockets()
-		holders := holdersOf(names)
+		inodes := socketInodes()
+		nameByInode := namesByInode(names)
 		for _, q := range qs {
-			q.answer <- holders[inodes[q.link]]
+			q.result <- nameByInode[inodes[q.addrs]]
 		}
 	}
 }
@@ -104,12 +104,12 @@
 	fieldLocal  = 1
 	fieldRemote = 2
 	fieldInode  = 9
-	fieldsLeast = 10
+	minFields   = 10
 )
 
 // socketInodes reads the inode of every TCP socket from /proc/net/tcp. Without that file the map is empty.
-func sockets() map[ends]string {
-	out := map[ends]string{}
+func socketInodes() map[addrPair]string {
+	out := map[addrPair]string{}
 	file, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return out
@@ -118,15 +118,15 @@
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		fs := strings.Fields(lines.Text())
-		if len(fs) >= fieldsLeast && fs[fieldInode] != "0" {
-			out[ends{fs[fieldLocal], fs[fieldRemote]}] = fs[fieldInode]
+		if len(fs) >= minFields && fs[fieldInode] != "0" {
+			out[addrPair{fs[fieldLocal], fs[fieldRemote]}] = fs[fieldInode]
 		}
 	}
 	return out
 }
 
 // namesByInode maps the inode of each open socket of the given processes to the process's name.
-func holdersOf(names map[int]string) map[string]string {
+func namesByInode(names map[int]string) map[string]string {
 	out := map[string]string{}
 	for pid, name := range names {
 		dir := fmt.Sprintf("/proc/%d/fd", pid)
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -28,7 +28,7 @@
 )
 
 // dialTimeout limits a connect to a process on this machine.
-const dialLimit = time.Second
+const dialTimeout = time.Second
 
 // rule is the fault in force for the connections of one source.
 type rule struct {
@@ -52,7 +52,7 @@
 	rules    map[string]rule
 	closed   bool
 	// sourceWait is the longest time that a new connection waits until its source is known.
-	named time.Duration
+	sourceWait time.Duration
 }
 
 // Ports are chosen below the system's range of ephemeral ports, so that no outgoing connection
@@ -81,14 +81,14 @@
 }
 
 // allocated holds the addresses that FreeAddress returned in this process, in use or not.
-var chosen sync.Map
+var allocated sync.Map
 
 // FreeAddress returns a loopback address (host:port) that no process listens on. It never returns an
 // address twice.
 func FreeAddress() (string, error) {
 	for range portTries {
 		a := fmt.Sprintf("%s:%d", host, firstPort+rand.IntN(lastPort-firstPort))
-		if _, taken := chosen.LoadOrStore(a, true); taken {
+		if _, taken := allocated.LoadOrStore(a, true); taken {
 			continue
 		}
 		l, err := net.Listen("tcp", a) //nolint:noctx // bound and closed at once
@@ -110,7 +110,7 @@
 // Name makes new connections wait until their source is known, because the source of a connection
 // that ends earlier can no longer be determined. They wait for most at the longest: without a limit
 // the target would appear unresponsive on a busy machine.
-func (r *Relay) Name(most time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.named = most }
+func (r *Relay) Name(most time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.sourceWait = most }
 
 // Address returns the address (host:port) that the relay listens on while it is up.
 func (r *Relay) Address() string { return r.address }
@@ -135,8 +135,8 @@
 
 // Retries of listen on an address that is still in use.
 const (
-	listenTries = 20
-	listenPause = 50 * time.Millisecond
+	listenTries      = 20
+	listenRetryDelay = 50 * time.Millisecond
 )
 
 // listen listens on address and retries while the address is in use. A child process that is being
@@ -147,7 +147,7 @@
 		if err == nil || try == listenTries || !errors.Is(err, syscall.EADDRINUSE) {
 			return l, err
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryDelay)
 	}
 }
 
@@ -175,12 +175,12 @@
 
 // Cut resets the open connections of a source, and new ones until Heal.
 func (r *Relay) Cut(source string) {
-	r.settle()
+	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rules[source] = rule{cut: true}
 	for c := range r.conns {
-		if c.from(source) {
+		if c.matches(source) {
 			c.reset()
 		}
 	}
@@ -189,14 +189,14 @@
 // Silence drops all data in the directions w of the open connections of a source. Heal does not undo
 // this. With fresh set, connections opened until Heal are silent too, for good as well.
 func (r *Relay) Silence(source string, w Ways, fresh bool) {
-	r.settle()
+	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if fresh {
 		r.rules[source] = rule{silent: w}
 	}
 	for c := range r.conns {
-		if c.from(source) {
+		if c.matches(source) {
 			c.silence(w)
 		}
 	}
@@ -204,12 +204,12 @@
 
 // Delay delays the data of a source's connections, open and new, by d until Heal.
 func (r *Relay) Delay(source string, d time.Duration) {
-	r.settle()
+	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rules[source] = rule{delay: d}
 	for c := range r.conns {
-		if c.from(source) {
+		if c.matches(source) {
 			c.delay.Store(int64(d))
 		}
 	}
@@ -217,14 +217,14 @@
 
 // awaitSources waits until the source of every open connection is known, so that a fault of one
 // source misses none of its connections.
-func (r *Relay) settle() {
+func (r *Relay) awaitSources() {
 	r.mu.Lock()
-	found := make([]chan struct{}, 0, len(r.conns))
+	identified := make([]chan struct{}, 0, len(r.conns))
 	for c := range r.conns {
-		found = append(found, c.found)
+		identified = append(identified, c.identified)
 	}
 	r.mu.Unlock()
-	for _, f := range found {
+	for _, f := range identified {
 		<-f
 	}
 }
@@ -236,7 +236,7 @@
 	defer r.mu.Unlock()
 	delete(r.rules, source)
 	for c := range r.conns {
-		if c.from(source) {
+		if c.matches(source) {
 			c.delay.Store(0)
 		}
 	}
@@ -244,20 +244,20 @@
 
 func (r *Relay) accept(l net.Listener) {
 	for {
-		near, err := l.Accept()
+		client, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near.(*net.TCPConn))
+		go r.serve(client.(*net.TCPConn))
 	}
 }
 
 // serve forwards one connection until it ends.
-func (r *Relay) carry(near *net.TCPConn) {
-	c := &conn{near: near, found: make(chan struct{})}
+func (r *Relay) serve(client *net.TCPConn) {
+	c := &conn{client: client, identified: make(chan struct{})}
 	target, ok := r.add(c)
 	if !ok {
-		close(c.found)
+		close(c.identified)
 		c.reset()
 		return
 	}
@@ -266,43 +266,43 @@
 		c.reset()
 		return
 	}
-	far, err := net.DialTimeout("tcp", target, dialLimit) //nolint:noctx // bounded by its timeout
+	targetConn, err := net.DialTimeout("tcp", target, dialTimeout) //nolint:noctx // bounded by its timeout
 	if err != nil {
 		c.reset()
 		return
 	}
-	c.run(far.(*net.TCPConn))
+	c.forward(targetConn.(*net.TCPConn))
 }
 
 // identify starts the lookup of the connection's source. While rules exist it waits for the result,
 // otherwise for sourceWait at most. It returns false if a rule has cut the connection.
 func (r *Relay) identify(c *conn) bool {
 	go func() {
-		defer close(c.found)
-		name := r.finder.Find(c.near)
+		defer close(c.identified)
+		name := r.finder.Find(c.client)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		c.source = name
-		r.apply(c)
+		r.applyRules(c)
 	}()
 	r.mu.Lock()
-	ruled, named := len(r.rules) > 0, r.named
+	hasRules, wait := len(r.rules) > 0, r.sourceWait
 	r.mu.Unlock()
-	if ruled {
-		<-c.found
+	if hasRules {
+		<-c.identified
 	}
 	select {
-	case <-c.found:
-	case <-time.After(named):
+	case <-c.identified:
+	case <-time.After(wait):
 	}
-	return !c.isGone()
+	return !c.isReset()
 }
 
 // applyRules applies the rules to a connection whose source has been determined. The caller holds mu.
-func (r *Relay) apply(c *conn) {
+func (r *Relay) applyRules(c *conn) {
 	for s, x := range r.rules {
 		switch {
-		case !c.from(s):
+		case !c.matches(s):
 		case x.cut:
 			c.reset()
 		default:
@@ -319,7 +319,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		if c.reaches(address) {
+		if c.hasTargetSide(address) {
 			return func() string { return r.sourceOf(c) }
 		}
 	}
@@ -327,7 +327,7 @@
 }
 
 func (r *Relay) sourceOf(c *conn) string {
-	<-c.found
+	<-c.identified
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return c.source
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -50,27 +50,27 @@
 	return c.(*net.TCPConn)
 }
 
-func ask(c net.Conn, wait time.Duration) (string, error) {
+func sendHello(c net.Conn, timeout time.Duration) (string, error) {
 	if _, err := c.Write([]byte("hello\n")); err != nil {
 		return "", err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(wait))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	return bufio.NewReader(c).ReadString('\n')
 }
 
 func requireWorks(t *testing.T, c net.Conn) {
-	s, err := ask(c, 5*time.Second)
+	s, err := sendHello(c, 5*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, "hello\n", s)
 }
 
 func requireReset(t *testing.T, c net.Conn) {
-	_, err := ask(c, 5*time.Second)
+	_, err := sendHello(c, 5*time.Second)
 	require.Error(t, err)
 	require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "connection is silent instead of reset")
 }
 
-func TestRelayCarriesBothWaysAndTheEnd(t *testing.T) {
+func TestRelayForwardsBothDirectionsAndEOF(t *testing.T) {
 	c := dial(t, newRelay(t))
 	requireWorks(t, c)
 	require.NoError(t, c.CloseWrite())
@@ -78,7 +78,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestCutResetsPresentAndNewConnectionsOfOneSource(t *testing.T) {
+func TestCutResetsOpenAndNewConnectionsOfOneSource(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
@@ -99,7 +99,7 @@
 
 // A child process that is being started holds a copy of a listening socket until its exec, so an address can
 // still be in use for a moment after its listener was closed. Up must retry.
-func TestAnAddressThatIsHeldForAMomentIsTaken(t *testing.T) {
+func TestUpRetriesWhileAddressIsInUse(t *testing.T) {
 	r, err := New(NewFinder())
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -114,25 +114,25 @@
 	c := dial(t, r)
 	requireWorks(t, c)
 	r.Silence(Any, Both, false)
-	_, err := ask(c, 100*time.Millisecond)
+	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	requireWorks(t, dial(t, r))
 }
 
-func TestOneWaySilenceStillCarriesTheOther(t *testing.T) {
+func TestSilenceOfOneDirectionAndHeal(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
 	r.Silence(Any, Back, true)
-	_, err := ask(c, 100*time.Millisecond)
+	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	_, err = ask(dial(t, r), 100*time.Millisecond)
+	_, err = sendHello(dial(t, r), 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	r.Heal(Any)
 	requireWorks(t, dial(t, r))
 }
 
-func TestDownRefusesAsAProcessThatIsGone(t *testing.T) {
+func TestDownRefusesConnectionsAndUpAcceptsAgain(t *testing.T) {
 	r := newRelay(t)
 	target := r.target
 	r.Down()
@@ -143,26 +143,26 @@
 }
 
 // Delayed data arrives late and complete, and Heal ends the delay.
-func TestDelayHoldsUpAndHealEndsIt(t *testing.T) {
+func TestDelayUntilHeal(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
-	_, err := ask(c, time.Second)
+	_, err := sendHello(c, time.Second)
 	require.NoError(t, err)
 	r.Delay("me", 100*time.Millisecond)
 	began := time.Now()
-	_, err = ask(c, 2*time.Second)
+	_, err = sendHello(c, 2*time.Second)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
 	r.Heal("me")
 	began = time.Now()
-	_, err = ask(dial(t, r), time.Second)
+	_, err = sendHello(dial(t, r), time.Second)
 	require.NoError(t, err)
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 }
 
 // The source of a connection that closes at once could not be determined afterwards, and a check of which VM received
 // an upstream's statement over it would have to skip it. Relay.Name makes the connection wait for the lookup.
-func TestAShortConnectionHasAName(t *testing.T) {
+func TestSourceOfShortConnection(t *testing.T) {
 	f := NewFinder()
 	f.Know(os.Getpid(), "me")
 	r, err := New(f)
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	callers = 10
+	clients = 10
 	// The key of steadyWorkspace stays valid, that of revokedWorkspace is revoked in the middle of the run.
-	mine, other = "ward", "desk"
+	steadyWorkspace, revokedWorkspace = "ward", "desk"
 	// callsPerVM is how many calls a client makes to one VM before it chooses a VM again.
-	sticky = 12
+	callsPerVM = 12
 )
 
 // revocationLimit is the time within which every VM must reject a revoked key.
-const revocation = 5 * time.Second
+const revocationLimit = 5 * time.Second
 
 // tolerance is the time by which a response may exceed its route's timeout, as happens on a busy machine.
-const lateness = 1500 * time.Millisecond
+const tolerance = 1500 * time.Millisecond
 
-// timeouts holds the timeouts of the routes that the emulated platform configures.
-var timeouts = map[string]time.Duration{
+// routeTimeouts holds the timeouts of the routes that the emulated platform configures.
+var routeTimeouts = map[string]time.Duration{
 	"draft": 8 * time.Second, "audit": 12 * time.Second, "lookup": 2 * time.Second, "notice": 2 * time.Second,
 }
 
@@ -39,40 +39,40 @@
 	vm               *fleet.VM
 	route, workspace string
 	at               time.Time
-	answer           standin.Answer
+	response         standin.Answer
 }
 
-func (c *call) end() time.Time { return c.at.Add(c.answer.Took) }
+func (c *call) end() time.Time { return c.at.Add(c.response.Took) }
 
 func (c *call) String() string {
-	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.answer.ID, c.vm.Name, c.answer.Status, c.answer.Took.Round(time.Millisecond), c.answer.Text)
+	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.response.ID, c.vm.Name, c.response.Status, c.response.Took.Round(time.Millisecond), c.response.Text)
 }
 
 // runClient makes calls one after the other until stop is closed. It uses its connection to a VM for
 // all callsPerVM calls, also after the VM has announced that it stops, and leaves it only after a call
 // whose status is not 200.
-func (r *Run) call(i int, stop chan struct{}) {
+func (r *Run) runClient(i int, stop chan struct{}) {
 	random := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
-	workspace := mine
+	workspace := steadyWorkspace
 	if i%5 == 4 {
-		workspace = other
+		workspace = revokedWorkspace
 	}
 	c := standin.NewCaller(workspace)
 	for n := random.IntN(len(routes)); ; {
 		v := r.fleet.VMs[random.IntN(len(r.fleet.VMs))]
-		for range sticky {
+		for range callsPerVM {
 			select {
 			case <-stop:
 				return
 			default:
 			}
 			x := call{vm: v, route: routes[n%len(routes)], workspace: workspace, at: time.Now()}
-			x.answer = c.Call(v.Caller, x.route)
+			x.response = c.Call(v.Caller, x.route)
 			n++
 			r.mu.Lock()
 			r.calls = append(r.calls, x)
 			r.mu.Unlock()
-			if x.answer.Status != http.StatusOK {
+			if x.response.Status != http.StatusOK {
 				time.Sleep(20 * time.Millisecond)
 				break
 			}
@@ -92,9 +92,9 @@
 	calls := r.calls
 	r.mu.Unlock()
 	for i := range calls {
-		if err := r.judge(&calls[i]); err != nil {
+		if err := r.checkCall(&calls[i]); err != nil {
 			errs = append(errs, fmt.Errorf("%w: %s", err, &calls[i]))
-			r.tell(&calls[i])
+			r.logCall(&calls[i])
 		}
 	}
 	if twice, wrong := p.Ran(); twice+wrong > 0 {
@@ -103,14 +103,14 @@
 	for _, f := range p.Faults() {
 		errs = append(errs, errors.New(f))
 	}
-	for _, text := range p.Exceeded(r.excused) {
+	for _, text := range p.Exceeded(r.unsynced) {
 		errs = append(errs, errors.New(text))
 	}
-	for _, text := range p.Ignored(standin.Excuses{Unheard: r.unheard, Restarted: r.restarted, Cut: r.cut}) {
+	for _, text := range p.Ignored(standin.Excuses{Unheard: r.mayHaveMissed, Restarted: r.restarted, Cut: r.disrupted}) {
 		errs = append(errs, errors.New(text))
 	}
-	errs = append(errs, r.after()...)
-	r.log("%d calls by outcome: %v", len(calls), ends(calls))
+	errs = append(errs, r.checkRecovered()...)
+	r.log("%d calls by outcome: %v", len(calls), countOutcomes(calls))
 	r.log("upstreams in the store: %v", p.Listed("servers"))
 	told, unknown := p.Told()
 	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", told, unknown)
@@ -118,65 +118,65 @@
 }
 
 // logCall logs the lines in the VM's log about a call.
-func (r *Run) tell(c *call) {
-	for _, line := range c.vm.Process.Grep(c.answer.ID + `"`) {
+func (r *Run) logCall(c *call) {
+	for _, line := range c.vm.Process.Grep(c.response.ID + `"`) {
 		r.log("%s", line)
 	}
 }
 
 // Violations of the guarantees by one call.
 var (
-	errRan      = errors.New("request ran, but its client got a response that reports it did not run")
-	errNotWhole = errors.New("status 200, but the response is incomplete or belongs to another request")
-	errDenied   = errors.New("valid request denied")
-	errLate     = errors.New("response long after the route's timeout")
-	errKey      = errors.New("request ran with a revoked key")
-	errBroken   = errors.New("connection lost without a fault of its VM")
-	errCalm     = errors.New("not served although no fault was near")
+	errRan          = errors.New("request ran, but its client got a response that reports it did not run")
+	errIncomplete   = errors.New("status 200, but the response is incomplete or belongs to another request")
+	errDenied       = errors.New("valid request denied")
+	errLate         = errors.New("response long after the route's timeout")
+	errRevokedKey   = errors.New("request ran with a revoked key")
+	errDisconnected = errors.New("connection lost without a fault of its VM")
+	errNotServed    = errors.New("not served although no fault was near")
 )
 
-func (r *Run) judge(c *call) error {
-	p, a := r.fleet.Platform, c.answer
+func (r *Run) checkCall(c *call) error {
+	p, a := r.fleet.Platform, c.response
 	switch a.Status {
 	case http.StatusOK:
 		if !a.Whole {
-			return errNotWhole
+			return errIncomplete
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if p.Runs(a.ID) > 0 {
 			return errRan
 		}
 	case http.StatusUnauthorized:
-		if c.workspace != other || c.end().Before(r.withdrawing) {
+		if c.workspace != revokedWorkspace || c.end().Before(r.revokeStart) {
 			return errDenied
 		}
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusNotFound:
 		return errDenied
 	}
-	if c.workspace == other && !r.withdrawn.IsZero() && c.at.After(r.confirmed().Add(revocation)) && p.Runs(a.ID) > 0 {
-		return errKey
+	if c.workspace == revokedWorkspace && !r.revoked.IsZero() && c.at.After(r.revocationConfirmed().Add(revocationLimit)) && p.Runs(a.ID) > 0 {
+		return errRevokedKey
 	}
-	hit := r.hit(c)
-	if a.Took > timeouts[c.route]+lateness && !hit {
+	hit := r.processFaulted(c)
+	if a.Took > routeTimeouts[c.route]+tolerance && !hit {
 		return errLate
 	}
 	if a.Status == 0 && !hit && c.route != "draft" && c.route != "audit" {
-		return errBroken
+		return errDisconnected
 	}
 	// Ten clients send more long prompts than four engines can prefill, so some are refused.
 	refused := c.route == "audit" && a.Status == http.StatusServiceUnavailable
-	if !a.Whole && !refused && c.workspace == mine && r.calm(c) {
-		return errCalm
+	if !a.Whole && !refused && c.workspace == steadyWorkspace && r.undisturbed(c) {
+		return errNotServed
 	}
 	return nil
 }
 
 // revocationConfirmed returns when the store last confirmed the revocation of the key. A store restored from a copy without the
 // revocation reports the key as valid until the operator has written the revocation again.
-func (r *Run) confirmed() time.Time {
-	at := r.withdrawn
+func (r *Run) revocationConfirmed() time.Time {
+	at := r.revoked
 	for _, w := range r.fleet.Platform.Rewrites() {
-		if w.Kind == "config" && !w.First.Before(r.withdrawing) && w.Again.After(at) {
+		if w.Kind == "config" && !w.First.Before(r.revokeStart) && w.Again.After(at) {
 			at = w.Again
 		}
 	}
@@ -185,9 +185,9 @@
 
 // processFaulted reports whether the process of a call's VM was stopped, killed or paused during the
 // call. A graceful stop counts only for calls that began after it.
-func (r *Run) hit(c *call) bool {
-	for _, s := range r.spells {
-		if s.vm != c.vm || c.at.After(s.to.Add(lateness)) || c.end().Before(s.from) {
+func (r *Run) processFaulted(c *call) bool {
+	for _, s := range r.injections {
+		if s.vm != c.vm || c.at.After(s.to.Add(tolerance)) || c.end().Before(s.from) {
 			continue
 		}
 		switch s.fault.Kind {
@@ -205,13 +205,13 @@
 
 // peerSyncTime is how long after a fault that hit a VM's process or a link to a peer the VM may still
 // be unaware of what other VMs do.
-const excusedAfter = 3 * time.Second
+const peerSyncTime = 3 * time.Second
 
 // unsynced reports whether a VM may have been unaware of what other VMs do between from and to,
 // because it was stopped, killed or paused, or a link between it and a peer was hit.
-func (r *Run) excused(vm string, from, to time.Time) bool {
-	for _, s := range r.spells {
-		if s.to.Add(excusedAfter).Before(from) || s.from.After(to) {
+func (r *Run) unsynced(vm string, from, to time.Time) bool {
+	for _, s := range r.injections {
+		if s.to.Add(peerSyncTime).Before(from) || s.from.After(to) {
 			continue
 		}
 		switch s.fault.Kind {
@@ -232,18 +232,18 @@
 
 // responseTime is the time before and after an instant in which a fault may have kept a response of that
 // instant from its VM.
-const answerSpan = time.Second
+const responseTime = time.Second
 
 // mayHaveMissed reports whether a VM may not have received a response that upstream u sent at the given time, because a
 // fault hit the VM's process or its link to the upstream.
-func (r *Run) unheard(vm string, u *standin.Runner, at time.Time) bool {
-	from, to := at.Add(-answerSpan), at.Add(answerSpan)
+func (r *Run) mayHaveMissed(vm string, u *standin.Runner, at time.Time) bool {
+	from, to := at.Add(-responseTime), at.Add(responseTime)
 	if r.restarted(vm, from, to) {
 		return true
 	}
 	us := r.fleet.Platform.Runners()
-	for _, s := range r.spells {
-		if s.fault.End == Upstream && s.vm.Name == vm && us[s.fault.Other%len(us)].Address() == u.Address() && s.link() && s.overlaps(from, to) {
+	for _, s := range r.injections {
+		if s.fault.End == Upstream && s.vm.Name == vm && us[s.fault.Other%len(us)].Address() == u.Address() && s.hitsLink() && s.overlaps(from, to) {
 			return true
 		}
 	}
@@ -252,38 +252,38 @@
 
 // restarted reports whether a VM was stopped, killed or paused between from and to.
 func (r *Run) restarted(vm string, from, to time.Time) bool {
-	return slices.ContainsFunc(r.spells, func(s spell) bool { return s.vm.Name == vm && s.process() && s.overlaps(from, to) })
+	return slices.ContainsFunc(r.injections, func(s injection) bool { return s.vm.Name == vm && s.hitsProcess() && s.overlaps(from, to) })
 }
 
 // disrupted reports whether a VM was stopped, killed or paused, or a link that it dials was hit, between
 // from and to.
-func (r *Run) cut(vm string, from, to time.Time) bool {
-	return r.restarted(vm, from, to) || slices.ContainsFunc(r.spells, func(s spell) bool {
-		return s.vm.Name == vm && s.link() && s.overlaps(from, to)
+func (r *Run) disrupted(vm string, from, to time.Time) bool {
+	return r.restarted(vm, from, to) || slices.ContainsFunc(r.injections, func(s injection) bool {
+		return s.vm.Name == vm && s.hitsLink() && s.overlaps(from, to)
 	})
 }
 
 // hitsProcess reports whether the fault hits a VM's process.
-func (s *spell) process() bool {
+func (s *injection) hitsProcess() bool {
 	return s.fault.Kind == Kill || s.fault.Kind == Freeze || s.fault.Kind == Stop
 }
 
 // hitsLink reports whether the fault hits a link that a VM dials.
-func (s *spell) link() bool {
+func (s *injection) hitsLink() bool {
 	return s.fault.Kind == Cut || s.fault.Kind == Reset || s.fault.Kind == Silence || s.fault.Kind == Delay
 }
 
-func (s *spell) overlaps(from, to time.Time) bool { return !s.to.Before(from) && !s.from.After(to) }
+func (s *injection) overlaps(from, to time.Time) bool { return !s.to.Before(from) && !s.from.After(to) }
 
 // recoveryTime is how long a fault may have effects after its end: an owner counts grants that have
 // ended for up to 3 s, excludes failed upstreams for 4 s, and retains expired entries for 2 s.
-const calmAfter = 5 * time.Second
+const recoveryTime = 5 * time.Second
 
 // undisturbed reports whether no fault of any kind lasted during a call or ended less than recoveryTime
 // before it.
-func (r *Run) calm(c *call) bool {
-	for _, s := range r.spells {
-		if c.end().After(s.from) && c.at.Before(s.to.Add(calmAfter)) {
+func (r *Run) undisturbed(c *call) bool {
+	for _, s := range r.injections {
+		if c.end().After(s.from) && c.at.Before(s.to.Add(recoveryTime)) {
 			return false
 		}
 	}
@@ -292,18 +292,18 @@
 
 // checkRecovered makes calls after all faults have ended, all of which must be served, and then checks
 // that no upstream has memory reserved.
-func (r *Run) after() []error {
+func (r *Run) checkRecovered() []error {
 	var errs []error
-	c := standin.NewCaller(mine)
+	c := standin.NewCaller(steadyWorkspace)
 	for _, v := range r.fleet.VMs {
 		for _, route := range routes {
-			x := call{vm: v, route: route, workspace: mine, at: time.Now(), answer: c.Call(v.Caller, route)}
-			if !x.answer.Whole {
-				errs = append(errs, fmt.Errorf("%w: %s", errCalm, &x))
+			x := call{vm: v, route: route, workspace: steadyWorkspace, at: time.Now(), response: c.Call(v.Caller, route)}
+			if !x.response.Whole {
+				errs = append(errs, fmt.Errorf("%w: %s", errNotServed, &x))
 			}
 		}
 	}
-	time.Sleep(settling)
+	time.Sleep(settleTime)
 	for _, u := range r.fleet.Platform.Runners() {
 		if n := u.Reserved(); n > 0 {
 			errs = append(errs, fmt.Errorf("%d tokens of memory are still reserved at %s", n, u.Address()))
@@ -313,10 +313,10 @@
 }
 
 // countOutcomes counts the calls with a complete response, and all others by status.
-func ends(calls []call) map[string]int {
+func countOutcomes(calls []call) map[string]int {
 	out := map[string]int{}
 	for i := range calls {
-		a := calls[i].answer
+		a := calls[i].response
 		if a.Whole {
 			out["whole"]++
 			continue
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -115,55 +115,55 @@
 // Times of a schedule. Some faults outlast leases and timeouts, and the next fault often starts
 // before the last one has ended.
 const (
-	leastSpan  = 200 * time.Millisecond
-	mostSpan   = 5 * time.Second
-	leastPause = 100 * time.Millisecond
-	mostPause  = 2500 * time.Millisecond
-	mostHeld   = 400 * time.Millisecond
+	minDuration = 200 * time.Millisecond
+	maxDuration = 5 * time.Second
+	minPause    = 100 * time.Millisecond
+	maxPause    = 2500 * time.Millisecond
+	maxDelay    = 400 * time.Millisecond
 	// burstOdds is n if one in n faults starts a burst: the fault is repeated, at the same or the next
 	// VM and after less than maxBurstGap each time, until it has been injected 2 to maxBurst times.
-	series     = 4
-	seriesMost = 4
-	seriesGap  = 800 * time.Millisecond
+	burstOdds   = 4
+	maxBurst    = 4
+	maxBurstGap = 800 * time.Millisecond
 )
 
 // Plan returns the schedule of faults for seed. Equal arguments give equal schedules.
 func Plan(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 0))}
 	var out []Fault
-	for at := p.between(leastPause, mostPause); at < length; at += p.between(leastPause, mostPause) {
+	for at := p.duration(minPause, maxPause); at < length; at += p.duration(minPause, maxPause) {
 		f := p.fault()
 		n := 1
-		if p.IntN(series) == 0 {
-			n += 1 + p.IntN(seriesMost-1)
+		if p.IntN(burstOdds) == 0 {
+			n += 1 + p.IntN(maxBurst-1)
 		}
 		for i := range n {
-			f.At, f.Span = at, p.between(leastSpan, mostSpan)
+			f.At, f.Span = at, p.duration(minDuration, maxDuration)
 			if i > 0 && p.IntN(2) == 0 {
 				f.VM++
 			}
 			out = append(out, f)
-			at += p.between(0, seriesGap)
+			at += p.duration(0, maxBurstGap)
 		}
 	}
-	return slices.Concat(out, limits(seed, length), drills(seed, length), declarations(seed, length))
+	return slices.Concat(out, limitFaults(seed, length), restoreFaults(seed, length), declarationFaults(seed, length))
 }
 
 // Durations, rates (requests per second) and pauses of the limits that upstreams declare.
 const (
-	leastLimited = 4 * time.Second
-	mostLimited  = 9 * time.Second
-	mostRate     = 6
-	limitPause   = 5 * time.Second
+	minLimited = 4 * time.Second
+	maxLimited = 9 * time.Second
+	maxRate    = 6
+	limitPause = 5 * time.Second
 )
 
 // limitFaults draws the faults of kind Limit from a random source of their own, so that they do not
 // change the other faults of a seed.
-func limits(seed uint64, length time.Duration) []Fault {
+func limitFaults(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 1))}
 	var out []Fault
-	for at := p.between(0, limitPause); at < length; at += p.between(0, limitPause) {
-		out = append(out, Fault{Kind: Limit, Other: p.IntN(wide), Rate: float64(p.IntN(10*mostRate)) / 10, At: at, Span: p.between(leastLimited, mostLimited)})
+	for at := p.duration(0, limitPause); at < length; at += p.duration(0, limitPause) {
+		out = append(out, Fault{Kind: Limit, Other: p.IntN(indexRange), Rate: float64(p.IntN(10*maxRate)) / 10, At: at, Span: p.duration(minLimited, maxLimited)})
 	}
 	return out
 }
@@ -171,21 +171,21 @@
 // Times of restores of the store from an older copy: how long the store is unavailable, the age of
 // the copy and the pause between two restores.
 const (
-	mostAway   = time.Second
-	mostAge    = 8 * time.Second
-	leastAge   = time.Second
-	drillPause = 25 * time.Second
+	maxUnavailable = time.Second
+	maxCopyAge     = 8 * time.Second
+	minCopyAge     = time.Second
+	restorePause   = 25 * time.Second
 )
 
 // restoreFaults draws the faults of kind Drill from a random source of their own, like limitFaults. A
 // restore may start before the fleet has recovered from the last one.
-func drills(seed uint64, length time.Duration) []Fault {
+func restoreFaults(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 2))}
 	var out []Fault
-	for at := p.between(0, drillPause/2); at < length; at += p.between(0, drillPause) {
+	for at := p.duration(0, restorePause/2); at < length; at += p.duration(0, restorePause) {
 		out = append(out, Fault{
-			Kind: Drill, Mode: []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)], Age: p.between(leastAge, mostAge),
-			At: at, Span: p.between(0, mostAway),
+			Kind: Drill, Mode: []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)], Age: p.duration(minCopyAge, maxCopyAge),
+			At: at, Span: p.duration(0, maxUnavailable),
 		})
 	}
 	return out
@@ -193,19 +193,19 @@
 
 // Times of the faults in which upstreams declare that they drain or ask for back-off.
 const (
-	leastDeclared = 2500 * time.Millisecond
-	mostDeclared  = 7 * time.Second
+	minDeclared   = 2500 * time.Millisecond
+	maxDeclared   = 7 * time.Second
 	declaredPause = 12 * time.Second
 )
 
 // declarationFaults draws the faults of kinds Leave and Shed, each from a random source of its own,
 // like limitFaults.
-func declarations(seed uint64, length time.Duration) []Fault {
+func declarationFaults(seed uint64, length time.Duration) []Fault {
 	var out []Fault
 	for i, kind := range []Kind{Leave, Shed} {
 		p := planner{rand.New(rand.NewPCG(seed, uint64(3+i)))}
-		for at := p.between(0, declaredPause); at < length; at += p.between(leastDeclared, declaredPause) {
-			out = append(out, Fault{Kind: kind, Other: p.IntN(wide), At: at, Span: p.between(leastDeclared, mostDeclared)})
+		for at := p.duration(0, declaredPause); at < length; at += p.duration(minDeclared, declaredPause) {
+			out = append(out, Fault{Kind: kind, Other: p.IntN(indexRange), At: at, Span: p.duration(minDeclared, maxDeclared)})
 		}
 	}
 	return out
@@ -213,8 +213,8 @@
 
 type planner struct{ *rand.Rand }
 
-func (p planner) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(p.Int64N(int64(most-least)))
+func (p planner) duration(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(p.Int64N(int64(hi-lo)))
 }
 
 func (p planner) kind() Kind {
@@ -232,12 +232,12 @@
 }
 
 // indexRange is the range of a Fault's random indexes.
-const wide = 1 << 10
+const indexRange = 1 << 10
 
 func (p planner) fault() Fault {
 	return Fault{
-		Kind: p.kind(), VM: p.IntN(wide), Other: p.IntN(wide), End: []End{Store, Peer, Peer, Upstream}[p.IntN(4)],
-		Ways: []relay.Ways{relay.There, relay.Back, relay.Both}[p.IntN(3)], Fresh: p.IntN(2) == 0, Held: p.between(10*time.Millisecond, mostHeld),
+		Kind: p.kind(), VM: p.IntN(indexRange), Other: p.IntN(indexRange), End: []End{Store, Peer, Peer, Upstream}[p.IntN(4)],
+		Ways: []relay.Ways{relay.There, relay.Back, relay.Both}[p.IntN(3)], Fresh: p.IntN(2) == 0, Held: p.duration(10*time.Millisecond, maxDelay),
 		Mode:    []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)],
 		Trouble: []standin.Trouble{standin.Full, standin.Failing, standin.Losing, standin.Silent}[p.IntN(4)],
 	}
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -23,20 +23,20 @@
 	mu sync.Mutex
 	// faulted holds the VMs and the addresses of the upstreams that a fault of their process
 	// currently targets.
-	down map[any]bool
+	faulted map[any]bool
 	// injected holds the faults that have ended.
-	spells []spell
-	calls  []call
+	injections []injection
+	calls      []call
 	// revokeStart and revoked are the times when the revocation of revokedWorkspace's key was started
 	// and confirmed. In between a VM may accept or reject the key.
-	withdrawing, withdrawn time.Time
-	routes                 int
+	revokeStart, revoked time.Time
+	extraRoutes          int
 	// storeMu serializes the faults of the store.
-	store sync.Mutex
+	storeMu sync.Mutex
 }
 
 // injection is a fault with the VM that its index chose and the times when it started and ended.
-type spell struct {
+type injection struct {
 	fault    Fault
 	vm       *fleet.VM
 	from, to time.Time
@@ -44,18 +44,18 @@
 
 // New returns a run with the schedule of seed. The VMs of the fleet f must be ready.
 func New(f *fleet.Fleet, seed uint64, l Log) *Run {
-	return &Run{fleet: f, log: l, seed: seed, down: map[any]bool{}}
+	return &Run{fleet: f, log: l, seed: seed, faulted: map[any]bool{}}
 }
 
 // Limits on the time that VMs and upstreams need to recover from a fault.
 const (
-	readyBound = 20 * time.Second
-	stopBound  = 8 * time.Second
+	readyTimeout = 20 * time.Second
+	stopTimeout  = 8 * time.Second
 	// rewriteTime is the time within which writers write again what the store lost in a restore.
-	rewriting = 2 * time.Second
+	rewriteTime = 2 * time.Second
 	// settleTime is the time for VMs to accept that entries have expired and for upstreams to free
 	// memory of abandoned requests.
-	settling = 5 * time.Second
+	settleTime = 5 * time.Second
 )
 
 // Go injects the faults of the schedule under load, waits until the fleet has recovered and checks its
@@ -65,35 +65,35 @@
 	faults := Plan(r.seed, length)
 	stop := make(chan struct{})
 	var load, play sync.WaitGroup
-	for i := range callers {
-		load.Go(func() { r.call(i, stop) })
+	for i := range clients {
+		load.Go(func() { r.runClient(i, stop) })
 	}
-	begun := time.Now()
+	start := time.Now()
 	errs := make(chan error, len(faults)+1)
 	for _, f := range faults {
 		r.log("%s", f)
 		play.Go(func() {
-			time.Sleep(f.At - time.Since(begun))
-			if err := r.play(f); err != nil {
+			time.Sleep(f.At - time.Since(start))
+			if err := r.inject(f); err != nil {
 				errs <- fmt.Errorf("%s: %w", f, err)
 			}
 		})
 	}
 	play.Go(func() {
 		time.Sleep(length / 2)
-		began := time.Now()
-		r.fleet.Platform.Withdraw(other)
+		revokeStart := time.Now()
+		r.fleet.Platform.Withdraw(revokedWorkspace)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.withdrawing, r.withdrawn = began, time.Now()
+		r.revokeStart, r.revoked = revokeStart, time.Now()
 	})
 	play.Wait()
 	for _, v := range r.fleet.VMs {
-		if err := v.AwaitReady(readyBound); err != nil {
+		if err := v.AwaitReady(readyTimeout); err != nil {
 			errs <- err
 		}
 	}
-	time.Sleep(settling)
+	time.Sleep(settleTime)
 	close(stop)
 	load.Wait()
 	close(errs)
@@ -102,47 +102,47 @@
 
 // acquire reserves a VM or an upstream's address for one fault. It returns false if another fault of
 // its process is in progress.
-func (r *Run) take(what any) bool {
+func (r *Run) acquire(target any) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down[what] {
+	if r.faulted[target] {
 		return false
 	}
-	r.down[what] = true
+	r.faulted[target] = true
 	return true
 }
 
-func (r *Run) release(what any) {
+func (r *Run) release(target any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.down, what)
+	delete(r.faulted, target)
 }
 
 // inject starts a fault, waits for its duration, ends it and records it.
-func (r *Run) play(f Fault) error {
+func (r *Run) inject(f Fault) error {
 	v := r.fleet.VMs[f.VM%len(r.fleet.VMs)]
 	from := time.Now()
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.spells = append(r.spells, spell{f, v, from, time.Now()})
+		r.injections = append(r.injections, injection{f, v, from, time.Now()})
 	}()
 	switch f.Kind {
 	case Kill, Freeze, Stop, Hangup:
-		if !r.take(v) {
+		if !r.acquire(v) {
 			return nil
 		}
 		defer r.release(v)
-		return r.process(f, v)
+		return r.injectProcessFault(f, v)
 	case Cut, Reset, Silence, Delay:
-		r.link(f, v)
+		r.injectLinkFault(f, v)
 	case Outage, Forget, Lapse, Drill:
-		r.store.Lock()
-		defer r.store.Unlock()
-		r.storage(f)
+		r.storeMu.Lock()
+		defer r.storeMu.Unlock()
+		r.injectStoreFault(f)
 	case Crash, Drain, Sick, Leave, Shed:
 		us := r.fleet.Platform.Runners()
-		return r.upstream(f, us[f.Other%len(us)])
+		return r.injectUpstreamFault(f, us[f.Other%len(us)])
 	case Limit:
 		us := r.fleet.Platform.Runners()
 		u := us[f.Other%len(us)]
@@ -151,15 +151,15 @@
 		u.Limit(-1)
 	case Document:
 		r.mu.Lock()
-		r.routes++
-		name := fmt.Sprintf("extra%d", r.routes)
+		r.extraRoutes++
+		name := fmt.Sprintf("extra%d", r.extraRoutes)
 		r.mu.Unlock()
 		r.fleet.Platform.AddRoute(name)
 	}
 	return nil
 }
 
-func (r *Run) process(f Fault, v *fleet.VM) error {
+func (r *Run) injectProcessFault(f Fault, v *fleet.VM) error {
 	switch f.Kind {
 	case Hangup:
 		return v.Process.Signal(syscall.SIGHUP)
@@ -175,8 +175,8 @@
 		}
 		select {
 		case <-v.Process.Done():
-		case <-time.After(stopBound):
-			return fmt.Errorf("%s did not stop within %v", v.Name, stopBound)
+		case <-time.After(stopTimeout):
+			return fmt.Errorf("%s did not stop within %v", v.Name, stopTimeout)
 		}
 	default:
 		v.Process.Kill()
@@ -185,7 +185,7 @@
 	return r.fleet.Start(v)
 }
 
-func (r *Run) link(f Fault, v *fleet.VM) {
+func (r *Run) injectLinkFault(f Fault, v *fleet.VM) {
 	l := r.fleet.Store
 	switch f.End {
 	case Peer:
@@ -216,14 +216,14 @@
 	l.Heal(v.Name)
 }
 
-func (r *Run) storage(f Fault) {
+func (r *Run) injectStoreFault(f Fault) {
 	p := r.fleet.Platform
 	if f.Kind == Forget {
 		p.Forget()
 		return
 	}
 	if f.Kind == Drill {
-		p.Drill(f.Mode, f.Span, f.Age, rewriting, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
+		p.Drill(f.Mode, f.Span, f.Age, rewriteTime, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
 		return
 	}
 	p.Fail(f.Mode)
@@ -243,11 +243,11 @@
 }
 
 // drainTime is how long an upstream continues to serve after it has announced in the store that it drains.
-const drains = 2500 * time.Millisecond
+const drainTime = 2500 * time.Millisecond
 
-func (r *Run) upstream(f Fault, u *standin.Runner) error {
+func (r *Run) injectUpstreamFault(f Fault, u *standin.Runner) error {
 	address := u.Address()
-	if !r.take(address) {
+	if !r.acquire(address) {
 		return nil
 	}
 	defer r.release(address)
@@ -266,8 +266,8 @@
 		u.Leave()
 		time.Sleep(f.Span)
 	case Drain:
-		u.Drain(drains)
-		time.Sleep(drains)
+		u.Drain(drainTime)
+		time.Sleep(drainTime)
 	default:
 	}
 	r.fleet.Crash(u)
