--- a/scenarios/chaos/check.go
+++ b/scenarios/chaos/check.go
@@ -60,9 +60,9 @@
 		w.CheckRevisions(),
 		w.CheckUsage(ctx, usageTimeout, r.maxUncounted()),
 	}
-	random := rand.New(rand.NewPCG(r.seed, 2))
+	rng := rand.New(rand.NewPCG(r.seed, 2))
 	for i := range finalRequests {
-		if err := r.startRequest(fmt.Sprintf("after.%d", i), i, random); err != nil {
+		if err := r.startRequest(fmt.Sprintf("after.%d", i), i, rng); err != nil {
 			return err
 		}
 	}
@@ -82,8 +82,8 @@
 	n := int64(0)
 	for _, c := range r.world.Results("load") {
 		end := c.Begun.Add(c.Elapsed)
-		for _, s := range r.disruptions[c.Call.To] {
-			if s.killed && end.After(s.from.Add(-usageLossWindow)) && end.Before(s.to) {
+		for _, d := range r.disruptions[c.Call.To] {
+			if d.killed && end.After(d.from.Add(-usageLossWindow)) && end.Before(d.to) {
 				n++
 				break
 			}
@@ -108,11 +108,11 @@
 // if withStops is set, and then only for calls that began after the stop.
 func (r *Run) disrupted(c *world.Result, withStops bool) bool {
 	end := c.Begun.Add(c.Elapsed)
-	for _, s := range r.disruptions[c.Call.To] {
-		if s.planned && (!withStops || c.Begun.Before(s.from)) {
+	for _, d := range r.disruptions[c.Call.To] {
+		if d.planned && (!withStops || c.Begun.Before(d.from)) {
 			continue
 		}
-		if c.Begun.Before(s.to) && end.After(s.from) {
+		if c.Begun.Before(d.to) && end.After(d.from) {
 			return true
 		}
 	}
--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -213,8 +213,8 @@
 	return r.world.Control(ctx, name, f.Reset)
 }
 
-// applyDocument applies a changed document as an operator does. An apply that fails, as while the store is
-// down, is logged and is no error of the run.
+// applyDocument applies a changed document as an operator does. An apply that fails, for example
+// because the store is down, is logged and does not fail the run.
 func (r *Run) applyDocument(ctx context.Context) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,9 +233,9 @@
 // loadInterval is the time between two requests of the load.
 const loadInterval = 40 * time.Millisecond
 
-// load sends requests of every kind until ctx ends.
+// load starts requests of every kind at a fixed rate until ctx is done.
 func (r *Run) load(ctx context.Context) error {
-	random := rand.New(rand.NewPCG(r.seed, 1))
+	rng := rand.New(rand.NewPCG(r.seed, 1))
 	t := time.NewTicker(loadInterval)
 	defer t.Stop()
 	for i := 0; ; i++ {
@@ -244,18 +244,18 @@
 			return nil
 		case <-t.C:
 		}
-		if err := r.startRequest(fmt.Sprintf("load.%d", i), i, random); err != nil {
+		if err := r.startRequest(fmt.Sprintf("load.%d", i), i, rng); err != nil {
 			return err
 		}
 	}
 }
 
-// startRequest starts one request. One notice in four, drawn at random, is sent a second time at once, to
-// a daemon drawn again, to test that a request that must not repeat runs at most once.
-func (r *Run) startRequest(name string, i int, random *rand.Rand) error {
-	ds := r.world.Daemons()
-	c := world.Call{Name: name, Text: name, To: ds[random.IntN(len(ds))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
-	c.Prompt, c.Output, c.Whole = 10+random.IntN(400), 4+random.IntN(120), random.IntN(3) == 0
+// startRequest starts one request. On average one notice in four is also sent a second time at
+// once, to a daemon drawn again, to test that a request that must not repeat runs at most once.
+func (r *Run) startRequest(name string, i int, rng *rand.Rand) error {
+	daemons := r.world.Daemons()
+	c := world.Call{Name: name, Text: name, To: daemons[rng.IntN(len(daemons))], Workspace: world.Workspaces[i%len(world.Workspaces)]}
+	c.Prompt, c.Output, c.Whole = 10+rng.IntN(400), 4+rng.IntN(120), rng.IntN(3) == 0
 	switch i % 4 {
 	case 0:
 		c.Service = true
@@ -267,10 +267,10 @@
 	if _, err := r.world.Begin(c); err != nil {
 		return err
 	}
-	if !(c.Kind == world.Notice && random.IntN(4) == 0) {
+	if !(c.Kind == world.Notice && rng.IntN(4) == 0) {
 		return nil
 	}
-	c.Name, c.To = name+".again", ds[random.IntN(len(ds))]
+	c.Name, c.To = name+".again", daemons[rng.IntN(len(daemons))]
 	_, err := r.world.Begin(c)
 	return err
 }
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -95,8 +95,9 @@
 	}
 }
 
-// hasTargetSide reports whether address is the remote address of the connection as the target sees it.
-func (c *conn) hasTargetSide(address string) bool {
+// hasTargetSideAddr reports whether address is the remote address of the connection as the target
+// sees it.
+func (c *conn) hasTargetSideAddr(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.target != nil && c.target.LocalAddr().String() == address
--- a/scenarios/relay/finder.go
+++ b/scenarios/relay/finder.go
@@ -22,6 +22,7 @@
 	resolving bool
 }
 
+// lookup is a pending request for the name of the process that dialed a connection.
 type lookup struct {
 	addrs  addrPair
 	result chan string
@@ -63,16 +64,16 @@
 	if !ok || !ok2 {
 		return ""
 	}
-	q := lookup{addrs: addrPair{procAddr(from), procAddr(to)}, result: make(chan string, 1)}
+	l := lookup{addrs: addrPair{procAddr(from), procAddr(to)}, result: make(chan string, 1)}
 	f.mu.Lock()
-	f.pending = append(f.pending, q)
+	f.pending = append(f.pending, l)
 	start := !f.resolving
 	f.resolving = true
 	f.mu.Unlock()
 	if start {
 		go f.resolve()
 	}
-	return <-q.result
+	return <-l.result
 }
 
 // resolve resolves pending lookups until there are none. One read of the socket table serves all
@@ -80,21 +81,21 @@
 func (f *Finder) resolve() {
 	for {
 		f.mu.Lock()
-		qs := f.pending
+		lookups := f.pending
 		f.pending = nil
-		f.resolving = len(qs) > 0
+		f.resolving = len(lookups) > 0
 		names := make(map[int]string, len(f.names))
 		for pid, n := range f.names {
 			names[pid] = n
 		}
 		f.mu.Unlock()
-		if len(qs) == 0 {
+		if len(lookups) == 0 {
 			return
 		}
 		inodes := socketInodes()
 		nameByInode := namesByInode(names)
-		for _, q := range qs {
-			q.result <- nameByInode[inodes[q.addrs]]
+		for _, l := range lookups {
+			l.result <- nameByInode[inodes[l.addrs]]
 		}
 	}
 }
@@ -107,7 +108,8 @@
 	minFields   = 10
 )
 
-// socketInodes reads the inode of every TCP socket from /proc/net/tcp. Without that file the map is empty.
+// socketInodes reads the inode of every TCP socket from /proc/net/tcp. If the file cannot be opened
+// the map is empty.
 func socketInodes() map[addrPair]string {
 	out := map[addrPair]string{}
 	file, err := os.Open("/proc/net/tcp")
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -34,7 +34,7 @@
 type rule struct {
 	// cut resets connections.
 	cut bool
-	// silent is the set of directions in which new connections drop all data.
+	// silent is the set of directions in which the data of new connections is dropped.
 	silent Ways
 	// delay delays the data of new connections.
 	delay time.Duration
@@ -74,9 +74,10 @@
 
 // host is a loopback address that only this test process uses. Otherwise two test processes on one
 // machine could take each other's ports while a daemon is down.
-var host = hostOf(os.Getpid())
+var host = loopbackHost(os.Getpid())
 
-func hostOf(pid int) string {
+// loopbackHost derives a loopback address from a process id.
+func loopbackHost(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>highBits%highest, pid>>lowBits&lowMask, pid&lowMask)
 }
 
@@ -108,9 +109,9 @@
 }
 
 // Name makes new connections wait until their source is known, because the source of a connection
-// that ends earlier can no longer be determined. They wait for most at the longest: without a limit
+// that ends earlier can no longer be determined. They wait for limit at the longest: without a limit
 // the target would appear unresponsive on a busy machine.
-func (r *Relay) Name(most time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.sourceWait = most }
+func (r *Relay) Name(limit time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.sourceWait = limit }
 
 // Address returns the address (host:port) that the relay listens on while it is up.
 func (r *Relay) Address() string { return r.address }
@@ -224,8 +225,8 @@
 		identified = append(identified, c.identified)
 	}
 	r.mu.Unlock()
-	for _, f := range identified {
-		<-f
+	for _, done := range identified {
+		<-done
 	}
 }
 
@@ -300,9 +301,9 @@
 
 // applyRules applies the rules to a connection whose source has been determined. The caller holds mu.
 func (r *Relay) applyRules(c *conn) {
-	for s, x := range r.rules {
+	for source, x := range r.rules {
 		switch {
-		case !c.matches(s):
+		case !c.matches(source):
 		case x.cut:
 			c.reset()
 		default:
@@ -319,7 +320,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		if c.hasTargetSide(address) {
+		if c.hasTargetSideAddr(address) {
 			return func() string { return r.sourceOf(c) }
 		}
 	}
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -97,8 +97,8 @@
 	requireWorks(t, dial(t, r))
 }
 
-// A child process that is being started holds a copy of a listening socket until its exec, so an address can
-// still be in use for a moment after its listener was closed. Up must retry.
+// A child process that is being started holds a copy of a listening socket until its exec, so an
+// address can still be in use for a moment after its listener was closed. Up must retry.
 func TestUpRetriesWhileAddressIsInUse(t *testing.T) {
 	r, err := New(NewFinder())
 	require.NoError(t, err)
@@ -160,8 +160,9 @@
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 }
 
-// The source of a connection that closes at once could not be determined afterwards, and a check of which VM received
-// an upstream's statement over it would have to skip it. Relay.Name makes the connection wait for the lookup.
+// The source of a connection that closes at once cannot be determined afterwards, so a check of
+// whether VMs obey the statements of upstreams would have to skip the statements sent over it.
+// Relay.Name makes the connection wait for the lookup.
 func TestSourceOfShortConnection(t *testing.T) {
 	f := NewFinder()
 	f.Know(os.Getpid(), "me")
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -14,7 +14,8 @@
 
 const (
 	clients = 10
-	// The key of steadyWorkspace stays valid, that of revokedWorkspace is revoked in the middle of the run.
+	// The key of steadyWorkspace stays valid. That of revokedWorkspace is revoked halfway through the
+	// run.
 	steadyWorkspace, revokedWorkspace = "ward", "desk"
 	// callsPerVM is how many calls a client makes to one VM before it chooses a VM again.
 	callsPerVM = 12
@@ -23,7 +24,8 @@
 // revocationLimit is the time within which every VM must reject a revoked key.
 const revocationLimit = 5 * time.Second
 
-// tolerance is the time by which a response may exceed its route's timeout, as happens on a busy machine.
+// tolerance is the time by which a response may exceed its route's timeout, to allow for a busy
+// machine.
 const tolerance = 1500 * time.Millisecond
 
 // routeTimeouts holds the timeouts of the routes that the emulated platform configures.
@@ -52,14 +54,14 @@
 // all callsPerVM calls, also after the VM has announced that it stops, and leaves it only after a call
 // whose status is not 200.
 func (r *Run) runClient(i int, stop chan struct{}) {
-	random := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
+	rng := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
 	workspace := steadyWorkspace
 	if i%5 == 4 {
 		workspace = revokedWorkspace
 	}
 	c := standin.NewCaller(workspace)
-	for n := random.IntN(len(routes)); ; {
-		v := r.fleet.VMs[random.IntN(len(r.fleet.VMs))]
+	for n := rng.IntN(len(routes)); ; {
+		v := r.fleet.VMs[rng.IntN(len(r.fleet.VMs))]
 		for range callsPerVM {
 			select {
 			case <-stop:
@@ -97,8 +99,8 @@
 			r.logCall(&calls[i])
 		}
 	}
-	if twice, wrong := p.Ran(); twice+wrong > 0 {
-		errs = append(errs, fmt.Errorf("%d attempts ran more than once, %d ran for a workspace other than the key's", twice, wrong))
+	if repeated, misattributed := p.Ran(); repeated+misattributed > 0 {
+		errs = append(errs, fmt.Errorf("%d attempts ran more than once, %d ran for a workspace other than the key's", repeated, misattributed))
 	}
 	for _, f := range p.Faults() {
 		errs = append(errs, errors.New(f))
@@ -112,8 +114,8 @@
 	errs = append(errs, r.checkRecovered()...)
 	r.log("%d calls by outcome: %v", len(calls), countOutcomes(calls))
 	r.log("upstreams in the store: %v", p.Listed("servers"))
-	told, unknown := p.Told()
-	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", told, unknown)
+	declared, unknown := p.Told()
+	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", declared, unknown)
 	return errors.Join(errs...)
 }
 
@@ -135,6 +137,7 @@
 	errNotServed    = errors.New("not served although no fault was near")
 )
 
+// checkCall returns the guarantee that a call violated, or nil.
 func (r *Run) checkCall(c *call) error {
 	p, a := r.fleet.Platform, c.response
 	switch a.Status {
@@ -156,23 +159,24 @@
 	if c.workspace == revokedWorkspace && !r.revoked.IsZero() && c.at.After(r.revocationConfirmed().Add(revocationLimit)) && p.Runs(a.ID) > 0 {
 		return errRevokedKey
 	}
-	hit := r.processFaulted(c)
-	if a.Took > routeTimeouts[c.route]+tolerance && !hit {
+	processFault := r.processFaulted(c)
+	if a.Took > routeTimeouts[c.route]+tolerance && !processFault {
 		return errLate
 	}
-	if a.Status == 0 && !hit && c.route != "draft" && c.route != "audit" {
+	if a.Status == 0 && !processFault && c.route != "draft" && c.route != "audit" {
 		return errDisconnected
 	}
 	// Ten clients send more long prompts than four engines can prefill, so some are refused.
-	refused := c.route == "audit" && a.Status == http.StatusServiceUnavailable
-	if !a.Whole && !refused && c.workspace == steadyWorkspace && r.undisturbed(c) {
+	refusedAudit := c.route == "audit" && a.Status == http.StatusServiceUnavailable
+	if !a.Whole && !refusedAudit && c.workspace == steadyWorkspace && r.undisturbed(c) {
 		return errNotServed
 	}
 	return nil
 }
 
-// revocationConfirmed returns when the store last confirmed the revocation of the key. A store restored from a copy without the
-// revocation reports the key as valid until the operator has written the revocation again.
+// revocationConfirmed returns when the store last confirmed the revocation of the key. A store
+// restored from a copy without the revocation reports the key as valid until the operator has
+// written the revocation again.
 func (r *Run) revocationConfirmed() time.Time {
 	at := r.revoked
 	for _, w := range r.fleet.Platform.Rewrites() {
@@ -186,15 +190,15 @@
 // processFaulted reports whether the process of a call's VM was stopped, killed or paused during the
 // call. A graceful stop counts only for calls that began after it.
 func (r *Run) processFaulted(c *call) bool {
-	for _, s := range r.injections {
-		if s.vm != c.vm || c.at.After(s.to.Add(tolerance)) || c.end().Before(s.from) {
+	for _, inj := range r.injections {
+		if inj.vm != c.vm || c.at.After(inj.to.Add(tolerance)) || c.end().Before(inj.from) {
 			continue
 		}
-		switch s.fault.Kind {
+		switch inj.fault.Kind {
 		case Kill, Freeze:
 			return true
 		case Stop:
-			if c.at.After(s.from) {
+			if c.at.After(inj.from) {
 				return true
 			}
 		default:
@@ -210,18 +214,18 @@
 // unsynced reports whether a VM may have been unaware of what other VMs do between from and to,
 // because it was stopped, killed or paused, or a link between it and a peer was hit.
 func (r *Run) unsynced(vm string, from, to time.Time) bool {
-	for _, s := range r.injections {
-		if s.to.Add(peerSyncTime).Before(from) || s.from.After(to) {
+	for _, inj := range r.injections {
+		if inj.to.Add(peerSyncTime).Before(from) || inj.from.After(to) {
 			continue
 		}
-		switch s.fault.Kind {
+		switch inj.fault.Kind {
 		case Kill, Freeze, Stop:
-			if s.vm.Name == vm {
+			if inj.vm.Name == vm {
 				return true
 			}
 		case Cut, Reset, Silence, Delay:
-			other := r.fleet.VMs[s.fault.Other%len(r.fleet.VMs)]
-			if s.fault.End == Peer && (s.vm.Name == vm || other.Name == vm) {
+			other := r.fleet.VMs[inj.fault.Other%len(r.fleet.VMs)]
+			if inj.fault.End == Peer && (inj.vm.Name == vm || other.Name == vm) {
 				return true
 			}
 		default:
@@ -230,20 +234,20 @@
 	return false
 }
 
-// responseTime is the time before and after an instant in which a fault may have kept a response of that
-// instant from its VM.
+// responseTime is the time before and after a response was sent in which a fault may have kept it
+// from reaching its VM.
 const responseTime = time.Second
 
-// mayHaveMissed reports whether a VM may not have received a response that upstream u sent at the given time, because a
-// fault hit the VM's process or its link to the upstream.
+// mayHaveMissed reports whether a VM may not have received a response that upstream u sent at the
+// given time, because a fault hit the VM's process or its link to the upstream.
 func (r *Run) mayHaveMissed(vm string, u *standin.Runner, at time.Time) bool {
 	from, to := at.Add(-responseTime), at.Add(responseTime)
 	if r.restarted(vm, from, to) {
 		return true
 	}
 	us := r.fleet.Platform.Runners()
-	for _, s := range r.injections {
-		if s.fault.End == Upstream && s.vm.Name == vm && us[s.fault.Other%len(us)].Address() == u.Address() && s.hitsLink() && s.overlaps(from, to) {
+	for _, inj := range r.injections {
+		if inj.fault.End == Upstream && inj.vm.Name == vm && us[inj.fault.Other%len(us)].Address() == u.Address() && inj.hitsLink() && inj.overlaps(from, to) {
 			return true
 		}
 	}
@@ -252,28 +256,30 @@
 
 // restarted reports whether a VM was stopped, killed or paused between from and to.
 func (r *Run) restarted(vm string, from, to time.Time) bool {
-	return slices.ContainsFunc(r.injections, func(s injection) bool { return s.vm.Name == vm && s.hitsProcess() && s.overlaps(from, to) })
+	return slices.ContainsFunc(r.injections, func(inj injection) bool { return inj.vm.Name == vm && inj.hitsProcess() && inj.overlaps(from, to) })
 }
 
-// disrupted reports whether a VM was stopped, killed or paused, or a link that it dials was hit, between
-// from and to.
+// disrupted reports whether a VM was stopped, killed or paused, or a link that it dials was hit,
+// between from and to.
 func (r *Run) disrupted(vm string, from, to time.Time) bool {
-	return r.restarted(vm, from, to) || slices.ContainsFunc(r.injections, func(s injection) bool {
-		return s.vm.Name == vm && s.hitsLink() && s.overlaps(from, to)
+	return r.restarted(vm, from, to) || slices.ContainsFunc(r.injections, func(inj injection) bool {
+		return inj.vm.Name == vm && inj.hitsLink() && inj.overlaps(from, to)
 	})
 }
 
 // hitsProcess reports whether the fault hits a VM's process.
-func (s *injection) hitsProcess() bool {
-	return s.fault.Kind == Kill || s.fault.Kind == Freeze || s.fault.Kind == Stop
+func (inj *injection) hitsProcess() bool {
+	return inj.fault.Kind == Kill || inj.fault.Kind == Freeze || inj.fault.Kind == Stop
 }
 
 // hitsLink reports whether the fault hits a link that a VM dials.
-func (s *injection) hitsLink() bool {
-	return s.fault.Kind == Cut || s.fault.Kind == Reset || s.fault.Kind == Silence || s.fault.Kind == Delay
+func (inj *injection) hitsLink() bool {
+	return inj.fault.Kind == Cut || inj.fault.Kind == Reset || inj.fault.Kind == Silence || inj.fault.Kind == Delay
 }
 
-func (s *injection) overlaps(from, to time.Time) bool { return !s.to.Before(from) && !s.from.After(to) }
+func (inj *injection) overlaps(from, to time.Time) bool {
+	return !inj.to.Before(from) && !inj.from.After(to)
+}
 
 // recoveryTime is how long a fault may have effects after its end: an owner counts grants that have
 // ended for up to 3 s, excludes failed upstreams for 4 s, and retains expired entries for 2 s.
@@ -282,8 +288,8 @@
 // undisturbed reports whether no fault of any kind lasted during a call or ended less than recoveryTime
 // before it.
 func (r *Run) undisturbed(c *call) bool {
-	for _, s := range r.injections {
-		if c.end().After(s.from) && c.at.Before(s.to.Add(recoveryTime)) {
+	for _, inj := range r.injections {
+		if c.end().After(inj.from) && c.at.Before(inj.to.Add(recoveryTime)) {
 			return false
 		}
 	}
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -39,7 +39,8 @@
 	Shed     Kind = "shed"     // an upstream rejects all requests and asks for back-off
 )
 
-// weights are the relative frequencies of the kinds that fault draws. The other kinds have schedules of their own.
+// weights are the relative frequencies of the kinds that planner.fault draws. The other kinds are
+// scheduled by limitFaults, restoreFaults and declarationFaults.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -71,11 +72,12 @@
 	Upstream End = "upstream"
 )
 
-// Fault is one fault of a schedule. The indexes VM and Other are reduced modulo the number of VMs, peers or upstreams.
+// Fault is one fault of a schedule. The indexes VM and Other are reduced modulo the number of VMs or
+// upstreams.
 type Fault struct {
 	Kind Kind
-	// VM is the index of the VM that is hit or that dials the link that is hit. Other is the index of
-	// the peer at the link's far end, or of the upstream there or that is hit.
+	// VM is the index of the VM whose process or whose outgoing link is hit. Other is the index of
+	// the peer or upstream at the far end of that link, or of the upstream that is hit itself.
 	VM, Other int
 	End       End
 	Ways      relay.Ways
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -24,13 +24,15 @@
 	// faulted holds the VMs and the addresses of the upstreams that a fault of their process
 	// currently targets.
 	faulted map[any]bool
-	// injected holds the faults that have ended.
+	// injections holds the faults that have ended, and those skipped because their target was in
+	// use by another fault.
 	injections []injection
 	calls      []call
 	// revokeStart and revoked are the times when the revocation of revokedWorkspace's key was started
 	// and confirmed. In between a VM may accept or reject the key.
 	revokeStart, revoked time.Time
-	extraRoutes          int
+	// extraRoutes counts the routes that faults of kind Document added.
+	extraRoutes int
 	// storeMu serializes the faults of the store.
 	storeMu sync.Mutex
 }
@@ -64,7 +66,7 @@
 func (r *Run) Go(length time.Duration) error {
 	faults := Plan(r.seed, length)
 	stop := make(chan struct{})
-	var load, play sync.WaitGroup
+	var load, injecting sync.WaitGroup
 	for i := range clients {
 		load.Go(func() { r.runClient(i, stop) })
 	}
@@ -72,14 +74,14 @@
 	errs := make(chan error, len(faults)+1)
 	for _, f := range faults {
 		r.log("%s", f)
-		play.Go(func() {
+		injecting.Go(func() {
 			time.Sleep(f.At - time.Since(start))
 			if err := r.inject(f); err != nil {
 				errs <- fmt.Errorf("%s: %w", f, err)
 			}
 		})
 	}
-	play.Go(func() {
+	injecting.Go(func() {
 		time.Sleep(length / 2)
 		revokeStart := time.Now()
 		r.fleet.Platform.Withdraw(revokedWorkspace)
@@ -87,7 +89,7 @@
 		defer r.mu.Unlock()
 		r.revokeStart, r.revoked = revokeStart, time.Now()
 	})
-	play.Wait()
+	injecting.Wait()
 	for _, v := range r.fleet.VMs {
 		if err := v.AwaitReady(readyTimeout); err != nil {
 			errs <- err
@@ -242,7 +244,8 @@
 	}
 }
 
-// drainTime is how long an upstream continues to serve after it has announced in the store that it drains.
+// drainTime is how long an upstream continues to serve after it has announced in the store that it
+// drains.
 const drainTime = 2500 * time.Millisecond
 
 func (r *Run) injectUpstreamFault(f Fault, u *standin.Runner) error {
