--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -47,9 +47,9 @@
 	return &Run{world: w, log: l, seed: seed, faulted: map[string]bool{}, disruptions: map[string][]disruption{}, draftOutput: 32}
 }
 
-// Go injects the faults of the schedule under load, waits until the deployment has recovered and
-// checks its guarantees. The returned error joins all faults that could not be injected and all
-// guarantees that were violated.
+// Go injects the faults of the schedule under load, waits until the deployment has recovered
+// and checks its guarantees. The returned error joins all faults that could not be injected and
+// all guarantees that were violated.
 func (r *Run) Go(ctx context.Context, length time.Duration) error {
 	r.world.Relax()
 	faults := Plan(r.seed, length, Fleet{r.world.Daemons(), r.world.Engines(), r.world.Services()})
--- a/scenarios/chaos/schedule.go
+++ b/scenarios/chaos/schedule.go
@@ -116,8 +116,8 @@
 
 // Plan returns the schedule of faults for seed; faults start within length. Equal arguments give
 // equal schedules.
-func Plan(seed uint64, length time.Duration, f Fleet) []Fault {
-	p := planner{rng: rand.New(rand.NewPCG(seed, 0)), fleet: f}
+func Plan(seed uint64, length time.Duration, targets Fleet) []Fault {
+	p := planner{rng: rand.New(rand.NewPCG(seed, 0)), targets: targets}
 	var out []Fault
 	for at := p.duration(minPause, maxPause); at < length; at += p.duration(minPause, maxPause) {
 		n := 1
@@ -135,8 +135,8 @@
 }
 
 type planner struct {
-	rng   *rand.Rand
-	fleet Fleet
+	rng     *rand.Rand
+	targets Fleet
 }
 
 func (p *planner) duration(lo, hi time.Duration) time.Duration {
@@ -163,19 +163,19 @@
 	f := Fault{Kind: p.kind()}
 	switch f.Kind {
 	case Kill, Freeze:
-		f.Target = p.pick(append(append([]string{}, p.fleet.Daemons...), p.fleet.Engines...))
+		f.Target = p.pick(append(append([]string{}, p.targets.Daemons...), p.targets.Engines...))
 	case Stop:
-		f.Target = p.pick(p.fleet.Daemons)
+		f.Target = p.pick(p.targets.Daemons)
 	case Cut, Silence, Blackhole:
 		f.Target, f.Other = p.link()
 	case Engine:
 		x := engineSettings[p.rng.IntN(len(engineSettings))]
-		f.Target, f.Setting, f.Reset = p.pick(p.fleet.Engines), x.set, x.reset
+		f.Target, f.Setting, f.Reset = p.pick(p.targets.Engines), x.set, x.reset
 	case Service:
 		x := serviceSettings[p.rng.IntN(len(serviceSettings))]
-		f.Target, f.Setting, f.Reset = p.pick(p.fleet.Services), x.set, x.reset
+		f.Target, f.Setting, f.Reset = p.pick(p.targets.Services), x.set, x.reset
 	case Leaving:
-		f.Target = p.pick(p.fleet.Engines)
+		f.Target = p.pick(p.targets.Engines)
 	case Outage:
 		f.Setting, f.Reset = `outage="refuse"`, `outage=""`
 		if p.rng.IntN(2) == 0 {
@@ -195,19 +195,19 @@
 
 // link picks the ends of a link: a daemon and a process that it dials, or the client and a daemon.
 func (p *planner) link() (from, to string) {
-	from = p.pick(p.fleet.Daemons)
+	from = p.pick(p.targets.Daemons)
 	switch p.rng.IntN(5) {
 	case 0:
 		return "caller", from
 	case 1:
 		return from, "store"
 	case 2:
-		return from, p.pick(p.fleet.Engines)
+		return from, p.pick(p.targets.Engines)
 	case 3:
-		return from, p.pick(p.fleet.Services)
+		return from, p.pick(p.targets.Services)
 	}
 	for {
-		if to = p.pick(p.fleet.Daemons); to != from {
+		if to = p.pick(p.targets.Daemons); to != from {
 			return from, to
 		}
 	}
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -32,9 +32,9 @@
 
 func (c *conn) matches(source string) bool { return source == Any || source == c.source }
 
-func (c *conn) silence(w Ways) { c.silenced.Or(uint32(w)) }
+func (c *conn) silence(dirs Ways) { c.silenced.Or(uint32(dirs)) }
 
-func (c *conn) silent(w Ways) bool { return c.silenced.Load()&uint32(w) != 0 }
+func (c *conn) silent(dirs Ways) bool { return c.silenced.Load()&uint32(dirs) != 0 }
 
 // forward copies data in both directions until both have ended.
 func (c *conn) forward(target *net.TCPConn) {
@@ -67,12 +67,12 @@
 
 // copy copies the data of one direction. While the direction is silent copy reads and drops the
 // data, so that the sender's writes succeed, and does not pass on the end of the stream either.
-func (c *conn) copy(to, from *net.TCPConn, w Ways) {
+func (c *conn) copy(to, from *net.TCPConn, dir Ways) {
 	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
 		time.Sleep(time.Duration(c.delay.Load()))
-		if c.silent(w) {
+		if c.silent(dir) {
 			if err != nil {
 				return
 			}
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -108,9 +108,9 @@
 	return &Relay{address: a, finder: f, conns: map[*conn]struct{}{}, rules: map[string]rule{}}, err
 }
 
-// Name makes new connections wait until their source is known, because the source of a connection
-// that ends earlier can no longer be determined. They wait for limit at the longest: without a limit
-// the target would appear unresponsive on a busy machine.
+// Name makes new connections wait until their source is known, because the source of a
+// connection that ends earlier can no longer be determined. They wait for limit at the longest:
+// without a limit the target would appear unresponsive on a busy machine.
 func (r *Relay) Name(limit time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.sourceWait = limit }
 
 // Address returns the address (host:port) that the relay listens on while it is up.
@@ -187,18 +187,18 @@
 	}
 }
 
-// Silence drops all data in the directions w of the open connections of a source. Heal does not undo
-// this. With fresh set, connections opened until Heal are silent too, for good as well.
-func (r *Relay) Silence(source string, w Ways, fresh bool) {
+// Silence drops all data in the directions dirs of the open connections of a source. Heal does not
+// undo this. With fresh set, connections opened until Heal are silent too, also for good.
+func (r *Relay) Silence(source string, dirs Ways, fresh bool) {
 	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if fresh {
-		r.rules[source] = rule{silent: w}
+		r.rules[source] = rule{silent: dirs}
 	}
 	for c := range r.conns {
 		if c.matches(source) {
-			c.silence(w)
+			c.silence(dirs)
 		}
 	}
 }
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -60,9 +60,9 @@
 	settleTime = 5 * time.Second
 )
 
-// Go injects the faults of the schedule under load, waits until the fleet has recovered and checks its
-// guarantees. The returned error joins all faults that could not be injected and all guarantees that
-// were violated.
+// Go injects the faults of the schedule under load, waits until the fleet has recovered
+// and checks its guarantees. The returned error joins all faults that could not be injected and
+// all guarantees that were violated.
 func (r *Run) Go(length time.Duration) error {
 	faults := Plan(r.seed, length)
 	stop := make(chan struct{})
