--- a/scenarios/chaos/check.go
+++ b/scenarios/chaos/check.go
@@ -105,7 +105,7 @@
 }
 
 // disrupted reports whether a disruption of its daemon overlaps a call. Graceful stops count only
-// if withStops is set, and then only for calls that began after the stop.
+// if withStops is set, and then only for calls that began after the stop was requested.
 func (r *Run) disrupted(c *world.Result, withStops bool) bool {
 	end := c.Begun.Add(c.Elapsed)
 	for _, d := range r.disruptions[c.Call.To] {
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -14,6 +14,7 @@
 
 // conn is one relayed connection: the accepted connection and the one dialed to the target.
 type conn struct {
+	// client is the connection accepted from the process that dialed.
 	client *net.TCPConn
 	// source is the name of the process that dialed, empty until it is known. Relay.mu protects it.
 	source string
@@ -24,7 +25,8 @@
 	// delay is the time by which each read is delayed in both directions, a time.Duration.
 	delay atomic.Int64
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// target is the connection to the target, nil until it is dialed.
 	target *net.TCPConn
 	// wasReset is set by reset. A target connection that is dialed later is reset too.
 	wasReset bool
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -188,7 +188,7 @@
 }
 
 // processFaulted reports whether the process of a call's VM was stopped, killed or paused during the
-// call. A graceful stop counts only for calls that began after it.
+// call. A graceful stop counts only for calls that began after the stop was requested.
 func (r *Run) processFaulted(c *call) bool {
 	for _, inj := range r.injections {
 		if inj.vm != c.vm || c.at.After(inj.to.Add(tolerance)) || c.end().Before(inj.from) {
