--- a/scenarios/platform_fleet_test.go
+++ b/scenarios/platform_fleet_test.go
@@ -37,21 +37,21 @@
 		l := newLoad(f)
 		time.Sleep(time.Second)
 		for _, v := range f.VMs[first : first+large/2] {
-			f.Store.Cut(v.Name)
+			f.StoreRelay.Cut(v.Name)
 		}
-		desk := standin.NewCaller("desk")
-		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Whole)
+		desk := standin.NewClient("desk")
+		require.True(t, desk.Call(f.VMs[0].Caller, "lookup").Complete)
 		f.Platform.Models[0].Drain(3 * time.Second)
 		f.Platform.AddRoute("extra")
-		f.Platform.Withdraw("desk")
+		f.Platform.RevokeKeys("desk")
 		time.Sleep(3 * time.Second)
-		ward := standin.NewCaller("ward")
+		ward := standin.NewClient("ward")
 		for _, v := range f.VMs {
-			require.True(t, ward.Call(v.Caller, "extra").Whole, v.Name)
+			require.True(t, ward.Call(v.Caller, "extra").Complete, v.Name)
 			require.Equal(t, http.StatusUnauthorized, desk.Call(v.Caller, "lookup").Status, v.Name)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		require.Zero(t, f.Platform.Models[0].Late())
+		require.Zero(t, f.Platform.Models[0].LateRequests())
 		l.end(t, f)
 		f.Close()
 	}
--- a/scenarios/platform_limit_test.go
+++ b/scenarios/platform_limit_test.go
@@ -25,8 +25,8 @@
 
 // limit has the first runner of each service name a limit.
 func limit(f *fleet.Fleet) []*standin.Runner {
-	f.Platform.Models[0].Limit(engineLimit)
-	f.Platform.Desks[0].Limit(deskLimit)
+	f.Platform.Models[0].DeclareLimit(engineLimit)
+	f.Platform.Desks[0].DeclareLimit(deskLimit)
 	return []*standin.Runner{f.Platform.Models[0], f.Platform.Desks[0]}
 }
 
@@ -39,17 +39,17 @@
 	from := time.Now().Add(learnt)
 	time.Sleep(learnt + kept)
 	for _, r := range limited {
-		require.Empty(t, r.Exceeded(nobody))
-		require.Greater(t, r.Arrived(from), 2, "it gets what it takes")
+		require.Empty(t, r.LimitViolations(nobody))
+		require.Greater(t, r.RequestsSince(from), 2, "it gets what it takes")
 	}
 	for _, r := range limited {
-		r.Limit(-1)
+		r.DeclareLimit(-1)
 	}
 	l.more(t)
 	over := time.Now()
 	time.Sleep(2 * learnt)
 	for _, r := range limited {
-		require.Greater(t, r.Arrived(over), 30, "it is used again once it names no limit")
+		require.Greater(t, r.RequestsSince(over), 30, "it is used again once it names no limit")
 	}
 	l.end(t, f)
 }
@@ -69,7 +69,7 @@
 		time.Sleep(kept / 4)
 	}
 	for _, r := range limited {
-		require.Empty(t, r.Exceeded(nobody))
+		require.Empty(t, r.LimitViolations(nobody))
 	}
 	close(l.stop)
 	l.wg.Wait()
--- a/scenarios/platform_said_test.go
+++ b/scenarios/platform_said_test.go
@@ -27,9 +27,9 @@
 )
 
 // noExcuses binds every VM by what it was answered.
-var noExcuses = standin.Excuses{
-	Unheard:   func(string, *standin.Runner, time.Time) bool { return false },
-	Restarted: nobody, Cut: nobody,
+var noExcuses = standin.Exemptions{
+	MissedResponse: func(string, *standin.Runner, time.Time) bool { return false },
+	Restarted:      nobody, RestartedOrCut: nobody,
 }
 
 // firsts are the first upstream of each service.
@@ -42,15 +42,15 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.more(t)
-	f.Platform.Fail(standin.Mute)
+	f.Platform.SetMode(standin.Unresponsive)
 	for _, r := range firsts(f) {
-		r.Leave()
+		r.DeclareDraining()
 	}
 	time.Sleep(storeAway)
-	f.Platform.Fail(standin.Well)
+	f.Platform.SetMode(standin.Healthy)
 	time.Sleep(listed)
 	l.end(t, f)
-	require.Empty(t, f.Platform.Ignored(noExcuses))
+	require.Empty(t, f.Platform.IgnoredStatements(noExcuses))
 }
 
 // An upstream says that it leaves, and operators want to know who has heard of it and who decides: all VMs name one holder.
@@ -58,7 +58,7 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.more(t)
-	f.Platform.Models[0].Leave()
+	f.Platform.Models[0].DeclareDraining()
 	var relays []operator.RelayStatus
 	require.Eventually(t, func() bool {
 		relays = relaysOf(t, f)
@@ -113,7 +113,7 @@
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, v := range f.VMs {
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		wg.Go(func() {
 			for {
 				select {
@@ -135,18 +135,18 @@
 	stop := audits(f)
 	l.more(t)
 	for _, r := range firsts(f) {
-		r.Get(standin.Shedding)
+		r.SetFault(standin.Shedding)
 	}
 	time.Sleep(shedding)
 	for _, r := range firsts(f) {
-		r.Get(standin.Fine)
+		r.SetFault(standin.NoFault)
 	}
 	over := time.Now()
-	time.Sleep(2 * standin.Rest)
+	time.Sleep(2 * standin.BackOff)
 	for _, r := range firsts(f) {
-		require.Greater(t, r.Arrived(over), 30, "it is used again")
+		require.Greater(t, r.RequestsSince(over), 30, "it is used again")
 	}
 	stop()
 	l.end(t, f)
-	require.Empty(t, f.Platform.Ignored(noExcuses))
+	require.Empty(t, f.Platform.IgnoredStatements(noExcuses))
 }
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -46,7 +46,7 @@
 func newLoad(f *fleet.Fleet) *load {
 	l := &load{stop: make(chan struct{})}
 	for i := range callers {
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		l.wg.Go(func() {
 			for n := i; ; n++ {
 				select {
@@ -61,7 +61,7 @@
 	return l
 }
 
-func (l *load) call(c *standin.Caller, v *fleet.VM, route string) {
+func (l *load) call(c *standin.Client, v *fleet.VM, route string) {
 	if !v.Ready() {
 		time.Sleep(20 * time.Millisecond) // the balancer would choose another one
 		return
@@ -70,8 +70,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers++
-	if !a.Whole {
-		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Took))
+	if !a.Complete {
+		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %d %s after %v", route, v.Name, a.Status, a.Text, a.Duration))
 	}
 }
 
@@ -94,7 +94,7 @@
 	l.wg.Wait()
 	require.Greater(t, l.answers, 20)
 	require.Empty(t, l.failures)
-	twice, wrong := f.Platform.Ran()
+	twice, wrong := f.Platform.RunViolations()
 	require.Zero(t, twice, "ran twice, and may not")
 	require.Zero(t, wrong, "ran for another workspace")
 }
@@ -112,9 +112,9 @@
 	l := newLoad(f)
 	f.Platform.AddRoute("extra")
 	time.Sleep(2 * time.Second)
-	c := standin.NewCaller("ward")
+	c := standin.NewClient("ward")
 	for _, v := range f.VMs {
-		require.True(t, c.Call(v.Caller, "extra").Whole)
+		require.True(t, c.Call(v.Caller, "extra").Complete)
 	}
 	l.end(t, f)
 }
@@ -124,10 +124,10 @@
 func TestPlatformWithdrawnKeyIsRefused(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
-	c := standin.NewCaller("desk")
-	require.True(t, c.Call(f.VMs[0].Caller, "lookup").Whole)
-	f.Platform.Forget()
-	f.Platform.Withdraw("desk")
+	c := standin.NewClient("desk")
+	require.True(t, c.Call(f.VMs[0].Caller, "lookup").Complete)
+	f.Platform.DropHistory()
+	f.Platform.RevokeKeys("desk")
 	time.Sleep(2 * time.Second)
 	for _, v := range f.VMs {
 		require.Equal(t, http.StatusUnauthorized, c.Call(v.Caller, "lookup").Status)
@@ -144,8 +144,8 @@
 	f.Platform.Models[0].Drain(2 * time.Second)
 	f.Platform.Desks[0].Drain(2 * time.Second)
 	time.Sleep(3500 * time.Millisecond)
-	require.Zero(t, f.Platform.Models[0].Late())
-	require.Zero(t, f.Platform.Desks[0].Late())
+	require.Zero(t, f.Platform.Models[0].LateRequests())
+	require.Zero(t, f.Platform.Desks[0].LateRequests())
 	l.end(t, f)
 }
 
@@ -171,7 +171,7 @@
 		case <-time.After(8 * time.Second):
 			require.Fail(t, "not stopped within its grace", v.Process.Tail())
 		}
-		require.True(t, v.Process.Clean(), v.Process.Status())
+		require.True(t, v.Process.Succeeded(), v.Process.Status())
 		require.NoError(t, f.Start(v))
 		require.NoError(t, v.AwaitReady(startLimit))
 	}
@@ -181,15 +181,15 @@
 // The store is away for as long as the keys known may be trusted, and its entries have
 // lapsed when it is back. Nobody notices.
 func TestPlatformShortOutageOfTheStore(t *testing.T) {
-	for _, mode := range []standin.Mode{standin.Busy, standin.Mute} {
+	for _, mode := range []standin.StoreMode{standin.Unavailable, standin.Unresponsive} {
 		f := newFleet(t, 3)
 		l := newLoad(f)
-		f.Platform.Fail(mode)
+		f.Platform.SetMode(mode)
 		time.Sleep(1500 * time.Millisecond)
 		for _, r := range append(f.Platform.Models, f.Platform.Desks...) {
-			r.Lapse()
+			r.RemoveEntry()
 		}
-		f.Platform.Fail(standin.Well)
+		f.Platform.SetMode(standin.Healthy)
 		time.Sleep(time.Second)
 		for _, r := range append(f.Platform.Models, f.Platform.Desks...) {
 			r.Register()
@@ -203,14 +203,14 @@
 // truthful refusal, and VMs take themselves out of rotation.
 func TestPlatformLongOutageOfTheStore(t *testing.T) {
 	f := newFleet(t, 2)
-	f.Platform.Fail(standin.Mute)
+	f.Platform.SetMode(standin.Unresponsive)
 	time.Sleep(5500 * time.Millisecond)
-	a := standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice")
+	a := standin.NewClient("ward").Call(f.VMs[0].Caller, "notice")
 	require.Equal(t, http.StatusServiceUnavailable, a.Status)
 	require.False(t, f.VMs[0].Ready())
-	f.Platform.Fail(standin.Well)
+	f.Platform.SetMode(standin.Healthy)
 	require.NoError(t, f.VMs[0].AwaitReady(startLimit))
-	require.True(t, standin.NewCaller("ward").Call(f.VMs[0].Caller, "notice").Whole)
+	require.True(t, standin.NewClient("ward").Call(f.VMs[0].Caller, "notice").Complete)
 }
 
 // The VM that owns the services is killed. The others pass it over.
@@ -218,15 +218,15 @@
 	f := newFleet(t, 3)
 	for _, v := range f.VMs {
 		v.Process.Kill()
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		for _, o := range f.VMs {
 			if o == v {
 				continue
 			}
 			for _, r := range []string{"draft", "lookup", "notice"} {
 				a := c.Call(o.Caller, r)
-				require.True(t, a.Whole, a.Text)
-				require.Less(t, a.Took, 2*time.Second)
+				require.True(t, a.Complete, a.Text)
+				require.Less(t, a.Duration, 2*time.Second)
 			}
 		}
 		require.NoError(t, f.Start(v))
@@ -240,22 +240,22 @@
 func TestPlatformKillerRequestIsMetByFewUpstreams(t *testing.T) {
 	f := newFleet(t, 3)
 	for _, r := range f.Platform.Desks {
-		r.Dies = func(r *standin.Runner) {
+		r.OnCrash = func(r *standin.Runner) {
 			f.Crash(r)
-			time.AfterFunc(time.Second, func() { _ = f.Renew(r) })
+			time.AfterFunc(time.Second, func() { _ = f.Replace(r) })
 		}
 	}
-	c := standin.NewCaller("ward")
+	c := standin.NewClient("ward")
 	runs := 0
 	for i := range 9 {
-		a := c.CallLethal(f.VMs[i%3].Caller, "lookup")
+		a := c.CallPoison(f.VMs[i%3].Caller, "lookup")
 		require.NotEqual(t, http.StatusOK, a.Status)
-		runs += f.Platform.Runs(a.ID)
+		runs += f.Platform.RunCount(a.ID)
 		time.Sleep(200 * time.Millisecond)
 	}
 	require.Positive(t, runs)
 	require.LessOrEqual(t, runs, 3)
-	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Whole }, 5*time.Second, 100*time.Millisecond, "others are served")
+	require.Eventually(t, func() bool { return c.Call(f.VMs[0].Caller, "lookup").Complete }, 5*time.Second, 100*time.Millisecond, "others are served")
 }
 
 // Another writer puts entries into the store that name no upstream, and overwrites one that does. A VM that took
@@ -264,16 +264,16 @@
 	f := newFleet(t, 3)
 	l := newLoad(f)
 	l.more(t)
-	f.Platform.Forge()
+	f.Platform.AddInvalidEntries()
 	spoilt := f.Platform.Models[0]
-	spoilt.Spoil()
+	spoilt.CorruptEntry()
 	for _, v := range f.VMs {
 		require.Eventually(t, func() bool { return len(v.Process.Grep(`"upstream":"`+spoilt.ID()+`","reason"`)) > 0 }, startLimit, 20*time.Millisecond, v.Name)
 	}
 	l.more(t)
 	spoilt.Register()
-	before := spoilt.Ran()
-	require.Eventually(t, func() bool { return spoilt.Ran() > before }, startLimit, 20*time.Millisecond, "it is used again")
+	before := spoilt.AttemptsRun()
+	require.Eventually(t, func() bool { return spoilt.AttemptsRun() > before }, startLimit, 20*time.Millisecond, "it is used again")
 	l.end(t, f)
 	for _, v := range f.VMs {
 		v.Process.Kill()
@@ -283,7 +283,7 @@
 	}
 	for _, v := range f.VMs {
 		require.NoError(t, v.AwaitReady(startLimit), "VMs that all start anew have the store's list alone")
-		require.True(t, standin.NewCaller("ward").Call(v.Caller, "draft").Whole)
+		require.True(t, standin.NewClient("ward").Call(v.Caller, "draft").Complete)
 		require.NotEmpty(t, v.Process.Grep(`"event":"unusable"`), v.Name)
 	}
 }
@@ -297,8 +297,8 @@
 	old := f.Platform.Models[0]
 	f.Crash(old)
 	l.more(t)
-	require.NoError(t, f.Revive(old))
+	require.NoError(t, f.Restart(old))
 	revived := f.Platform.Models[0]
-	require.Eventually(t, func() bool { return revived.Ran() > 0 }, 3*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return revived.AttemptsRun() > 0 }, 3*time.Second, 50*time.Millisecond)
 	l.end(t, f)
 }
--- a/scenarios/process/process.go
+++ b/scenarios/process/process.go
@@ -110,8 +110,8 @@
 	return p.cmd.ProcessState.String()
 }
 
-// Clean reports whether it ended on its own with status 0.
-func (p *Process) Clean() bool { return !p.Running() && p.cmd.ProcessState.Success() }
+// Succeeded reports whether it ended on its own with status 0.
+func (p *Process) Succeeded() bool { return !p.Running() && p.cmd.ProcessState.Success() }
 
 // Address waits for the ready line of a stand-in.
 func (p *Process) Address(limit time.Duration) (string, error) {
--- a/scenarios/profile_test.go
+++ b/scenarios/profile_test.go
@@ -39,7 +39,7 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for i := range profileCallers {
-		c := standin.NewCaller("ward")
+		c := standin.NewClient("ward")
 		wg.Go(func() {
 			for n := i; ; n++ {
 				select {
--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -37,17 +37,17 @@
 		if err != nil || r == nil {
 			return false, err
 		}
-		if r.Ended() && !r.Started() {
+		if r.Ended() && !r.HasChunk() {
 			return false, fmt.Errorf("ended before its first chunk: %s", r)
 		}
-		return r.Started(), nil
+		return r.HasChunk(), nil
 	},
-	"gone":     func(s *session, name string) (bool, error) { return s.world.Gone(s.ctx, name) },
-	"joined":   func(s *session, name string) (bool, error) { return s.world.Joined(s.ctx, name) },
+	"gone":     func(s *session, name string) (bool, error) { return s.world.MemberGone(s.ctx, name) },
+	"joined":   func(s *session, name string) (bool, error) { return s.world.MemberJoined(s.ctx, name) },
 	"done":     done,
 	"free":     free,
-	"granted":  func(s *session, name string) (bool, error) { return s.world.Granted(s.ctx, name) },
-	"revision": func(s *session, name string) (bool, error) { return s.world.InForce(s.ctx, name) },
+	"granted":  func(s *session, name string) (bool, error) { return s.world.HasGrant(s.ctx, name) },
+	"revision": func(s *session, name string) (bool, error) { return s.world.DocumentInForce(s.ctx, name) },
 }
 
 // await waits for a condition on every name: await [-within D] CONDITION NAME...
@@ -113,7 +113,7 @@
 	if err != nil {
 		return false, err
 	}
-	for _, x := range l.Of(r.Call) {
+	for _, x := range l.ForCall(r.Call) {
 		if x.Ran() || !ran {
 			return true, nil
 		}
@@ -147,7 +147,7 @@
 
 // free tells whether an engine's memory holds nothing that no live call explains.
 func free(s *session, name string) (bool, error) {
-	left, err := s.world.Unexplained(s.ctx, name)
+	left, err := s.world.OrphanedMemory(s.ctx, name)
 	return len(left) == 0, err
 }
 
--- a/scenarios/script/bad.go
+++ b/scenarios/script/bad.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	for range 2 {
-		if err := s.world.Bad(s.ctx, args[0]); err != nil {
+		if err := s.world.CheckBadInputs(s.ctx, args[0]); err != nil {
 			return err
 		}
 	}
--- a/scenarios/script/call.go
+++ b/scenarios/script/call.go
@@ -14,7 +14,7 @@
 func init() {
 	register("call", call)
 	register("load", load)
-	register("export", eachName(func(s *session, name string) error { return s.world.Export(s.ctx, name) }))
+	register("export", eachName(func(s *session, name string) error { return s.world.ExportCache(s.ctx, name) }))
 	register("hangup", eachName(func(s *session, name string) error { return s.world.Hangup(name) }))
 }
 
@@ -23,11 +23,11 @@
 	f.StringVar(&c.Kind, "kind", "", "")
 	f.StringVar(&c.Workspace, "workspace", "", "")
 	f.StringVar(&c.Key, "key", "", "")
-	f.StringVar(&c.Text, "text", "", "")
-	f.IntVar(&c.Prompt, "prompt", 0, "")
-	f.IntVar(&c.Output, "output", 0, "")
+	f.StringVar(&c.PromptStart, "text", "", "")
+	f.IntVar(&c.PromptTokens, "prompt", 0, "")
+	f.IntVar(&c.OutputLimit, "output", 0, "")
 	f.BoolVar(&c.Service, "service", false, "")
-	f.BoolVar(&c.Whole, "whole", false, "")
+	f.BoolVar(&c.NonStreaming, "whole", false, "")
 	return f.Int64("deadline", 0, "")
 }
 
@@ -37,7 +37,7 @@
 	var c world.Call
 	f := flag.NewFlagSet("call", flag.ContinueOnError)
 	deadline := callFlags(f, &c)
-	f.StringVar(&c.To, "to", "vm-1", "")
+	f.StringVar(&c.Daemon, "to", "vm-1", "")
 	rest, err := flags(f, args)
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 		return usage("call [flags] NAME [&]")
 	}
 	c.Name, c.Deadline = rest[0], clock.Milli(*deadline)
-	r, err := s.world.Begin(c)
+	r, err := s.world.StartCall(c)
 	if err != nil || later {
 		return err
 	}
@@ -81,7 +81,7 @@
 	}
 	b := batch{name: rest[0], done: make(chan struct{}), call: c, gates: gates, copies: *copies, mixed: *mixed, random: rand.New(rand.NewPCG(1, uint64(*n)))}
 	if *ready {
-		b.balancer = s.world.Balance(s.ctx)
+		b.balancer = s.world.StartBalancer(s.ctx)
 	}
 	s.loads[b.name] = b.done
 	if later {
@@ -134,18 +134,18 @@
 // one sends one request, or several copies of it to different daemons.
 func (b *batch) one(s *session, c world.Call) error {
 	if b.balancer != nil {
-		c.To = b.balancer.Choose()
+		c.Daemon = b.balancer.Next()
 	}
 	if b.copies <= 1 {
-		_, err := s.world.Begin(c)
+		_, err := s.world.StartCall(c)
 		return err
 	}
 	name := c.Name
-	c.Text = name
+	c.PromptStart = name
 	for j := range b.copies {
 		c.Name = fmt.Sprintf("%s.%d", name, j+1)
-		c.To = b.gates[j%len(b.gates)]
-		if _, err := s.world.Begin(c); err != nil {
+		c.Daemon = b.gates[j%len(b.gates)]
+		if _, err := s.world.StartCall(c); err != nil {
 			return err
 		}
 	}
@@ -155,12 +155,12 @@
 func (b *batch) next(i int) world.Call {
 	c := b.call
 	c.Name = fmt.Sprintf("%s.%d", b.name, i+1)
-	c.To = b.gates[i%len(b.gates)]
+	c.Daemon = b.gates[i%len(b.gates)]
 	c.Workspace = world.Workspaces[i%len(world.Workspaces)]
 	if b.mixed {
 		b.mix(&c, i)
 	}
-	if c.Key != "" || c.Kind == world.Notice {
+	if c.Key != "" || c.Kind == world.KindNotice {
 		c.Key = fmt.Sprintf("%s-%s", c.Key, c.Name)
 	}
 	return c
@@ -168,19 +168,19 @@
 
 // mix makes every kind of request, streamed or not, short and long.
 func (b *batch) mix(c *world.Call, i int) {
-	c.Prompt = 10 + b.random.IntN(500)
-	c.Output = 4 + b.random.IntN(40)
-	c.Whole = b.random.IntN(3) == 0
+	c.PromptTokens = 10 + b.random.IntN(500)
+	c.OutputLimit = 4 + b.random.IntN(40)
+	c.NonStreaming = b.random.IntN(3) == 0
 	switch i % 5 {
 	case 0:
-		c.Kind, c.Service = world.Lookup, true
+		c.Kind, c.Service = world.KindLookup, true
 	case 1:
-		c.Kind = world.Notice
+		c.Kind = world.KindNotice
 	case 2:
-		c.Kind, c.Prompt = world.Dossier, 5_000+b.random.IntN(10_000)
+		c.Kind, c.PromptTokens = world.KindDossier, 5_000+b.random.IntN(10_000)
 	case 3:
-		c.Kind, c.Service = world.Notice, true
+		c.Kind, c.Service = world.KindNotice, true
 	default:
-		c.Kind = world.Draft
+		c.Kind = world.KindDraft
 	}
 }
--- a/scenarios/script/deploy.go
+++ b/scenarios/script/deploy.go
@@ -18,7 +18,7 @@
 	f.IntVar(&p.Engines, "engines", 2, "")
 	f.IntVar(&p.Services, "services", 1, "")
 	f.IntVar(&p.Domains, "domains", 1, "")
-	f.BoolVar(&p.Secure, "secure", false, "")
+	f.BoolVar(&p.TLS, "secure", false, "")
 	f.Var(&engine, "engine", "")
 	f.Var(&daemon, "daemon", "")
 	f.Var(&platform, "platform", "")
@@ -30,7 +30,7 @@
 	if len(rest) > 0 {
 		return usage("deploy takes flags only")
 	}
-	p.Engine, p.Daemon, p.Platform, p.Document = engine, daemon, platform, document
+	p.EngineSettings, p.DaemonSettings, p.PlatformSettings, p.DocumentEdits = engine, daemon, platform, document
 	if err := s.world.Deploy(s.ctx, p); err != nil {
 		return err
 	}
--- a/scenarios/script/document.go
+++ b/scenarios/script/document.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return usage(err.Error())
 	}
-	return s.world.Apply(s.ctx, text, s.world.Accepting())
+	return s.world.Apply(s.ctx, text, s.world.AcceptedRevision())
 }
 
 // edit writes an edited document to a file, with the revision that it was made
@@ -28,7 +28,7 @@
 	if err != nil {
 		return usage(err.Error())
 	}
-	s.bases[args[0]] = s.world.Accepting()
+	s.bases[args[0]] = s.world.AcceptedRevision()
 	return os.WriteFile(s.ts.MkAbs(args[0]), text, 0o600)
 }
 
--- a/scenarios/script/expect.go
+++ b/scenarios/script/expect.go
@@ -91,7 +91,7 @@
 func fieldOf(r *world.Result, field string) (string, error) {
 	switch field {
 	case "end":
-		return string(r.End), nil
+		return string(r.Outcome), nil
 	case "status":
 		return fmt.Sprint(r.Status), nil
 	case "error":
@@ -99,7 +99,7 @@
 	case "ran":
 		return r.Ran, nil
 	case "retry":
-		return fmt.Sprint(r.Retry != ""), nil
+		return fmt.Sprint(r.RetryAfter != ""), nil
 	case "replayed":
 		return fmt.Sprint(r.Replayed), nil
 	default:
--- a/scenarios/script/find.go
+++ b/scenarios/script/find.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	for _, x := range l.Of(r.Call) {
+	for _, x := range l.ForCall(r.Call) {
 		if x.Ran() {
 			s.ts.Setenv(args[0], x.Upstream)
 			return nil
--- a/scenarios/script/ledger.go
+++ b/scenarios/script/ledger.go
@@ -15,10 +15,10 @@
 
 var ledgerChecks = map[string]ledgerCheck{
 	"time":   checkTime,
-	"whole":  func(s *session, _ []string) error { return s.world.CheckWhole() },
+	"whole":  func(s *session, _ []string) error { return s.world.CheckResponses() },
 	"notrun": func(s *session, _ []string) error { return s.world.CheckNotRun() },
-	"once":   func(s *session, _ []string) error { return s.world.CheckOnce() },
-	"ours":   func(s *session, _ []string) error { return s.world.CheckOurs() },
+	"once":   func(s *session, _ []string) error { return s.world.CheckAtMostOnce() },
+	"ours":   func(s *session, _ []string) error { return s.world.CheckRequestIDs() },
 	"usage":  checkUsage,
 	"memory": checkMemory,
 	"document": func(s *session, _ []string) error {
@@ -56,7 +56,7 @@
 			}
 		}
 	}
-	return s.world.CheckTime(except)
+	return s.world.CheckTimeLimits(except)
 }
 
 // checkMemory: ledger memory [BOUND]
@@ -87,7 +87,7 @@
 
 // checkAll: ledger all [except NAME...]
 func checkAll(s *session, args []string) error {
-	return errors.Join(checkTime(s, args), s.world.CheckWhole(), s.world.CheckNotRun(), s.world.CheckOnce(), s.world.CheckOurs(), checkMemory(s, nil), s.world.CheckRevisions())
+	return errors.Join(checkTime(s, args), s.world.CheckResponses(), s.world.CheckNotRun(), s.world.CheckAtMostOnce(), s.world.CheckRequestIDs(), checkMemory(s, nil), s.world.CheckRevisions())
 }
 
 // checkRan: ledger ran CALL N, N- or -N times: exactly, at least, at most.
@@ -108,7 +108,7 @@
 		return usage(err.Error())
 	}
 	var where []string
-	for _, x := range l.Of(r.Call) {
+	for _, x := range l.ForCall(r.Call) {
 		if x.Ran() {
 			where = append(where, x.Upstream+" "+x.Outcome)
 		}
@@ -126,8 +126,8 @@
 	if err != nil {
 		return err
 	}
-	if len(l.Executed) > 0 {
-		return fmt.Errorf("%d requests reached upstreams, the first %s", len(l.Executed), l.Executed[0].Text)
+	if len(l.Executions) > 0 {
+		return fmt.Errorf("%d requests reached upstreams, the first %s", len(l.Executions), l.Executions[0].Text)
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 		return err
 	}
 	var late []string
-	for _, x := range l.Executed {
+	for _, x := range l.Executions {
 		if x.Upstream == args[0] && x.Arrived > since {
 			late = append(late, fmt.Sprintf("%s %d ms after", x.Request, x.Arrived-since))
 		}
--- a/scenarios/script/shows.go
+++ b/scenarios/script/shows.go
@@ -24,7 +24,7 @@
 	var last error
 	err = world.Await(s.ctx, awaitLimit, "output "+args[0], func() (bool, error) {
 		// A daemon that is gone makes the command end with an error for some seconds.
-		text, last = s.world.Operate(s.ctx, args[1:]...)
+		text, last = s.world.RunOperator(s.ctx, args[1:]...)
 		return want.MatchString(text), nil
 	})
 	if err != nil {
--- a/scenarios/script/story.go
+++ b/scenarios/script/story.go
@@ -36,12 +36,12 @@
 	var drawn string
 	// The owner hears of the end a moment after the caller.
 	err = world.Await(s.ctx, awaitLimit, "the story of "+args[0], func() (bool, error) {
-		text, err := s.world.Operate(s.ctx, "timeline", "--request", r.Request)
+		text, err := s.world.RunOperator(s.ctx, "timeline", "--request", r.RequestID)
 		if err != nil {
 			return false, err
 		}
 		drawn = text
-		events, err := s.events(r.Request)
+		events, err := s.events(r.RequestID)
 		return err == nil && has(events, scenes) && same(events, text), err
 	})
 	s.ts.Logf("%s", drawn)
@@ -66,7 +66,7 @@
 
 // events reads the JSON lines of a request's time line.
 func (s *session) events(request string) ([]timeline.Event, error) {
-	text, err := s.world.Operate(s.ctx, "--output", "json", "timeline", "--request", request)
+	text, err := s.world.RunOperator(s.ctx, "--output", "json", "timeline", "--request", request)
 	if err != nil {
 		return nil, err
 	}
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -41,13 +41,13 @@
 	vm               *fleet.VM
 	route, workspace string
 	at               time.Time
-	response         standin.Answer
+	response         standin.Response
 }
 
-func (c *call) end() time.Time { return c.at.Add(c.response.Took) }
+func (c *call) end() time.Time { return c.at.Add(c.response.Duration) }
 
 func (c *call) String() string {
-	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.response.ID, c.vm.Name, c.response.Status, c.response.Took.Round(time.Millisecond), c.response.Text)
+	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.response.ID, c.vm.Name, c.response.Status, c.response.Duration.Round(time.Millisecond), c.response.Text)
 }
 
 // runClient makes calls one after the other until stop is closed. It uses its connection to a VM for
@@ -59,7 +59,7 @@
 	if i%5 == 4 {
 		workspace = revokedWorkspace
 	}
-	c := standin.NewCaller(workspace)
+	c := standin.NewClient(workspace)
 	for n := rng.IntN(len(routes)); ; {
 		v := r.fleet.VMs[rng.IntN(len(r.fleet.VMs))]
 		for range callsPerVM {
@@ -99,22 +99,22 @@
 			r.logCall(&calls[i])
 		}
 	}
-	if repeated, misattributed := p.Ran(); repeated+misattributed > 0 {
+	if repeated, misattributed := p.RunViolations(); repeated+misattributed > 0 {
 		errs = append(errs, fmt.Errorf("%d attempts ran more than once, %d ran for a workspace other than the key's", repeated, misattributed))
 	}
-	for _, f := range p.Faults() {
+	for _, f := range p.ReservationErrors() {
 		errs = append(errs, errors.New(f))
 	}
-	for _, text := range p.Exceeded(r.unsynced) {
+	for _, text := range p.LimitViolations(r.unsynced) {
 		errs = append(errs, errors.New(text))
 	}
-	for _, text := range p.Ignored(standin.Excuses{Unheard: r.mayHaveMissed, Restarted: r.restarted, Cut: r.disrupted}) {
+	for _, text := range p.IgnoredStatements(standin.Exemptions{MissedResponse: r.mayHaveMissed, Restarted: r.restarted, RestartedOrCut: r.disrupted}) {
 		errs = append(errs, errors.New(text))
 	}
 	errs = append(errs, r.checkRecovered()...)
 	r.log("%d calls by outcome: %v", len(calls), countOutcomes(calls))
-	r.log("upstreams in the store: %v", p.Listed("servers"))
-	declared, unknown := p.Told()
+	r.log("upstreams in the store: %v", p.Names("servers"))
+	declared, unknown := p.StatementCounts()
 	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", declared, unknown)
 	return errors.Join(errs...)
 }
@@ -142,11 +142,11 @@
 	p, a := r.fleet.Platform, c.response
 	switch a.Status {
 	case http.StatusOK:
-		if !a.Whole {
+		if !a.Complete {
 			return errIncomplete
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if p.Runs(a.ID) > 0 {
+		if p.RunCount(a.ID) > 0 {
 			return errRan
 		}
 	case http.StatusUnauthorized:
@@ -156,11 +156,11 @@
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusNotFound:
 		return errDenied
 	}
-	if c.workspace == revokedWorkspace && !r.revoked.IsZero() && c.at.After(r.revocationConfirmed().Add(revocationLimit)) && p.Runs(a.ID) > 0 {
+	if c.workspace == revokedWorkspace && !r.revoked.IsZero() && c.at.After(r.revocationConfirmed().Add(revocationLimit)) && p.RunCount(a.ID) > 0 {
 		return errRevokedKey
 	}
 	processFault := r.processFaulted(c)
-	if a.Took > routeTimeouts[c.route]+tolerance && !processFault {
+	if a.Duration > routeTimeouts[c.route]+tolerance && !processFault {
 		return errLate
 	}
 	if a.Status == 0 && !processFault && c.route != "draft" && c.route != "audit" {
@@ -168,7 +168,7 @@
 	}
 	// Ten clients send more long prompts than four engines can prefill, so some are refused.
 	refusedAudit := c.route == "audit" && a.Status == http.StatusServiceUnavailable
-	if !a.Whole && !refusedAudit && c.workspace == steadyWorkspace && r.undisturbed(c) {
+	if !a.Complete && !refusedAudit && c.workspace == steadyWorkspace && r.undisturbed(c) {
 		return errNotServed
 	}
 	return nil
@@ -179,9 +179,9 @@
 // written the revocation again.
 func (r *Run) revocationConfirmed() time.Time {
 	at := r.revoked
-	for _, w := range r.fleet.Platform.Rewrites() {
-		if w.Kind == "config" && !w.First.Before(r.revokeStart) && w.Again.After(at) {
-			at = w.Again
+	for _, w := range r.fleet.Platform.RepeatedWrites() {
+		if w.Kind == "config" && !w.First.Before(r.revokeStart) && w.Repeated.After(at) {
+			at = w.Repeated
 		}
 	}
 	return at
@@ -300,11 +300,11 @@
 // that no upstream has memory reserved.
 func (r *Run) checkRecovered() []error {
 	var errs []error
-	c := standin.NewCaller(steadyWorkspace)
+	c := standin.NewClient(steadyWorkspace)
 	for _, v := range r.fleet.VMs {
 		for _, route := range routes {
 			x := call{vm: v, route: route, workspace: steadyWorkspace, at: time.Now(), response: c.Call(v.Caller, route)}
-			if !x.response.Whole {
+			if !x.response.Complete {
 				errs = append(errs, fmt.Errorf("%w: %s", errNotServed, &x))
 			}
 		}
@@ -323,7 +323,7 @@
 	out := map[string]int{}
 	for i := range calls {
 		a := calls[i].response
-		if a.Whole {
+		if a.Complete {
 			out["whole"]++
 			continue
 		}
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -85,8 +85,8 @@
 	Fresh bool
 	// Held is the time by which Delay delays data.
 	Held    time.Duration
-	Mode    standin.Mode
-	Trouble standin.Trouble
+	Mode    standin.StoreMode
+	Trouble standin.RunnerFault
 	// Rate is the limit that an upstream declares, in requests per second.
 	Rate float64
 	// Age is the age of the copy from which the store is restored.
@@ -186,7 +186,7 @@
 	var out []Fault
 	for at := p.duration(0, restorePause/2); at < length; at += p.duration(0, restorePause) {
 		out = append(out, Fault{
-			Kind: Drill, Mode: []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)], Age: p.duration(minCopyAge, maxCopyAge),
+			Kind: Drill, Mode: []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)], Age: p.duration(minCopyAge, maxCopyAge),
 			At: at, Span: p.duration(0, maxUnavailable),
 		})
 	}
@@ -240,7 +240,7 @@
 	return Fault{
 		Kind: p.kind(), VM: p.IntN(indexRange), Other: p.IntN(indexRange), End: []End{Store, Peer, Peer, Upstream}[p.IntN(4)],
 		Ways: []relay.Ways{relay.There, relay.Back, relay.Both}[p.IntN(3)], Fresh: p.IntN(2) == 0, Held: p.duration(10*time.Millisecond, maxDelay),
-		Mode:    []standin.Mode{standin.Busy, standin.Mute}[p.IntN(2)],
-		Trouble: []standin.Trouble{standin.Full, standin.Failing, standin.Losing, standin.Silent}[p.IntN(4)],
+		Mode:    []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)],
+		Trouble: []standin.RunnerFault{standin.Rejecting, standin.Failing, standin.Resetting, standin.Hanging}[p.IntN(4)],
 	}
 }
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -84,7 +84,7 @@
 	injecting.Go(func() {
 		time.Sleep(length / 2)
 		revokeStart := time.Now()
-		r.fleet.Platform.Withdraw(revokedWorkspace)
+		r.fleet.Platform.RevokeKeys(revokedWorkspace)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.revokeStart, r.revoked = revokeStart, time.Now()
@@ -148,9 +148,9 @@
 	case Limit:
 		us := r.fleet.Platform.Runners()
 		u := us[f.Other%len(us)]
-		u.Limit(f.Rate)
+		u.DeclareLimit(f.Rate)
 		time.Sleep(f.Span)
-		u.Limit(-1)
+		u.DeclareLimit(-1)
 	case Document:
 		r.mu.Lock()
 		r.extraRoutes++
@@ -188,13 +188,13 @@
 }
 
 func (r *Run) injectLinkFault(f Fault, v *fleet.VM) {
-	l := r.fleet.Store
+	l := r.fleet.StoreRelay
 	switch f.End {
 	case Peer:
 		l = r.fleet.VMs[f.Other%len(r.fleet.VMs)].Peer
 	case Upstream:
 		us := r.fleet.Platform.Runners()
-		l = r.fleet.Upstream(us[f.Other%len(us)])
+		l = r.fleet.UpstreamRelay(us[f.Other%len(us)])
 	case Store:
 	}
 	switch f.Kind {
@@ -221,21 +221,21 @@
 func (r *Run) injectStoreFault(f Fault) {
 	p := r.fleet.Platform
 	if f.Kind == Forget {
-		p.Forget()
+		p.DropHistory()
 		return
 	}
 	if f.Kind == Drill {
-		p.Drill(f.Mode, f.Span, f.Age, rewriteTime, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
+		p.RestoreOlderCopy(f.Mode, f.Span, f.Age, rewriteTime, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
 		return
 	}
-	p.Fail(f.Mode)
+	p.SetMode(f.Mode)
 	time.Sleep(f.Span)
 	if f.Kind == Lapse {
 		for _, u := range p.Runners() {
-			u.Lapse()
+			u.RemoveEntry()
 		}
 	}
-	p.Fail(standin.Well)
+	p.SetMode(standin.Healthy)
 	if f.Kind == Lapse {
 		time.Sleep(time.Second)
 		for _, u := range p.Runners() {
@@ -256,17 +256,17 @@
 	defer r.release(address)
 	switch f.Kind {
 	case Sick:
-		u.Get(f.Trouble)
+		u.SetFault(f.Trouble)
 		time.Sleep(f.Span)
-		u.Get(standin.Fine)
+		u.SetFault(standin.NoFault)
 		return nil
 	case Shed:
-		u.Get(standin.Shedding)
+		u.SetFault(standin.Shedding)
 		time.Sleep(f.Span)
-		u.Get(standin.Fine)
+		u.SetFault(standin.NoFault)
 		return nil
 	case Leave:
-		u.Leave()
+		u.DeclareDraining()
 		time.Sleep(f.Span)
 	case Drain:
 		u.Drain(drainTime)
@@ -275,5 +275,5 @@
 	}
 	r.fleet.Crash(u)
 	time.Sleep(f.Span)
-	return r.fleet.Renew(u)
+	return r.fleet.Replace(u)
 }
--- a/scenarios/world/answer.go
+++ b/scenarios/world/answer.go
@@ -51,7 +51,7 @@
 		r.refused(ctx, resp.Body)
 	case r.Call.Service:
 		r.plain(ctx, resp.Body)
-	case r.Call.Whole || r.Replayed:
+	case r.Call.NonStreaming || r.Replayed:
 		r.whole(ctx, resp.Body)
 	default:
 		r.stream(ctx, resp.Body)
@@ -79,11 +79,11 @@
 	}
 	var s served
 	want := strconv.FormatUint(xxhash.Sum64String(r.Call.prompt()), 16)
-	if json.Unmarshal(b, &s) != nil || s.Hash != want || s.Path != "/"+r.Call.Text {
+	if json.Unmarshal(b, &s) != nil || s.Hash != want || s.Path != "/"+r.Call.PromptStart {
 		r.ends(Wrong, fmt.Sprintf("answer %s, want hash %s", b, want))
 		return
 	}
-	r.ends(Whole, "")
+	r.ends(Complete, "")
 }
 
 func (r *Result) whole(ctx context.Context, body io.Reader) {
@@ -103,11 +103,11 @@
 
 // judge compares a complete answer with the one that its prompt calls for.
 func (r *Result) judge() {
-	if err := expect.Check(r.Call.prompt(), r.Text, r.Call.Output); err != nil {
+	if err := expect.Check(r.Call.prompt(), r.Text, r.Call.OutputLimit); err != nil {
 		r.ends(Wrong, err.Error())
 		return
 	}
-	r.ends(Whole, "")
+	r.ends(Complete, "")
 }
 
 // stream reads events to the end mark, an error event or the end of the connection.
@@ -147,13 +147,13 @@
 	}
 	if c.Error != nil {
 		r.Error, r.Ran = c.Error.Type, c.Error.Ran
-		r.ends(Stopped, string(data))
+		r.ends(Aborted, string(data))
 		r.own()
 		return true
 	}
 	r.mu.Lock()
-	if r.First == 0 {
-		r.First = time.Since(r.Begun)
+	if r.FirstChunk == 0 {
+		r.FirstChunk = time.Since(r.SentAt)
 	}
 	r.mu.Unlock()
 	for _, x := range c.Choices {
@@ -171,7 +171,7 @@
 
 // own checks that a part of an answer is the start of the call's own.
 func (r *Result) own() {
-	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.Output)
+	want := expect.SeedOf(r.Call.prompt()).Answer(r.Call.OutputLimit)
 	if !strings.HasPrefix(want, r.Text) {
 		r.ends(Wrong, fmt.Sprintf("part of an answer that is not its own: %q", r.Text))
 	}
--- a/scenarios/world/bad.go
+++ b/scenarios/world/bad.go
@@ -32,7 +32,7 @@
 const badLimit = 15 * time.Second
 
 func post(path, headers string) string {
-	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + KeyOf(Workspaces[0]) + "\r\n" + headers
+	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + APIKey(Workspaces[0]) + "\r\n" + headers
 }
 
 func badInputs() []badInput {
@@ -51,7 +51,7 @@
 		{"unknown service", post("/services/nobody/x", ""), good, 404, fault.Unknown},
 		{"negative deadline", post(chat, "Snipeshift-Deadline: -5\r\n"), good, 400, fault.Malformed},
 		{"deadline that is no number", post(chat, "Snipeshift-Deadline: soon\r\n"), good, 400, fault.Malformed},
-		{"notice without a key", post(chat, "Snipeshift-Kind: "+Notice+"\r\n"), good, 400, fault.Keyless},
+		{"notice without a key", post(chat, "Snipeshift-Kind: "+KindNotice+"\r\n"), good, 400, fault.Keyless},
 		{"prompt over the context", post(chat, ""), strings.Replace(good, `"messages"`, `"max_tokens":2000000,"messages"`, 1), 413, fault.Oversize},
 		{"wrong key", "POST " + chat + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer nobody\r\n", good, 401, fault.Unauthorized},
 		{"no key", "POST " + chat + " HTTP/1.1\r\nHost: x\r\n", good, 401, fault.Unauthorized},
@@ -59,8 +59,8 @@
 	}
 }
 
-// Bad sends every bad input to a daemon and checks the answers.
-func (w *World) Bad(ctx context.Context, name string) error {
+// CheckBadInputs sends every bad input to a daemon and checks the answers.
+func (w *World) CheckBadInputs(ctx context.Context, name string) error {
 	n, err := w.node(name)
 	if err != nil {
 		return err
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -17,54 +17,54 @@
 type Call struct {
 	// Name tells calls of a scenario apart.
 	Name string
-	// To is the daemon that the balancer chose.
-	To        string
+	// Daemon is the daemon that the balancer chose.
+	Daemon    string
 	Kind      string
 	Workspace string
 	// Key is the idempotency key.
 	Key string
-	// Text starts the prompt; calls with the same text are the same request. Empty means the name.
-	Text string
-	// Prompt is the prompt's length in tokens, Output the limit of output tokens.
-	Prompt, Output int
+	// PromptStart starts the prompt; calls with the same text are the same request. Empty means the name.
+	PromptStart string
+	// PromptTokens is the prompt's length in tokens, Output the limit of output tokens.
+	PromptTokens, OutputLimit int
 	// Deadline is the allowed time that the caller names; zero for the kind's.
 	Deadline clock.Milli
 	// Service sends it to the plain service.
 	Service bool
-	// Whole asks for an answer that is not streamed.
-	Whole bool
-	// Allowed is the time within which it must end, worked out from kind and Deadline.
-	Allowed clock.Milli
-	// Once is set for kinds that must run at most once.
-	Once bool
+	// NonStreaming asks for an answer that is not streamed.
+	NonStreaming bool
+	// TimeLimit is the time within which it must end, worked out from kind and Deadline.
+	TimeLimit clock.Milli
+	// AtMostOnce is set for kinds that must run at most once.
+	AtMostOnce bool
 }
 
-// End is how a call ended for its caller.
-type End string
+// Outcome is how a call ended for its caller.
+type Outcome string
 
 // The ends.
 const (
-	Running End = "running"
-	Whole   End = "whole"   // the whole answer to its own request
-	Refused End = "refused" // an answer with an error kind
-	Stopped End = "stopped" // an answer that began and ended with an error event
-	Cut     End = "cut"     // the connection broke before any of these
-	Late    End = "late"    // the caller gave up, past the allowed time
-	Left    End = "left"    // the caller went away
-	Wrong   End = "wrong"   // an answer that looks whole and is not its own, or no answer of the API at all
+	Running      Outcome = "running"
+	Complete     Outcome = "whole"   // the whole answer to its own request
+	Refused      Outcome = "refused" // an answer with an error kind
+	Aborted      Outcome = "stopped" // an answer that began and ended with an error event
+	Disconnected Outcome = "cut"     // the connection broke before any of these
+	TimedOut     Outcome = "late"    // the caller gave up, past the allowed time
+	Canceled     Outcome = "left"    // the caller went away
+	Wrong        Outcome = "wrong"   // an answer that looks whole and is not its own, or no answer of the API at all
 )
 
 // Result is what a caller saw.
 type Result struct {
 	Call    Call
-	Begun   time.Time
+	SentAt  time.Time
 	Elapsed time.Duration
-	End     End
+	Outcome Outcome
 	Status  int
 	// Error, Ran, Retry, Request and Key are headers of the answer, or fields of its error event.
-	Error, Ran, Retry, Request, Key string
-	// First is the time to the first chunk, zero if none came.
-	First time.Duration
+	Error, Ran, RetryAfter, RequestID, KeyState string
+	// FirstChunk is the time to the first chunk, zero if none came.
+	FirstChunk time.Duration
 	// Text is what came of the answer.
 	Text string
 	// Problem says why End is Cut, Late or Wrong.
@@ -81,9 +81,9 @@
 // answer shows as late.
 const patience = 4 * time.Second
 
-// Begin sends a call and returns at once.
-func (w *World) Begin(c Call) (*Result, error) {
-	n, err := w.node(c.To)
+// StartCall sends a call and returns at once.
+func (w *World) StartCall(c Call) (*Result, error) {
+	n, err := w.node(c.Daemon)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	ctx, hangup := context.WithCancel(context.Background())
-	r := &Result{Call: c, End: Running, Begun: time.Now(), done: make(chan struct{}), hangup: hangup}
+	r := &Result{Call: c, Outcome: Running, SentAt: time.Now(), done: make(chan struct{}), hangup: hangup}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, ok := w.results[c.Name]; ok {
@@ -104,13 +104,13 @@
 
 // complete fills in what the kind determines.
 func (w *World) complete(c *Call) error {
-	if c.Text == "" {
-		c.Text = c.Name
+	if c.PromptStart == "" {
+		c.PromptStart = c.Name
 	}
 	if c.Kind == "" {
-		c.Kind = Draft
+		c.Kind = KindDraft
 		if c.Service {
-			c.Kind = Lookup
+			c.Kind = KindLookup
 		}
 	}
 	w.mu.Lock()
@@ -123,12 +123,12 @@
 		if k.Name != c.Kind {
 			continue
 		}
-		c.Allowed, c.Once = k.TimeLimit, !k.Repeatable
+		c.TimeLimit, c.AtMostOnce = k.TimeLimit, !k.Repeatable
 		if c.Deadline > 0 {
-			c.Allowed = min(c.Allowed, c.Deadline)
+			c.TimeLimit = min(c.TimeLimit, c.Deadline)
 		}
-		if c.Output == 0 {
-			c.Output = int(k.Output)
+		if c.OutputLimit == 0 {
+			c.OutputLimit = int(k.Output)
 		}
 	}
 	return nil
@@ -171,11 +171,11 @@
 	}
 }
 
-// Started tells whether a chunk of the answer came.
-func (r *Result) Started() bool {
+// HasChunk tells whether a chunk of the answer came.
+func (r *Result) HasChunk() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.First > 0
+	return r.FirstChunk > 0
 }
 
 // Wait waits for the end, which comes at the latest when the caller gives up.
@@ -183,11 +183,11 @@
 
 // String is one line for a failed scenario.
 func (r *Result) String() string {
-	s := fmt.Sprintf("%s to %s (%s): %s", r.Call.Name, r.Call.To, r.Call.Kind, r.End)
-	if r.End == Running {
+	s := fmt.Sprintf("%s to %s (%s): %s", r.Call.Name, r.Call.Daemon, r.Call.Kind, r.Outcome)
+	if r.Outcome == Running {
 		return s
 	}
-	s += fmt.Sprintf(" after %v of %v, status %d, request %s", r.Elapsed.Round(time.Millisecond), r.Call.Allowed.Duration(), r.Status, r.Request)
+	s += fmt.Sprintf(" after %v of %v, status %d, request %s", r.Elapsed.Round(time.Millisecond), r.Call.TimeLimit.Duration(), r.Status, r.RequestID)
 	if r.Error != "" {
 		s += fmt.Sprintf(", error %s, ran %s", r.Error, r.Ran)
 	}
@@ -210,10 +210,10 @@
 func (r *Result) run(ctx context.Context, address string) {
 	defer close(r.done)
 	defer r.hangup()
-	ctx, cancel := context.WithTimeout(ctx, r.Call.Allowed.Duration()+patience)
+	ctx, cancel := context.WithTimeout(ctx, r.Call.TimeLimit.Duration()+patience)
 	defer cancel()
 	r.exchange(ctx, address)
-	r.Elapsed = time.Since(r.Begun)
+	r.Elapsed = time.Since(r.SentAt)
 }
 
 // exchange sends the request on a connection of its own and reads the answer.
@@ -235,8 +235,8 @@
 	defer resp.Body.Close()
 	r.Status = resp.StatusCode
 	h := resp.Header
-	r.Key = h.Get("Snipeshift-Key")
-	r.Request, r.Error, r.Ran, r.Retry = h.Get("Snipeshift-Request"), h.Get("Snipeshift-Error"), h.Get("Snipeshift-Ran"), h.Get("Retry-After")
+	r.KeyState = h.Get("Snipeshift-Key")
+	r.RequestID, r.Error, r.Ran, r.RetryAfter = h.Get("Snipeshift-Request"), h.Get("Snipeshift-Error"), h.Get("Snipeshift-Ran"), h.Get("Retry-After")
 	r.Replayed = h.Get("Idempotent-Replayed") != ""
 	r.read(ctx, resp)
 }
@@ -245,25 +245,25 @@
 func (r *Result) broken(ctx context.Context, err error) {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
-		r.ends(Late, "the caller gave up")
+		r.ends(TimedOut, "the caller gave up")
 		return
 	case context.Canceled:
-		r.ends(Left, "")
+		r.ends(Canceled, "")
 		return
 	}
-	r.ends(Cut, err.Error())
+	r.ends(Disconnected, err.Error())
 }
 
-func (r *Result) ends(e End, problem string) { r.End, r.Problem = e, problem }
+func (r *Result) ends(e Outcome, problem string) { r.Outcome, r.Problem = e, problem }
 
 // prompt is the whole prompt: the text, padded to its length.
 func (c *Call) prompt() string {
 	const pad = " please draft this for the ward"
-	b := []byte(c.Text + ":")
-	for len(b) < c.Prompt*bytesPerToken {
+	b := []byte(c.PromptStart + ":")
+	for len(b) < c.PromptTokens*bytesPerToken {
 		b = append(b, pad...)
 	}
-	return string(b[:max(len(c.Text)+1, c.Prompt*bytesPerToken)])
+	return string(b[:max(len(c.PromptStart)+1, c.PromptTokens*bytesPerToken)])
 }
 
 // bytesPerToken is how the stand-ins and daemons count prompts.
@@ -286,12 +286,12 @@
 	if c.Service {
 		return []byte(c.prompt()), nil
 	}
-	return json.Marshal(generation{Model: Model, Stream: !c.Whole, Max: c.Output, Messages: []message{{"user", c.prompt()}}})
+	return json.Marshal(generation{Model: Model, Stream: !c.NonStreaming, Max: c.OutputLimit, Messages: []message{{"user", c.prompt()}}})
 }
 
 func (c *Call) path() string {
 	if c.Service {
-		return "/services/" + Service + "/" + c.Text
+		return "/services/" + Service + "/" + c.PromptStart
 	}
 	return "/v1/chat/completions"
 }
@@ -310,7 +310,7 @@
 	if workspace == "" {
 		workspace = Workspaces[0]
 	}
-	h.Set("Authorization", "Bearer "+KeyOf(workspace))
+	h.Set("Authorization", "Bearer "+APIKey(workspace))
 	h.Set("Content-Type", "application/json")
 	h.Set("Snipeshift-Kind", c.Kind)
 	if c.Key != "" {
--- a/scenarios/world/check.go
+++ b/scenarios/world/check.go
@@ -14,30 +14,30 @@
 // caller on a busy machine.
 const margin = 1500 * time.Millisecond
 
-// CheckTime checks that every call has ended within its allowed time, those
+// CheckTimeLimits checks that every call has ended within its allowed time, those
 // named apart: their own daemon stood still or their own connection was silent,
 // so that nobody could tell them.
-func (w *World) CheckTime(except map[string]bool) error {
+func (w *World) CheckTimeLimits(except map[string]bool) error {
 	var errs []error
 	for _, r := range w.Results("") {
 		r.Wait()
 		if except[r.Call.Name] {
 			continue
 		}
-		if r.End == Late || r.Elapsed > r.Call.Allowed.Duration()+margin {
+		if r.Outcome == TimedOut || r.Elapsed > r.Call.TimeLimit.Duration()+margin {
 			errs = append(errs, fmt.Errorf("not within its allowed time: %s", r))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// CheckWhole checks that no caller was given an answer that is not its own, or
+// CheckResponses checks that no caller was given an answer that is not its own, or
 // a part that looks whole.
-func (w *World) CheckWhole() error {
+func (w *World) CheckResponses() error {
 	var errs []error
 	for _, r := range w.Results("") {
 		r.Wait()
-		if r.End == Wrong {
+		if r.Outcome == Wrong {
 			errs = append(errs, fmt.Errorf("wrong answer: %s", r))
 		}
 	}
@@ -58,10 +58,10 @@
 		if r.Ran != "no" {
 			continue
 		}
-		if r.Request == "" {
+		if r.RequestID == "" {
 			errs = append(errs, fmt.Errorf("ran=no without a request id: %s", r))
 		}
-		for _, x := range l.Executed {
+		for _, x := range l.Executions {
 			if x.Ran() && contradicts(r, x) {
 				errs = append(errs, fmt.Errorf("said not run, but %s ran it (request %s, %s): %s", x.Upstream, x.Request, x.Outcome, r))
 			}
@@ -70,25 +70,25 @@
 	return errors.Join(errs...)
 }
 
-func contradicts(r *Result, x *Executed) bool {
-	if x.Request == r.Request {
+func contradicts(r *Result, x *Execution) bool {
+	if x.Request == r.RequestID {
 		return true
 	}
-	if r.Key == string(fault.KeyUnknown) {
+	if r.KeyState == string(fault.KeyUnknown) {
 		return false
 	}
-	end := clock.Milli(r.Begun.Add(r.Elapsed).UnixMilli())
-	return r.Call.Once && r.Call.Key != "" && x.Key == r.Call.Key && x.Started < end
+	end := clock.Milli(r.SentAt.Add(r.Elapsed).UnixMilli())
+	return r.Call.AtMostOnce && r.Call.Key != "" && x.Key == r.Call.Key && x.Started < end
 }
 
-// CheckOurs checks that nothing reached an upstream that no caller sent.
-func (w *World) CheckOurs() error {
+// CheckRequestIDs checks that nothing reached an upstream that no caller sent.
+func (w *World) CheckRequestIDs() error {
 	l, err := w.Ledger()
 	if err != nil {
 		return err
 	}
 	var errs []error
-	for _, x := range l.Executed {
+	for _, x := range l.Executions {
 		if x.Request == "" {
 			errs = append(errs, fmt.Errorf("%s executed %s, which no caller sent", x.Upstream, x.Text))
 		}
@@ -96,20 +96,20 @@
 	return errors.Join(errs...)
 }
 
-// CheckOnce checks that no key of a kind that must not be repeated was executed twice.
-func (w *World) CheckOnce() error {
+// CheckAtMostOnce checks that no key of a kind that must not be repeated was executed twice.
+func (w *World) CheckAtMostOnce() error {
 	l, err := w.Ledger()
 	if err != nil {
 		return err
 	}
 	once := map[string]bool{}
 	for _, r := range w.Results("") {
-		if r.Call.Once {
+		if r.Call.AtMostOnce {
 			once[r.Call.Key] = true
 		}
 	}
-	ran := map[string][]*Executed{}
-	for _, x := range l.Executed {
+	ran := map[string][]*Execution{}
+	for _, x := range l.Executions {
 		if once[x.Key] && x.Ran() {
 			ran[x.Key] = append(ran[x.Key], x)
 		}
@@ -138,7 +138,7 @@
 			if n, _, err := w.live(name); err != nil || n.frozen {
 				continue
 			}
-			xs, err := w.Unexplained(ctx, name)
+			xs, err := w.OrphanedMemory(ctx, name)
 			if err != nil {
 				return false, err
 			}
--- a/scenarios/world/control.go
+++ b/scenarios/world/control.go
@@ -59,7 +59,7 @@
 	if n.role == roleDaemon {
 		d = doorPeer
 	}
-	if from == Caller {
+	if from == Client {
 		d = doorCaller
 	}
 	r, ok := n.doors[d]
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	if from == Caller {
+	if from == Client {
 		from = relay.Any
 	}
 	f(r, from)
@@ -119,8 +119,8 @@
 	return json.MarshalIndent(t, "", "  ")
 }
 
-// Accepting is the revision that was accepted last.
-func (w *World) Accepting() uint64 {
+// AcceptedRevision is the revision that was accepted last.
+func (w *World) AcceptedRevision() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
@@ -164,8 +164,8 @@
 	return a.Revision, json.Unmarshal(out, &a)
 }
 
-// Operate runs the operators' command against this deployment and returns its output.
-func (w *World) Operate(ctx context.Context, args ...string) (string, error) {
+// RunOperator runs the operators' command against this deployment and returns its output.
+func (w *World) RunOperator(ctx context.Context, args ...string) (string, error) {
 	c := exec.CommandContext(ctx, filepath.Join(w.bin, "snipeshift"), args...)
 	c.Env = os.Environ()
 	for k, v := range w.OperatorEnv() {
@@ -189,18 +189,18 @@
 	if n, err := w.node(Store); err == nil {
 		env["SNIPESHIFT_STORE"] = n.address
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		maps.Copy(env, fileEnv(w.files(operatorFiles)))
 	}
 	return env
 }
 
-// AdoptIf takes a document as accepted if the store holds it all the same, after a
+// AcceptIfStored takes a document as accepted if the store holds it all the same, after a
 // write that failed or whose answer was lost. While the store is down it cannot
 // be asked, so the question is repeated until it answers.
-func (w *World) AdoptIf(ctx context.Context, text []byte) error {
+func (w *World) AcceptIfStored(ctx context.Context, text []byte) error {
 	return Await(ctx, readyLimit, "answer of the store", func() (bool, error) {
-		r, stored, err := w.Stored(ctx)
+		r, stored, err := w.StoredDocument(ctx)
 		if err != nil || !bytes.Equal(stored, text) {
 			return err == nil, nil //nolint:nilerr // asked again
 		}
@@ -243,8 +243,8 @@
 	return v, err
 }
 
-// Stored reads the revision of the document in the store.
-func (w *World) Stored(ctx context.Context) (uint64, []byte, error) {
+// StoredDocument reads the revision of the document in the store.
+func (w *World) StoredDocument(ctx context.Context) (uint64, []byte, error) {
 	resp, err := w.tellStore(ctx, http.MethodGet, "/objects/config/document", nil, nil)
 	if err != nil {
 		return 0, nil, err
--- a/scenarios/world/deploy.go
+++ b/scenarios/world/deploy.go
@@ -70,7 +70,7 @@
 	if w.document, err = baseDocument(upstreams, p.Domains); err != nil {
 		return err
 	}
-	for _, e := range p.Document {
+	for _, e := range p.DocumentEdits {
 		if err := w.document.set(e); err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 }
 
 func (w *World) startPlatform() error {
-	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, sets(w.plan.Platform)...)}
+	n := &node{name: Store, role: rolePlatform, program: "emulator", args: append([]string{"platform"}, sets(w.plan.PlatformSettings)...)}
 	if err := w.add(n, doorMain); err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 		Name: name, Model: Model, Slots: 16, Memory: 100_000, Prefill: 100_000, Decode: 200,
 		Ledger: filepath.Join(w.dir, name+".ledger"),
 	}
-	own, other, err := s.split(w.plan.Engine)
+	own, other, err := s.split(w.plan.EngineSettings)
 	if err != nil {
 		return document.Upstream{}, err
 	}
@@ -235,7 +235,7 @@
 		}
 		ns = append(ns, n)
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		if err := w.secure(); err != nil {
 			return err
 		}
@@ -260,7 +260,7 @@
 		Platform:  store.doors[doorMain].Address(),
 		Peers:     []string{},
 	}
-	if w.plan.Secure {
+	if w.plan.TLS {
 		f := w.files(n.name)
 		s.TLS = tlsFiles{CA: f.Authority, Cert: f.Certificate, Key: f.Key}
 	}
@@ -277,7 +277,7 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return err
 	}
-	for _, f := range w.plan.Daemon {
+	for _, f := range w.plan.DaemonSettings {
 		if err := t.set(f); err != nil {
 			return err
 		}
--- a/scenarios/world/document.go
+++ b/scenarios/world/document.go
@@ -14,19 +14,19 @@
 	// Model is the language model, Service the plain service.
 	Model   = "drafter"
 	Service = "desk"
-	// Draft is the default kind; Lookup answers immediately; Dossier is long
+	// KindDraft is the default kind; Lookup answers immediately; Dossier is long
 	// and can wait; Notice must run at most once.
-	Draft   = "draft"
-	Lookup  = "lookup"
-	Dossier = "dossier"
-	Notice  = "notice"
+	KindDraft   = "draft"
+	KindLookup  = "lookup"
+	KindDossier = "dossier"
+	KindNotice  = "notice"
 )
 
 // Workspaces are the teams, equal in weight.
 var Workspaces = []string{"ward", "depot"}
 
-// KeyOf is the API key of a workspace.
-func KeyOf(workspace string) string { return "scenario-key-of-" + workspace }
+// APIKey is the API key of a workspace.
+func APIKey(workspace string) string { return "scenario-key-of-" + workspace }
 
 // domains of a deployment, in the order in which processes are spread over them.
 var domains = []string{"hall-a", "hall-b", "hall-c"}
@@ -38,12 +38,12 @@
 func baseDocument(upstreams []document.Upstream, halls int) (tree, error) {
 	d := document.Document{
 		Models:   []document.Model{{Name: Model, Context: 1_000_000}},
-		Services: []document.Service{{Name: Service, Kind: Lookup}},
+		Services: []document.Service{{Name: Service, Kind: KindLookup}},
 		Kinds: []document.Kind{
-			{Name: Draft, Urgency: 1, TimeLimit: 20_000, Output: 32, Repeatable: true},
-			{Name: Lookup, Urgency: 0, TimeLimit: 5_000, Output: 16, Repeatable: true},
-			{Name: Dossier, Urgency: 3, TimeLimit: 60_000, Output: 64, Repeatable: true},
-			{Name: Notice, Urgency: 0, TimeLimit: 10_000, Output: 16, Repeatable: false},
+			{Name: KindDraft, Urgency: 1, TimeLimit: 20_000, Output: 32, Repeatable: true},
+			{Name: KindLookup, Urgency: 0, TimeLimit: 5_000, Output: 16, Repeatable: true},
+			{Name: KindDossier, Urgency: 3, TimeLimit: 60_000, Output: 64, Repeatable: true},
+			{Name: KindNotice, Urgency: 0, TimeLimit: 10_000, Output: 16, Repeatable: false},
 		},
 		Upstreams: upstreams,
 		Limits:    document.Limits{Body: 4 << 20, Idle: 2_000},
@@ -52,7 +52,7 @@
 		d.Domains = append(d.Domains, document.Domain{Name: h})
 	}
 	for _, w := range Workspaces {
-		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.HashKey(KeyOf(w))}})
+		d.Workspaces = append(d.Workspaces, document.Workspace{Name: w, Weight: 1, Keys: []string{document.HashKey(APIKey(w))}})
 	}
 	text, err := json.Marshal(d)
 	if err != nil {
--- a/scenarios/world/ledger.go
+++ b/scenarios/world/ledger.go
@@ -14,8 +14,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Executed is one request or call that a stand-in took.
-type Executed struct {
+// Execution is one request or call that a stand-in took.
+type Execution struct {
 	Upstream string
 	Request  string
 	Key      string
@@ -32,7 +32,7 @@
 }
 
 // Ran tells whether it began to run.
-func (x *Executed) Ran() bool { return x.Started > 0 }
+func (x *Execution) Ran() bool { return x.Started > 0 }
 
 // Order is one order that reached an engine.
 type Order struct {
@@ -69,8 +69,8 @@
 
 // Ledger is what all stand-ins executed.
 type Ledger struct {
-	Executed []*Executed
-	Orders   []Order
+	Executions []*Execution
+	Orders     []Order
 }
 
 // Ledger reads the files that outlive killed stand-ins.
@@ -94,7 +94,7 @@
 		return err
 	}
 	defer f.Close()
-	seen := map[string]*Executed{}
+	seen := map[string]*Execution{}
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -111,8 +111,8 @@
 	return lines.Err()
 }
 
-func (l *Ledger) take(n *node, x line, seen map[string]*Executed) {
-	e := &Executed{
+func (l *Ledger) take(n *node, x line, seen map[string]*Execution) {
+	e := &Execution{
 		Upstream: n.name, Request: x.ID, Key: x.Key, Text: x.Text, Arrived: x.Arrived, Started: x.Started, Finished: x.Finished,
 		Prompt: x.Prompt, Cached: x.Cached, Output: x.Output, Reserved: x.Reserved, Outcome: x.Outcome,
 	}
@@ -125,14 +125,14 @@
 		return
 	}
 	seen[id] = e
-	l.Executed = append(l.Executed, e)
+	l.Executions = append(l.Executions, e)
 }
 
-// Of returns what was executed for a call, by its text.
-func (l *Ledger) Of(c Call) []*Executed {
-	var out []*Executed
-	for _, x := range l.Executed {
-		if x.Text == "/"+c.Text || strings.HasPrefix(x.Text, c.Text+":") {
+// ForCall returns what was executed for a call, by its text.
+func (l *Ledger) ForCall(c Call) []*Execution {
+	var out []*Execution
+	for _, x := range l.Executions {
+		if x.Text == "/"+c.PromptStart || strings.HasPrefix(x.Text, c.PromptStart+":") {
 			out = append(out, x)
 		}
 	}
@@ -167,8 +167,8 @@
 	return l, json.NewDecoder(resp.Body).Decode(&l)
 }
 
-// Unexplained lists what an engine's memory holds for no call that still runs.
-func (w *World) Unexplained(ctx context.Context, engine string) ([]string, error) {
+// OrphanedMemory lists what an engine's memory holds for no call that still runs.
+func (w *World) OrphanedMemory(ctx context.Context, engine string) ([]string, error) {
 	l, err := w.load(ctx, engine)
 	if err != nil {
 		return nil, err
@@ -182,7 +182,7 @@
 		if r.Ended() {
 			continue
 		}
-		for _, x := range led.Of(r.Call) {
+		for _, x := range led.ForCall(r.Call) {
 			live[x.Request] = true
 		}
 	}
@@ -200,9 +200,9 @@
 	return out, nil
 }
 
-// Export makes an engine export the KV cache of a call that runs there, as a
+// ExportCache makes an engine export the KV cache of a call that runs there, as a
 // transfer to another engine begins.
-func (w *World) Export(ctx context.Context, call string) error {
+func (w *World) ExportCache(ctx context.Context, call string) error {
 	r, err := w.Result(call)
 	if err != nil {
 		return err
@@ -211,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	xs := l.Of(r.Call)
+	xs := l.ForCall(r.Call)
 	if len(xs) == 0 {
 		return fmt.Errorf("%s runs nowhere", call)
 	}
--- a/scenarios/world/monitor.go
+++ b/scenarios/world/monitor.go
@@ -81,10 +81,10 @@
 		m.mu.Lock()
 		due := m.due()
 		m.mu.Unlock()
-		life := m.world.Lives(name)
+		life := m.world.Starts(name)
 		ready := m.world.Ready(ctx, name)
-		r, err := m.world.Revision(ctx, name)
-		if err != nil || life != m.world.Lives(name) {
+		r, err := m.world.DocumentRevision(ctx, name)
+		if err != nil || life != m.world.Starts(name) {
 			continue
 		}
 		m.judge(name, life, r, due, ready)
@@ -120,9 +120,9 @@
 	return errors.Join(errs...)
 }
 
-// Relax stops judging how soon a document is in force, for a run in which any
+// IgnoreDocumentLag stops judging how soon a document is in force, for a run in which any
 // daemon may be cut off; the caller checks that at the end.
-func (w *World) Relax() {
+func (w *World) IgnoreDocumentLag() {
 	w.monitor.mu.Lock()
 	defer w.monitor.mu.Unlock()
 	w.monitor.relaxed = true
--- a/scenarios/world/secure.go
+++ b/scenarios/world/secure.go
@@ -66,17 +66,17 @@
 	return nil
 }
 
-// Renew replaces all certificates, and the authority that signs them, under the running processes.
-func (w *World) Renew() error {
+// RenewCertificates replaces all certificates, and the authority that signs them, under the running processes.
+func (w *World) RenewCertificates() error {
 	if err := os.CopyFS(filepath.Join(w.dir, "certificates", formerFiles), os.DirFS(filepath.Join(w.dir, "certificates", operatorFiles))); err != nil {
 		return err
 	}
 	return w.issue(append(names(w.named(roleDaemon)), operatorFiles)...)
 }
 
-// Former are the variables by which the operators' command trusts the present
+// FormerOperatorEnv are the variables by which the operators' command trusts the present
 // authority and shows the certificate that it had before the renewal.
-func (w *World) Former() map[string]string {
+func (w *World) FormerOperatorEnv() map[string]string {
 	f := w.files(formerFiles)
 	f.Authority = w.files(operatorFiles).Authority
 	return fileEnv(f)
@@ -88,9 +88,9 @@
 	}
 }
 
-// Strangers tries a daemon's peer and operator doors in plain text, without a
+// CheckUnauthorized tries a daemon's peer and operator doors in plain text, without a
 // certificate and with another deployment's. An answer to any is an error.
-func (w *World) Strangers(ctx context.Context, name string) error {
+func (w *World) CheckUnauthorized(ctx context.Context, name string) error {
 	n, _, err := w.live(name)
 	if err != nil {
 		return err
--- a/scenarios/world/status.go
+++ b/scenarios/world/status.go
@@ -43,18 +43,18 @@
 	return out
 }
 
-// Revision is that of the document in force at a daemon.
-func (w *World) Revision(ctx context.Context, name string) (uint64, error) {
+// DocumentRevision is that of the document in force at a daemon.
+func (w *World) DocumentRevision(ctx context.Context, name string) (uint64, error) {
 	var d operator.Document
 	err := w.page(ctx, name, operator.PathDocument, &d)
 	return uint64(d.Revision), err
 }
 
-// InForce tells whether a daemon obeys the last document that was accepted. A
+// DocumentInForce tells whether a daemon obeys the last document that was accepted. A
 // daemon that does not answer yet is asked again; one that has a later
 // revision obeys what nobody accepted.
-func (w *World) InForce(ctx context.Context, name string) (bool, error) {
-	r, err := w.Revision(ctx, name)
+func (w *World) DocumentInForce(ctx context.Context, name string) (bool, error) {
+	r, err := w.DocumentRevision(ctx, name)
 	if err != nil {
 		return false, nil //nolint:nilerr // it may be starting
 	}
@@ -71,7 +71,7 @@
 func (w *World) CheckDocument(ctx context.Context, within time.Duration) error {
 	var errs []error
 	for _, name := range w.responding() {
-		errs = append(errs, Await(ctx, within, "document in force at "+name, func() (bool, error) { return w.InForce(ctx, name) }))
+		errs = append(errs, Await(ctx, within, "document in force at "+name, func() (bool, error) { return w.DocumentInForce(ctx, name) }))
 	}
 	return errors.Join(errs...)
 }
@@ -100,8 +100,8 @@
 	return owner, err
 }
 
-// Sees tells whether one daemon counts another as a live member.
-func (w *World) Sees(ctx context.Context, name, other string) (bool, error) {
+// ListsMember tells whether one daemon counts another as a live member.
+func (w *World) ListsMember(ctx context.Context, name, other string) (bool, error) {
 	var ms []operator.Member
 	if err := w.page(ctx, name, operator.PathMembers, &ms); err != nil {
 		return false, err
@@ -111,13 +111,13 @@
 	}), nil
 }
 
-// Gone tells whether no daemon that answers counts a member as live.
-func (w *World) Gone(ctx context.Context, other string) (bool, error) {
+// MemberGone tells whether no daemon that answers counts a member as live.
+func (w *World) MemberGone(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
 			continue
 		}
-		seen, err := w.Sees(ctx, name, other)
+		seen, err := w.ListsMember(ctx, name, other)
 		if err != nil || seen {
 			return false, nil //nolint:nilerr // asked again
 		}
@@ -125,13 +125,13 @@
 	return true, nil
 }
 
-// Joined tells whether every daemon that answers counts a member as live.
-func (w *World) Joined(ctx context.Context, other string) (bool, error) {
+// MemberJoined tells whether every daemon that answers counts a member as live.
+func (w *World) MemberJoined(ctx context.Context, other string) (bool, error) {
 	for _, name := range w.responding() {
 		if name == other {
 			continue
 		}
-		seen, err := w.Sees(ctx, name, other)
+		seen, err := w.ListsMember(ctx, name, other)
 		if err != nil || !seen {
 			return false, nil //nolint:nilerr // asked again
 		}
@@ -139,8 +139,8 @@
 	return true, nil
 }
 
-// Granted tells whether a daemon that answers knows a live grant of a gate.
-func (w *World) Granted(ctx context.Context, gate string) (bool, error) {
+// HasGrant tells whether a daemon that answers knows a live grant of a gate.
+func (w *World) HasGrant(ctx context.Context, gate string) (bool, error) {
 	for _, name := range w.responding() {
 		var gs []operator.Grant
 		if err := w.page(ctx, name, operator.PathGrants, &gs); err != nil {
@@ -163,8 +163,8 @@
 // balanceEvery is how often the balancer asks daemons whether they are ready.
 const balanceEvery = 500 * time.Millisecond
 
-// Balance starts a balancer.
-func (w *World) Balance(ctx context.Context) *Balancer {
+// StartBalancer starts a balancer.
+func (w *World) StartBalancer(ctx context.Context) *Balancer {
 	b := &Balancer{}
 	b.look(ctx, w)
 	go func() {
@@ -196,8 +196,8 @@
 	}
 }
 
-// Choose returns the next daemon.
-func (b *Balancer) Choose() string {
+// Next returns the next daemon.
+func (b *Balancer) Next() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.next++
--- a/scenarios/world/usage.go
+++ b/scenarios/world/usage.go
@@ -78,9 +78,9 @@
 			name = Workspaces[0]
 		}
 		lo, hi := least[name], most[name]
-		due := r.Ended() && r.End == Whole
-		for _, x := range l.Of(r.Call) {
-			if x.Request != r.Request && r.Request != "" {
+		due := r.Ended() && r.Outcome == Complete
+		for _, x := range l.ForCall(r.Call) {
+			if x.Request != r.RequestID && r.RequestID != "" {
 				continue
 			}
 			hi.add(x.most())
@@ -97,7 +97,7 @@
 }
 
 // counted is what a request that ended well is charged.
-func (x *Executed) counted() total {
+func (x *Execution) counted() total {
 	if x.Service {
 		return total{requests: 1}
 	}
@@ -105,7 +105,7 @@
 }
 
 // most is the most that a request may be charged, however it ended.
-func (x *Executed) most() total {
+func (x *Execution) most() total {
 	if x.Service {
 		return total{requests: 1}
 	}
--- a/scenarios/world/world.go
+++ b/scenarios/world/world.go
@@ -20,7 +20,7 @@
 // Store is the name of the platform's stand-in; Caller that of the caller's own end of links.
 const (
 	Store  = "store"
-	Caller = "caller"
+	Client = "caller"
 )
 
 // readyLimit is how long a process may take to be ready on a busy machine.
@@ -29,14 +29,14 @@
 // Plan says what a scenario deploys.
 type Plan struct {
 	Daemons, Engines, Services, Domains int
-	// Engine and Daemon are settings FIELD=VALUE of every engine and daemon.
-	Engine, Daemon []string
-	// Document holds edits PATH=VALUE of the document.
-	Document []string
-	// Platform holds settings FIELD=VALUE of the platform's stand-in.
-	Platform []string
-	// Secure puts the peer and operator doors under mutual TLS.
-	Secure bool
+	// EngineSettings and Daemon are settings FIELD=VALUE of every engine and daemon.
+	EngineSettings, DaemonSettings []string
+	// DocumentEdits holds edits PATH=VALUE of the document.
+	DocumentEdits []string
+	// PlatformSettings holds settings FIELD=VALUE of the platform's stand-in.
+	PlatformSettings []string
+	// TLS puts the peer and operator doors under mutual TLS.
+	TLS bool
 }
 
 // World is one deployment.
@@ -309,7 +309,7 @@
 	if n.life == nil {
 		return true, true, nil
 	}
-	return !n.life.Running(), n.life.Clean(), nil
+	return !n.life.Running(), n.life.Succeeded(), nil
 }
 
 // Status tells how a process ended.
@@ -321,8 +321,8 @@
 	return n.life.Status()
 }
 
-// Lives counts how often a process was started.
-func (w *World) Lives(name string) int {
+// Starts counts how often a process was started.
+func (w *World) Starts(name string) int {
 	n, err := w.node(name)
 	if err != nil {
 		return 0
