--- a/scenarios/chaos/check.go
+++ b/scenarios/chaos/check.go
@@ -10,27 +10,28 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Bounds after the last fault has ended.
+// Limits on the time that the deployment needs to recover after the last fault.
 const (
-	readyBound    = 30 * time.Second
-	memoryBound   = 15 * time.Second
-	documentBound = 8 * time.Second
-	usageBound    = 20 * time.Second
-	// tail is how much of a dead daemon's last work may be missing from usage.
-	tail = 2 * time.Second
+	readyTimeout    = 30 * time.Second
+	memoryTimeout   = 15 * time.Second
+	documentTimeout = 8 * time.Second
+	usageTimeout    = 20 * time.Second
+	// usageLossWindow is the time before a daemon was killed whose requests may be missing from the
+	// recorded usage.
+	usageLossWindow = 2 * time.Second
 )
 
-// recover waits until the deployment serves everybody again.
-func (r *Run) recover(ctx context.Context) error {
+// awaitRecovery waits until every daemon is ready and is a live member for all others.
+func (r *Run) awaitRecovery(ctx context.Context) error {
 	w := r.world
 	for _, name := range w.Daemons() {
-		err := world.Await(ctx, readyBound, name+" ready after all faults", func() (bool, error) { return w.Ready(ctx, name), nil })
+		err := world.Await(ctx, readyTimeout, name+" ready after the last fault", func() (bool, error) { return w.Ready(ctx, name), nil })
 		if err != nil {
 			return err
 		}
 	}
 	for _, name := range w.Daemons() {
-		err := world.Await(ctx, readyBound, name+" joined after all faults", func() (bool, error) { return w.MemberJoined(ctx, name) })
+		err := world.Await(ctx, readyTimeout, name+" member again after the last fault", func() (bool, error) { return w.MemberJoined(ctx, name) })
 		if err != nil {
 			return err
 		}
@@ -38,51 +39,51 @@
 	return nil
 }
 
-// after is how many requests must all be served whole once the faults are over.
-const after = 24
+// finalRequests is the number of requests sent after recovery. Each must get a complete response.
+const finalRequests = 24
 
-// check checks every promise.
+// check checks the guarantees of the deployment over all requests.
 func (r *Run) check(ctx context.Context) error {
 	w := r.world
 	for _, c := range w.Results("load") {
 		c.Wait()
 	}
 	errs := []error{
-		w.CheckTimeLimits(r.untold()),
-		r.checkCuts(),
+		w.CheckTimeLimits(r.unanswerable()),
+		r.checkDisconnects(),
 		w.CheckResponses(),
 		w.CheckNotRun(),
 		w.CheckAtMostOnce(),
 		w.CheckRequestIDs(),
-		w.CheckMemory(ctx, memoryBound),
-		w.CheckDocument(ctx, documentBound),
+		w.CheckMemory(ctx, memoryTimeout),
+		w.CheckDocument(ctx, documentTimeout),
 		w.CheckRevisions(),
-		w.CheckUsage(ctx, usageBound, r.uncounted()),
+		w.CheckUsage(ctx, usageTimeout, r.maxUncounted()),
 	}
-	random := rand.New(rand.NewPCG(r.seed, 2))
-	for i := range after {
-		if err := r.send(fmt.Sprintf("after.%d", i), i, random); err != nil {
+	rng := rand.New(rand.NewPCG(r.seed, 2))
+	for i := range finalRequests {
+		if err := r.startRequest(fmt.Sprintf("after.%d", i), i, rng); err != nil {
 			return err
 		}
 	}
 	for _, c := range w.Results("after") {
 		c.Wait()
 		if c.Outcome != world.Complete && !(c.Call.AtMostOnce && c.Error == "duplicate") {
-			errs = append(errs, fmt.Errorf("all is healed: %s", c))
+			errs = append(errs, fmt.Errorf("not served after recovery: %s", c))
 		}
 	}
-	r.summary()
+	r.logSummary()
 	return errors.Join(append(errs, w.CheckAtMostOnce(), w.CheckNotRun())...)
 }
 
-// uncounted is how many requests may be missing from usage: those that a daemon
-// served in its last moments before it was killed.
-func (r *Run) uncounted() int64 {
+// maxUncounted returns how many requests may be missing from the recorded usage: those that ended
+// less than usageLossWindow before their daemon was killed, or while it was not running.
+func (r *Run) maxUncounted() int64 {
 	n := int64(0)
 	for _, c := range r.world.Results("load") {
 		end := c.SentAt.Add(c.Elapsed)
-		for _, s := range r.spells[c.Call.Daemon] {
-			if s.killed && end.After(s.from.Add(-tail)) && end.Before(s.to) {
+		for _, d := range r.disruptions[c.Call.Daemon] {
+			if d.killed && end.After(d.from.Add(-usageLossWindow)) && end.Before(d.to) {
 				n++
 				break
 			}
@@ -91,49 +92,49 @@
 	return n
 }
 
-// untold names the calls whose own daemon could not tell them: it stood still,
-// was dead, or was cut off from its callers while they waited.
-func (r *Run) untold() map[string]bool {
+// unanswerable returns the names of the calls that their daemon could not answer in time, because it
+// was frozen, not running or cut off from its clients during the call.
+func (r *Run) unanswerable() map[string]bool {
 	out := map[string]bool{}
 	for _, c := range r.world.Results("load") {
-		if r.disturbed(c, false) {
+		if r.disrupted(c, false) {
 			out[c.Call.Name] = true
 		}
 	}
 	return out
 }
 
-// disturbed tells whether a spell of its daemon overlaps a call. A planned stop
-// excuses only calls that began after it.
-func (r *Run) disturbed(c *world.Result, planned bool) bool {
+// disrupted reports whether a disruption of its daemon overlaps a call. Graceful stops count only
+// if withStops is set, and then only for calls that began after the stop was requested.
+func (r *Run) disrupted(c *world.Result, withStops bool) bool {
 	end := c.SentAt.Add(c.Elapsed)
-	for _, s := range r.spells[c.Call.Daemon] {
-		if s.planned && (!planned || c.SentAt.Before(s.from)) {
+	for _, d := range r.disruptions[c.Call.Daemon] {
+		if d.planned && (!withStops || c.SentAt.Before(d.from)) {
 			continue
 		}
-		if c.SentAt.Before(s.to) && end.After(s.from) {
+		if c.SentAt.Before(d.to) && end.After(d.from) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkCuts checks that no caller lost his connection but by a fault of his own daemon.
-func (r *Run) checkCuts() error {
+// checkDisconnects checks that no client lost its connection without a fault of its own daemon.
+func (r *Run) checkDisconnects() error {
 	var errs []error
 	for _, c := range r.world.Results("load") {
-		if c.Outcome == world.Disconnected && !r.disturbed(c, true) {
-			errs = append(errs, fmt.Errorf("cut off without a fault of its daemon: %s", c))
+		if c.Outcome == world.Disconnected && !r.disrupted(c, true) {
+			errs = append(errs, fmt.Errorf("connection lost without a fault of its daemon: %s", c))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// summary logs how the calls ended.
-func (r *Run) summary() {
-	ends := map[world.Outcome]int{}
+// logSummary logs how many calls ended with each outcome.
+func (r *Run) logSummary() {
+	outcomes := map[world.Outcome]int{}
 	for _, c := range r.world.Results("") {
-		ends[c.Outcome]++
+		outcomes[c.Outcome]++
 	}
-	r.log("ends of calls: %v", ends)
+	r.log("calls by outcome: %v", outcomes)
 }
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -9,70 +9,72 @@
 	"time"
 )
 
-// bufferSize is how much one direction holds at most, in bytes.
+// bufferSize is the size of the copy buffer of one direction, in bytes.
 const bufferSize = 32 << 10
 
-// conn is one connection with both its ends.
+// conn is one relayed connection: the accepted connection and the one dialed to the target.
 type conn struct {
-	near *net.TCPConn
-	// source names the process that dialled; empty until it is known. Relay.mu guards it.
+	// client is the connection accepted from the process that dialed.
+	client *net.TCPConn
+	// source is the name of the process that dialed, empty until it is known. Relay.mu protects it.
 	source string
-	// found is closed once source was looked for.
-	found chan struct{}
-	// mute holds the Ways that are silent.
-	mute atomic.Uint32
-	// delay is how long each piece is held up in both directions, a time.Duration.
+	// identified is closed when the lookup of source is done, whether or not it found a name.
+	identified chan struct{}
+	// silenced holds the Ways in which data is dropped.
+	silenced atomic.Uint32
+	// delay is the time by which each read is delayed in both directions, a time.Duration.
 	delay atomic.Int64
 
-	mu  sync.Mutex
-	far *net.TCPConn
-	// gone is set once the connection was reset.
-	gone bool
+	mu sync.Mutex
+	// target is the connection to the target, nil until it is dialed.
+	target *net.TCPConn
+	// wasReset is set by reset. A target connection that is dialed later is reset too.
+	wasReset bool
 }
 
-func (c *conn) from(source string) bool { return source == Any || source == c.source }
+func (c *conn) matches(source string) bool { return source == Any || source == c.source }
 
-func (c *conn) silence(w Ways) { c.mute.Or(uint32(w)) }
+func (c *conn) silence(dirs Ways) { c.silenced.Or(uint32(dirs)) }
 
-func (c *conn) silent(w Ways) bool { return c.mute.Load()&uint32(w) != 0 }
+func (c *conn) silent(dirs Ways) bool { return c.silenced.Load()&uint32(dirs) != 0 }
 
-// run carries both directions until both have ended.
-func (c *conn) run(far *net.TCPConn) {
+// forward copies data in both directions until both have ended.
+func (c *conn) forward(target *net.TCPConn) {
 	c.mu.Lock()
-	c.far = far
-	gone := c.gone
+	c.target = target
+	wasReset := c.wasReset
 	c.mu.Unlock()
-	if gone {
-		hardClose(far)
+	if wasReset {
+		hardClose(target)
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.copy(far, c.near, There) })
-	wg.Go(func() { c.copy(c.near, far, Back) })
+	wg.Go(func() { c.copy(target, c.client, There) })
+	wg.Go(func() { c.copy(c.client, target, Back) })
 	wg.Wait()
 	if !c.silent(Both) {
-		_ = c.near.Close()
-		_ = far.Close()
+		_ = c.client.Close()
+		_ = target.Close()
 		return
 	}
-	// Both ends of a silent connection stay open: neither learns that the other left.
-	// Reset closes them with the relay.
+	// Both ends of a silent connection stay open, so that neither sees the other close. They are
+	// closed by reset, at the latest when the relay closes.
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone {
-		hardClose(c.near)
-		hardClose(far)
+	if c.wasReset {
+		hardClose(c.client)
+		hardClose(target)
 	}
 }
 
-// copy carries one direction. A silent one reads on and passes nothing, not
-// even the end: whoever sends sees his writes succeed.
-func (c *conn) copy(to, from *net.TCPConn, w Ways) {
+// copy copies the data of one direction. While the direction is silent copy reads and drops the
+// data, so that the sender's writes succeed, and does not pass on the end of the stream either.
+func (c *conn) copy(to, from *net.TCPConn, dir Ways) {
 	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
 		time.Sleep(time.Duration(c.delay.Load()))
-		if c.silent(w) {
+		if c.silent(dir) {
 			if err != nil {
 				return
 			}
@@ -80,7 +82,7 @@
 		}
 		if n > 0 {
 			if _, werr := to.Write(b[:n]); werr != nil {
-				c.lost()
+				c.propagateError()
 				return
 			}
 		}
@@ -89,44 +91,45 @@
 			return
 		}
 		if err != nil {
-			c.lost()
+			c.propagateError()
 			return
 		}
 	}
 }
 
-// reaches tells whether the target sees the connection come from an address.
-func (c *conn) reaches(address string) bool {
+// hasTargetSideAddr reports whether address is the remote address of the connection as the target
+// sees it.
+func (c *conn) hasTargetSideAddr(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.far != nil && c.far.LocalAddr().String() == address
+	return c.target != nil && c.target.LocalAddr().String() == address
 }
 
-// lost passes a broken end on to the other one, unless the link is silent.
-func (c *conn) lost() {
+// propagateError resets both connections after one of them has failed, unless a direction is silent.
+func (c *conn) propagateError() {
 	if !c.silent(Both) {
 		c.reset()
 	}
 }
 
-// reset breaks the connection for both ends.
+// reset resets the connections to both ends.
 func (c *conn) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = true
-	hardClose(c.near)
-	if c.far != nil {
-		hardClose(c.far)
+	c.wasReset = true
+	hardClose(c.client)
+	if c.target != nil {
+		hardClose(c.target)
 	}
 }
 
-func (c *conn) isGone() bool {
+func (c *conn) isReset() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gone
+	return c.wasReset
 }
 
-// hardClose closes with a reset in place of an orderly end.
+// hardClose closes a connection with RST instead of FIN.
 func hardClose(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers every line with itself.
+// echo starts a server that sends back everything it receives, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -50,27 +50,27 @@
 	return c.(*net.TCPConn)
 }
 
-func ask(c net.Conn, wait time.Duration) (string, error) {
+func sendHello(c net.Conn, timeout time.Duration) (string, error) {
 	if _, err := c.Write([]byte("hello\n")); err != nil {
 		return "", err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(wait))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	return bufio.NewReader(c).ReadString('\n')
 }
 
 func requireWorks(t *testing.T, c net.Conn) {
-	s, err := ask(c, 5*time.Second)
+	s, err := sendHello(c, 5*time.Second)
 	require.NoError(t, err)
 	require.Equal(t, "hello\n", s)
 }
 
 func requireReset(t *testing.T, c net.Conn) {
-	_, err := ask(c, 5*time.Second)
+	_, err := sendHello(c, 5*time.Second)
 	require.Error(t, err)
-	require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "silent in place of reset")
+	require.False(t, errors.Is(err, os.ErrDeadlineExceeded), "connection is silent instead of reset")
 }
 
-func TestRelayCarriesBothWaysAndTheEnd(t *testing.T) {
+func TestRelayForwardsBothDirectionsAndEOF(t *testing.T) {
 	c := dial(t, newRelay(t))
 	requireWorks(t, c)
 	require.NoError(t, c.CloseWrite())
@@ -78,7 +78,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestCutResetsPresentAndNewConnectionsOfOneSource(t *testing.T) {
+func TestCutResetsOpenAndNewConnectionsOfOneSource(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
@@ -97,9 +97,9 @@
 	requireWorks(t, dial(t, r))
 }
 
-// A program is started while an address is looked for, and holds a copy of the socket until it runs. The address is
-// in use for a moment, and nobody else has it.
-func TestAnAddressThatIsHeldForAMomentIsTaken(t *testing.T) {
+// A child process that is being started holds a copy of a listening socket until its exec, so an
+// address can still be in use for a moment after its listener was closed. Up must retry.
+func TestUpRetriesWhileAddressIsInUse(t *testing.T) {
 	r, err := New(NewFinder())
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -114,25 +114,25 @@
 	c := dial(t, r)
 	requireWorks(t, c)
 	r.Silence(Any, Both, false)
-	_, err := ask(c, 100*time.Millisecond)
+	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	requireWorks(t, dial(t, r))
 }
 
-func TestOneWaySilenceStillCarriesTheOther(t *testing.T) {
+func TestSilenceOfOneDirectionAndHeal(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
 	r.Silence(Any, Back, true)
-	_, err := ask(c, 100*time.Millisecond)
+	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	_, err = ask(dial(t, r), 100*time.Millisecond)
+	_, err = sendHello(dial(t, r), 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	r.Heal(Any)
 	requireWorks(t, dial(t, r))
 }
 
-func TestDownRefusesAsAProcessThatIsGone(t *testing.T) {
+func TestDownRefusesConnectionsAndUpAcceptsAgain(t *testing.T) {
 	r := newRelay(t)
 	target := r.target
 	r.Down()
@@ -142,26 +142,28 @@
 	requireWorks(t, dial(t, r))
 }
 
-// A link between two VMs is slow for a while: what was sent arrives late, and whole.
-func TestDelayHoldsUpAndHealEndsIt(t *testing.T) {
+// Delayed data arrives late and complete, and Heal ends the delay.
+func TestDelayUntilHeal(t *testing.T) {
 	r := newRelay(t)
 	c := dial(t, r)
-	_, err := ask(c, time.Second)
+	_, err := sendHello(c, time.Second)
 	require.NoError(t, err)
 	r.Delay("me", 100*time.Millisecond)
 	began := time.Now()
-	_, err = ask(c, 2*time.Second)
+	_, err = sendHello(c, 2*time.Second)
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
 	r.Heal("me")
 	began = time.Now()
-	_, err = ask(dial(t, r), time.Second)
+	_, err = sendHello(dial(t, r), time.Second)
 	require.NoError(t, err)
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 }
 
-// A connection that ends at once is gone before it is found out who dialled it, and what an upstream said over it binds nobody.
-func TestAShortConnectionHasAName(t *testing.T) {
+// The source of a connection that closes at once cannot be determined afterwards, so a check of
+// whether VMs obey the statements of upstreams would have to skip the statements sent over it.
+// Relay.Name makes the connection wait for the lookup.
+func TestSourceOfShortConnection(t *testing.T) {
 	f := NewFinder()
 	f.Know(os.Getpid(), "me")
 	r, err := New(f)
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -13,65 +13,68 @@
 )
 
 const (
-	callers = 10
-	// mine keeps its key, other loses it in the middle of the run.
-	mine, other = "ward", "desk"
-	// sticky is how many calls a caller makes over its connection before it turns to another VM.
-	sticky = 12
+	clients = 10
+	// The key of steadyWorkspace stays valid. That of revokedWorkspace is revoked halfway through the
+	// run.
+	steadyWorkspace, revokedWorkspace = "ward", "desk"
+	// callsPerVM is how many calls a client makes to one VM before it chooses a VM again.
+	callsPerVM = 12
 )
 
-// revocation is the time within which a withdrawn key must be refused everywhere.
-const revocation = 5 * time.Second
+// revocationLimit is the time within which every VM must reject a revoked key.
+const revocationLimit = 5 * time.Second
 
-// lateness is by how much an answer may pass its route's timeout, on a busy machine.
-const lateness = 1500 * time.Millisecond
+// tolerance is the time by which a response may exceed its route's timeout, to allow for a busy
+// machine.
+const tolerance = 1500 * time.Millisecond
 
-// timeouts are those of the stand-in's routes.
-var timeouts = map[string]time.Duration{
+// routeTimeouts holds the timeouts of the routes that the emulated platform configures.
+var routeTimeouts = map[string]time.Duration{
 	"draft": 8 * time.Second, "audit": 12 * time.Second, "lookup": 2 * time.Second, "notice": 2 * time.Second,
 }
 
-// routes are called in turn.
+// routes is the cycle of routes that a client calls.
 var routes = []string{"draft", "lookup", "notice", "draft", "lookup", "notice", "audit"}
 
-// call is one request with its answer.
+// call is one request with its response.
 type call struct {
 	vm               *fleet.VM
 	route, workspace string
 	at               time.Time
-	answer           standin.Response
+	response         standin.Response
 }
 
-func (c *call) end() time.Time { return c.at.Add(c.answer.Duration) }
+func (c *call) end() time.Time { return c.at.Add(c.response.Duration) }
 
 func (c *call) String() string {
-	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.answer.ID, c.vm.Name, c.answer.Status, c.answer.Duration.Round(time.Millisecond), c.answer.Text)
+	return fmt.Sprintf("%s at %s: status %d after %v (%.80s)", c.response.ID, c.vm.Name, c.response.Status, c.response.Duration.Round(time.Millisecond), c.response.Text)
 }
 
-// call makes calls, one after the other, until it is stopped. It goes on using a connection
-// whatever its VM says of itself.
-func (r *Run) call(i int, stop chan struct{}) {
-	random := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
-	workspace := mine
+// runClient makes calls one after the other until stop is closed. It uses its connection to a VM for
+// all callsPerVM calls, also after the VM has announced that it stops, and leaves it only after a call
+// whose status is not 200.
+func (r *Run) runClient(i int, stop chan struct{}) {
+	rng := rand.New(rand.NewPCG(r.seed, uint64(i+1)))
+	workspace := steadyWorkspace
 	if i%5 == 4 {
-		workspace = other
+		workspace = revokedWorkspace
 	}
 	c := standin.NewClient(workspace)
-	for n := random.IntN(len(routes)); ; {
-		v := r.fleet.VMs[random.IntN(len(r.fleet.VMs))]
-		for range sticky {
+	for n := rng.IntN(len(routes)); ; {
+		v := r.fleet.VMs[rng.IntN(len(r.fleet.VMs))]
+		for range callsPerVM {
 			select {
 			case <-stop:
 				return
 			default:
 			}
 			x := call{vm: v, route: routes[n%len(routes)], workspace: workspace, at: time.Now()}
-			x.answer = c.Call(v.Caller, x.route)
+			x.response = c.Call(v.Caller, x.route)
 			n++
 			r.mu.Lock()
 			r.calls = append(r.calls, x)
 			r.mu.Unlock()
-			if x.answer.Status != http.StatusOK {
+			if x.response.Status != http.StatusOK {
 				time.Sleep(20 * time.Millisecond)
 				break
 			}
@@ -79,7 +82,8 @@
 	}
 }
 
-// check checks every promise over all calls.
+// check checks the guarantees of the fleet over all calls and returns the violations, joined with the
+// errors of faults that could not be injected.
 func (r *Run) check(failed <-chan error) error {
 	var errs []error
 	for err := range failed {
@@ -90,109 +94,111 @@
 	calls := r.calls
 	r.mu.Unlock()
 	for i := range calls {
-		if err := r.judge(&calls[i]); err != nil {
+		if err := r.checkCall(&calls[i]); err != nil {
 			errs = append(errs, fmt.Errorf("%w: %s", err, &calls[i]))
-			r.tell(&calls[i])
+			r.logCall(&calls[i])
 		}
 	}
-	if twice, wrong := p.RunViolations(); twice+wrong > 0 {
-		errs = append(errs, fmt.Errorf("%d ran twice that may not, %d for another workspace", twice, wrong))
+	if repeated, misattributed := p.RunViolations(); repeated+misattributed > 0 {
+		errs = append(errs, fmt.Errorf("%d attempts ran more than once, %d ran for a workspace other than the key's", repeated, misattributed))
 	}
 	for _, f := range p.ReservationErrors() {
 		errs = append(errs, errors.New(f))
 	}
-	for _, text := range p.LimitViolations(r.excused) {
+	for _, text := range p.LimitViolations(r.unsynced) {
 		errs = append(errs, errors.New(text))
 	}
-	for _, text := range p.IgnoredStatements(standin.Exemptions{MissedResponse: r.unheard, Restarted: r.restarted, RestartedOrCut: r.cut}) {
+	for _, text := range p.IgnoredStatements(standin.Exemptions{MissedResponse: r.mayHaveMissed, Restarted: r.restarted, RestartedOrCut: r.disrupted}) {
 		errs = append(errs, errors.New(text))
 	}
-	errs = append(errs, r.after()...)
-	r.log("ends of %d calls: %v", len(calls), ends(calls))
-	r.log("the store lists %v", p.Names("servers"))
-	told, unknown := p.StatementCounts()
-	r.log("%d answers asked a VM for rest or said to it that their upstream leaves; of %d it is not known which VM", told, unknown)
+	errs = append(errs, r.checkRecovered()...)
+	r.log("%d calls by outcome: %v", len(calls), countOutcomes(calls))
+	r.log("upstreams in the store: %v", p.Names("servers"))
+	declared, unknown := p.StatementCounts()
+	r.log("%d responses asked a VM for back-off or announced to it that their upstream drains; for %d the VM is not known", declared, unknown)
 	return errors.Join(errs...)
 }
 
-// tell logs what the VM wrote of a call.
-func (r *Run) tell(c *call) {
-	for _, line := range c.vm.Process.Grep(c.answer.ID + `"`) {
+// logCall logs the lines in the VM's log about a call.
+func (r *Run) logCall(c *call) {
+	for _, line := range c.vm.Process.Grep(c.response.ID + `"`) {
 		r.log("%s", line)
 	}
 }
 
-// What breaks a promise.
+// Violations of the guarantees by one call.
 var (
-	errRan      = errors.New("it ran, and its caller got the answer that it had not")
-	errNotWhole = errors.New("a success that is not the whole answer of its own")
-	errDenied   = errors.New("a proper request was denied")
-	errLate     = errors.New("answered long after its timeout")
-	errKey      = errors.New("it ran for a key that was taken away")
-	errBroken   = errors.New("cut off without a fault of its VM")
-	errCalm     = errors.New("not served on a calm fleet")
+	errRan          = errors.New("request ran, but its client got a response that reports it did not run")
+	errIncomplete   = errors.New("status 200, but the response is incomplete or belongs to another request")
+	errDenied       = errors.New("valid request denied")
+	errLate         = errors.New("response long after the route's timeout")
+	errRevokedKey   = errors.New("request ran with a revoked key")
+	errDisconnected = errors.New("connection lost without a fault of its VM")
+	errNotServed    = errors.New("not served although no fault was near")
 )
 
-func (r *Run) judge(c *call) error {
-	p, a := r.fleet.Platform, c.answer
+// checkCall returns the guarantee that a call violated, or nil.
+func (r *Run) checkCall(c *call) error {
+	p, a := r.fleet.Platform, c.response
 	switch a.Status {
 	case http.StatusOK:
 		if !a.Complete {
-			return errNotWhole
+			return errIncomplete
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if p.RunCount(a.ID) > 0 {
 			return errRan
 		}
 	case http.StatusUnauthorized:
-		if c.workspace != other || c.end().Before(r.withdrawing) {
+		if c.workspace != revokedWorkspace || c.end().Before(r.revokeStart) {
 			return errDenied
 		}
 	case http.StatusBadRequest, http.StatusForbidden, http.StatusNotFound:
 		return errDenied
 	}
-	if c.workspace == other && !r.withdrawn.IsZero() && c.at.After(r.confirmed().Add(revocation)) && p.RunCount(a.ID) > 0 {
-		return errKey
+	if c.workspace == revokedWorkspace && !r.revoked.IsZero() && c.at.After(r.revocationConfirmed().Add(revocationLimit)) && p.RunCount(a.ID) > 0 {
+		return errRevokedKey
 	}
-	hit := r.hit(c)
-	if a.Duration > timeouts[c.route]+lateness && !hit {
+	processFault := r.processFaulted(c)
+	if a.Duration > routeTimeouts[c.route]+tolerance && !processFault {
 		return errLate
 	}
-	if a.Status == 0 && !hit && c.route != "draft" && c.route != "audit" {
-		return errBroken
+	if a.Status == 0 && !processFault && c.route != "draft" && c.route != "audit" {
+		return errDisconnected
 	}
-	// Ten callers ask for more long prompts than four engines read, so some are refused.
-	refused := c.route == "audit" && a.Status == http.StatusServiceUnavailable
-	if !a.Complete && !refused && c.workspace == mine && r.calm(c) {
-		return errCalm
+	// Ten clients send more long prompts than four engines can prefill, so some are refused.
+	refusedAudit := c.route == "audit" && a.Status == http.StatusServiceUnavailable
+	if !a.Complete && !refusedAudit && c.workspace == steadyWorkspace && r.undisturbed(c) {
+		return errNotServed
 	}
 	return nil
 }
 
-// confirmed is when the taking away of the key was confirmed last: a store that comes back from a copy without it answers that the
-// key is good, until the operator has written it again.
-func (r *Run) confirmed() time.Time {
-	at := r.withdrawn
+// revocationConfirmed returns when the store last confirmed the revocation of the key. A store
+// restored from a copy without the revocation reports the key as valid until the operator has
+// written the revocation again.
+func (r *Run) revocationConfirmed() time.Time {
+	at := r.revoked
 	for _, w := range r.fleet.Platform.RepeatedWrites() {
-		if w.Kind == "config" && !w.First.Before(r.withdrawing) && w.Repeated.After(at) {
+		if w.Kind == "config" && !w.First.Before(r.revokeStart) && w.Repeated.After(at) {
 			at = w.Repeated
 		}
 	}
 	return at
 }
 
-// hit tells whether the process of a call's VM was stopped, killed or standing still during it. A
-// planned stop excuses only calls that began after it.
-func (r *Run) hit(c *call) bool {
-	for _, s := range r.spells {
-		if s.vm != c.vm || c.at.After(s.to.Add(lateness)) || c.end().Before(s.from) {
+// processFaulted reports whether the process of a call's VM was stopped, killed or paused during the
+// call. A graceful stop counts only for calls that began after the stop was requested.
+func (r *Run) processFaulted(c *call) bool {
+	for _, inj := range r.injections {
+		if inj.vm != c.vm || c.at.After(inj.to.Add(tolerance)) || c.end().Before(inj.from) {
 			continue
 		}
-		switch s.fault.Kind {
+		switch inj.fault.Kind {
 		case Kill, Freeze:
 			return true
 		case Stop:
-			if c.at.After(s.from) {
+			if c.at.After(inj.from) {
 				return true
 			}
 		default:
@@ -201,23 +207,25 @@
 	return false
 }
 
-// excusedAfter is how long after a fault of its own a VM still need not know what others do.
-const excusedAfter = 3 * time.Second
+// peerSyncTime is how long after a fault that hit a VM's process or a link to a peer the VM may still
+// be unaware of what other VMs do.
+const peerSyncTime = 3 * time.Second
 
-// excused tells whether a VM was stopped, killed, standing still or cut off from other VMs in a span.
-func (r *Run) excused(vm string, from, to time.Time) bool {
-	for _, s := range r.spells {
-		if s.to.Add(excusedAfter).Before(from) || s.from.After(to) {
+// unsynced reports whether a VM may have been unaware of what other VMs do between from and to,
+// because it was stopped, killed or paused, or a link between it and a peer was hit.
+func (r *Run) unsynced(vm string, from, to time.Time) bool {
+	for _, inj := range r.injections {
+		if inj.to.Add(peerSyncTime).Before(from) || inj.from.After(to) {
 			continue
 		}
-		switch s.fault.Kind {
+		switch inj.fault.Kind {
 		case Kill, Freeze, Stop:
-			if s.vm.Name == vm {
+			if inj.vm.Name == vm {
 				return true
 			}
 		case Cut, Reset, Silence, Delay:
-			other := r.fleet.VMs[s.fault.Other%len(r.fleet.VMs)]
-			if s.fault.End == Peer && (s.vm.Name == vm || other.Name == vm) {
+			other := r.fleet.VMs[inj.fault.Other%len(r.fleet.VMs)]
+			if inj.fault.End == Peer && (inj.vm.Name == vm || other.Name == vm) {
 				return true
 			}
 		default:
@@ -226,87 +234,95 @@
 	return false
 }
 
-// answerSpan is how long the answer that a VM may have got, or not, was on its way.
-const answerSpan = time.Second
+// responseTime is the time before and after a response was sent in which a fault may have kept it
+// from reaching its VM.
+const responseTime = time.Second
 
-// unheard tells whether a VM may not have got an upstream's answer of an instant, since it or the link between them was hit.
-func (r *Run) unheard(vm string, u *standin.Runner, at time.Time) bool {
-	from, to := at.Add(-answerSpan), at.Add(answerSpan)
+// mayHaveMissed reports whether a VM may not have received a response that upstream u sent at the
+// given time, because a fault hit the VM's process or its link to the upstream.
+func (r *Run) mayHaveMissed(vm string, u *standin.Runner, at time.Time) bool {
+	from, to := at.Add(-responseTime), at.Add(responseTime)
 	if r.restarted(vm, from, to) {
 		return true
 	}
 	us := r.fleet.Platform.Runners()
-	for _, s := range r.spells {
-		if s.fault.End == Upstream && s.vm.Name == vm && us[s.fault.Other%len(us)].Address() == u.Address() && s.link() && s.overlaps(from, to) {
+	for _, inj := range r.injections {
+		if inj.fault.End == Upstream && inj.vm.Name == vm && us[inj.fault.Other%len(us)].Address() == u.Address() && inj.hitsLink() && inj.overlaps(from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// restarted tells whether a VM was stopped, killed or standing still in a span.
+// restarted reports whether a VM was stopped, killed or paused between from and to.
 func (r *Run) restarted(vm string, from, to time.Time) bool {
-	return slices.ContainsFunc(r.spells, func(s spell) bool { return s.vm.Name == vm && s.process() && s.overlaps(from, to) })
+	return slices.ContainsFunc(r.injections, func(inj injection) bool { return inj.vm.Name == vm && inj.hitsProcess() && inj.overlaps(from, to) })
 }
 
-// cut tells whether a VM was that, or any link of it was hit.
-func (r *Run) cut(vm string, from, to time.Time) bool {
-	return r.restarted(vm, from, to) || slices.ContainsFunc(r.spells, func(s spell) bool {
-		return s.vm.Name == vm && s.link() && s.overlaps(from, to)
+// disrupted reports whether a VM was stopped, killed or paused, or a link that it dials was hit,
+// between from and to.
+func (r *Run) disrupted(vm string, from, to time.Time) bool {
+	return r.restarted(vm, from, to) || slices.ContainsFunc(r.injections, func(inj injection) bool {
+		return inj.vm.Name == vm && inj.hitsLink() && inj.overlaps(from, to)
 	})
 }
 
-// process tells whether a fault hits a VM's process, link whether it hits one of its links.
-func (s *spell) process() bool {
-	return s.fault.Kind == Kill || s.fault.Kind == Freeze || s.fault.Kind == Stop
+// hitsProcess reports whether the fault hits a VM's process.
+func (inj *injection) hitsProcess() bool {
+	return inj.fault.Kind == Kill || inj.fault.Kind == Freeze || inj.fault.Kind == Stop
 }
 
-func (s *spell) link() bool {
-	return s.fault.Kind == Cut || s.fault.Kind == Reset || s.fault.Kind == Silence || s.fault.Kind == Delay
+// hitsLink reports whether the fault hits a link that a VM dials.
+func (inj *injection) hitsLink() bool {
+	return inj.fault.Kind == Cut || inj.fault.Kind == Reset || inj.fault.Kind == Silence || inj.fault.Kind == Delay
 }
 
-func (s *spell) overlaps(from, to time.Time) bool { return !s.to.Before(from) && !s.from.After(to) }
+func (inj *injection) overlaps(from, to time.Time) bool {
+	return !inj.to.Before(from) && !inj.from.After(to)
+}
 
-// calmAfter is how long the traces of a fault may last: an owner's books know of grants that have
-// ended for three seconds, upstreams are shut out for four, lapsed entries kept for two.
-const calmAfter = 5 * time.Second
+// recoveryTime is how long a fault may have effects after its end: an owner counts grants that have
+// ended for up to 3 s, excludes failed upstreams for 4 s, and retains expired entries for 2 s.
+const recoveryTime = 5 * time.Second
 
-// calm tells whether no fault was near a call.
-func (r *Run) calm(c *call) bool {
-	for _, s := range r.spells {
-		if c.end().After(s.from) && c.at.Before(s.to.Add(calmAfter)) {
+// undisturbed reports whether no fault of any kind lasted during a call or ended less than recoveryTime
+// before it.
+func (r *Run) undisturbed(c *call) bool {
+	for _, inj := range r.injections {
+		if c.end().After(inj.from) && c.at.Before(inj.to.Add(recoveryTime)) {
 			return false
 		}
 	}
 	return true
 }
 
-// after makes calls on the healed fleet, all of which must be served, and looks for memory that
-// nobody uses.
-func (r *Run) after() []error {
+// checkRecovered makes calls after all faults have ended, all of which must be served, and then checks
+// that no upstream has memory reserved.
+func (r *Run) checkRecovered() []error {
 	var errs []error
-	c := standin.NewClient(mine)
+	c := standin.NewClient(steadyWorkspace)
 	for _, v := range r.fleet.VMs {
 		for _, route := range routes {
-			x := call{vm: v, route: route, workspace: mine, at: time.Now(), answer: c.Call(v.Caller, route)}
-			if !x.answer.Complete {
-				errs = append(errs, fmt.Errorf("%w: %s", errCalm, &x))
+			x := call{vm: v, route: route, workspace: steadyWorkspace, at: time.Now(), response: c.Call(v.Caller, route)}
+			if !x.response.Complete {
+				errs = append(errs, fmt.Errorf("%w: %s", errNotServed, &x))
 			}
 		}
 	}
-	time.Sleep(settling)
+	time.Sleep(settleTime)
 	for _, u := range r.fleet.Platform.Runners() {
 		if n := u.Reserved(); n > 0 {
-			errs = append(errs, fmt.Errorf("%d tokens of memory are still set aside at %s", n, u.Address()))
+			errs = append(errs, fmt.Errorf("%d tokens of memory are still reserved at %s", n, u.Address()))
 		}
 	}
 	return errs
 }
 
-func ends(calls []call) map[string]int {
+// countOutcomes counts the calls with a complete response, and all others by status.
+func countOutcomes(calls []call) map[string]int {
 	out := map[string]int{}
 	for i := range calls {
-		a := calls[i].answer
+		a := calls[i].response
 		if a.Complete {
 			out["whole"]++
 			continue
