--- a/scenarios/chaos/run.go
+++ b/scenarios/chaos/run.go
@@ -15,13 +15,13 @@
 	"snipeshift.example/scenarios/world"
 )
 
-// Log formats and prints one line of the run's output.
-type Log func(format string, args ...any)
+// Logf formats and prints one line of the run's output.
+type Logf func(format string, args ...any)
 
 // Run plays one schedule of faults against a deployment under load.
 type Run struct {
 	world *world.World
-	log   Log
+	log   Logf
 	seed  uint64
 
 	mu sync.Mutex
@@ -43,16 +43,16 @@
 }
 
 // New returns a run with the schedule of seed. The deployment w must be ready.
-func New(w *world.World, seed uint64, l Log) *Run {
+func New(w *world.World, seed uint64, l Logf) *Run {
 	return &Run{world: w, log: l, seed: seed, faulted: map[string]bool{}, disruptions: map[string][]disruption{}, draftOutput: 32}
 }
 
-// Go injects the faults of the schedule under load, waits until the deployment has recovered
+// Execute injects the faults of the schedule under load, waits until the deployment has recovered
 // and checks its guarantees. The returned error joins all faults that could not be injected and
 // all guarantees that were violated.
-func (r *Run) Go(ctx context.Context, length time.Duration) error {
+func (r *Run) Execute(ctx context.Context, length time.Duration) error {
 	r.world.IgnoreDocumentLag()
-	faults := Plan(r.seed, length, Fleet{r.world.Daemons(), r.world.Engines(), r.world.Services()})
+	faults := Plan(r.seed, length, Targets{r.world.Daemons(), r.world.Engines(), r.world.Services()})
 	for _, f := range faults {
 		r.log("%s", f)
 	}
@@ -121,19 +121,19 @@
 		return r.injectProcessFault(ctx, f)
 	case Cut, Silence, Blackhole:
 		return r.injectLinkFault(ctx, f)
-	case Engine, Service:
+	case EngineFault, ServiceFault:
 		if !r.acquire(f.Target) {
 			return nil
 		}
 		defer r.release(f.Target)
 		return r.applySetting(ctx, f.Target, f)
-	case Leaving:
+	case ListLeaving:
 		if err := w.SetVM(ctx, f.Target, "leaving"); err != nil {
 			return err
 		}
-		pause(ctx, f.Span)
+		pause(ctx, f.Duration)
 		return w.SetVM(ctx, f.Target, "live")
-	case Apply:
+	case ApplyDocument:
 		return r.applyDocument(ctx)
 	default:
 		return r.applySetting(ctx, world.Store, f)
@@ -148,7 +148,7 @@
 		if err := w.Freeze(f.Target); err != nil {
 			return err
 		}
-		pause(ctx, f.Span)
+		pause(ctx, f.Duration)
 		return w.Thaw(f.Target)
 	case Stop:
 		if err := w.Stop(f.Target); err != nil {
@@ -165,7 +165,7 @@
 		if err := w.Kill(f.Target); err != nil {
 			return err
 		}
-		pause(ctx, f.Span)
+		pause(ctx, f.Duration)
 	}
 	if err := w.Start(f.Target); err != nil {
 		return err
@@ -198,7 +198,7 @@
 	if f.Target == world.Client {
 		defer func() { r.recordDisruption(f.Other, from, f.Kind) }()
 	}
-	pause(ctx, f.Span)
+	pause(ctx, f.Duration)
 	return w.Heal(f.Target, f.Other)
 }
 
@@ -206,7 +206,7 @@
 	if err := r.world.Control(ctx, name, f.Setting); err != nil {
 		return err
 	}
-	pause(ctx, f.Span)
+	pause(ctx, f.Duration)
 	if f.Reset == "" {
 		return nil
 	}
--- a/scenarios/chaos/schedule.go
+++ b/scenarios/chaos/schedule.go
@@ -13,34 +13,35 @@
 
 // The kinds of fault.
 const (
-	Kill      Kind = "kill"      // a process is killed and started again
-	Freeze    Kind = "freeze"    // a process is paused
-	Stop      Kind = "stop"      // a daemon is stopped gracefully and started again
-	Cut       Kind = "cut"       // connections of a link are reset and new ones refused
-	Silence   Kind = "silence"   // the open connections of a link drop all data
-	Blackhole Kind = "blackhole" // all connections of a link, also new ones, drop all data
-	Outage    Kind = "outage"    // the store is unavailable
-	Slow      Kind = "slow"      // the store responds slowly
-	Lose      Kind = "lose"      // the store executes writes and drops their responses
-	Stale     Kind = "stale"     // reads of the store return the version before the last
-	Deadwatch Kind = "deadwatch" // watches of the store never return
-	Engine    Kind = "engine"    // an engine misbehaves as Setting defines
-	Service   Kind = "service"   // a service misbehaves as Setting defines
-	Leaving   Kind = "leaving"   // the platform lists an upstream as leaving
-	Apply     Kind = "apply"     // an operator changes the document
+	Kill               Kind = "kill"      // a process is killed and started again
+	Freeze             Kind = "freeze"    // a process is paused
+	Stop               Kind = "stop"      // a daemon is stopped gracefully and started again
+	Cut                Kind = "cut"       // connections of a link are reset and new ones refused
+	Silence            Kind = "silence"   // the open connections of a link drop all data
+	Blackhole          Kind = "blackhole" // all connections of a link, also new ones, drop all data
+	StoreOutage        Kind = "outage"    // the store is unavailable
+	SlowStore          Kind = "slow"      // the store responds slowly
+	LoseWriteResponses Kind = "lose"      // the store executes writes and drops their responses
+	StaleReads         Kind = "stale"     // reads of the store return the version before the last
+	HangWatches        Kind = "deadwatch" // watches of the store never return
+	EngineFault        Kind = "engine"    // an engine misbehaves as Setting defines
+	ServiceFault       Kind = "service"   // a service misbehaves as Setting defines
+	ListLeaving        Kind = "leaving"   // the platform lists an upstream as leaving
+	ApplyDocument      Kind = "apply"     // an operator changes the document
 )
 
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind Kind
-	// Target is the process, upstream or dialing end of a link that the fault hits. It is empty
-	// for faults of the store and for Apply. Other is the end of the link that accepts connections.
+	// Target is the process, the upstream or the dialing end of the link that the fault hits. It is
+	// empty for faults of the store and for ApplyDocument. Other is the end of the link that accepts
+	// connections.
 	Target, Other string
 	// Setting is the setting (field=value) of an emulated engine, service or store that causes the
 	// fault, Reset the setting that ends it, empty if the fault ends by itself.
 	Setting, Reset string
-	// At is the time from the start of the schedule to the start of the fault, Span how long the fault lasts.
-	At, Span time.Duration
+	// At is the time from the start of the schedule to the start of the fault, Duration the time it lasts.
+	At, Duration time.Duration
 }
 
 // String returns the fault's line in the printed schedule.
@@ -52,11 +53,11 @@
 	if f.Setting != "" {
 		s += " " + f.Setting
 	}
-	return fmt.Sprintf("%s for %v", s, f.Span.Round(time.Millisecond))
+	return fmt.Sprintf("%s for %v", s, f.Duration.Round(time.Millisecond))
 }
 
-// Fleet lists the names of the processes that faults may target.
-type Fleet struct{ Daemons, Engines, Services []string }
+// Targets lists the names of the processes that faults may target.
+type Targets struct{ Daemons, Engines, Services []string }
 
 // Times of a schedule. Faults last long enough that some outlast leases and timeouts. Pauses are
 // short enough that the next fault often starts before the system has recovered from the last.
@@ -80,15 +81,15 @@
 	{Cut, 3},
 	{Silence, 4},
 	{Blackhole, 2},
-	{Outage, 3},
-	{Slow, 1},
-	{Lose, 2},
-	{Stale, 1},
-	{Deadwatch, 1},
-	{Engine, 4},
-	{Service, 2},
-	{Leaving, 1},
-	{Apply, 2},
+	{StoreOutage, 3},
+	{SlowStore, 1},
+	{LoseWriteResponses, 2},
+	{StaleReads, 1},
+	{HangWatches, 1},
+	{EngineFault, 4},
+	{ServiceFault, 2},
+	{ListLeaving, 1},
+	{ApplyDocument, 2},
 }
 
 // settingPair holds the setting that causes a fault and the one that ends it.
@@ -116,7 +117,7 @@
 
 // Plan returns the schedule of faults for seed; faults start within length. Equal arguments give
 // equal schedules.
-func Plan(seed uint64, length time.Duration, targets Fleet) []Fault {
+func Plan(seed uint64, length time.Duration, targets Targets) []Fault {
 	p := planner{rng: rand.New(rand.NewPCG(seed, 0)), targets: targets}
 	var out []Fault
 	for at := p.duration(minPause, maxPause); at < length; at += p.duration(minPause, maxPause) {
@@ -126,7 +127,7 @@
 		}
 		for range n {
 			x := p.fault()
-			x.At, x.Span = at, p.duration(minDuration, maxDuration)
+			x.At, x.Duration = at, p.duration(minDuration, maxDuration)
 			out = append(out, x)
 		}
 		at += minDuration
@@ -136,7 +137,7 @@
 
 type planner struct {
 	rng     *rand.Rand
-	targets Fleet
+	targets Targets
 }
 
 func (p *planner) duration(lo, hi time.Duration) time.Duration {
@@ -168,26 +169,26 @@
 		f.Target = p.pick(p.targets.Daemons)
 	case Cut, Silence, Blackhole:
 		f.Target, f.Other = p.link()
-	case Engine:
+	case EngineFault:
 		x := engineSettings[p.rng.IntN(len(engineSettings))]
 		f.Target, f.Setting, f.Reset = p.pick(p.targets.Engines), x.set, x.reset
-	case Service:
+	case ServiceFault:
 		x := serviceSettings[p.rng.IntN(len(serviceSettings))]
 		f.Target, f.Setting, f.Reset = p.pick(p.targets.Services), x.set, x.reset
-	case Leaving:
+	case ListLeaving:
 		f.Target = p.pick(p.targets.Engines)
-	case Outage:
+	case StoreOutage:
 		f.Setting, f.Reset = `outage="refuse"`, `outage=""`
 		if p.rng.IntN(2) == 0 {
 			f.Setting = `outage="hang"`
 		}
-	case Slow:
+	case SlowStore:
 		f.Setting, f.Reset = "slow=600", "slow=0"
-	case Lose:
+	case LoseWriteResponses:
 		f.Setting, f.Reset = "lose=3", "lose=0"
-	case Stale:
+	case StaleReads:
 		f.Setting = "stale=3000"
-	case Deadwatch:
+	case HangWatches:
 		f.Setting, f.Reset = "deadwatch=true", "deadwatch=false"
 	}
 	return f
--- a/scenarios/chaos/schedule_test.go
+++ b/scenarios/chaos/schedule_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testTargets = Fleet{Daemons: []string{"vm-1", "vm-2", "vm-3"}, Engines: []string{"engine-1", "engine-2"}, Services: []string{"desk-1"}}
+var testTargets = Targets{Daemons: []string{"vm-1", "vm-2", "vm-3"}, Engines: []string{"engine-1", "engine-2"}, Services: []string{"desk-1"}}
 
 // A seed whose schedule exposed a bug is run again to verify the fix, so a seed must always give
 // the same schedule.
--- a/scenarios/chaos_test.go
+++ b/scenarios/chaos_test.go
@@ -53,7 +53,7 @@
 		DocumentEdits:  []string{"kinds.draft.allowed=8000", "kinds.notice.allowed=6000", "kinds.lookup.allowed=4000"},
 	}
 	require.NoError(t, w.Deploy(ctx, p))
-	err := chaos.New(w, seed, t.Logf).Go(ctx, length)
+	err := chaos.New(w, seed, t.Logf).Execute(ctx, length)
 	if err != nil {
 		t.Log(w.Logs())
 	}
--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -55,7 +55,7 @@
 		Platform: standin.New(modelRunners, serviceRunners, "ward", "desk"), dir: dir, program: program,
 		finder: relay.NewFinder(), upstreams: map[string]*relay.Relay{},
 	}
-	f.finder.Know(os.Getpid(), Client)
+	f.finder.AddProcess(os.Getpid(), Client)
 	var err error
 	if f.StoreRelay, err = f.newRelay(f.Platform.Address()); err != nil {
 		return f, err
@@ -65,7 +65,7 @@
 		if err != nil {
 			return f, err
 		}
-		l.Name(identifyTimeout)
+		l.WaitForSource(identifyTimeout)
 		f.upstreams[l.Address()] = l
 		r.OnCrash, r.ResolveVM = f.Crash, l.Source
 		r.RegisterAt(l.Address())
@@ -134,9 +134,9 @@
 		return err
 	}
 	if v.Process != nil {
-		f.finder.Forget(v.Process.Pid())
+		f.finder.RemoveProcess(v.Process.Pid())
 	}
-	f.finder.Know(p.Pid(), v.Name)
+	f.finder.AddProcess(p.Pid(), v.Name)
 	v.Process = p
 	return nil
 }
--- a/scenarios/relay/conn.go
+++ b/scenarios/relay/conn.go
@@ -20,7 +20,7 @@
 	source string
 	// identified is closed when the lookup of source is done, whether or not it found a name.
 	identified chan struct{}
-	// silenced holds the Ways in which data is dropped.
+	// silenced holds the Directions in which data is dropped.
 	silenced atomic.Uint32
 	// delay is the time by which each read is delayed in both directions, a time.Duration.
 	delay atomic.Int64
@@ -32,11 +32,11 @@
 	wasReset bool
 }
 
-func (c *conn) matches(source string) bool { return source == Any || source == c.source }
+func (c *conn) matches(source string) bool { return source == AnySource || source == c.source }
 
-func (c *conn) silence(dirs Ways) { c.silenced.Or(uint32(dirs)) }
+func (c *conn) silence(dirs Directions) { c.silenced.Or(uint32(dirs)) }
 
-func (c *conn) silent(dirs Ways) bool { return c.silenced.Load()&uint32(dirs) != 0 }
+func (c *conn) silent(dirs Directions) bool { return c.silenced.Load()&uint32(dirs) != 0 }
 
 // forward copies data in both directions until both have ended.
 func (c *conn) forward(target *net.TCPConn) {
@@ -49,8 +49,8 @@
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.copy(target, c.client, There) })
-	wg.Go(func() { c.copy(c.client, target, Back) })
+	wg.Go(func() { c.copy(target, c.client, ToTarget) })
+	wg.Go(func() { c.copy(c.client, target, FromTarget) })
 	wg.Wait()
 	if !c.silent(Both) {
 		_ = c.client.Close()
@@ -69,7 +69,7 @@
 
 // copy copies the data of one direction. While the direction is silent copy reads and drops the
 // data, so that the sender's writes succeed, and does not pass on the end of the stream either.
-func (c *conn) copy(to, from *net.TCPConn, dir Ways) {
+func (c *conn) copy(to, from *net.TCPConn, dir Directions) {
 	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
--- a/scenarios/relay/finder.go
+++ b/scenarios/relay/finder.go
@@ -43,15 +43,15 @@
 // NewFinder returns a finder without processes.
 func NewFinder() *Finder { return &Finder{names: map[int]string{}} }
 
-// Know adds a process and its name.
-func (f *Finder) Know(pid int, name string) {
+// AddProcess adds a process and its name.
+func (f *Finder) AddProcess(pid int, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.names[pid] = name
 }
 
-// Forget removes a process that has ended, since the system may reuse its id.
-func (f *Finder) Forget(pid int) {
+// RemoveProcess removes a process that has ended, since the system may reuse its id.
+func (f *Finder) RemoveProcess(pid int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.names, pid)
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Any as the source of a rule matches every source.
-const Any = "any"
+// AnySource as the source of a rule matches every source.
+const AnySource = "any"
 
-// Ways is a set of the directions of a link that a fault affects.
-type Ways uint8
+// Directions is a set of the directions of a link that a fault affects.
+type Directions uint8
 
 // The directions, seen from the process that dialed.
 const (
-	There Ways = 1 << iota // from the dialing process to the target
-	Back                   // from the target to the dialing process
-	Both  = There | Back
+	ToTarget   Directions = 1 << iota // from the dialing process to the target
+	FromTarget                        // from the target to the dialing process
+	Both       = ToTarget | FromTarget
 )
 
 // dialTimeout limits a connect to a process on this machine.
@@ -35,7 +35,7 @@
 	// cut resets connections.
 	cut bool
 	// silent is the set of directions in which the data of new connections is dropped.
-	silent Ways
+	silent Directions
 	// delay delays the data of new connections.
 	delay time.Duration
 }
@@ -108,10 +108,14 @@
 	return &Relay{address: a, finder: f, conns: map[*conn]struct{}{}, rules: map[string]rule{}}, err
 }
 
-// Name makes new connections wait until their source is known, because the source of a
+// WaitForSource makes new connections wait until their source is known, because the source of a
 // connection that ends earlier can no longer be determined. They wait for limit at the longest:
 // without a limit the target would appear unresponsive on a busy machine.
-func (r *Relay) Name(limit time.Duration) { r.mu.Lock(); defer r.mu.Unlock(); r.sourceWait = limit }
+func (r *Relay) WaitForSource(limit time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sourceWait = limit
+}
 
 // Address returns the address (host:port) that the relay listens on while it is up.
 func (r *Relay) Address() string { return r.address }
@@ -189,7 +193,7 @@
 
 // Silence drops all data in the directions dirs of the open connections of a source. Heal does not
 // undo this. With fresh set, connections opened until Heal are silent too, also for good.
-func (r *Relay) Silence(source string, dirs Ways, fresh bool) {
+func (r *Relay) Silence(source string, dirs Directions, fresh bool) {
 	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -35,7 +35,7 @@
 
 func newRelay(t *testing.T) *Relay {
 	f := NewFinder()
-	f.Know(os.Getpid(), "me")
+	f.AddProcess(os.Getpid(), "me")
 	r, err := New(f)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
@@ -113,7 +113,7 @@
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
-	r.Silence(Any, Both, false)
+	r.Silence(AnySource, Both, false)
 	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	requireWorks(t, dial(t, r))
@@ -123,12 +123,12 @@
 	r := newRelay(t)
 	c := dial(t, r)
 	requireWorks(t, c)
-	r.Silence(Any, Back, true)
+	r.Silence(AnySource, FromTarget, true)
 	_, err := sendHello(c, 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	_, err = sendHello(dial(t, r), 100*time.Millisecond)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	r.Heal(Any)
+	r.Heal(AnySource)
 	requireWorks(t, dial(t, r))
 }
 
@@ -162,14 +162,14 @@
 
 // The source of a connection that closes at once cannot be determined afterwards, so a check of
 // whether VMs obey the statements of upstreams would have to skip the statements sent over it.
-// Relay.Name makes the connection wait for the lookup.
+// Relay.WaitForSource makes the connection wait for the lookup.
 func TestSourceOfShortConnection(t *testing.T) {
 	f := NewFinder()
-	f.Know(os.Getpid(), "me")
+	f.AddProcess(os.Getpid(), "me")
 	r, err := New(f)
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	r.Name(time.Minute)
+	r.WaitForSource(time.Minute)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
--- a/scenarios/script/link.go
+++ b/scenarios/script/link.go
@@ -61,9 +61,9 @@
 	directions := relay.Both
 	switch {
 	case *there && !*back:
-		directions = relay.There
+		directions = relay.ToTarget
 	case *back && !*there:
-		directions = relay.Back
+		directions = relay.FromTarget
 	}
 	return s.onLink(rest, *single, func(from, to string) error { return s.world.Silence(from, to, directions, *newToo) })
 }
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -225,7 +225,7 @@
 			}
 		case Cut, Reset, Silence, Delay:
 			other := r.fleet.VMs[inj.fault.Other%len(r.fleet.VMs)]
-			if inj.fault.End == Peer && (inj.vm.Name == vm || other.Name == vm) {
+			if inj.fault.LinkEnd == Peer && (inj.vm.Name == vm || other.Name == vm) {
 				return true
 			}
 		default:
@@ -247,7 +247,7 @@
 	}
 	us := r.fleet.Platform.Runners()
 	for _, inj := range r.injections {
-		if inj.fault.End == Upstream && inj.vm.Name == vm && us[inj.fault.Other%len(us)].Address() == u.Address() && inj.hitsLink() && inj.overlaps(from, to) {
+		if inj.fault.LinkEnd == Upstream && inj.vm.Name == vm && us[inj.fault.Other%len(us)].Address() == u.Address() && inj.hitsLink() && inj.overlaps(from, to) {
 			return true
 		}
 	}
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -18,25 +18,25 @@
 
 // The kinds of fault.
 const (
-	Kill     Kind = "kill"     // a VM's process is killed and started again
-	Freeze   Kind = "freeze"   // a VM's process is paused
-	Stop     Kind = "stop"     // a VM is stopped gracefully and started again
-	Hangup   Kind = "hangup"   // a VM gets SIGHUP, on which it reads its settings again
-	Cut      Kind = "cut"      // connections of a link are reset, new ones included
-	Reset    Kind = "reset"    // the open connections of a link are reset
-	Silence  Kind = "silence"  // a link drops all data in one direction or both
-	Delay    Kind = "delay"    // the data of a link is delayed
-	Outage   Kind = "outage"   // the store is unavailable
-	Forget   Kind = "forget"   // the store drops its history, so that watchers must list again
-	Lapse    Kind = "lapse"    // the store is unavailable, and the entries of all upstreams expire meanwhile
-	Crash    Kind = "crash"    // an upstream crashes and starts again with a new incarnation
-	Drain    Kind = "drain"    // an upstream announces in the store that it drains, ends and starts again
-	Sick     Kind = "sick"     // an upstream misbehaves as Trouble defines
-	Document Kind = "document" // the operator adds a route
-	Limit    Kind = "limit"    // an upstream declares a rate limit for some time
-	Drill    Kind = "drill"    // the store is restored from an older copy
-	Leave    Kind = "leave"    // an upstream announces only in its responses that it drains, ends and starts again
-	Shed     Kind = "shed"     // an upstream rejects all requests and asks for back-off
+	Kill             Kind = "kill"     // a VM's process is killed and started again
+	Freeze           Kind = "freeze"   // a VM's process is paused
+	Stop             Kind = "stop"     // a VM is stopped gracefully and started again
+	ReloadSettings   Kind = "hangup"   // a VM gets SIGHUP, on which it reads its settings again
+	Cut              Kind = "cut"      // connections of a link are reset, new ones included
+	Reset            Kind = "reset"    // the open connections of a link are reset
+	Silence          Kind = "silence"  // a link drops all data in one direction or both
+	Delay            Kind = "delay"    // the data of a link is delayed
+	StoreOutage      Kind = "outage"   // the store is unavailable
+	DropHistory      Kind = "forget"   // the store drops its history, so that watchers must list again
+	ExpireEntries    Kind = "lapse"    // the store is unavailable, and the entries of all upstreams expire meanwhile
+	Crash            Kind = "crash"    // an upstream crashes and starts again with a new incarnation
+	Drain            Kind = "drain"    // an upstream announces in the store that it drains, ends and starts again
+	Misbehave        Kind = "sick"     // an upstream misbehaves as RunnerFault defines
+	AddRoute         Kind = "document" // the operator adds a route
+	DeclareLimit     Kind = "limit"    // an upstream declares a rate limit for some time
+	RestoreOlderCopy Kind = "drill"    // the store is restored from an older copy
+	DeclareLeaving   Kind = "leave"    // an upstream announces only in its responses that it drains, ends and starts again
+	Shed             Kind = "shed"     // an upstream rejects all requests and asks for back-off
 )
 
 // weights are the relative frequencies of the kinds that planner.fault draws. The other kinds are
@@ -48,28 +48,28 @@
 	{Kill, 4},
 	{Freeze, 4},
 	{Stop, 5},
-	{Hangup, 1},
+	{ReloadSettings, 1},
 	{Cut, 3},
 	{Reset, 2},
 	{Silence, 5},
 	{Delay, 3},
-	{Outage, 3},
-	{Forget, 1},
-	{Lapse, 1},
+	{StoreOutage, 3},
+	{DropHistory, 1},
+	{ExpireEntries, 1},
 	{Crash, 5},
 	{Drain, 3},
-	{Sick, 9},
-	{Document, 2},
+	{Misbehave, 9},
+	{AddRoute, 2},
 }
 
-// End is the far end of a link.
-type End string
+// LinkEnd is the far end of a link.
+type LinkEnd string
 
 // The far ends of a VM's links.
 const (
-	Store    End = "store"
-	Peer     End = "peer"
-	Upstream End = "upstream"
+	Store    LinkEnd = "store"
+	Peer     LinkEnd = "peer"
+	Upstream LinkEnd = "upstream"
 )
 
 // Fault is one fault of a schedule. The indexes VM and Other are reduced modulo the number of VMs or
@@ -78,21 +78,21 @@
 	Kind Kind
 	// VM is the index of the VM whose process or whose outgoing link is hit. Other is the index of
 	// the peer or upstream at the far end of that link, or of the upstream that is hit itself.
-	VM, Other int
-	End       End
-	Ways      relay.Ways
-	// Fresh makes Silence affect connections opened during the fault too.
-	Fresh bool
-	// Held is the time by which Delay delays data.
-	Held    time.Duration
-	Mode    standin.StoreMode
-	Trouble standin.RunnerFault
+	VM, Other  int
+	LinkEnd    LinkEnd
+	Directions relay.Directions
+	// NewConnsToo makes Silence affect connections opened during the fault too.
+	NewConnsToo bool
+	// Delay is the time by which faults of kind Delay delay data.
+	Delay       time.Duration
+	StoreMode   standin.StoreMode
+	RunnerFault standin.RunnerFault
 	// Rate is the limit that an upstream declares, in requests per second.
 	Rate float64
-	// Age is the age of the copy from which the store is restored.
-	Age time.Duration
-	// At is the time from the start of the schedule to the start of the fault, Span how long the fault lasts.
-	At, Span time.Duration
+	// CopyAge is the age of the copy from which the store is restored.
+	CopyAge time.Duration
+	// At is the time from the start of the schedule to the start of the fault, Duration the time it lasts.
+	At, Duration time.Duration
 }
 
 // String returns the fault's line in the printed schedule.
@@ -100,18 +100,18 @@
 	s := fmt.Sprintf("%6v %-8s vm %d", f.At.Round(time.Millisecond), f.Kind, f.VM+1)
 	switch f.Kind {
 	case Cut, Reset, Silence, Delay:
-		s += fmt.Sprintf(" to %s %d, directions %d, new connections too %v, delay %v", f.End, f.Other, f.Ways, f.Fresh, f.Held)
-	case Crash, Drain, Sick, Leave, Shed:
-		s += fmt.Sprintf(" upstream %d, runner fault %d", f.Other, f.Trouble)
-	case Limit:
+		s += fmt.Sprintf(" to %s %d, directions %d, new connections too %v, delay %v", f.LinkEnd, f.Other, f.Directions, f.NewConnsToo, f.Delay)
+	case Crash, Drain, Misbehave, DeclareLeaving, Shed:
+		s += fmt.Sprintf(" upstream %d, runner fault %d", f.Other, f.RunnerFault)
+	case DeclareLimit:
 		s += fmt.Sprintf(" upstream %d, %.1f requests/s", f.Other, f.Rate)
-	case Drill:
-		s += fmt.Sprintf(" mode %d, copy %v old", f.Mode, f.Age.Round(time.Millisecond))
-	case Outage, Lapse:
-		s += fmt.Sprintf(" mode %d", f.Mode)
+	case RestoreOlderCopy:
+		s += fmt.Sprintf(" mode %d, copy %v old", f.StoreMode, f.CopyAge.Round(time.Millisecond))
+	case StoreOutage, ExpireEntries:
+		s += fmt.Sprintf(" mode %d", f.StoreMode)
 	default:
 	}
-	return s + fmt.Sprintf(" for %v", f.Span.Round(time.Millisecond))
+	return s + fmt.Sprintf(" for %v", f.Duration.Round(time.Millisecond))
 }
 
 // Times of a schedule. Some faults outlast leases and timeouts, and the next fault often starts
@@ -140,7 +140,7 @@
 			n += 1 + p.IntN(maxBurst-1)
 		}
 		for i := range n {
-			f.At, f.Span = at, p.duration(minDuration, maxDuration)
+			f.At, f.Duration = at, p.duration(minDuration, maxDuration)
 			if i > 0 && p.IntN(2) == 0 {
 				f.VM++
 			}
@@ -159,13 +159,13 @@
 	limitPause = 5 * time.Second
 )
 
-// limitFaults draws the faults of kind Limit from a random source of their own, so that they do not
-// change the other faults of a seed.
+// limitFaults draws the faults of kind DeclareLimit from a random source of their own, so that they
+// do not change the other faults of a seed.
 func limitFaults(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 1))}
 	var out []Fault
 	for at := p.duration(0, limitPause); at < length; at += p.duration(0, limitPause) {
-		out = append(out, Fault{Kind: Limit, Other: p.IntN(indexRange), Rate: float64(p.IntN(10*maxRate)) / 10, At: at, Span: p.duration(minLimited, maxLimited)})
+		out = append(out, Fault{Kind: DeclareLimit, Other: p.IntN(indexRange), Rate: float64(p.IntN(10*maxRate)) / 10, At: at, Duration: p.duration(minLimited, maxLimited)})
 	}
 	return out
 }
@@ -179,15 +179,15 @@
 	restorePause   = 25 * time.Second
 )
 
-// restoreFaults draws the faults of kind Drill from a random source of their own, like limitFaults. A
-// restore may start before the fleet has recovered from the last one.
+// restoreFaults draws the faults of kind RestoreOlderCopy from a random source of their own, like
+// limitFaults. A restore may start before the fleet has recovered from the last one.
 func restoreFaults(seed uint64, length time.Duration) []Fault {
 	p := planner{rand.New(rand.NewPCG(seed, 2))}
 	var out []Fault
 	for at := p.duration(0, restorePause/2); at < length; at += p.duration(0, restorePause) {
 		out = append(out, Fault{
-			Kind: Drill, Mode: []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)], Age: p.duration(minCopyAge, maxCopyAge),
-			At: at, Span: p.duration(0, maxUnavailable),
+			Kind: RestoreOlderCopy, StoreMode: []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)], CopyAge: p.duration(minCopyAge, maxCopyAge),
+			At: at, Duration: p.duration(0, maxUnavailable),
 		})
 	}
 	return out
@@ -200,14 +200,14 @@
 	declaredPause = 12 * time.Second
 )
 
-// declarationFaults draws the faults of kinds Leave and Shed, each from a random source of its own,
-// like limitFaults.
+// declarationFaults draws the faults of kinds DeclareLeaving and Shed, each from a random source of
+// its own, like limitFaults.
 func declarationFaults(seed uint64, length time.Duration) []Fault {
 	var out []Fault
-	for i, kind := range []Kind{Leave, Shed} {
+	for i, kind := range []Kind{DeclareLeaving, Shed} {
 		p := planner{rand.New(rand.NewPCG(seed, uint64(3+i)))}
 		for at := p.duration(0, declaredPause); at < length; at += p.duration(minDeclared, declaredPause) {
-			out = append(out, Fault{Kind: kind, Other: p.IntN(indexRange), At: at, Span: p.duration(minDeclared, maxDeclared)})
+			out = append(out, Fault{Kind: kind, Other: p.IntN(indexRange), At: at, Duration: p.duration(minDeclared, maxDeclared)})
 		}
 	}
 	return out
@@ -238,9 +238,9 @@
 
 func (p planner) fault() Fault {
 	return Fault{
-		Kind: p.kind(), VM: p.IntN(indexRange), Other: p.IntN(indexRange), End: []End{Store, Peer, Peer, Upstream}[p.IntN(4)],
-		Ways: []relay.Ways{relay.There, relay.Back, relay.Both}[p.IntN(3)], Fresh: p.IntN(2) == 0, Held: p.duration(10*time.Millisecond, maxDelay),
-		Mode:    []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)],
-		Trouble: []standin.RunnerFault{standin.Rejecting, standin.Failing, standin.Resetting, standin.Hanging}[p.IntN(4)],
+		Kind: p.kind(), VM: p.IntN(indexRange), Other: p.IntN(indexRange), LinkEnd: []LinkEnd{Store, Peer, Peer, Upstream}[p.IntN(4)],
+		Directions: []relay.Directions{relay.ToTarget, relay.FromTarget, relay.Both}[p.IntN(3)], NewConnsToo: p.IntN(2) == 0, Delay: p.duration(10*time.Millisecond, maxDelay),
+		StoreMode:   []standin.StoreMode{standin.Unavailable, standin.Unresponsive}[p.IntN(2)],
+		RunnerFault: []standin.RunnerFault{standin.Rejecting, standin.Failing, standin.Resetting, standin.Hanging}[p.IntN(4)],
 	}
 }
--- a/scenarios/soak/run.go
+++ b/scenarios/soak/run.go
@@ -11,13 +11,13 @@
 	"snipeshift.example/scenarios/fleet"
 )
 
-// Log formats and prints one line of the run's output.
-type Log func(format string, args ...any)
+// Logf formats and prints one line of the run's output.
+type Logf func(format string, args ...any)
 
 // Run injects one schedule of faults into a fleet under load.
 type Run struct {
 	fleet *fleet.Fleet
-	log   Log
+	log   Logf
 	seed  uint64
 
 	mu sync.Mutex
@@ -31,7 +31,7 @@
 	// revokeStart and revoked are the times when the revocation of revokedWorkspace's key was started
 	// and confirmed. In between a VM may accept or reject the key.
 	revokeStart, revoked time.Time
-	// extraRoutes counts the routes that faults of kind Document added.
+	// extraRoutes counts the routes that faults of kind AddRoute added.
 	extraRoutes int
 	// storeMu serializes the faults of the store.
 	storeMu sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // New returns a run with the schedule of seed. The VMs of the fleet f must be ready.
-func New(f *fleet.Fleet, seed uint64, l Log) *Run {
+func New(f *fleet.Fleet, seed uint64, l Logf) *Run {
 	return &Run{fleet: f, log: l, seed: seed, faulted: map[any]bool{}}
 }
 
@@ -60,10 +60,10 @@
 	settleTime = 5 * time.Second
 )
 
-// Go injects the faults of the schedule under load, waits until the fleet has recovered
+// Execute injects the faults of the schedule under load, waits until the fleet has recovered
 // and checks its guarantees. The returned error joins all faults that could not be injected and
 // all guarantees that were violated.
-func (r *Run) Go(length time.Duration) error {
+func (r *Run) Execute(length time.Duration) error {
 	faults := Plan(r.seed, length)
 	stop := make(chan struct{})
 	var load, injecting sync.WaitGroup
@@ -130,7 +130,7 @@
 		r.injections = append(r.injections, injection{f, v, from, time.Now()})
 	}()
 	switch f.Kind {
-	case Kill, Freeze, Stop, Hangup:
+	case Kill, Freeze, Stop, ReloadSettings:
 		if !r.acquire(v) {
 			return nil
 		}
@@ -138,20 +138,20 @@
 		return r.injectProcessFault(f, v)
 	case Cut, Reset, Silence, Delay:
 		r.injectLinkFault(f, v)
-	case Outage, Forget, Lapse, Drill:
+	case StoreOutage, DropHistory, ExpireEntries, RestoreOlderCopy:
 		r.storeMu.Lock()
 		defer r.storeMu.Unlock()
 		r.injectStoreFault(f)
-	case Crash, Drain, Sick, Leave, Shed:
+	case Crash, Drain, Misbehave, DeclareLeaving, Shed:
 		us := r.fleet.Platform.Runners()
 		return r.injectUpstreamFault(f, us[f.Other%len(us)])
-	case Limit:
+	case DeclareLimit:
 		us := r.fleet.Platform.Runners()
 		u := us[f.Other%len(us)]
 		u.DeclareLimit(f.Rate)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		u.DeclareLimit(-1)
-	case Document:
+	case AddRoute:
 		r.mu.Lock()
 		r.extraRoutes++
 		name := fmt.Sprintf("extra%d", r.extraRoutes)
@@ -163,13 +163,13 @@
 
 func (r *Run) injectProcessFault(f Fault, v *fleet.VM) error {
 	switch f.Kind {
-	case Hangup:
+	case ReloadSettings:
 		return v.Process.Signal(syscall.SIGHUP)
 	case Freeze:
 		if err := v.Process.Signal(syscall.SIGSTOP); err != nil {
 			return err
 		}
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		return v.Process.Signal(syscall.SIGCONT)
 	case Stop:
 		if err := v.Process.Signal(syscall.SIGTERM); err != nil {
@@ -182,14 +182,14 @@
 		}
 	default:
 		v.Process.Kill()
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 	}
 	return r.fleet.Start(v)
 }
 
 func (r *Run) injectLinkFault(f Fault, v *fleet.VM) {
 	l := r.fleet.StoreRelay
-	switch f.End {
+	switch f.LinkEnd {
 	case Peer:
 		l = r.fleet.VMs[f.Other%len(r.fleet.VMs)].Peer
 	case Upstream:
@@ -205,11 +205,11 @@
 		l.Heal(v.Name)
 		return
 	case Delay:
-		l.Delay(v.Name, f.Held)
+		l.Delay(v.Name, f.Delay)
 	default:
-		l.Silence(v.Name, f.Ways, f.Fresh)
+		l.Silence(v.Name, f.Directions, f.NewConnsToo)
 	}
-	time.Sleep(f.Span)
+	time.Sleep(f.Duration)
 	if f.Kind == Silence {
 		// Silenced connections stay silent for good, and would disturb the VMs that use them after the
 		// fault, so they are reset.
@@ -220,23 +220,23 @@
 
 func (r *Run) injectStoreFault(f Fault) {
 	p := r.fleet.Platform
-	if f.Kind == Forget {
+	if f.Kind == DropHistory {
 		p.DropHistory()
 		return
 	}
-	if f.Kind == Drill {
-		p.RestoreOlderCopy(f.Mode, f.Span, f.Age, rewriteTime, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
+	if f.Kind == RestoreOlderCopy {
+		p.RestoreOlderCopy(f.StoreMode, f.Duration, f.CopyAge, rewriteTime, rand.New(rand.NewPCG(r.seed, uint64(f.At))))
 		return
 	}
-	p.SetMode(f.Mode)
-	time.Sleep(f.Span)
-	if f.Kind == Lapse {
+	p.SetMode(f.StoreMode)
+	time.Sleep(f.Duration)
+	if f.Kind == ExpireEntries {
 		for _, u := range p.Runners() {
 			u.RemoveEntry()
 		}
 	}
 	p.SetMode(standin.Healthy)
-	if f.Kind == Lapse {
+	if f.Kind == ExpireEntries {
 		time.Sleep(time.Second)
 		for _, u := range p.Runners() {
 			u.Register()
@@ -255,25 +255,25 @@
 	}
 	defer r.release(address)
 	switch f.Kind {
-	case Sick:
-		u.SetFault(f.Trouble)
-		time.Sleep(f.Span)
+	case Misbehave:
+		u.SetFault(f.RunnerFault)
+		time.Sleep(f.Duration)
 		u.SetFault(standin.NoFault)
 		return nil
 	case Shed:
 		u.SetFault(standin.Shedding)
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 		u.SetFault(standin.NoFault)
 		return nil
-	case Leave:
+	case DeclareLeaving:
 		u.DeclareDraining()
-		time.Sleep(f.Span)
+		time.Sleep(f.Duration)
 	case Drain:
 		u.Drain(drainTime)
 		time.Sleep(drainTime)
 	default:
 	}
 	r.fleet.Crash(u)
-	time.Sleep(f.Span)
+	time.Sleep(f.Duration)
 	return r.fleet.Replace(u)
 }
--- a/scenarios/soak_test.go
+++ b/scenarios/soak_test.go
@@ -62,7 +62,7 @@
 			for _, v := range f.VMs {
 				require.NoError(t, v.AwaitReady(startTimeout))
 			}
-			err = soak.New(f, seed, t.Logf).Go(length)
+			err = soak.New(f, seed, t.Logf).Execute(length)
 			if err != nil {
 				t.Log(f.Logs())
 			}
--- a/scenarios/world/control.go
+++ b/scenarios/world/control.go
@@ -78,7 +78,7 @@
 
 // Silence drops all data that the present connections from one process to another carry in the given
 // directions, for good. With fresh set, this also applies to connections opened until Heal.
-func (w *World) Silence(from, to string, ways relay.Ways, fresh bool) error {
+func (w *World) Silence(from, to string, ways relay.Directions, fresh bool) error {
 	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Silence(source, ways, fresh) })
 }
 
@@ -94,7 +94,7 @@
 		return err
 	}
 	if from == Client {
-		from = relay.Any
+		from = relay.AnySource
 	}
 	f(r, from)
 	return nil
--- a/scenarios/world/world.go
+++ b/scenarios/world/world.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	w.finder.Know(p.Pid(), name)
+	w.finder.AddProcess(p.Pid(), name)
 	w.mu.Lock()
 	n.process, n.frozen = p, false
 	n.starts++
@@ -231,7 +231,7 @@
 // refused as they would be without relays.
 func (w *World) closeRelaysOnExit(n *node, p *process.Process) {
 	<-p.Done()
-	w.finder.Forget(p.Pid())
+	w.finder.RemoveProcess(p.Pid())
 	w.mu.Lock()
 	last := n.process == p
 	w.mu.Unlock()
