--- a/lib/decide/api.go
+++ b/lib/decide/api.go
@@ -4,8 +4,9 @@
 //
 // It has no sockets, no goroutines and no wall clock. A Pool is a set of tables (requests,
 // upstreams, grants, workspaces). Its methods enter changes, and Tick processes the tables in a
-// fixed order (apply changes, expire, admit or refuse, place, move boundaries) and returns the
-// decisions. The caller does all locking and passes the current time.
+// fixed order (apply changes, expire, admit or refuse, place, resize the sets of upstreams reserved
+// for long and for urgent work) and returns the decisions. The caller does all locking and passes
+// the current time.
 package decide
 
 import (
@@ -155,7 +156,7 @@
 const (
 	Granted Action = iota // answer the gate with Grant
 	Refused               // answer the gate with Fault and Retry
-	Lapsed                // lease or deadline ran out: cancel Grant until reports of its upstreams omit it
+	Lapsed                // Grant ended but may still run: cancel it at its upstreams until their reports omit it
 	Ordered               // send Order to Order.Upstream
 )
 
--- a/lib/decide/boundaries.go
+++ b/lib/decide/boundaries.go
@@ -100,19 +100,19 @@
 // updateRates updates, at the end of a period, the rates at which the sides and the lanes are
 // served.
 func (p *Pool) updateRates(span float64) {
-	var got [2]float64
+	var granted [2]float64
 	var contended [2]bool
 	for _, l := range p.lanes[2:] {
 		i := sideOf(l.long)
-		got[i] += l.granted / span
+		granted[i] += l.granted / span
 		contended[i] = contended[i] || l.contended
 	}
-	for i := range got {
+	for i := range granted {
 		fair := p.servers(p.lanes[2+i])
 		if !contended[i] {
-			got[i] = max(got[i], fair)
+			granted[i] = max(granted[i], fair)
 		}
-		p.demand.servedRate[i] = smoothRate(p.demand.servedRate[i], got[i])
+		p.demand.servedRate[i] = smoothRate(p.demand.servedRate[i], granted[i])
 	}
 	for _, l := range p.lanes {
 		servers := p.servers(l)
@@ -121,22 +121,22 @@
 }
 
 // smoothRate updates a smoothed rate; a rate of zero has no observations yet.
-func smoothRate(rate, got float64) float64 {
+func smoothRate(rate, observed float64) float64 {
 	if rate == 0 {
-		rate = got
+		rate = observed
 	}
-	return max(rate+rateSmoothing*(got-rate), minRate)
+	return max(rate+rateSmoothing*(observed-rate), minRate)
 }
 
 // endPeriod updates the rate of the lane at the end of a period. The work granted while requests
 // queued is what the next ones can expect. A lane that did not queue throughout could have obtained
 // more, so its rate moves toward fair, the upstreams that more urgent work of its side leaves over.
 func (l *lane) endPeriod(span, fair float64) {
-	got := l.granted / span
+	observed := l.granted / span
 	if !l.contended {
-		got = max(got, fair)
+		observed = max(observed, fair)
 	}
-	l.rate = smoothRate(l.rate, got)
+	l.rate = smoothRate(l.rate, observed)
 	l.granted, l.contended = 0, l.count > 0
 	l.activeWeight, l.admittedRate = 0, 0
 	l.periods++
@@ -192,8 +192,8 @@
 
 // moveBoundaries adjusts the sizes of the sides to the mix of requests and orders engines to their
 // new roles. Long work runs on its own upstreams, because one prompt of a million tokens occupies
-// an engine for a minute. The boundary moves because a fixed one wastes capacity on whichever side
-// has less work.
+// an engine for a minute. The sizes follow the load because fixed sizes would waste capacity on
+// whichever side has less work.
 func (p *Pool) moveBoundaries(now clock.Milli) {
 	if now < p.boundaries.nextMove {
 		return
@@ -335,13 +335,13 @@
 	for _, u := range p.upstreams {
 		u.side = anySide
 	}
-	left := max(s.long, 1)
-	for i := 0; i < len(p.upstreams) && left > 0; i++ {
-		left -= p.assign(p.upstreams[i], longSide)
+	remaining := max(s.long, 1)
+	for i := 0; i < len(p.upstreams) && remaining > 0; i++ {
+		remaining -= p.assign(p.upstreams[i], longSide)
 	}
-	left = s.urgent
-	for i := len(p.upstreams) - 1; i >= 0 && left > 0; i-- {
-		left -= p.assign(p.upstreams[i], urgentSide)
+	remaining = s.urgent
+	for i := len(p.upstreams) - 1; i >= 0 && remaining > 0; i-- {
+		remaining -= p.assign(p.upstreams[i], urgentSide)
 	}
 }
 
@@ -369,9 +369,9 @@
 // orderRoles orders engines to their new role, a few each period, so that a pool never has many
 // engines changing at once.
 func (p *Pool) orderRoles() {
-	left := p.maxStep()
+	remaining := p.maxStep()
 	for _, u := range p.upstreams {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		role := u.side.role()
@@ -379,7 +379,7 @@
 			continue
 		}
 		u.orderedRole = role
-		left--
+		remaining--
 		p.decisions = append(p.decisions, Decision{Action: Ordered, Order: Order{Upstream: u.spec.ID, Role: role}})
 	}
 }
@@ -417,8 +417,8 @@
 	case l.long:
 		n = s.long
 		if p.demand.periods < learningPeriods {
-			// The boundary of a new owner has not settled yet; judged by it, a burst of long work
-			// would be refused that half of the pool can do.
+			// The boundary of a new owner has not settled yet. An estimate by its long side alone
+			// would refuse a burst of long work that half of the pool can serve.
 			n = max(n, s.accepting/2)
 		}
 	case l.urgency > 0:
--- a/lib/decide/fault_test.go
+++ b/lib/decide/fault_test.go
@@ -95,7 +95,7 @@
 	require.False(t, b.pool.Adopt(b.now, old), "this owner's own grants that ended are not adopted")
 }
 
-// An upstream is being replaced. Work sent to it after its notice would be cut off.
+// An upstream is being replaced. Work sent to it after its drain notice would be cut off.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
 	b := newHarness(t, 2)
 	b.submit(b.request("before"))
@@ -112,8 +112,8 @@
 	require.Empty(t, b.lapsed, "running requests ended undisturbed")
 }
 
-// An engine crashed under several requests, any of which may be the cause. Run beside other
-// requests, it would make them fail too.
+// An engine crashed under several requests, any of which may be the cause. If a suspect ran beside
+// other requests, its next crash would make them fail too.
 func TestSuspectRunsAlone(t *testing.T) {
 	b := newHarness(t, 2)
 	for i := range 6 {
--- a/lib/decide/fixture_test.go
+++ b/lib/decide/fixture_test.go
@@ -18,7 +18,7 @@
 	refused map[RequestID]Decision
 	lapsed  map[RequestID]Grant
 	orders  []Decision
-	// order lists granted requests in order.
+	// order lists the granted requests in the order of their grants.
 	order []RequestID
 	// prefillFree is when each simulated engine finishes its prefill; running are the simulated
 	// requests of serve.
@@ -49,7 +49,7 @@
 
 func name(i int) UpstreamID { return UpstreamID(fmt.Sprintf("e%02d", i)) }
 
-// request returns a draft with about a second of prefill and a deadline in minutes.
+// request returns a short request with about a second of prefill and a deadline in five minutes.
 func (b *harness) request(id string) Request {
 	return Request{
 		ID: RequestID(id), Workspace: "a", Gate: "g", Urgency: 1, Deadline: b.now + 5*clock.Minute,
--- a/lib/decide/gate/gate_test.go
+++ b/lib/decide/gate/gate_test.go
@@ -9,9 +9,9 @@
 	"snipeshift.example/lib/decide"
 )
 
-// Every engine of a pool fails at once and every request comes back for a retry. If all of them
-// were sent again, the load would double while nothing works.
-func TestBudgetBoundsRetriesOfAPoolInTrouble(t *testing.T) {
+// Every engine of a pool fails at once and every request asks for a retry. If all of them were sent
+// again, the load would double while no engine works.
+func TestBudgetBoundsRetriesOfAFailingPool(t *testing.T) {
 	b := NewBudget(0, 0, 0)
 	for i := range 1000 {
 		b.Succeed(clock.Milli(i))
@@ -65,8 +65,8 @@
 	require.Equal(t, Clean, b.Check(10, 7))
 }
 
-// An engine loses power while it runs two copies of one alert lookup, sent through two VMs. This is
-// one crash: counted twice, the lookup would be quarantined for everybody.
+// An engine loses power while it runs two copies of one request, sent through two VMs. This is one
+// crash: if it counted twice, the request would be quarantined for all clients.
 func TestOneCrashUnderTwoCopiesCountsOnce(t *testing.T) {
 	a, b := NewQuarantine(0), NewQuarantine(0)
 	a.RecordCrash(0, 7, "engine-1", 0)
--- a/lib/decide/gate/quarantine.go
+++ b/lib/decide/gate/quarantine.go
@@ -31,7 +31,7 @@
 const (
 	Clean       Verdict = iota // runs as usual
 	Suspected                  // one upstream crashed while running it: runs alone
-	Quarantined                // two did: is refused
+	Quarantined                // two upstreams crashed: is refused
 )
 
 // Suspect is one entry of the table as exchanged between daemons.
@@ -111,7 +111,7 @@
 // RecordCrash records that an upstream crashed while it ran the request, and returns the new
 // verdict.
 //
-// A crash under several copies of one request counts once. Otherwise an alert lookup that many
+// A crash under several copies of one request counts once. Otherwise a harmless request that many
 // clients send with identical content would be refused to all of them for half an hour because one
 // engine lost power. Crashes of different known incarnations count separately, however close in
 // time.
--- a/lib/decide/grants.go
+++ b/lib/decide/grants.go
@@ -112,8 +112,8 @@
 	p.pendingPrefill[sideOf(g.long)] += work / p.prefill
 }
 
-// delayLongPrefill accounts for a short prompt that passes the long prompts being prefilled on this
-// upstream.
+// delayLongPrefill accounts for a short prompt that overtakes the long prompts being prefilled on
+// this upstream.
 //
 // Half a million tokens on a group of engines are half a minute of prefill, and a failure domain of
 // few engines may have no other engine for short work. Engines prefill by priority, so short
@@ -124,7 +124,7 @@
 		return
 	}
 	delay := work / u.rate()
-	u.nextPass = max(u.nextPass, float64(u.drainedAt)) + passSpacing*delay
+	u.nextOvertake = max(u.nextOvertake, float64(u.drainedAt)) + overtakeSpacing*delay
 	for _, g := range u.grants {
 		if g.long && !g.gotFirst && g.on[0] == u {
 			g.expectedFirst += delay
@@ -132,9 +132,9 @@
 	}
 }
 
-// passSpacing is the time from one short prompt that passes a long one to the next, as a multiple
-// of the prefill time of the first.
-const passSpacing = 2
+// overtakeSpacing is the least time from one short prompt that overtakes a long one to the next, as
+// a multiple of the prefill time of the first.
+const overtakeSpacing = 2
 
 // removePrefill removes the prefill from the backlog, because the first token came or the grant
 // ended.
--- a/lib/decide/heap.go
+++ b/lib/decide/heap.go
@@ -27,12 +27,12 @@
 // remove removes the element at position i.
 func (h *heap[E]) remove(i int) {
 	last := len(h.items) - 1
-	gone := h.items[i]
+	removed := h.items[i]
 	h.swap(i, last)
 	var none E
 	h.items[last] = none
 	h.items = h.items[:last]
-	h.moved(gone, -1)
+	h.moved(removed, -1)
 	if i < last {
 		h.fix(i)
 	}
--- a/lib/decide/outcome_test.go
+++ b/lib/decide/outcome_test.go
@@ -63,8 +63,8 @@
 	require.Empty(t, b.pool.Queue())
 }
 
-// Alert lookups arrive while every engine prefills dossiers that take half a minute each. A lookup
-// must not wait for them.
+// Urgent requests (the lookups) arrive while every engine prefills prompts that take half a minute
+// each. An urgent request must not wait for them.
 func TestUrgentWorkDoesNotWaitBehindLongWork(t *testing.T) {
 	b := newHarness(t, 8)
 	for i := range 40 {
@@ -84,8 +84,8 @@
 	require.Len(t, b.granted, 60, "long requests are not starved")
 }
 
-// Drafts arrive without pause and saturate the pool. An admitted summary, which is less urgent,
-// must still be served before its deadline.
+// Short requests arrive without pause and saturate the pool. An admitted request that is less
+// urgent (the summary) must still be served before its deadline.
 func TestAgingServesLessUrgentRequests(t *testing.T) {
 	b := newHarness(t, 1)
 	s := b.request("summary")
@@ -153,11 +153,11 @@
 	r := b.request("quiet")
 	r.Workspace = "b"
 	b.submit(r)
-	came := b.now
+	submittedAt := b.now
 	for b.granted["quiet"].ID == 0 {
 		b.serve(nil, 100)
 	}
-	require.LessOrEqual(t, b.now-came, 3*clock.Second, "waits for one request, not for all of the flood")
+	require.LessOrEqual(t, b.now-submittedAt, 3*clock.Second, "waits for one request, not for all of the flood")
 	require.NotEmpty(t, b.pool.Queue())
 }
 
@@ -204,13 +204,13 @@
 	}
 	require.Greater(t, b.view(2).Slowdown, 3.0)
 	require.Less(t, b.view(1).Slowdown, 1.5)
-	late := 0
+	onSlow := 0
 	for _, id := range b.order[150:] {
 		if b.granted[id].Upstreams[0] == name(2) {
-			late++
+			onSlow++
 		}
 	}
-	require.Less(t, late, 12, "of 150 grants, where an even share is 25")
+	require.Less(t, onSlow, 12, "of 150 grants, where an even share is 25")
 	for i := range 12 {
 		r := b.request(fmt.Sprint("long", i))
 		r.Urgency, r.Prompt, r.Deadline = 3, 200_000, b.now+30*clock.Minute
@@ -223,7 +223,7 @@
 	}
 }
 
-// The mix changes from lookups and drafts to dossiers and back. With a fixed boundary the engines
+// The load changes from short requests to long prompts and back. With a fixed boundary the engines
 // reserved for long work would idle at some times and block short work at others.
 func TestBoundaryFollowsTheMixSlowlyUpAndFastDown(t *testing.T) {
 	b := newHarness(t, 12)
@@ -237,13 +237,13 @@
 		return n
 	}
 	count := 0
-	play := func(seconds int, drafts, dossiers int) {
+	simulate := func(seconds int, shortCount, longCount int) {
 		for s := range seconds {
 			count++
-			for k := range drafts {
+			for k := range shortCount {
 				b.submit(b.request(fmt.Sprint("d", count, "-", k)))
 			}
-			if dossiers > 0 && s%4 == 0 {
+			if longCount > 0 && s%4 == 0 {
 				r := b.request(fmt.Sprint("l", count))
 				r.Urgency, r.Prompt, r.Deadline = 3, 300_000, b.now+20*clock.Minute
 				b.submit(r)
@@ -251,23 +251,23 @@
 			b.serve(nil, 1000)
 		}
 	}
-	play(60, 6, 0)
+	simulate(60, 6, 0)
 	few := long()
 	require.LessOrEqual(t, few, 2)
 	orders := len(b.orders)
-	play(240, 2, 1)
+	simulate(240, 2, 1)
 	many := long()
 	require.GreaterOrEqual(t, many, 5)
 	require.LessOrEqual(t, len(b.orders)-orders, 240, "roles change at a bounded rate")
-	play(240, 8, 0)
+	simulate(240, 8, 0)
 	require.LessOrEqual(t, long(), many-2)
 	for _, v := range b.pool.Upstreams(b.now) {
 		require.NotEmpty(t, v.Side)
 	}
 }
 
-// The alert desk is a plain service without memory or prefill, limited only by its slots. Treated
-// like an engine it would accept one large body at a time, or admit without limit.
+// A plain service has no KV memory and no prefill, and is limited only by its slots. Treated like
+// an engine it would accept one large body at a time, or admit without limit.
 func TestPlainServiceIsBoundedByItsSlots(t *testing.T) {
 	b := newHarness(t, 0)
 	for i := range 2 {
--- a/lib/decide/place.go
+++ b/lib/decide/place.go
@@ -9,8 +9,8 @@
 const (
 	// lookahead is the maximum prefill backlog in milliseconds of an engine that receives a new
 	// grant. It is long enough that an engine never idles during the round trip of a few
-	// milliseconds to the owner; a longer one would move the queue into the engines, where urgency,
-	// fairness and withdrawal have no effect.
+	// milliseconds to the owner. A longer backlog would move the queue into the engines, where
+	// urgency, fairness and withdrawal have no effect.
 	lookahead = 60
 	// longPrefills is the number of long prompts that one engine prefills concurrently. A second
 	// one would gain nothing and hold its memory without progress.
@@ -220,8 +220,8 @@
 // rest, and members are in ascending order, two groups cannot deadlock, not even groups of two
 // owners.
 func (p *Pool) placeGroup(now clock.Milli, w *waiting, need Tokens) (*grant, bool) {
-	least := p.groupSize(need)
-	for k := least; k <= least+groupSlack && k <= len(p.upstreams); k++ {
+	minSize := p.groupSize(need)
+	for k := minSize; k <= minSize+groupSlack && k <= len(p.upstreams); k++ {
 		share := (need + Tokens(k) - 1) / Tokens(k)
 		p.groupBuffer = p.groupBuffer[:0]
 		p.gatherGroup(&w.Request, float64(now), share, k, 1)
--- a/lib/decide/poison.go
+++ b/lib/decide/poison.go
@@ -33,28 +33,28 @@
 	until clock.Milli
 }
 
-func (k *crashTable) startRun(fingerprint uint64) {
+func (c *crashTable) startRun(fingerprint uint64) {
 	if fingerprint != 0 {
-		k.running[fingerprint]++
+		c.running[fingerprint]++
 	}
 }
 
-func (k *crashTable) endRun(fingerprint uint64) {
+func (c *crashTable) endRun(fingerprint uint64) {
 	if fingerprint == 0 {
 		return
 	}
-	if k.running[fingerprint]--; k.running[fingerprint] <= 0 {
-		delete(k.running, fingerprint)
+	if c.running[fingerprint]--; c.running[fingerprint] <= 0 {
+		delete(c.running, fingerprint)
 	}
 }
 
 // count is the number of upstreams that crashed while running the request.
-func (k *crashTable) count(now clock.Milli, fingerprint uint64) int {
-	d, ok := k.byFingerprint[fingerprint]
-	if !ok || d.until <= now {
+func (c *crashTable) count(now clock.Milli, fingerprint uint64) int {
+	e, ok := c.byFingerprint[fingerprint]
+	if !ok || e.until <= now {
 		return 0
 	}
-	return d.count
+	return e.count
 }
 
 // countCrash records that the upstream of a grant crashed. Queued copies of the request become
@@ -78,14 +78,14 @@
 	}
 }
 
-func (k *crashTable) set(now clock.Milli, fingerprint uint64, d crashEntry) {
-	k.byFingerprint[fingerprint] = d
-	if len(k.byFingerprint) <= maxCrashEntries {
+func (c *crashTable) set(now clock.Milli, fingerprint uint64, e crashEntry) {
+	c.byFingerprint[fingerprint] = e
+	if len(c.byFingerprint) <= maxCrashEntries {
 		return
 	}
-	for other, d := range k.byFingerprint {
-		if d.until <= now || d.count < maxCrashes && other != fingerprint {
-			delete(k.byFingerprint, other)
+	for other, e := range c.byFingerprint {
+		if e.until <= now || e.count < maxCrashes && other != fingerprint {
+			delete(c.byFingerprint, other)
 		}
 	}
 }
--- a/lib/decide/pool.go
+++ b/lib/decide/pool.go
@@ -9,7 +9,7 @@
 
 const (
 	// DefaultLongPrompt is the prompt length from which a request counts as long: about 1.5 s of
-	// prefill on current engines, a delay that an alert lookup would notice.
+	// prefill on current engines, a noticeable delay for an urgent request behind it.
 	DefaultLongPrompt Tokens = 32 * 1024
 	// DefaultReportLag is the default maximum age of an engine's report.
 	DefaultReportLag = 2 * clock.Second
--- a/lib/decide/progress_test.go
+++ b/lib/decide/progress_test.go
@@ -27,10 +27,10 @@
 	require.InDelta(t, 1, b.view(0).Slowdown, 0.05)
 }
 
-// A dossier of half a million tokens occupies both engines of a small failure domain for half a
-// minute. Drafts must not wait for its end, and the dossier must get at least about half of the
-// time meanwhile.
-func TestShortPromptsPassALongPromptOnAllEngines(t *testing.T) {
+// A long prompt (the dossier) of half a million tokens occupies both engines of a small failure
+// domain for half a minute. Short requests (the drafts) must not wait for its end, and the long
+// prompt must get at least about half of the engines' time meanwhile.
+func TestShortPromptsOvertakeALongPromptOnAllEngines(t *testing.T) {
 	b := newHarness(t, 2)
 	long := b.request("dossier")
 	long.Urgency, long.Prompt = 3, 500_000
--- a/lib/decide/queue.go
+++ b/lib/decide/queue.go
@@ -183,8 +183,9 @@
 
 // rank returns the order in which lanes are served: by urgency, raised by one for each third of its
 // allowed time that the first request has waited, so that steady urgent work cannot starve less
-// urgent work. It never reaches the most urgent rank: a lookup must not wait because a draft is
-// old. With equal ranks the first request with the earliest latest start is served first.
+// urgent work. It never reaches the most urgent rank: an urgent request must not wait because a
+// less urgent one is old. With equal ranks the first request with the earliest latest start is
+// served first.
 func (l *lane) rank(now clock.Milli) (float64, clock.Milli) {
 	f, _ := l.flows.first()
 	w, _ := f.queue.first()
--- a/lib/decide/ratelimit/pace.go
+++ b/lib/decide/ratelimit/pace.go
@@ -50,13 +50,13 @@
 	if !p.known && !s.Named || p.known && !s.Supersedes(p.statement) {
 		return false
 	}
-	before := p.statement
-	changed := !p.known || !s.Equivalent(before)
+	previous := p.statement
+	changed := !p.known || !s.Equivalent(previous)
 	p.fill(now)
 	switch {
 	case s.Named:
 		p.rate = s.Rate
-	case before.Named:
+	case previous.Named:
 		p.liftedAt = now
 	}
 	p.known, p.statement = true, s
--- a/lib/decide/serve.go
+++ b/lib/decide/serve.go
@@ -12,7 +12,7 @@
 )
 
 // serveQueues grants queued requests, lane by lane in order of rank, until no more can be placed.
-// Without ranks an urgent lookup would wait behind every long dossier that arrived before it.
+// Without ranks an urgent request would wait behind every long prompt that arrived before it.
 func (p *Pool) serveQueues(now clock.Milli) {
 	if p.boundaries.accepting == 0 {
 		return
@@ -20,16 +20,16 @@
 	p.grantEarmarked(now)
 	p.boundaries.refillBudget(now)
 	p.longSideShared = p.longSideOpen()
-	p.servePass(now)
+	p.serveLanes(now)
 	if !p.longSideShared {
 		// Short work may use the capacity of the long side that no long request can use now. It
 		// occupies an engine for a second or two, and long work comes first again in the next tick.
 		p.longSideShared = true
-		p.servePass(now)
+		p.serveLanes(now)
 	}
 }
 
-func (p *Pool) servePass(now clock.Milli) {
+func (p *Pool) serveLanes(now clock.Milli) {
 	for _, l := range p.lanes {
 		l.blocked = l.count == 0
 	}
--- a/lib/decide/span/declared.go
+++ b/lib/decide/span/declared.go
@@ -27,8 +27,8 @@
 	// servedOthers is when the upstream last ran a request of one gate while another gate had to
 	// back off.
 	servedOthers clock.Milli
-	// heardAt is the latest time at which a back-off or drain notice is known to have held.
-	heardAt clock.Milli
+	// latestAt is the latest Statement.At of the back-offs and drain notices.
+	latestAt clock.Milli
 }
 
 // transitTime is by how much the end of a back-off may move without being a new back-off. Messages
@@ -41,10 +41,10 @@
 
 // learnBackOff records a back-off and reports whether it is a new one.
 func (d *declared) learnBackOff(now clock.Milli, s statement.Statement) bool {
-	before, known := d.backOffs[s.Gate]
-	previousAt := before.At
-	before.Until += transitTime
-	if now >= s.Until || known && !s.Supersedes(before) {
+	previous, known := d.backOffs[s.Gate]
+	previousAt := previous.At
+	previous.Until += transitTime
+	if now >= s.Until || known && !s.Supersedes(previous) {
 		return false
 	}
 	if d.backOffs == nil {
@@ -73,7 +73,7 @@
 	default:
 		return d.limit.Learn(now, s)
 	}
-	d.heardAt = max(d.heardAt, s.At)
+	d.latestAt = max(d.latestAt, s.At)
 	return true
 }
 
@@ -81,9 +81,9 @@
 func (d *declared) backOffUntil(gate decide.GateID) clock.Milli { return d.backOffs[gate].Until }
 
 // restart removes statements of incarnations before the one that started at born. A statement
-// without a start time counts as earlier only if before is set.
-func (d *declared) restart(born decide.Incarnation, before bool) {
-	earlier := func(b decide.Incarnation) bool { return b < born && (b > 0 || before) }
+// without a start time counts as earlier only if includeUnknown is set.
+func (d *declared) restart(born decide.Incarnation, includeUnknown bool) {
+	earlier := func(b decide.Incarnation) bool { return b < born && (b > 0 || includeUnknown) }
 	if s, known := d.limit.Statement(); known && earlier(s.Born) {
 		d.limit.Reset()
 	}
@@ -94,11 +94,11 @@
 	d.shedding = d.shedding && len(d.backOffs) > 0
 }
 
-// outdated reports whether all statements are too old to be kept for an upstream that is no longer
-// listed.
-func (d *declared) outdated(now clock.Milli) bool {
+// expired reports whether all statements are older than the retention time for an upstream that is
+// no longer listed.
+func (d *declared) expired(now clock.Milli) bool {
 	s, known := d.limit.Statement()
-	return (!known || now-s.At > statement.AbsentRetention) && now-d.heardAt > statement.AbsentRetention
+	return (!known || now-s.At > statement.AbsentRetention) && now-d.latestAt > statement.AbsentRetention
 }
 
 // statements lists all known statements, for the next owner.
@@ -135,16 +135,17 @@
 	return d
 }
 
-// absentKept is how many entries of upstreams that are not listed are kept at least.
-const absentKept = 64
+// minAbsentEntries is the number of entries, beyond twice the number of listed upstreams, up to
+// which no entry is removed.
+const minAbsentEntries = 64
 
 // forgetAbsent removes outdated entries of upstreams that are no longer listed, once there are many
 // entries.
 func (p *Pool) forgetAbsent(now clock.Milli) {
-	if len(p.declared.byUpstream) <= 2*len(p.upstreams)+absentKept {
+	if len(p.declared.byUpstream) <= 2*len(p.upstreams)+minAbsentEntries {
 		return
 	}
-	maps.DeleteFunc(p.declared.byUpstream, func(u decide.UpstreamID, d *declared) bool { return p.upstreams[u] == nil && d.outdated(now) })
+	maps.DeleteFunc(p.declared.byUpstream, func(u decide.UpstreamID, d *declared) bool { return p.upstreams[u] == nil && d.expired(now) })
 }
 
 // Learn records a statement of an upstream and reports whether it changes what is known. Statements
@@ -240,15 +241,15 @@
 	return s
 }
 
-// refuseOverLimit refuses a request that the rate limits will not admit in time, behind the
-// requests that are placed before it.
+// refuseOverLimit refuses a request that the rate limits, after the requests placed before it, will
+// not admit before its latest useful first byte.
 func (o *round) refuseOverLimit(w *queuedRequest) (Decision, bool) {
 	if !o.supply.bounded {
 		return Decision{}, false
 	}
 	o.behind++
 	wait := 1000 * max(0, float64(o.behind)-o.supply.burst) / float64(o.supply.rate)
-	if float64(w.latestFirst-o.now) >= wait+w.groupReadTime {
+	if float64(w.latestFirst-o.now) >= wait+w.groupPrefillTime {
 		return Decision{}, false
 	}
 	o.behind--
--- a/lib/decide/span/declared_test.go
+++ b/lib/decide/span/declared_test.go
@@ -15,13 +15,13 @@
 )
 
 // learnLimit records a rate limit that an upstream declares.
-func (b *bench) learnLimit(at clock.Milli, u decide.UpstreamID, rate statement.PerSecond) {
+func (b *testPool) learnLimit(at clock.Milli, u decide.UpstreamID, rate statement.PerSecond) {
 	b.Learn(at, u, statement.Statement{Named: true, Rate: rate, At: at})
 }
 
 // runShort asks for one short request per interval, ends each at once, and returns how many
 // requests each upstream led.
-func (b *bench) runShort(from, to, every clock.Milli) map[decide.UpstreamID]int {
+func (b *testPool) runShort(from, to, every clock.Milli) map[decide.UpstreamID]int {
 	led := map[decide.UpstreamID]int{}
 	for at := from; at < to; at += every {
 		b.Ask(at, b.shortAsk(at))
@@ -39,7 +39,7 @@
 // Short requests are packed on the first engine, which declares a limit far below their rate. The
 // other engines must take the remainder at once.
 func TestDeclaredLimitIsKept(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	require.Equal(t, 100, b.runShort(now, now+10*clock.Second, 100)["e00"])
 	b.learnLimit(now+10*clock.Second, "e00", 2)
 	led := b.runShort(now+10*clock.Second, now+20*clock.Second, 100)
@@ -50,7 +50,7 @@
 // Parts of prompts count as requests, and so do orders that reserve memory. An engine that declares
 // a limit computes parts within the limit and reserves no memory for others.
 func TestPartsCountTowardLimit(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	for _, u := range []decide.UpstreamID{"e00", "e01", "e02"} {
 		b.learnLimit(now, u, 2)
 	}
@@ -75,7 +75,7 @@
 // but no answer of theirs shows that. Without a probe, long prompts, which need these engines,
 // would be refused until something else is sent there.
 func TestStaleLimitIsProbed(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	b.learnLimit(now, "e02", 1)
 	led := b.runShort(now, now+10*clock.Second, 500)
 	require.InDelta(t, 4, led["e02"], 1, "no answer has confirmed that the limit ended")
@@ -86,10 +86,10 @@
 }
 
 // All upstreams of a service declare limits, and more requests arrive than these admit. A request
-// that will not be served is refused at once, with the time at which there is room, not when its
-// time is over.
+// that will not be served is refused at once, with the time after which the limits admit it, not at
+// its deadline.
 func TestRequestBeyondLimitsIsRefusedAtOnce(t *testing.T) {
-	b := &bench{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
+	b := &testPool{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
 	b.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Service: "s", Slots: 6}, {ID: "b", Service: "s", Slots: 6}})
 	b.learnLimit(now, "a", 1)
 	b.learnLimit(now, "b", 1)
@@ -118,9 +118,9 @@
 	}
 }
 
-// An urgent request gets the next place that a rate limit admits, before a less urgent one.
+// When a rate limit admits one more request, an urgent request is granted before a less urgent one.
 func TestUrgentRequestGoesFirstUnderLimit(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.learnLimit(now, "e00", 1)
 	later, urgent := b.shortAsk(now), b.shortAsk(now)
 	later.Urgency, urgent.Urgency = 3, 0
@@ -135,7 +135,7 @@
 // A limit stays known while the upstream is missing from the list for a moment, and ends when the
 // next incarnation of the upstream starts.
 func TestLimitLastsForItsIncarnation(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.learnLimit(now, "e00", 1)
 	b.serve(0)
 	b.serve(2)
@@ -150,10 +150,10 @@
 	require.InDelta(t, 2, b.runShort(now+5*clock.Second, now+7*clock.Second, 100)["e00"], 1, "the limit was declared before the list showed the new incarnation")
 }
 
-// The owner of a service stops as planned just after it has granted what the limit allows. Its
-// successor must not grant the same again.
+// The owner of a service stops gracefully just after it has granted all requests that the limit
+// allows. Its successor must not grant as many again.
 func TestSuccessorKeepsToLimit(t *testing.T) {
-	b, next := newBench(t, 2), newBench(t, 2)
+	b, next := newTestPool(t, 2), newTestPool(t, 2)
 	b.learnLimit(now, "e00", 8)
 	b.runShort(now, now+clock.Second, 20)
 	next.Restore(now+clock.Second, b.Snapshot(now+clock.Second))
@@ -163,7 +163,7 @@
 
 // An engine whose load is unverified is polled repeatedly, and may count the polls as requests.
 func TestLimitedEngineIsPolledRarely(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.learnLimit(now, "e00", 1)
 	b.MarkUnverified()
 	polls := map[decide.UpstreamID]int{}
@@ -176,26 +176,26 @@
 }
 
 // learnBackOff records that an upstream asks a gate for a back-off.
-func (b *bench) learnBackOff(at clock.Milli, u decide.UpstreamID, g decide.GateID, span clock.Milli) {
+func (b *testPool) learnBackOff(at clock.Milli, u decide.UpstreamID, g decide.GateID, span clock.Milli) {
 	b.Learn(at, u, statement.Statement{Kind: statement.BackOff, Named: true, Gate: g, At: at, Until: at + span})
 }
 
 // learnLeaving records that an upstream declares to a gate that it is leaving.
-func (b *bench) learnLeaving(u decide.UpstreamID, g decide.GateID) {
+func (b *testPool) learnLeaving(u decide.UpstreamID, g decide.GateID) {
 	b.Learn(now, u, statement.Statement{Kind: statement.Leaving, Named: true, Gate: g, At: now})
 }
 
 // shortAskFrom returns a short request of a gate.
-func (b *bench) shortAskFrom(at clock.Milli, g decide.GateID) Ask {
+func (b *testPool) shortAskFrom(at clock.Milli, g decide.GateID) Ask {
 	a := b.shortAsk(at)
 	a.Gate = g
 	return a
 }
 
-// An engine turns away a gate and asks it for a back-off. It must get nothing from that gate until
-// the back-off ends.
+// An engine rejects a request of a gate and asks the gate for a back-off. The engine must get no
+// requests from that gate until the back-off ends.
 func TestBackOffExcludesGate(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.learnBackOff(now, "e00", "g", 3*clock.Second)
 	for at := now; at < now+3*clock.Second; at += 100 {
 		_, decided := b.ask(at, b.shortAskFrom(at, "g"))
@@ -209,7 +209,7 @@
 // Many requests wait for the end of a back-off. All at once they would overload the engine again,
 // so one is sent first.
 func TestOneProbeAfterBackOff(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.learnBackOff(now, "e00", "g", clock.Second)
 	at := now + clock.Second
 	for range 5 {
@@ -222,10 +222,10 @@
 	require.Greater(t, len(b.Tick(at+100)), 1)
 }
 
-// The engine turned away one gate because of the load from that gate, and serves the others. They
+// The engine rejected one gate because of the load from that gate, and serves the others. These
 // must not lose the engine for the whole back-off.
 func TestOtherGatesProbeAfterBackOffOfOne(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.learnBackOff(now, "e00", "g", 10*clock.Second)
 	_, decided := b.ask(now+firstExclusion/2, b.shortAskFrom(now+firstExclusion/2, "h"))
 	require.False(t, decided, "an engine that asks for a back-off is excluded for all gates at first")
@@ -241,7 +241,7 @@
 // The engine remains overloaded by one gate, which tries it at the end of each back-off. The other
 // gates must not lose the engine each time.
 func TestBackOffOfOneGateDoesNotBindOthers(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	lost, asked := 0, 0
 	for at := now; at < now+10*clock.Second; at += 50 {
 		g := []decide.GateID{"g", "h", "i"}[int(at/50)%3]
@@ -263,10 +263,10 @@
 	require.Less(t, lost, asked/15, "other gates may lose the first half second of ten")
 }
 
-// All gates are turned away by the same engine. Each try costs a request a round trip, so the tries
-// must become less and less frequent.
+// One engine rejects the requests of all gates. Each probe costs its request a round trip, so the
+// probes must become less and less frequent.
 func TestSheddingEngineIsProbedLessOften(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	tries := 0
 	for at := now; at < now+9*clock.Second; at += 20 {
 		a := b.shortAskFrom(at, decide.GateID(rune('a'+int(at/20)%9)))
@@ -285,10 +285,10 @@
 	require.GreaterOrEqual(t, tries, 3)
 }
 
-// Every engine asked this gate for a back-off that outlasts the caller's patience. The request is
-// refused at once, not when its time is over.
+// Every engine asked this gate for a back-off that outlasts the client's patience. The request is
+// refused at once, not when the client disconnects.
 func TestBackOffBeyondPatienceIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.learnBackOff(now, "e00", "g", 30*clock.Second)
 	b.learnBackOff(now, "e01", "g", 20*clock.Second)
 	d, decided := b.ask(now+10, b.shortAskFrom(now+10, "g"))
@@ -300,7 +300,7 @@
 
 // Every engine has declared that it is leaving, so no queued request will be served.
 func TestRequestIsRefusedWhenAllEnginesLeave(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.learnLeaving("e00", "g")
 	b.learnLeaving("e01", "h")
 	d, decided := b.ask(now+10, b.shortAsk(now+10))
@@ -312,7 +312,7 @@
 // The store is unavailable, or restored from an older copy, and lists an engine as ready that has
 // declared that it is leaving. The engine must get no requests.
 func TestUpstreamListDoesNotRevokeLeaving(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestPool(t, 0)
 	us := []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: 5}, {ID: "e01", Service: "s", Slots: engine.Slots, Born: 5}}
 	s := &route.Service{ID: "s", Engine: &engine}
 	b.SetUpstreams(s, us)
@@ -328,7 +328,7 @@
 // An engine leaves, and its next incarnation appears under the same ID after the list has lacked
 // the engine. Statements of the earlier incarnation must not apply to it.
 func TestIncarnationAfterAbsenceStartsFresh(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestPool(t, 0)
 	s := &route.Service{ID: "s", Engine: &engine}
 	list := func(born decide.Incarnation) []route.Upstream {
 		return []route.Upstream{{ID: "e00", Service: "s", Slots: engine.Slots, Born: born}}
@@ -347,7 +347,7 @@
 // A late request of a gate that must not use the engine can't be placed. A request of another gate,
 // which may use the engine, must be tried nevertheless.
 func TestUnplacedLateRequestDoesNotAffectOtherGates(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.learnBackOff(now, "e00", "g", clock.Minute)
 	at := now + firstExclusion
 	for _, g := range []decide.GateID{"g", "h"} {
@@ -361,10 +361,10 @@
 	require.Equal(t, Granted, ds[1].Action)
 }
 
-// The owner changes as planned while engines leave or are in a back-off. Without these statements
-// its successor would place requests there at once.
+// An owner hands over gracefully while engines are leaving or in a back-off. Without these
+// statements its successor would place requests there at once.
 func TestSnapshotCarriesLeavingAndBackOff(t *testing.T) {
-	b, next := newBench(t, 3), newBench(t, 3)
+	b, next := newTestPool(t, 3), newTestPool(t, 3)
 	b.learnLeaving("e00", "g")
 	b.learnBackOff(now, "e01", "g", 3*clock.Second)
 	next.Restore(now+100, b.Snapshot(now+100))
@@ -385,7 +385,7 @@
 // The owner polls engines whose load is unverified. An engine that asked the owner's VM for a
 // back-off, or is leaving, must not be polled.
 func TestBackOffAndLeavingStopPolls(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestPool(t, 3)
 	b.MarkUnverified()
 	b.learnBackOff(now, "e00", "owner", clock.Second)
 	b.learnLeaving("e01", "g")
@@ -397,7 +397,7 @@
 // Messages carry the time that is left of a back-off, and each takes some time in transit. If each
 // counted as a new back-off, the engine would be excluded longer and longer.
 func TestTransitTimeIsNotANewBackOff(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	s := statement.Statement{Kind: statement.BackOff, Named: true, Gate: "g", At: now, Until: now + clock.Second}
 	require.True(t, b.Learn(now, "e00", s))
 	require.False(t, b.Learn(now+5, "e00", s.Message(now, "e00").Statement(now+5)))
--- a/lib/decide/span/engine.go
+++ b/lib/decide/span/engine.go
@@ -11,9 +11,9 @@
 	route.Upstream
 	// engine is nil for a plain service.
 	engine *route.Engine
-	// readUntil is the time, in milliseconds of the pool's clock, at which the prefills granted so
+	// prefillUntil is the time, in milliseconds of the pool's clock, at which the prefills granted so
 	// far should be done.
-	readUntil float64
+	prefillUntil float64
 	// grants holds every grant that uses the upstream, as leader or helper.
 	grants map[decide.RequestID]*grantState
 	totals
@@ -58,10 +58,10 @@
 const minBacklog = 60.0
 
 // backlog returns the prefill time in milliseconds that is granted and not done. If the first byte
-// on an engine is overdue, the engine is assumed to be busy for as long again: what delays it is
-// not among the recorded grants.
+// on an engine is overdue, the engine is assumed to stay busy for as long again as the first byte
+// is overdue: the work that delays it is not among the recorded grants.
 func (r *upstreamState) backlog(now clock.Milli) float64 {
-	left := max(0, r.readUntil-float64(now))
+	left := max(0, r.prefillUntil-float64(now))
 	if r.engine == nil || r.prefills == 0 {
 		return left
 	}
@@ -138,7 +138,7 @@
 // usedMemory returns the KV memory in tokens that is in use.
 func (r *upstreamState) usedMemory() decide.Tokens { return r.externalUsed + r.grantedMemory }
 
-// totalReserved returns the sum of the KV memory in tokens that is reserved at these places.
+// totalReserved returns the total KV memory in tokens that these placements reserve.
 func totalReserved(ps []Placement) decide.Tokens {
 	var sum decide.Tokens
 	for _, p := range ps {
@@ -188,13 +188,13 @@
 }
 
 // addGrant records a grant that adds a prefill of this many milliseconds.
-func (r *upstreamState) addGrant(now clock.Milli, g *grantState, read float64) {
-	if r.streams > 0 && read > 0 {
+func (r *upstreamState) addGrant(now clock.Milli, g *grantState, prefill float64) {
+	if r.streams > 0 && prefill > 0 {
 		// Streams that are decoded meanwhile take their share of each pass.
-		read += r.engine.PassTime(r.streams, r.context)
+		prefill += r.engine.PassTime(r.streams, r.context)
 	}
-	read *= max(r.pace, 1)
-	r.readUntil = max(r.readUntil, float64(now)) + read
+	prefill *= max(r.pace, 1)
+	r.prefillUntil = max(r.prefillUntil, float64(now)) + prefill
 	r.grants[g.Grant.Request] = g
 	r.refresh()
 }
@@ -204,6 +204,6 @@
 func (r *upstreamState) update(now clock.Milli) {
 	r.refresh()
 	if r.prefills == 0 {
-		r.readUntil = min(r.readUntil, float64(now))
+		r.prefillUntil = min(r.prefillUntil, float64(now))
 	}
 }
--- a/lib/decide/span/external.go
+++ b/lib/decide/span/external.go
@@ -9,8 +9,8 @@
 	"snipeshift.example/lib/exchange"
 )
 
-// After a power loss of all VMs, engines go on writing answers for callers who have disconnected. A
-// new owner has no grants for that work, so it polls the engines for their load and counts what
+// After a power loss of all VMs, engines go on writing answers for clients that have disconnected.
+// A new owner has no grants for that work, so it polls the engines for their load and counts what
 // they report beyond its own grants as external load.
 
 // limitedPollInterval is the least time between two polls of an upstream that declares a rate
@@ -90,11 +90,11 @@
 
 // pollable reports whether the upstream may be polled again.
 func (r *upstreamState) pollable(now clock.Milli) bool {
-	least := pollInterval
+	minInterval := pollInterval
 	if r.declared.limit.Limited(now) {
-		least = limitedPollInterval
+		minInterval = limitedPollInterval
 	}
-	return r.polledAt == 0 || now-r.polledAt >= least
+	return r.polledAt == 0 || now-r.polledAt >= minInterval
 }
 
 // MarkUnverified marks the load of all upstreams as unverified, because the pool has a new owner.
@@ -108,9 +108,9 @@
 // upstream: two messages between VMs of a region, and one to the upstream.
 const arrivalTime clock.Milli = 10
 
-// Report takes the load that an upstream reports. The report is some hundred milliseconds old: it
-// lacks what was granted since and still counts what has ended since. Only the load beyond the
-// grants of that time is external.
+// Report processes the load that an upstream reports. The report is some hundred milliseconds old:
+// it lacks requests granted since and still counts requests ended since. Only load beyond the
+// grants of the time of the report is external.
 func (p *Pool) Report(now clock.Milli, id decide.UpstreamID, l exchange.Load) {
 	r := p.upstreams[id]
 	if r == nil || r.pastIncarnation(l.Born) {
@@ -125,17 +125,17 @@
 		// The upstream was polled for its pace only, and its load is not in question.
 		return
 	}
-	requests, used := r.explained(now)
+	requests, used := r.accountedFor(now)
 	r.external, r.externalUsed = max(0, l.Requests-requests), 0
 	if r.external > 0 {
 		r.externalUsed = max(0, l.Used-used)
 	}
 }
 
-// explained returns how many requests, and how much KV memory in tokens, of a report that arrives
-// now are accounted for by grants. It is not specified whether engines count the parts that they
-// compute for other engines; they are assumed to.
-func (r *upstreamState) explained(now clock.Milli) (requests int, used decide.Tokens) {
+// accountedFor returns how many of the requests, and how much of the KV memory in tokens, in a
+// report that arrives now are accounted for by grants. It is not specified whether engines count
+// the parts that they compute for other engines; they are assumed to.
+func (r *upstreamState) accountedFor(now clock.Milli) (requests int, used decide.Tokens) {
 	reportedAt := now
 	if r.engine != nil {
 		reportedAt -= r.engine.Lag
--- a/lib/decide/span/headroom.go
+++ b/lib/decide/span/headroom.go
@@ -9,7 +9,7 @@
 
 // This file handles more long prompts than the engines can prefill. Prompts in time go first, so a
 // prompt that missed its aim waits for engines that no other prompt needs, and under lasting
-// overload it would wait until its deadline without an answer. Its caller is better served by a
+// overload it would wait until its deadline without an answer. Its client is better served by a
 // refusal that leaves time to retry. So late prompts are queued only as far as the spare time of
 // the engines will serve them.
 const (
@@ -17,8 +17,8 @@
 	// about as long as two long prefills, so that the gap between two does not count as low load.
 	headroomWindow = 4000.0
 	// lateWindow is a second, shorter window for the rate at which late short requests are placed.
-	// When all streams were cut, their callers reconnect at once, and the rate of the seconds
-	// before does not show how soon they can be placed.
+	// When all streams were cut, their clients reconnect at once, and the placing rate of the
+	// seconds before does not show how soon their requests can be placed.
 	lateWindow = 250.0
 	// minHeadroom is the share of the engines' time that is assumed to be available to late prompts
 	// under any load, because phases of overload end.
@@ -26,13 +26,13 @@
 	// lateShortGrace is how long a short request must be late before it can be refused for
 	// overload: a moment without a free slot is no overload.
 	lateShortGrace = 200 * clock.Milli(1)
-	// maxRetry bounds the time after which a refused caller is asked to retry.
+	// maxRetry bounds the time after which a refused client is asked to retry.
 	maxRetry = 4 * clock.Second
 )
 
 // headroom tracks how much time the engines that long prompts use have to spare.
 type headroom struct {
-	// busy is the average share of these engines that are reading a prompt, at the time at.
+	// busy is the average share of these engines that are prefilling a prompt, as of the time at.
 	busy float64
 	at   clock.Milli
 	// engines is the number of engines without short streams.
@@ -47,7 +47,7 @@
 	if !scanDue(p.headroom.at, now, len(p.packOrder)) {
 		return
 	}
-	engines, reading := 0, 0
+	engines, prefilling := 0, 0
 	for _, r := range p.packOrder {
 		if r.firstByteOverdue(now) {
 			r.reportWanted = true
@@ -57,12 +57,12 @@
 		}
 		engines++
 		if r.prefills > 0 {
-			reading++
+			prefilling++
 		}
 	}
 	share := 1.0
 	if engines > 0 {
-		share = float64(reading) / float64(engines)
+		share = float64(prefilling) / float64(engines)
 	}
 	decay := math.Exp(-float64(now-p.headroom.at) / headroomWindow)
 	recentDecay := math.Exp(-float64(now-p.headroom.at) / lateWindow)
@@ -78,15 +78,15 @@
 	h.recentPlaceRate += 1 / lateWindow
 }
 
-// refuseLateShort refuses a late short request that will be useless by the time it is placed,
-// behind this many others, at the average or recent rate, whichever is higher. It reports whether
-// it did.
+// refuseLateShort refuses a late short request whose answer will come too late to be of use if the
+// request is placed after this many others, at the average or the recent placing rate, whichever is
+// higher. It reports whether it refused the request.
 func (p *Pool) refuseLateShort(now clock.Milli, w *queuedRequest, ahead int) (Decision, bool) {
 	wait := float64(ahead+1) / max(p.headroom.placeRate, p.headroom.recentPlaceRate, 1/headroomWindow)
-	if w.readTime == 0 || now-w.Aim < lateShortGrace || float64(w.latestFirst-now) > wait+w.groupReadTime {
+	if w.prefillTime == 0 || now-w.Aim < lateShortGrace || float64(w.latestFirst-now) > wait+w.groupPrefillTime {
 		return Decision{}, false
 	}
-	return pressureRefusal(w, wait), true
+	return overloadRefusal(w, wait), true
 }
 
 // totalBacklog returns the prefill time in milliseconds that all engines still have to compute.
@@ -102,31 +102,31 @@
 
 // willBeLate reports whether a long prompt in time will miss its aim behind this backlog.
 func (p *Pool) willBeLate(now clock.Milli, w *queuedRequest, backlog float64) bool {
-	return float64(w.Aim-now) < startDelay+w.groupReadTime+backlog/float64(max(p.headroom.engines, 1))
+	return float64(w.Aim-now) < startDelay+w.groupPrefillTime+backlog/float64(max(p.headroom.engines, 1))
 }
 
-// pressureRefusal refuses a request and asks its caller to retry after half of the time that it
-// would have waited. Overload comes in phases, and a caller that retries at once is only refused
+// overloadRefusal refuses a request and asks its client to retry after half of the time that it
+// would have waited. Overload comes in phases, and a client that retries at once is only refused
 // again.
-func pressureRefusal(w *queuedRequest, wait float64) Decision {
+func overloadRefusal(w *queuedRequest, wait float64) Decision {
 	retry := min(max(clock.Milli(wait/2), firstExclusion), maxRetry)
 	return Decision{Action: Refused, Request: w.ID, Gate: w.Gate, Fault: fault.Overloaded, Retry: retry, Reason: "pressure"}
 }
 
-// rate returns the prefill capacity that is left for late prompts, in engines (milliseconds of
+// spareRate returns the prefill capacity that is left for late prompts, in engines (milliseconds of
 // prefill per millisecond).
-func (h headroom) rate() float64 {
+func (h headroom) spareRate() float64 {
 	return max(minHeadroom, 1-h.busy) * float64(max(h.engines, 1))
 }
 
 // refuseLateLong refuses a long prompt that will not be served by its deadline behind this much
-// prefill time of other late prompts. It reports whether it did.
+// prefill time of other late prompts. It reports whether it refused the prompt.
 func (p *Pool) refuseLateLong(now clock.Milli, w *queuedRequest, ahead float64) (Decision, bool) {
-	rate := p.headroom.rate()
+	rate := p.headroom.spareRate()
 	wait := ahead / rate
-	ownTime := w.readTime / rate
-	if float64(w.latestFirst-now) > wait+max(ownTime, w.groupReadTime) {
+	ownTime := w.prefillTime / rate
+	if float64(w.latestFirst-now) > wait+max(ownTime, w.groupPrefillTime) {
 		return Decision{}, false
 	}
-	return pressureRefusal(w, wait+ownTime), true
+	return overloadRefusal(w, wait+ownTime), true
 }
--- a/lib/decide/span/incarnation.go
+++ b/lib/decide/span/incarnation.go
@@ -10,8 +10,8 @@
 // that is known of the previous incarnation may affect the new one. An incarnation is identified by
 // its start time.
 
-// newIncarnation reports whether born is later than the known start time. An upstream that had not
-// reported a start time has not restarted when it first reports one.
+// newIncarnation reports whether born is later than the known start time. The first start time that
+// an upstream reports does not count as a restart.
 func (r *upstreamState) newIncarnation(born decide.Incarnation) bool {
 	return r.Born > 0 && born > r.Born
 }
--- a/lib/decide/span/incarnation_test.go
+++ b/lib/decide/span/incarnation_test.go
@@ -11,15 +11,15 @@
 )
 
 // serveIncarnation serves one engine in the incarnation that started at born.
-func (b *bench) serveIncarnation(born decide.Incarnation) {
+func (b *testPool) serveIncarnation(born decide.Incarnation) {
 	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Service: "s", Address: "e00", Slots: engine.Slots, Born: born}})
 }
 
 // The only engine crashes with all its slots in use and restarts under its ID within a second. The
 // gates notice only when their streams have been silent for seconds. Until then the engine must not
-// count as full, or callers would wait for an idle engine.
+// count as full, or clients would wait for an idle engine.
 func TestNewIncarnationStartsEmpty(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestPool(t, 0)
 	b.serveIncarnation(5)
 	var first Grant
 	for i := range engine.Slots {
@@ -47,7 +47,7 @@
 // An engine that was found slow, excluded and unverified restarts under its ID, and its own load
 // report is the first to reveal that.
 func TestReportRevealsNewIncarnation(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestPool(t, 0)
 	b.serveIncarnation(5)
 	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 9, Used: 400_000, Pace: 4, Born: 5})
--- a/lib/decide/span/isolated.go
+++ b/lib/decide/span/isolated.go
@@ -12,15 +12,15 @@
 )
 
 // This file handles the start after a power loss of all VMs: they start within a third of a second,
-// and until they have found each other, each has callers and knows of no other owner. If each
-// waited for the others, short requests at a VM that is up would be late (364 ms in the queue, with
-// an aim of 300 ms). If each packed its requests as a sole owner does, all owners would pack the
-// same first engine. So an isolated owner chooses a few engines by its own name, polls only these
-// for their load, and spreads its requests over them.
+// and until they have found each other, each has clients and knows of no other owner. If each VM
+// placed nothing until it has found the others, short requests at a VM that is up would be late
+// (364 ms in the queue, with an aim of 300 ms). If each packed its requests as a sole owner does,
+// all owners would pack the same first engine. So an isolated owner chooses a few engines by its
+// own name, polls only these for their load, and spreads its requests over them.
 
-// isolatedEngines is how many engines an isolated owner uses; in that third of a second it receives
-// about ten short requests. With 8 engines each, 86 owners poll 688 times; polling all 78 engines
-// each would take 6,708 polls.
+// isolatedEngines is how many engines an isolated owner uses. In that third of a second it receives
+// about ten short requests. With 8 engines per owner, 86 owners send 688 polls; if each polled all
+// of 78 engines, they would send 6,708.
 const isolatedEngines = 8
 
 // isolation is set while the owner knows of no other owner.
@@ -58,8 +58,8 @@
 	fewest := math.MaxInt
 	for _, r := range p.isolatedUpstreams() {
 		n := r.streams + r.external
-		if first, ok := p.fitsShort(now, &w.Ask, r, w.readTime, math.MaxInt); ok && n < fewest {
-			best, fewest = plan{leader: r, partRead: w.readTime, first: first, reason: "isolated"}, n
+		if first, ok := p.fitsShort(now, &w.Ask, r, w.prefillTime, math.MaxInt); ok && n < fewest {
+			best, fewest = plan{leader: r, partPrefill: w.prefillTime, first: first, reason: "isolated"}, n
 		}
 	}
 	return best, best.leader != nil
--- a/lib/decide/span/isolated_test.go
+++ b/lib/decide/span/isolated_test.go
@@ -16,7 +16,7 @@
 func TestIsolatedOwnersSpreadOverDifferentEngines(t *testing.T) {
 	all := map[decide.UpstreamID]int{}
 	for vm := range 6 {
-		b := newBench(t, 23)
+		b := newTestPool(t, 23)
 		b.SetIsolated(true, fmt.Sprint("vm-", vm))
 		for range 8 {
 			g := b.mustGrant(now, b.shortAsk(now))
@@ -33,14 +33,14 @@
 // An isolated owner polls only its own engines and lets long prompts wait: all other owners would
 // grant them the same engines.
 func TestIsolatedOwnerPollsOnlyItsEngines(t *testing.T) {
-	b := newBench(t, 23)
+	b := newTestPool(t, 23)
 	b.MarkUnverified()
 	b.SetIsolated(true, "vm-1")
 	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), isolatedEngines)
 	b.SetIsolated(false, "vm-1")
 	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 23-isolatedEngines)
 	require.Len(t, b.TakeDuePolls(now+pollInterval, "owner", math.MaxInt), 23)
-	b = newBench(t, 23)
+	b = newTestPool(t, 23)
 	b.SetIsolated(true, "vm-1")
 	long := b.longAsk(now, 200_000)
 	_, decided := b.ask(now, long)
--- a/lib/decide/span/largereserve.go
+++ b/lib/decide/span/largereserve.go
@@ -10,16 +10,16 @@
 )
 
 // This file handles a load of more long prompts than the engines can prefill, of very different
-// lengths. Where some must be late, most callers are served if the largest prompts are the late
-// ones; but then these never find as many free engines as they need and are served half as often as
-// the others. So a share of the prefill time is reserved for them: it is saved up while other
-// prompts are read, and once it suffices for a waiting large prompt, engines that become free are
-// held for that prompt.
+// lengths. Where some must be late, most clients are served if the largest prompts are the late
+// ones. But then the largest never find as many free engines as they need and are served half as
+// often as the others. So a share of the prefill time is reserved for them: that share is saved up
+// while other prompts are prefilled, and once the savings suffice for a waiting large prompt,
+// engines that become free are held for that prompt.
 
 const (
 	// savedShare is how much is saved for large prompts per millisecond of prefill for other
-	// prompts, while large prompts are starved. With much less the largest are still served half as
-	// often as others; more serves the others less.
+	// prompts, while large prompts are starved. With a much smaller share the largest prompts are
+	// still served half as often as others; a larger share delays the others.
 	savedShare = 0.4
 	// maxSaved bounds the saved prefill time in milliseconds, so that after a period of low load
 	// large prompts do not get all engines for a minute.
@@ -39,10 +39,10 @@
 
 // largeReserve saves prefill time for large prompts.
 type largeReserve struct {
-	// savedRead is the prefill time in milliseconds that is saved.
-	savedRead float64
-	// meanRead is the mean prefill time of the requested long prompts, in milliseconds.
-	meanRead float64
+	// savedPrefill is the prefill time in milliseconds that is saved.
+	savedPrefill float64
+	// meanPrefill is the mean prefill time of the requested long prompts, in milliseconds.
+	meanPrefill float64
 	// large and others are the refusal rates of the last long prompts, large ones and the others.
 	large, others refusals
 	// next is the large prompt for which engines are held; empty for none.
@@ -81,35 +81,35 @@
 func (t *largeReserve) starved() bool { return 1-t.large.refused < starvedRatio*(1-t.others.refused) }
 
 // noteAsked includes a new long prompt in the mean.
-func (t *largeReserve) noteAsked(cost float64) {
-	if t.meanRead == 0 {
-		t.meanRead = cost
+func (t *largeReserve) noteAsked(prefillTime float64) {
+	if t.meanPrefill == 0 {
+		t.meanPrefill = prefillTime
 	}
-	t.meanRead += (cost - t.meanRead) / meanWindow
+	t.meanPrefill += (prefillTime - t.meanPrefill) / meanWindow
 }
 
-// noteGranted records the grant of a long prompt: next uses up savings, other prompts add to them
-// while large prompts are starved.
-func (t *largeReserve) noteGranted(id decide.RequestID, cost float64) {
+// noteGranted records the grant of a long prompt. The prompt in next uses up savings; other prompts
+// add to the savings while large prompts are starved.
+func (t *largeReserve) noteGranted(id decide.RequestID, prefillTime float64) {
 	if id == t.next {
 		t.next, t.heldEngines = "", 0
-		t.savedRead = max(0, t.savedRead-cost)
+		t.savedPrefill = max(0, t.savedPrefill-prefillTime)
 		return
 	}
 	if t.starved() {
-		t.savedRead = min(t.savedRead+savedShare*cost, maxSaved)
+		t.savedPrefill = min(t.savedPrefill+savedShare*prefillTime, maxSaved)
 	}
 }
 
 // isLarge reports whether prefill time is reserved for prompts of this length.
 func (t *largeReserve) isLarge(w *queuedRequest) bool {
-	return w.long && w.readTime >= largeFactor*t.meanRead
+	return w.long && w.prefillTime >= largeFactor*t.meanPrefill
 }
 
-// choose sets next to the largest prompt that can still be in time, once enough is saved for it.
-// Smaller ones do not use up the savings meanwhile, since they find enough engines sooner without
-// help. A prompt that has waited for most of its aim needs more engines at once than become free
-// until then, and is skipped.
+// choose sets next to the largest prompt that can still be in time, once enough prefill time is
+// saved for that prompt. Smaller large prompts do not use up the savings meanwhile, since they find
+// enough engines sooner without help. A prompt that has waited until shortly before its aim needs
+// more engines at once than become free until then, and is skipped.
 func (t *largeReserve) choose(now clock.Milli, queue map[decide.RequestID]*queuedRequest, maxGroup int) {
 	t.next, t.heldEngines = "", 0
 	var largest *queuedRequest
@@ -121,14 +121,14 @@
 			largest = w
 		}
 	}
-	if largest != nil && largest.readTime <= t.savedRead {
+	if largest != nil && largest.prefillTime <= t.savedPrefill {
 		t.next, t.urgency, t.heldEngines = largest.ID, largest.Urgency, largest.enginesNeeded(now)
 	}
 }
 
 // before orders large prompts: the largest first, then the one that needs fewest engines.
 func (t *largeReserve) before(x, y *queuedRequest, now clock.Milli) bool {
-	return cmp.Or(cmp.Compare(y.readTime, x.readTime), cmp.Compare(x.enginesNeeded(now), y.enginesNeeded(now)), cmp.Compare(x.ID, y.ID)) < 0
+	return cmp.Or(cmp.Compare(y.prefillTime, x.prefillTime), cmp.Compare(x.enginesNeeded(now), y.enginesNeeded(now)), cmp.Compare(x.ID, y.ID)) < 0
 }
 
 // enginesNeeded returns over how many engines the prefill must be spread to be done by the aim, or
@@ -142,7 +142,7 @@
 	if left <= 0 {
 		return math.MaxInt
 	}
-	return int(math.Ceil(w.readTime / left))
+	return int(math.Ceil(w.prefillTime / left))
 }
 
 // availableTo returns the free engines that a long prompt may use: those not held for next. Only
--- a/lib/decide/span/largereserve_test.go
+++ b/lib/decide/span/largereserve_test.go
@@ -12,20 +12,19 @@
 // flood simulates long prompts on engines that work as the plans expect: the first byte arrives
 // when the grant expects it, and the answer is written in a second.
 type flood struct {
-	*bench
+	*testPool
 	at clock.Milli
-	// sizes holds the length of each prompt in tokens, and served whether its first byte met the
-	// aim.
+	// sizes holds the length of each prompt in tokens, and inTime whether its first byte met the aim.
 	sizes  map[decide.RequestID]decide.Tokens
-	served map[decide.RequestID]bool
+	inTime map[decide.RequestID]bool
 	events map[clock.Milli][]func()
 }
 
 func newFlood(t *testing.T, engines int) *flood {
 	t.Helper()
 	return &flood{
-		bench: newBench(t, engines), at: now, events: map[clock.Milli][]func(){},
-		sizes: map[decide.RequestID]decide.Tokens{}, served: map[decide.RequestID]bool{},
+		testPool: newTestPool(t, engines), at: now, events: map[clock.Milli][]func(){},
+		sizes: map[decide.RequestID]decide.Tokens{}, inTime: map[decide.RequestID]bool{},
 	}
 }
 
@@ -53,7 +52,7 @@
 // serveGrant schedules the first byte and the end of a granted request.
 func (f *flood) serveGrant(g Grant) {
 	first := f.at + max(g.First, 1)
-	f.served[g.Request] = first <= f.grants[g.Request].ask.Aim
+	f.inTime[g.Request] = first <= f.grants[g.Request].ask.Aim
 	f.events[first] = append(f.events[first], func() {
 		f.First(first, g.Request)
 		f.events[first+1000] = append(f.events[first+1000], func() { f.End(first+1000, g.Request, Done, "") })
@@ -62,22 +61,22 @@
 
 // shareInTime returns the fraction of the prompts with from <= tokens < to that met their aims.
 func (f *flood) shareInTime(from, to decide.Tokens) float64 {
-	all, served := 0, 0
+	all, inTime := 0, 0
 	for id, n := range f.sizes {
 		if n < from || n >= to {
 			continue
 		}
 		all++
-		if f.served[id] {
-			served++
+		if f.inTime[id] {
+			inTime++
 		}
 	}
-	return float64(served) / float64(max(all, 1))
+	return float64(inTime) / float64(max(all, 1))
 }
 
 // Forty engines get 1.2 times as many long prompts as they can prefill, from 60,000 to 330,000
-// tokens, for half a minute. Prompts that are quickest to read go first, so that most are served.
-// Without the reserve a caller with one of the largest prompts would never be served: it needs
+// tokens, for half a minute. Prompts with the shortest prefill go first, so that most are served.
+// Without the reserve a client with one of the largest prompts would never be served: it needs
 // several engines at once, and each that becomes free is given to another prompt.
 func TestLargePromptsAreServedUnderLastingOverload(t *testing.T) {
 	f := newFlood(t, 40)
@@ -106,20 +105,20 @@
 		f.Ask(f.at, a)
 		f.advance(100)
 	}
-	require.Zero(t, f.largeReserve.savedRead)
+	require.Zero(t, f.largeReserve.savedPrefill)
 	require.Greater(t, f.shareInTime(0, 1_000_000), 0.97)
 }
 
-// newStarvedPool returns a pool whose eight engines are reading, with enough savings for a large
-// prompt that waits for four of them.
-func newStarvedPool(t *testing.T) (b *bench, large Ask) {
+// newStarvedPool returns a pool whose eight engines are prefilling, with enough saved prefill time
+// for a large prompt that waits for four of them.
+func newStarvedPool(t *testing.T) (b *testPool, large Ask) {
 	t.Helper()
-	b = newBench(t, 8)
-	b.largeReserve.meanRead = 1000
+	b = newTestPool(t, 8)
+	b.largeReserve.meanPrefill = 1000
 	for range 8 {
 		require.Empty(t, b.mustGrant(now, b.longAsk(now, 30_000)).Helpers)
 	}
-	b.largeReserve.savedRead = maxSaved
+	b.largeReserve.savedPrefill = maxSaved
 	large = b.longAsk(now, 420_000)
 	large.Urgency = 1
 	_, placed := b.ask(now, large)
--- a/lib/decide/span/order.go
+++ b/lib/decide/span/order.go
@@ -14,9 +14,9 @@
 // behind those before it, the largest of them is deferred, so that as few as possible are late.
 
 // orderedQueue returns the queue in the order of placing. Requests that can still meet their aims
-// come before late ones, since a late answer is worth a quarter of one in time, whenever it comes;
-// then by urgency; then those that occupy engines for the shortest time, which serves most callers.
-// Large prompts in time are ordered by their aims, after all requests that are quick to read.
+// come before late ones, since a late answer is worth a quarter of one in time, however late it is;
+// then by urgency; then those that occupy engines for the shortest time, which serves most clients.
+// Large prompts in time are ordered by their aims, after all requests with a short prefill.
 func (p *Pool) orderedQueue(now clock.Milli) []*queuedRequest {
 	ws := make([]*queuedRequest, 0, len(p.queue))
 	for _, w := range p.queue {
@@ -51,7 +51,7 @@
 	switch {
 	case w.late(now):
 		return classLate
-	case w.long && w.groupReadTime > interleavedRead:
+	case w.long && w.groupPrefillTime > interleavedPrefill:
 		return classLargeInTime
 	default:
 		return classQuickInTime
@@ -79,57 +79,58 @@
 }
 
 // occupancy returns the least time in milliseconds for which engines are occupied. A prompt that
-// several engines read beside short streams occupies each for one part.
+// several engines prefill beside short streams occupies each for one part.
 func (w *queuedRequest) occupancy() float64 {
 	if w.long {
-		return max(w.groupReadTime, interleavedRead)
+		return max(w.groupPrefillTime, interleavedPrefill)
 	}
-	return w.groupReadTime
+	return w.groupPrefillTime
 }
 
-// deferLargest orders large prompts, which must be sorted by slack. Its argument ahead, and its
-// result, are the time in milliseconds in which the engines read the prompts that are placed
-// before. The order is that of Moore and Hodgson: with all engines taken for one machine of their
-// total speed, no other order has fewer late prompts.
+// deferLargest orders large prompts, which must be sorted by slack. The argument ahead is the time
+// in milliseconds in which all engines together prefill the prompts placed before these, and the
+// result is that time with the prompts that are not deferred added. The order is that of Moore and
+// Hodgson: with all engines taken for one machine of their total speed, no other order has fewer
+// late prompts.
 func (p *Pool) deferLargest(now clock.Milli, large []*queuedRequest, ahead float64) float64 {
 	engines := float64(max(p.headroom.engines, 1))
 	kept := make([]*queuedRequest, 0, len(large))
 	var deferred []*queuedRequest
 	for _, w := range large {
 		kept = append(kept, w)
-		ahead += w.readTime / engines
-		if ahead <= w.slack(now)+w.groupReadTime {
+		ahead += w.prefillTime / engines
+		if ahead <= w.slack(now)+w.groupPrefillTime {
 			continue
 		}
 		i := indexOfLargest(kept)
-		ahead -= kept[i].readTime / engines
+		ahead -= kept[i].prefillTime / engines
 		deferred = append(deferred, kept[i])
 		kept = slices.Delete(kept, i, i+1)
 	}
-	slices.SortStableFunc(deferred, func(x, y *queuedRequest) int { return cmp.Compare(x.groupReadTime, y.groupReadTime) })
+	slices.SortStableFunc(deferred, func(x, y *queuedRequest) int { return cmp.Compare(x.groupPrefillTime, y.groupPrefillTime) })
 	copy(large, append(kept, deferred...))
 	return ahead
 }
 
 // indexOfLargest returns the index of the prompt with the longest prefill.
 func indexOfLargest(ws []*queuedRequest) int {
-	most := 0
+	largest := 0
 	for i, w := range ws {
-		if w.readTime > ws[most].readTime {
-			most = i
+		if w.prefillTime > ws[largest].prefillTime {
+			largest = i
 		}
 	}
-	return most
+	return largest
 }
 
 // slack returns how long a long prompt can still wait, in milliseconds.
 func (w *queuedRequest) slack(now clock.Milli) float64 {
-	return float64(w.Aim-now) - startDelay - w.groupReadTime
+	return float64(w.Aim-now) - startDelay - w.groupPrefillTime
 }
 
 // late reports whether the request can no longer meet its aim.
 func (w *queuedRequest) late(now clock.Milli) bool {
-	return float64(w.Aim-now) < startDelay+w.groupReadTime
+	return float64(w.Aim-now) < startDelay+w.groupPrefillTime
 }
 
 // due returns the aim, or the latest useful time of the first byte once the request is late.
--- a/lib/decide/span/order_test.go
+++ b/lib/decide/span/order_test.go
@@ -10,7 +10,7 @@
 )
 
 // queueOrder returns the IDs of the queued requests in the order of placing.
-func (b *bench) queueOrder(at clock.Milli) []decide.RequestID {
+func (b *testPool) queueOrder(at clock.Milli) []decide.RequestID {
 	b.observeLoad(at)
 	var ids []decide.RequestID
 	for _, w := range b.orderedQueue(at) {
@@ -20,10 +20,10 @@
 }
 
 // A large prompt has waited for most of its aim while smaller ones, which have just arrived, can
-// wait. If these went first because they are quicker to read, the large one would be late for no
+// wait. If these went first because their prefill is shorter, the large one would be late for no
 // benefit.
 func TestLargePromptIsOrderedByAim(t *testing.T) {
-	b := newBench(t, 20)
+	b := newTestPool(t, 20)
 	large := b.longAsk(now-1500, 500_000)
 	smaller := b.longAsk(now, 200_000)
 	b.Ask(now, smaller)
@@ -35,7 +35,7 @@
 // aims, the first one would make all others late. The largest is deferred, and the others are in
 // time.
 func TestLargestPromptIsDeferred(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	large := b.longAsk(now-200, 400_000) // 8.9 s of prefill on one engine, 2.2 s on all four
 	b.Ask(now, large)
 	var small []decide.RequestID
@@ -49,11 +49,11 @@
 	require.ElementsMatch(t, small, names[:6])
 }
 
-// Short requests occupy engines for milliseconds and are due in 300; prompts of some ten thousand
-// tokens can be read beside short streams while no short request waits. Neither may wait behind a
-// large prompt, unless that is more urgent.
-func TestQuickReadsGoBeforeLargePrompts(t *testing.T) {
-	b := newBench(t, 20)
+// Short requests occupy engines for milliseconds and are due in 300 ms. Prompts of some ten
+// thousand tokens can be prefilled beside short streams while no short request waits. Neither may
+// wait behind a large prompt, unless that is more urgent.
+func TestShortPrefillsGoBeforeLargePrompts(t *testing.T) {
+	b := newTestPool(t, 20)
 	large, short, middle := b.longAsk(now-2000, 200_000), b.shortAsk(now), b.longAsk(now, 45_000)
 	urgent := b.longAsk(now, 200_000)
 	urgent.Urgency, large.Urgency, short.Urgency, middle.Urgency = 0, 1, 1, 1
--- a/lib/decide/span/place.go
+++ b/lib/decide/span/place.go
@@ -12,18 +12,18 @@
 	"snipeshift.example/lib/route"
 )
 
-// maxShortPause is the longest tolerated pause in milliseconds that makes a stream a short one.
-// Passes beside short streams must stay far below the length of passes with long prefills.
+// maxShortPause is the longest tolerated pause in milliseconds that makes a stream a short one. The
+// passes of an engine with such streams must stay far shorter than passes with long prefills.
 const maxShortPause clock.Milli = 300
 
 // startDelay is the time in milliseconds from a grant to the start of the prefill: the messages to
 // the gate and to the engine, and half a pass.
 const startDelay = 30.0
 
-// interleavedRead is the prefill time in milliseconds of one engine beside short streams while
+// interleavedPrefill is the prefill time in milliseconds of one engine beside short streams while
 // enough engines are available. It is about the length of the pass that decodes these streams, so
 // their pauses at most double.
-const interleavedRead = 60.0
+const interleavedPrefill = 60.0
 
 // firstPassTime is the usual time in milliseconds of the pass that produces the first event.
 const firstPassTime = 60.0
@@ -32,8 +32,8 @@
 type plan struct {
 	leader  *upstreamState
 	helpers []*upstreamState
-	// partRead is the prefill time in milliseconds on each engine.
-	partRead float64
+	// partPrefill is the prefill time in milliseconds on each engine.
+	partPrefill float64
 	// first is the expected time to the first byte, in milliseconds.
 	first float64
 	// reason names the rule that chose the plan.
@@ -44,14 +44,14 @@
 // interleaved with short streams only if interleave is set.
 func (p *Pool) place(now clock.Milli, w *queuedRequest, interleave bool) (plan, bool) {
 	switch {
-	case w.readTime == 0:
+	case w.prefillTime == 0:
 		return p.placePlain(now, &w.Ask)
 	case p.isolation.on:
 		return p.placeIsolated(now, w)
 	case w.long:
 		return p.placeLong(now, w, interleave)
 	default:
-		return p.placeShort(now, &w.Ask, w.readTime)
+		return p.placeShort(now, &w.Ask, w.prefillTime)
 	}
 }
 
@@ -84,13 +84,13 @@
 // placeShort packs short requests on the first engines of a fixed order, so that the others stay
 // empty for long prefills. An engine accepts a request if the pass that includes its prefill stays
 // within the shortest pause tolerated by the streams there.
-func (p *Pool) placeShort(now clock.Milli, a *Ask, readTime float64) (plan, bool) {
+func (p *Pool) placeShort(now clock.Milli, a *Ask, prefillTime float64) (plan, bool) {
 	for _, r := range p.packOrder {
 		if !r.declared.limit.ProbeDue(now) {
 			continue
 		}
-		if first, ok := p.fitsShort(now, a, r, readTime, math.MaxInt); ok {
-			return plan{leader: r, partRead: readTime, first: first, reason: "renewal"}, true
+		if first, ok := p.fitsShort(now, a, r, prefillTime, math.MaxInt); ok {
+			return plan{leader: r, partPrefill: prefillTime, first: first, reason: "renewal"}, true
 		}
 	}
 	for _, attempt := range []struct {
@@ -101,8 +101,8 @@
 			if r.slow() != attempt.slow {
 				continue
 			}
-			if first, ok := p.fitsShort(now, a, r, readTime, attempt.maxStreams); ok {
-				return plan{leader: r, partRead: readTime, first: first, reason: "packed"}, true
+			if first, ok := p.fitsShort(now, a, r, prefillTime, attempt.maxStreams); ok {
+				return plan{leader: r, partPrefill: prefillTime, first: first, reason: "packed"}, true
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 
 // fitsShort reports whether a short request fits on r, and the expected time in milliseconds to its
 // first byte.
-func (p *Pool) fitsShort(now clock.Milli, a *Ask, r *upstreamState, readTime float64, maxStreams int) (float64, bool) {
+func (p *Pool) fitsShort(now clock.Milli, a *Ask, r *upstreamState, prefillTime float64, maxStreams int) (float64, bool) {
 	if !r.accepts(now, a) {
 		return 0, false
 	}
@@ -120,13 +120,13 @@
 		return 0, false
 	}
 	pass := r.pass(n+1, r.context+a.Prompt)
-	read := r.backlog(now) + readTime*max(r.pace, 1)
-	if !p.sustains(r, a, read+pass) {
+	prefill := r.backlog(now) + prefillTime*max(r.pace, 1)
+	if !p.sustains(r, a, prefill+pass) {
 		return 0, false
 	}
-	first := startDelay + read + 1.5*pass
+	first := startDelay + prefill + 1.5*pass
 	// A request that is late already accepts any engine: only its answer counts.
-	if late := float64(a.Aim-now) < startDelay+readTime+pass; !late && first > float64(a.Aim-now) {
+	if late := float64(a.Aim-now) < startDelay+prefillTime+pass; !late && first > float64(a.Aim-now) {
 		return 0, false
 	}
 	return first, true
@@ -143,18 +143,18 @@
 }
 
 // placeLong spreads a long prefill over engines that have no short streams and no other prefill: as
-// many as are free, up to one for each Part. With fewer engines than its aim requires the prompt
-// waits; once the aim is missed, with fewer than its deadline requires. A single free engine would
-// take longer over a prompt of a million tokens than its caller waits.
+// many as are free, up to one for each Rules.PartRead of prefill time. The prompt waits while fewer
+// engines are free than its aim requires, or than its deadline requires once the aim is missed. A
+// single free engine would take longer over a prompt of a million tokens than its client waits.
 func (p *Pool) placeLong(now clock.Milli, w *queuedRequest, interleave bool) (plan, bool) {
-	a, cost := &w.Ask, w.readTime
+	a, prefillTime := &w.Ask, w.prefillTime
 	need := w.enginesNeeded(now)
 	if need > p.maxGroup() {
 		return plan{}, false
 	}
-	free := p.largeReserve.availableTo(w, p.freeForReads(now, a))
-	for n := min(int(math.Ceil(cost/p.rules.PartRead)), p.rules.MaxGroup, len(free)); n >= need; n-- {
-		if pl, ok := p.chooseGroup(now, a, cost/float64(n), free, n); ok {
+	free := p.largeReserve.availableTo(w, p.freeForPrefill(now, a))
+	for n := min(int(math.Ceil(prefillTime/p.rules.PartRead)), p.rules.MaxGroup, len(free)); n >= need; n-- {
+		if pl, ok := p.chooseGroup(now, a, prefillTime/float64(n), free, n); ok {
 			return pl, true
 		}
 	}
@@ -173,8 +173,8 @@
 // miss their aims, although the engines have more than half of their time left for prefill.
 func (p *Pool) placeInterleaved(now clock.Milli, w *queuedRequest, need int) (plan, bool) {
 	ups, slacks := p.engineSlacks(now, &w.Ask)
-	for n := max(need, int(math.Ceil(w.readTime/interleavedRead))); n <= min(p.maxGroup(), len(ups)); n++ {
-		part := w.readTime / float64(n)
+	for n := max(need, int(math.Ceil(w.prefillTime/interleavedPrefill))); n <= min(p.maxGroup(), len(ups)); n++ {
+		part := w.prefillTime / float64(n)
 		if slacks[n-1] < part {
 			continue
 		}
@@ -223,8 +223,8 @@
 // maxGroup returns the most engines over which one prefill can be spread.
 func (p *Pool) maxGroup() int { return max(1, min(p.rules.MaxGroup, len(p.packOrder))) }
 
-// freeForReads lists engines that can compute a long prefill, from the end of the fixed order.
-func (p *Pool) freeForReads(now clock.Milli, a *Ask) []*upstreamState {
+// freeForPrefill lists engines that can compute a long prefill, from the end of the fixed order.
+func (p *Pool) freeForPrefill(now clock.Milli, a *Ask) []*upstreamState {
 	var free []*upstreamState
 	avoidSlow := p.avoidsSlow()
 	for i := len(p.packOrder) - 1; i >= 0; i-- {
@@ -274,14 +274,14 @@
 	if memory < a.Prompt+a.Output {
 		return plan{}, false
 	}
-	return plan{leader: leader, helpers: helpers, partRead: part, first: startDelay + part + firstPassTime, reason: "spread"}, true
+	return plan{leader: leader, helpers: helpers, partPrefill: part, first: startDelay + part + firstPassTime, reason: "spread"}, true
 }
 
 // grant records the grant for a plan and returns it.
 func (p *Pool) grant(now clock.Milli, a *Ask, pl plan) Grant {
 	g := Grant{
 		Request: a.ID, Gate: a.Gate, Prompt: a.Prompt, Output: a.Output, Gap: a.Gap, Stream: a.Stream,
-		Leader: Placement{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.partRead},
+		Leader: Placement{Upstream: pl.leader.ID, Born: pl.leader.Born, Address: pl.leader.Address, Read: pl.partPrefill},
 		First:  clock.Milli(pl.first),
 	}
 	excess := decide.Tokens(0)
@@ -291,7 +291,7 @@
 	for _, h := range pl.helpers {
 		reserve := min(max(excess, 0), h.reservableMemory(now))
 		excess -= reserve
-		g.Helpers = append(g.Helpers, Placement{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.partRead, Reserve: reserve})
+		g.Helpers = append(g.Helpers, Placement{Upstream: h.ID, Born: h.Born, Address: h.Address, Read: pl.partPrefill, Reserve: reserve})
 	}
 	for _, r := range p.addGrant(now, LiveGrant{Grant: g}, *a).upstreams {
 		r.noteGranted(now, a.ID)
--- a/lib/decide/span/pool.go
+++ b/lib/decide/span/pool.go
@@ -34,7 +34,7 @@
 	packOrder []*upstreamState
 	queue     map[decide.RequestID]*queuedRequest
 	// grants maps requests to live grants. finished maps ended sends to the times of their ends,
-	// for as long as an Ask or a list of live grants that names them may still arrive.
+	// for as long as an Ask or a list of live grants that contains them may still arrive.
 	grants   map[decide.RequestID]*grantState
 	finished map[decide.RequestID]clock.Milli
 	// finishedSwept is when finished was last cleaned up, grantsExpired when grants were last
@@ -99,8 +99,8 @@
 }
 
 // Ask queues a request, or records that its gate still waits for it. If the request already has a
-// grant, whose reply must have been lost, Ask returns that grant again. An Ask that arrives after
-// the end of its send, because it was also sent by way of another VM, is not queued: nobody would
+// grant, whose reply must have been lost, Ask returns that grant again. An Ask may also be sent by
+// way of another VM and so arrive after the end of its send. It is not queued then: no gate would
 // use the grant.
 func (p *Pool) Ask(now clock.Milli, a Ask) (Grant, bool) {
 	if g := p.grants[a.ID]; g != nil {
@@ -118,7 +118,7 @@
 	p.estimate(w)
 	p.queue[a.ID] = w
 	if w.long {
-		p.largeReserve.noteAsked(w.readTime)
+		p.largeReserve.noteAsked(w.prefillTime)
 	}
 	return Grant{}, false
 }
@@ -215,7 +215,7 @@
 		case o == Full && !g.leads(r):
 			r.health.recordDecline(now)
 		case o == Full && now < r.declared.backOffUntil(g.Grant.Gate):
-			// The upstream declared itself for how long it has no room, so no report is needed.
+			// The back-off shows for how long the upstream has no room, so no report is needed.
 		case o == Full:
 			r.noteRejected(now)
 		case o == Done || o == Failed:
@@ -261,11 +261,11 @@
 		if r == nil || r.pastIncarnation(pl.Born) {
 			continue
 		}
-		read := pl.Read
+		prefill := pl.Read
 		if l.Writing {
-			read = 0
+			prefill = 0
 		}
-		r.addGrant(now, g, read)
+		r.addGrant(now, g, prefill)
 		g.upstreams = append(g.upstreams, r)
 	}
 	return g
--- a/lib/decide/span/pool_test.go
+++ b/lib/decide/span/pool_test.go
@@ -22,21 +22,21 @@
 
 const now clock.Milli = 1_000_000
 
-// bench is a pool that numbers the IDs of its test requests.
-type bench struct {
+// testPool is a pool that numbers the IDs of its test requests.
+type testPool struct {
 	t *testing.T
 	*Pool
 	asked int
 }
 
-func newBench(t *testing.T, engines int) *bench {
+func newTestPool(t *testing.T, engines int) *testPool {
 	t.Helper()
-	b := &bench{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
+	b := &testPool{t: t, Pool: New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))}
 	b.serve(engines)
 	return b
 }
 
-func (b *bench) serve(engines int) {
+func (b *testPool) serve(engines int) {
 	us := make([]route.Upstream, engines)
 	for i := range us {
 		id := decide.UpstreamID(fmt.Sprintf("e%02d", i))
@@ -46,7 +46,7 @@
 }
 
 // shortAsk returns a new short request.
-func (b *bench) shortAsk(at clock.Milli) Ask {
+func (b *testPool) shortAsk(at clock.Milli) Ask {
 	b.asked++
 	return Ask{
 		ID: decide.RequestID(fmt.Sprintf("note%d", b.asked)), Gate: "g", Prompt: 5000, Output: 1600,
@@ -55,7 +55,7 @@
 }
 
 // longAsk returns a new long request.
-func (b *bench) longAsk(at clock.Milli, prompt decide.Tokens) Ask {
+func (b *testPool) longAsk(at clock.Milli, prompt decide.Tokens) Ask {
 	b.asked++
 	return Ask{
 		ID: decide.RequestID(fmt.Sprintf("history%d", b.asked)), Gate: "g", Prompt: prompt, Output: 800,
@@ -64,7 +64,7 @@
 }
 
 // ask queues a request and returns the decision if there is one at once.
-func (b *bench) ask(at clock.Milli, a Ask) (Decision, bool) {
+func (b *testPool) ask(at clock.Milli, a Ask) (Decision, bool) {
 	b.t.Helper()
 	_, granted := b.Ask(at, a)
 	require.False(b.t, granted)
@@ -77,7 +77,7 @@
 }
 
 // mustGrant queues a request and requires an immediate grant.
-func (b *bench) mustGrant(at clock.Milli, a Ask) Grant {
+func (b *testPool) mustGrant(at clock.Milli, a Ask) Grant {
 	b.t.Helper()
 	d, ok := b.ask(at, a)
 	require.True(b.t, ok, "%s stayed queued", a.ID)
@@ -86,7 +86,7 @@
 }
 
 // mustStream requires a grant and records the first byte at once.
-func (b *bench) mustStream(a Ask) Grant {
+func (b *testPool) mustStream(a Ask) Grant {
 	b.t.Helper()
 	g := b.mustGrant(now, a)
 	b.First(now, a.ID)
@@ -94,7 +94,7 @@
 }
 
 func TestShortRequestsArePacked(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	used := map[decide.UpstreamID]int{}
 	for range 2 * DefaultRules.PackedStreams {
 		used[b.mustStream(b.shortAsk(now)).Leader.Upstream]++
@@ -106,13 +106,13 @@
 // within one pass, so all of them on one engine would make every stream there pause for half a
 // second.
 func TestBurstDoesNotLengthenPasses(t *testing.T) {
-	b := newBench(t, 8)
-	read := map[decide.UpstreamID]float64{}
+	b := newTestPool(t, 8)
+	prefill := map[decide.UpstreamID]float64{}
 	for range 20 {
 		g := b.mustGrant(now, b.shortAsk(now))
-		read[g.Leader.Upstream] += g.Leader.Read
+		prefill[g.Leader.Upstream] += g.Leader.Read
 	}
-	for id, r := range read {
+	for id, r := range prefill {
 		require.Less(t, r+engine.PassTime(1, 5000), 200.0, id)
 	}
 }
@@ -120,7 +120,7 @@
 // A prompt of 200,000 tokens takes one engine 2.8 s, nearly all of its aim. On one engine alone it
 // would be late after any wait.
 func TestLongPromptIsSpread(t *testing.T) {
-	b := newBench(t, 18)
+	b := newTestPool(t, 18)
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	require.GreaterOrEqual(t, len(g.Helpers), 10)
 	require.Less(t, g.First, 400*clock.Milli(1))
@@ -129,8 +129,8 @@
 
 // A long prefill on an engine with short streams makes each pass there as long as the part that is
 // computed, and the streams stall.
-func TestLongReadAvoidsShortStreams(t *testing.T) {
-	b := newBench(t, 3)
+func TestLongPrefillAvoidsShortStreams(t *testing.T) {
+	b := newTestPool(t, 3)
 	note := b.mustStream(b.shortAsk(now))
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
@@ -139,10 +139,10 @@
 	require.NotContains(t, []decide.UpstreamID{g.Leader.Upstream}, b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
-// A part of a long prompt is computed where the answer to another long prompt is written. That
-// stream tolerates a pause of 800 ms and no more.
+// A part of a long prompt is computed on the engine that writes the answer to another long prompt.
+// That stream tolerates a pause of 800 ms and no more.
 func TestPartFitsPausesOfLongStreams(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	first := b.mustStream(b.longAsk(now, 120_000))
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	for _, p := range append([]Placement{g.Leader}, g.Helpers...) {
@@ -155,7 +155,7 @@
 // Two engines are free where the aim requires four. A prefill that starts on two is certainly late,
 // and occupies both for as long as it takes.
 func TestLongPromptWaitsForEnoughEngines(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	busy := b.mustGrant(now, b.longAsk(now, 150_000))
 	require.Len(t, busy.Helpers, 3)
 	a := b.longAsk(now, 290_000)
@@ -171,22 +171,22 @@
 // A million tokens are more than twice the memory of one engine. Without memory reserved on others,
 // the engine rejects the prompt each time.
 func TestPromptLargerThanOneEngineReservesMemory(t *testing.T) {
-	b := newBench(t, 18)
+	b := newTestPool(t, 18)
 	g := b.mustGrant(now, b.longAsk(now, 1_000_000))
 	require.GreaterOrEqual(t, totalReserved(g.Helpers)+engine.Memory, decide.Tokens(1_000_800))
 	for _, h := range g.Helpers {
 		require.LessOrEqual(t, h.Reserve, engine.Memory)
 	}
-	small := newBench(t, 2)
+	small := newTestPool(t, 2)
 	d, decided := small.ask(now, small.longAsk(now, 1_000_000))
 	require.True(t, decided, "two engines never have enough memory for the prompt")
 	require.Equal(t, Refused, d.Action)
 }
 
-// A prompt that missed its aim is worth a quarter to its caller. If it were placed as soon as one
-// engine is free, a prompt in time could not gather the engines that it needs.
+// An answer after the aim is worth a quarter of one in time. If the late prompt were placed as soon
+// as one engine is free, a prompt in time could not gather the engines that it needs.
 func TestLatePromptYieldsToPromptInTime(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestPool(t, 3)
 	busy := b.mustGrant(now, b.longAsk(now, 100_000))
 	late, fresh := b.longAsk(now-4000, 100_000), b.longAsk(now, 390_000)
 	_, _ = b.Ask(now, late)
@@ -199,10 +199,9 @@
 }
 
 // Long prompts arrive twice as fast as engines can prefill them. If all were queued until their
-// deadlines, all would fail at the end of their time. A caller that is refused early can retry when
-// there is room.
+// deadlines, all would fail then. A client that is refused early can retry when there is room.
 func TestOverloadRefusesEarly(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	refused, waited := 0, clock.Milli(0)
 	asked := map[decide.RequestID]clock.Milli{}
 	ends := map[decide.RequestID]clock.Milli{}
@@ -237,13 +236,13 @@
 		}
 	}
 	require.Positive(t, refused)
-	require.Less(t, waited, 8*clock.Second, "the caller's deadline is 15 s")
+	require.Less(t, waited, 8*clock.Second, "the client's deadline is 15 s")
 }
 
-// The reply with a grant is lost, and the gate asks again. It must not get a second place for one
-// request while the first is still granted.
+// The reply with a grant is lost, and the gate asks again. It must not get a second grant for the
+// request while the first is live.
 func TestRepeatedAskReturnsSameGrant(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	a := b.shortAsk(now)
 	g := b.mustGrant(now, a)
 	again, ok := b.Ask(now+200, a)
@@ -255,7 +254,7 @@
 // An Ask is also sent by way of another VM, and that copy arrives when the send has ended. Granted
 // again, it would occupy a slot for seconds.
 func TestAskAfterEndIsNotGranted(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	a := b.shortAsk(now)
 	b.mustGrant(now, a)
 	b.End(now, a.ID, Done, "")
@@ -268,17 +267,17 @@
 // A gate lists its live grants, one of them ends, and the End arrives before the list. If the list
 // added the grant again, it would occupy a slot for seconds.
 func TestPresentAfterEndIsIgnored(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Done, "")
 	b.Present(now+10, "g", []LiveGrant{{Grant: g}})
 	require.Equal(t, Counts{Upstreams: 1}, b.Counts())
 }
 
-// The owner is lost. Its successor has no grants until the gates present what runs, and without
-// these it would grant the capacity of every engine a second time.
+// The owner is lost. Its successor has no record of grants until the gates present the live ones,
+// and without them would grant the capacity of every engine a second time.
 func TestSuccessorCountsPresentedGrants(t *testing.T) {
-	old, successor := newBench(t, 2), newBench(t, 2)
+	old, successor := newTestPool(t, 2), newTestPool(t, 2)
 	var live []LiveGrant
 	for range DefaultRules.PackedStreams {
 		live = append(live, LiveGrant{Grant: old.mustStream(old.shortAsk(now)), Writing: true})
@@ -291,7 +290,7 @@
 // A gate loses power while its requests run on engines. Their ends are never reported, and without
 // expiry the engine would be given less and less work.
 func TestGrantsOfLostGateExpire(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	b.mustStream(b.shortAsk(now))
 	b.Tick(now + grantTTL + 1)
 	require.Zero(t, b.Counts().Granted)
@@ -299,7 +298,7 @@
 
 // The message that a send ended is lost. The next list of the gate does not name the grant.
 func TestGrantMissingFromPresentIsDropped(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	kept, lost := b.mustStream(b.shortAsk(now)), b.mustStream(b.shortAsk(now))
 	b.Present(now+askTTL+1, "g", []LiveGrant{{Grant: kept, Writing: true}})
 	require.Contains(t, b.grants, kept.Request)
@@ -307,10 +306,10 @@
 	require.NotContains(t, b.upstreams["e00"].grants, lost.Request)
 }
 
-// All VMs lose power. The engines go on writing for callers who have disconnected, and a new owner
+// All VMs lose power. The engines go on writing for clients that have disconnected, and a new owner
 // that assumed them to be idle would pack all requests on the fullest engine.
 func TestExternalLoadIsCounted(t *testing.T) {
-	b := newBench(t, 3)
+	b := newTestPool(t, 3)
 	b.MarkUnverified()
 	require.Len(t, b.TakeDuePolls(now, "owner", math.MaxInt), 3)
 	early := b.shortAsk(now)
@@ -327,12 +326,12 @@
 	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
 }
 
-// All VMs lose power, and hundreds of engines go on writing for callers who have disconnected. If
+// All VMs lose power, and hundreds of engines go on writing for clients that have disconnected. If
 // the first ones were polled again and again, the others, which get no requests until they have
 // reported, would never be polled.
 func TestUnverifiedEnginesArePolledFirst(t *testing.T) {
 	const engines, most = 300, 10
-	b := newBench(t, engines)
+	b := newTestPool(t, engines)
 	b.MarkUnverified()
 	at, rounds := now, 0
 	asked := map[decide.UpstreamID]int{}
@@ -361,7 +360,7 @@
 // Each round polls a few of the unverified engines. If the others were marked as polled too, those
 // that declare a limit would wait a second longer each time.
 func TestUnlistedUpstreamsAreNotMarkedPolled(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	for id := range b.upstreams {
 		b.learnLimit(now, id, 1)
 	}
@@ -378,7 +377,7 @@
 // An engine rejects a request although its grants leave room. Further requests sent there at once
 // would be rejected as well.
 func TestRejectingEngineIsPolled(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Full, "")
 	require.Equal(t, []decide.UpstreamID{"e00"}, b.TakeDuePolls(now, "owner", math.MaxInt))
@@ -388,7 +387,7 @@
 // An engine crashes. Every request sent there fails until it is excluded, and if it were excluded
 // for good, it would not be used after its recovery.
 func TestCrashedEngineIsExcludedThenRetried(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	g := b.mustGrant(now, b.shortAsk(now))
 	b.End(now, g.Request, Unreachable, "")
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
@@ -401,7 +400,7 @@
 // One answer in a hundred is broken on sound engines too. If each excluded its engine, none would
 // be left under load.
 func TestOneBrokenAnswerDoesNotExclude(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	for range 5 {
 		g := b.mustGrant(now, b.shortAsk(now))
 		b.End(now, g.Request, Broken, "")
@@ -413,7 +412,7 @@
 // The fault of a helper is reported by the leader. If the leader were blamed, the crashed helper
 // would be chosen for the next prompt again.
 func TestCulpritIsExcluded(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	g := b.mustGrant(now, b.longAsk(now, 210_000))
 	b.End(now, g.Request, Unreachable, g.Helpers[0].Upstream)
 	require.False(t, b.upstreams[g.Helpers[0].Upstream].health.available(now))
@@ -421,9 +420,9 @@
 }
 
 // Half of the answers are lost, and each request is repeated. Without a bound the engines get
-// doubled load just when they are in trouble.
+// doubled load just when they are failing.
 func TestRepeatsAreBounded(t *testing.T) {
-	b := newBench(t, 8)
+	b := newTestPool(t, 8)
 	granted := 0
 	for range 50 {
 		a := b.shortAsk(now)
@@ -444,7 +443,7 @@
 // granted elsewhere. If the second grant were counted too, a fleet that avoids an upstream would
 // exceed its retry budget, or refuse repeats that are within the budget.
 func TestCountedSendIsNotCountedAgain(t *testing.T) {
-	b := newBench(t, 8)
+	b := newTestPool(t, 8)
 	granted := func(a Ask) bool {
 		d, ok := b.ask(now, a)
 		require.True(t, ok)
@@ -475,7 +474,7 @@
 // An engine crashed while twelve requests ran on it, and one of them may be the cause. If two of
 // them ran on one engine, the next crash would not show which.
 func TestSuspectRequestsAreSeparated(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	a, o := b.shortAsk(now), b.shortAsk(now)
 	a.Suspect, o.Suspect = true, true
 	require.NotEqual(t, b.mustGrant(now, a).Leader.Upstream, b.mustGrant(now, o).Leader.Upstream)
@@ -485,7 +484,7 @@
 
 // An engine that declares that it is leaving keeps its streams and gets no new requests.
 func TestLeavingEngineKeepsItsGrants(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	g := b.mustStream(b.shortAsk(now))
 	b.SetUpstreams(&route.Service{ID: "s", Engine: &engine}, []route.Upstream{{ID: "e00", Slots: 16, Leaving: true}, {ID: "e01", Slots: 16}})
 	require.Equal(t, decide.UpstreamID("e01"), b.mustGrant(now, b.shortAsk(now)).Leader.Upstream)
@@ -509,10 +508,10 @@
 	require.Len(t, p.Tick(now), 1)
 }
 
-// There is no upstream at all. Waiting would only use up the time in which the caller can try
-// another way.
+// There is no upstream at all. Waiting would only use up the time in which the client can send the
+// request elsewhere.
 func TestRefusalWithoutUpstreamsIsQuick(t *testing.T) {
-	b := newBench(t, 0)
+	b := newTestPool(t, 0)
 	a := b.shortAsk(now)
 	_, decided := b.ask(now, a)
 	require.False(t, decided)
@@ -523,9 +522,9 @@
 }
 
 // Short requests arrive faster than slots become free. Those that are late already are placed after
-// all that are in time; if they stayed queued, they would wait until their callers disconnect.
+// all that are in time; if they stayed queued, they would wait until their clients disconnect.
 func TestLateShortRequestIsRefusedUnderOverload(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	for range engine.Slots {
 		b.mustStream(b.shortAsk(now))
 	}
@@ -540,8 +539,8 @@
 	require.GreaterOrEqual(t, ds[0].Retry, firstExclusion)
 }
 
-// A plain service is full for a moment. Its requests take milliseconds, so the next slot is near,
-// and a refusal would cost the caller more than the wait.
+// A plain service is full for a moment. Its requests take milliseconds, so a slot becomes free
+// soon, and a refusal would cost the client more than the wait.
 func TestRequestWaitsForFullPlainService(t *testing.T) {
 	p := New(DefaultRules, gate.NewBudget(0.2, 10, 10*clock.Second))
 	p.SetUpstreams(&route.Service{ID: "s"}, []route.Upstream{{ID: "a", Slots: 1}})
@@ -556,7 +555,7 @@
 
 // An urgent request and a less urgent one wait for the same slot. The less urgent one came first.
 func TestUrgentRequestIsPlacedFirst(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	var last Grant
 	for range engine.Slots {
 		last = b.mustStream(b.shortAsk(now))
@@ -571,11 +570,11 @@
 	require.Equal(t, urgent.ID, ds[0].Request)
 }
 
-// A prompt of 400,000 tokens missed its aim. It takes one engine nine seconds, and its caller
-// disconnects in six. Of two engines for long prompts one is reading. If the prompt got the other
-// one alone, it would occupy that engine for nine seconds, and its caller would get nothing.
+// A prompt of 400,000 tokens missed its aim. It takes one engine nine seconds, and its client
+// disconnects in six. Of two engines for long prompts one is prefilling. If the prompt got the
+// other one alone, it would occupy that engine for nine seconds, and its client would get nothing.
 func TestLatePromptGetsEnginesItsDeadlineNeeds(t *testing.T) {
-	b := newBench(t, 8)
+	b := newTestPool(t, 8)
 	b.rules.PackedStreams = 1
 	for range 6 {
 		b.mustStream(b.shortAsk(now))
@@ -586,15 +585,15 @@
 	d, decided := b.ask(now, a)
 	require.False(t, decided && d.Action == Granted)
 
-	b = newBench(t, 8)
+	b = newTestPool(t, 8)
 	g := b.mustGrant(now, a)
 	require.NotEmpty(t, g.Helpers)
 }
 
-// With four engines a prompt of a million tokens can't be read in the ten seconds that are left to
-// its deadline. The caller is told at once, not when its time is over.
-func TestUnreadablePromptIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, 4)
+// Four engines can't prefill a prompt of a million tokens in the ten seconds that are left to its
+// deadline. The request must be refused at once, not at its deadline.
+func TestPromptTooLongForItsDeadlineIsRefusedAtOnce(t *testing.T) {
+	b := newTestPool(t, 4)
 	a := b.longAsk(now, 1_000_000)
 	a.Deadline = now + 10_000
 	d, decided := b.ask(now, a)
@@ -602,10 +601,10 @@
 	require.Equal(t, Refused, d.Action)
 }
 
-// The prompt of a caller with three seconds left is read within two, but its answer takes two more
-// to write. A prefill whose answer is cut off at the deadline is useless.
+// A request has three seconds left. Its prefill takes two of them, but its answer takes two more to
+// write. A prefill whose answer is cut off at the deadline is useless.
 func TestWritingTimeCountsTowardDeadline(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	a := b.longAsk(now, 150_000)
 	a.Aim, a.Deadline, a.Likely = now-1000, now+3000, 1200
 	d, decided := b.ask(now, a)
@@ -620,7 +619,7 @@
 // kind take two seconds on average. Its own answer may be short, and a try costs 20 ms, so the
 // request waits for a slot.
 func TestShortRequestIgnoresExpectedWritingTime(t *testing.T) {
-	b := newBench(t, 1)
+	b := newTestPool(t, 1)
 	for range engine.Slots {
 		b.mustStream(b.shortAsk(now))
 	}
@@ -635,7 +634,7 @@
 // engine without short streams, it would be late, although the engines have more than half of their
 // time left for prefill.
 func TestLongPromptIsInterleavedWithShortStreams(t *testing.T) {
-	b := newBench(t, 6)
+	b := newTestPool(t, 6)
 	for range 6 * DefaultRules.PackedStreams {
 		b.mustStream(b.shortAsk(now))
 	}
@@ -651,7 +650,7 @@
 // to have fewer. A long prompt interleaved now would take the capacity that the short request waits
 // for.
 func TestNoInterleavingWhileShortRequestsWait(t *testing.T) {
-	b := newBench(t, 6)
+	b := newTestPool(t, 6)
 	b.rules.InterleavedFraction = b.rules.PauseFraction
 	for range 6 * DefaultRules.PackedStreams {
 		b.mustStream(b.shortAsk(now))
@@ -667,7 +666,7 @@
 // Long prompts overloaded the engines for seconds, and then no more arrive. A prompt that comes a
 // moment later finds all engines free and must not be refused for the past overload.
 func TestNoRefusalAfterOverloadEnds(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	at := now
 	for ; at < now+20_000; at += 100 {
 		g := b.mustGrant(at, b.longAsk(at, 60_000))
@@ -700,7 +699,7 @@
 // is late. After that, prompts that wait for its parts would all be late, and streams on it would
 // pause for too long.
 func TestSlowEngineIsPolledAndUsedLast(t *testing.T) {
-	b := newBench(t, 4)
+	b := newTestPool(t, 4)
 	g := b.mustGrant(now, b.longAsk(now, 200_000))
 	require.Len(t, g.Helpers, 3)
 	require.Empty(t, b.TakeDuePolls(now, "owner", math.MaxInt))
@@ -725,12 +724,12 @@
 	require.Equal(t, decide.UpstreamID("e00"), b.mustGrant(at, b.shortAsk(at)).Leader.Upstream)
 }
 
-// A new owner's engines work for callers who have disconnected. A load report is 200 ms old: it
+// A new owner's engines work for clients that have disconnected. A load report is 200 ms old: it
 // counts that work, and none of the requests granted since. If the report were compared with the
 // present grants, the engine would seem to have room for as many more, and short requests would
 // queue there for a second.
 func TestReportIsComparedWithGrantsOfItsTime(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.MarkUnverified()
 	b.Report(now, "e00", exchange.Load{Requests: 10, Used: 50_000})
 	b.Report(now, "e01", exchange.Load{Requests: 10, Used: 50_000})
@@ -755,7 +754,7 @@
 // are older than the load report that the new owner polls for, which counts them. If they counted
 // as external too, engines with room for as many more would look full.
 func TestPresentedGrantsExplainReport(t *testing.T) {
-	before, b := newBench(t, 1), newBench(t, 1)
+	before, b := newTestPool(t, 1), newTestPool(t, 1)
 	var live []LiveGrant
 	for range 6 {
 		live = append(live, LiveGrant{Grant: before.mustStream(before.shortAsk(now)), Writing: true})
@@ -771,7 +770,7 @@
 // request must not wait behind it, although the recorded grants leave room there, and the owner
 // polls the engine at once.
 func TestOverdueFirstByteDivertsNextRequest(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	late := b.mustGrant(now, b.shortAsk(now))
 	require.Equal(t, decide.UpstreamID("e00"), late.Leader.Upstream)
 	at := now + late.First + lateSlack + 100
@@ -783,7 +782,7 @@
 
 // All engines are slow. Long prompts must be placed nevertheless.
 func TestSlowEnginesAreUsedIfThereAreNoOthers(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.Report(now, "e00", exchange.Load{Pace: 2})
 	b.Report(now, "e01", exchange.Load{Pace: 2})
 	b.mustGrant(now, b.longAsk(now, 100_000))
@@ -793,7 +792,7 @@
 // load. A request that arrived at once is late by then, but there is no overload: it is served when
 // the engines have reported.
 func TestNewOwnerDoesNotRefuseBeforeReports(t *testing.T) {
-	b := newBench(t, 2)
+	b := newTestPool(t, 2)
 	b.MarkUnverified()
 	a := b.shortAsk(now)
 	a.Patience = now + 2000
--- a/lib/decide/span/queue.go
+++ b/lib/decide/span/queue.go
@@ -13,12 +13,12 @@
 type queuedRequest struct {
 	Ask
 	queuedAt, askedAt clock.Milli
-	// readTime is the prefill time of the prompt on one engine, and groupReadTime on a group of the
-	// largest size, in milliseconds.
-	readTime, groupReadTime float64
+	// prefillTime is the prefill time of the prompt on one engine, and groupPrefillTime that on a
+	// group of the largest size, in milliseconds.
+	prefillTime, groupPrefillTime float64
 	// long is set if the prefill is too long to run beside short streams.
 	long bool
-	// latestFirst is the latest time at which the first byte is of use: the caller is still
+	// latestFirst is the latest time at which the first byte is of use: the client is still
 	// connected, and after a long prompt the time left to the deadline probably suffices for
 	// writing the answer. Short requests are tried even if it may not suffice, since a try costs
 	// little and the answer may be short.
@@ -27,17 +27,17 @@
 
 // estimate computes the fields that depend on the length of the prompt.
 func (p *Pool) estimate(w *queuedRequest) {
-	w.readTime, w.groupReadTime, w.long, w.latestFirst = 0, 0, false, w.Deadline
+	w.prefillTime, w.groupPrefillTime, w.long, w.latestFirst = 0, 0, false, w.Deadline
 	if w.Patience > 0 {
 		w.latestFirst = min(w.latestFirst, w.Patience)
 	}
 	if p.engine == nil || w.Prompt == 0 {
 		return
 	}
-	w.readTime = p.engine.PrefillTime(w.Prompt)
-	w.groupReadTime = w.readTime
-	if w.long = w.readTime > p.maxShortRead(&w.Ask); w.long {
-		w.groupReadTime = w.readTime / float64(p.maxGroup())
+	w.prefillTime = p.engine.PrefillTime(w.Prompt)
+	w.groupPrefillTime = w.prefillTime
+	if w.long = w.prefillTime > p.maxShortPrefill(&w.Ask); w.long {
+		w.groupPrefillTime = w.prefillTime / float64(p.maxGroup())
 		w.latestFirst = min(w.latestFirst, w.Deadline-clock.Milli(p.engine.DecodeTime(w.Likely, w.Prompt)))
 	}
 }
@@ -46,12 +46,12 @@
 // a prompt of 5,000 tokens and half of its answer.
 const shortContext = 5600
 
-// maxShortRead returns the longest prefill in milliseconds that is placed beside short streams. If
-// the request's own pause is short, that is the part of the pause that remains when a packed engine
-// has decoded its streams: about 120 ms for pauses of 200 ms, 165 ms for 250 ms. Otherwise short
-// requests whose prefill fits into the pauses of their kind would be spread like long ones, over
-// engines that long prompts need.
-func (p *Pool) maxShortRead(a *Ask) float64 {
+// maxShortPrefill returns the longest prefill in milliseconds that is placed beside short streams.
+// If the request's own pause is short, that is the part of the pause that remains when a packed
+// engine has decoded its streams: about 120 ms for pauses of 200 ms, 165 ms for 250 ms. With a
+// fixed bound, short requests whose prefill fits into the pauses of their kind would be spread like
+// long ones, over engines that long prompts need.
+func (p *Pool) maxShortPrefill(a *Ask) float64 {
 	if a.Gap <= 0 || a.Gap > maxShortPause {
 		return p.rules.MaxShortRead
 	}
@@ -64,8 +64,8 @@
 type round struct {
 	pool *Pool
 	now  clock.Milli
-	// backlogInTime is the prefill time in milliseconds that engines have to compute before a long
-	// prompt that is in time, and backlogLate that of other late prompts before a late one.
+	// backlogInTime is the prefill time in milliseconds that is ahead of the next long prompt in
+	// time, and backlogLate the prefill time of late prompts that is ahead of the next late one.
 	backlogInTime, backlogLate float64
 	// lateShort counts late short requests that could not be placed.
 	lateShort int
@@ -78,7 +78,8 @@
 	// unknown.
 	unverified bool
 	// unplaced lists late short requests that could not be placed. A request that needs at least as
-	// much as one of them can't be placed either.
+	// much prefill and memory as one of them, and tolerates no longer pauses, can't be placed
+	// either.
 	unplaced []*queuedRequest
 	// supply is the rate at which the upstreams accept requests, if all of them declare limits.
 	// behind counts the requests that wait for that supply.
@@ -172,9 +173,9 @@
 	switch {
 	case !w.long:
 	case late:
-		o.backlogLate += w.readTime
+		o.backlogLate += w.prefillTime
 	default:
-		o.backlogInTime += w.readTime
+		o.backlogInTime += w.prefillTime
 	}
 }
 
@@ -200,16 +201,16 @@
 
 // noteUnplaced records a late short request that could not be placed on any upstream.
 func (o *round) noteUnplaced(w *queuedRequest, late bool) {
-	if late && !w.long && w.readTime > 0 && len(w.Avoid) == 0 && !w.Suspect && !o.pool.hasBackOff(o.now, w.Gate) {
+	if late && !w.long && w.prefillTime > 0 && len(w.Avoid) == 0 && !w.Suspect && !o.pool.hasBackOff(o.now, w.Gate) {
 		o.unplaced = append(o.unplaced, w)
 	}
 }
 
-// fitsNowhere reports whether a late short request needs at least as much as one that could not be
-// placed in this round. Engines only fill up during a round, and the time of the first byte no
-// longer matters for late requests.
+// fitsNowhere reports whether a late short request needs at least as much prefill and memory as one
+// that could not be placed in this round, and tolerates no longer pauses. Engines only fill up
+// during a round, and the time of the first byte no longer matters for late requests.
 func (o *round) fitsNowhere(w *queuedRequest) bool {
-	return !w.long && w.readTime > 0 && slices.ContainsFunc(o.unplaced, func(f *queuedRequest) bool {
+	return !w.long && w.prefillTime > 0 && slices.ContainsFunc(o.unplaced, func(f *queuedRequest) bool {
 		return w.Prompt >= f.Prompt && w.Prompt+w.Output >= f.Prompt+f.Output && w.maxPause() <= f.maxPause()
 	})
 }
@@ -240,11 +241,11 @@
 // nearDeadline reports whether a late request has so little time left that it must no longer yield
 // to others.
 func (w *queuedRequest) nearDeadline(now clock.Milli) bool {
-	return float64(w.latestFirst-now) < 2*w.groupReadTime+yieldMargin
+	return float64(w.latestFirst-now) < 2*w.groupPrefillTime+yieldMargin
 }
 
 // admit grants a request that can be placed, unless it is a repeat beyond the retry budget: a
-// service in trouble must not receive doubled load when it has least capacity.
+// failing service must not receive doubled load when it has least capacity.
 func (p *Pool) admit(now clock.Milli, w *queuedRequest, pl plan) Decision {
 	a := &w.Ask
 	d := Decision{Action: Granted, Request: a.ID, Gate: a.Gate, Reason: pl.reason}
@@ -262,15 +263,16 @@
 		d.Limit = &limit
 	}
 	if w.long {
-		p.largeReserve.noteGranted(w.ID, w.readTime)
+		p.largeReserve.noteGranted(w.ID, w.prefillTime)
 	}
 	return d
 }
 
-// refuse refuses a queued request that can no longer be served, and reports whether it did.
+// refuse refuses a queued request that can no longer be served, and reports whether it refused the
+// request.
 func (p *Pool) refuse(now clock.Milli, w *queuedRequest) (Decision, bool) {
 	d := Decision{Action: Refused, Request: w.ID, Gate: w.Gate}
-	if float64(w.latestFirst-now) < w.groupReadTime+float64(minServiceTime) {
+	if float64(w.latestFirst-now) < w.groupPrefillTime+float64(minServiceTime) {
 		d.Fault, d.Reason = fault.Overloaded, "deadline"
 		return d, true
 	}
@@ -280,7 +282,7 @@
 		return d, false
 	case avail.backOff:
 		d.Fault, d.Reason, d.Retry = fault.Overloaded, "rest", max(avail.anyGateAt-now, firstExclusion)
-		return d, float64(w.latestFirst-avail.thisGateAt) < w.groupReadTime+float64(minServiceTime)
+		return d, float64(w.latestFirst-avail.thisGateAt) < w.groupPrefillTime+float64(minServiceTime)
 	case avail.allLeaving:
 		d.Fault, d.Reason, d.Retry = fault.Unavailable, "leaving", firstExclusion
 		return d, true
@@ -297,7 +299,7 @@
 	open bool
 	// backOff is set if some upstreams asked for a back-off. thisGateAt is when the first upstream
 	// may accept this request, and anyGateAt when the first may accept requests of some gate: a
-	// caller that retries probably reaches another gate.
+	// client that retries probably reaches another gate.
 	backOff               bool
 	thisGateAt, anyGateAt clock.Milli
 	// allLeaving is set if there are upstreams and all of them declared that they are leaving.
--- a/lib/decide/span/reconnect_test.go
+++ b/lib/decide/span/reconnect_test.go
@@ -13,9 +13,9 @@
 	"snipeshift.example/lib/route"
 )
 
-// newWavePool returns a pool of 195 engines that all prefill short prompts, with 300 more requests
-// queued, as when callers whose streams were cut reconnect together.
-func newWavePool() *Pool {
+// newReconnectPool returns a pool of 195 engines that all prefill short prompts, with 300 more
+// requests queued, as when clients whose streams were cut reconnect together.
+func newReconnectPool() *Pool {
 	const engines, waiting = 195, 300
 	p := New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))
 	us := make([]route.Upstream, engines)
@@ -35,7 +35,7 @@
 
 // BenchmarkTickNothingFits measures one scan of the queue while no request can be placed.
 func BenchmarkTickNothingFits(b *testing.B) {
-	p := newWavePool()
+	p := newReconnectPool()
 	b.ResetTimer()
 	for range b.N {
 		p.Tick(now)
@@ -43,11 +43,11 @@
 }
 
 // A round skips requests that need as much as one that could not be placed. A request skipped
-// wrongly would wait beside a free engine.
+// wrongly would wait although an engine is free.
 func TestLateRequestsLeftInQueueFitNowhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 12).Draw(t, "engines")
-		b := &bench{Pool: New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))}
+		b := &testPool{Pool: New(DefaultRules, gate.NewBudget(0.2, 100, 10*clock.Second))}
 		b.serve(engines)
 		at := now
 		for i := range rapid.IntRange(1, 150).Draw(t, "requests") {
@@ -71,11 +71,11 @@
 	})
 }
 
-// All streams were cut, and their callers reconnect in one moment after seconds without late
-// requests. The engines accept them within a second; at the placing rate of the seconds before all
-// of them would be refused.
-func TestReconnectingCallersAreServed(t *testing.T) {
-	b := newBench(t, 40)
+// All streams were cut, and their clients reconnect at once after seconds without late requests.
+// The engines accept them within a second; at the placing rate of the seconds before all of them
+// would be refused.
+func TestReconnectingClientsAreServed(t *testing.T) {
+	b := newTestPool(t, 40)
 	at := now
 	for range 400 { // low load
 		at += 10
@@ -86,16 +86,16 @@
 		a.Aim, a.Patience = at-1700, at+2000
 		b.Ask(at, a)
 	}
-	served, reading := 0, map[clock.Milli][]decide.RequestID{}
+	served, prefilling := 0, map[clock.Milli][]decide.RequestID{}
 	for end := at + 2*clock.Second; at < end; at += 10 {
-		for _, id := range reading[at] {
+		for _, id := range prefilling[at] {
 			b.First(at, id)
 		}
 		for _, d := range b.Tick(at) {
 			require.Equal(t, Granted, d.Action, "refused %d ms after reconnecting, with %d served", at-end+2*clock.Second, served)
 			served++
-			read := at + 100
-			reading[read] = append(reading[read], d.Request)
+			firstAt := at + 100
+			prefilling[firstAt] = append(prefilling[firstAt], d.Request)
 		}
 	}
 	require.Equal(t, 300, served)
--- a/lib/decide/span/short_test.go
+++ b/lib/decide/span/short_test.go
@@ -10,9 +10,9 @@
 
 // Half of the short requests have prompts of 23,000 tokens, which take 155 ms, on engines whose
 // streams tolerate pauses of 250 ms. They fit beside other short streams. Spread over free engines,
-// each would put a short stream there.
+// they would put short streams on engines that long prompts need.
 func TestShortRequestsNearThePauseLimitArePacked(t *testing.T) {
-	b := newBench(t, 8)
+	b := newTestPool(t, 8)
 	slower := engine
 	slower.Read, slower.Pairs = 206, 0.138
 	for _, r := range b.packOrder {
--- a/lib/decide/span/slow.go
+++ b/lib/decide/span/slow.go
@@ -14,8 +14,8 @@
 	// suspicious. On sound engines fewer than one in a hundred is.
 	lateFactor             = 1.5
 	lateSlack  clock.Milli = 150
-	// slowPace is the pace from which on an engine counts as slow. At this pace a part of a prompt
-	// keeps the rest of its group waiting for half of the usual time of the part.
+	// slowPace is the pace from which on an engine counts as slow. At this pace the other engines
+	// of a group wait for a slow one for half of the usual time of a part.
 	slowPace = 1.5
 )
 
--- a/lib/decide/span/snapshot.go
+++ b/lib/decide/span/snapshot.go
@@ -64,7 +64,7 @@
 	p.expire(now)
 	b := Snapshot{
 		Busy: p.headroom.busy, Served: p.headroom.placeRate,
-		Saved: p.largeReserve.savedRead, Mean: p.largeReserve.meanRead, LargeRefused: p.largeReserve.large.refused, OthersRefused: p.largeReserve.others.refused,
+		Saved: p.largeReserve.savedPrefill, Mean: p.largeReserve.meanPrefill, LargeRefused: p.largeReserve.large.refused, OthersRefused: p.largeReserve.others.refused,
 	}
 	for _, g := range p.grants {
 		b.Grants = append(b.Grants, GrantSnapshot{
@@ -73,7 +73,7 @@
 	}
 	for _, r := range p.packOrder {
 		c := UpstreamSnapshot{
-			Upstream: r.ID, Born: r.Born, Debt: max(0, r.readUntil-float64(now)),
+			Upstream: r.ID, Born: r.Born, Debt: max(0, r.prefillUntil-float64(now)),
 			Strikes: r.health.failures, Shut: max(0, r.health.excludedUntil-now), Rest: r.health.lastExclusion,
 			Helps: max(0, r.health.helpsFrom-now), Declined: r.health.declinePause,
 			Foreign: r.external, ForeignUsed: r.externalUsed, Pace: r.pace, Doubtful: r.unverified, Suspected: r.reportWanted,
@@ -106,7 +106,7 @@
 		}
 		r.declared.shedding = r.declared.shedding || c.Shed
 		r.refresh()
-		r.readUntil = float64(now) + c.Debt
+		r.prefillUntil = float64(now) + c.Debt
 		r.health = health{failures: c.Strikes, lastExclusion: c.Rest, declinePause: c.Declined}
 		if c.Shut > 0 {
 			r.health.excludedUntil = now + c.Shut
@@ -118,12 +118,12 @@
 		r.unverified, r.reportWanted = c.Doubtful, c.Suspected
 	}
 	p.headroom = headroom{busy: b.Busy, at: now, engines: p.headroom.engines, placeRate: b.Served}
-	p.largeReserve.savedRead, p.largeReserve.meanRead = b.Saved, b.Mean
+	p.largeReserve.savedPrefill, p.largeReserve.meanPrefill = b.Saved, b.Mean
 	p.largeReserve.large.refused, p.largeReserve.others.refused = b.LargeRefused, b.OthersRefused
 }
 
-// RequestReports requests load reports of all engines and uses them meanwhile. It is for a new
-// owner whose predecessor was lost, perhaps together with gates whose requests still run.
+// RequestReports requests load reports of all engines and places requests on them meanwhile. It is
+// for a new owner whose predecessor was lost, perhaps together with gates whose requests still run.
 func (p *Pool) RequestReports() {
 	for _, r := range p.packOrder {
 		r.unverified, r.reportWanted = false, r.engine != nil
--- a/lib/decide/span/snapshot_test.go
+++ b/lib/decide/span/snapshot_test.go
@@ -11,10 +11,10 @@
 )
 
 // An owner stops while engines are packed with short streams. Without the snapshot its successor
-// would pack the next short requests on the same engines, and callers would wait behind twice the
+// would pack the next short requests on the same engines, and clients would wait behind twice the
 // streams.
 func TestSuccessorContinuesPacking(t *testing.T) {
-	before, after := newBench(t, 4), newBench(t, 4)
+	before, after := newTestPool(t, 4), newTestPool(t, 4)
 	for range DefaultRules.PackedStreams {
 		require.Equal(t, decide.UpstreamID("e00"), before.mustStream(before.shortAsk(now)).Leader.Upstream)
 	}
@@ -28,7 +28,7 @@
 // A gate may present a grant to the successor before the snapshot arrives. The grant must not be
 // counted twice.
 func TestSnapshotDoesNotCountPresentedGrantsTwice(t *testing.T) {
-	before, after := newBench(t, 2), newBench(t, 2)
+	before, after := newTestPool(t, 2), newTestPool(t, 2)
 	g := before.mustStream(before.shortAsk(now))
 	after.Present(now, "g", []LiveGrant{{Grant: g, Writing: true}})
 	after.Restore(now, before.Snapshot(now))
@@ -40,7 +40,7 @@
 // leaving: they finish their requests and decline to be helpers for new prompts, which fails the
 // whole prompt. Each such engine must cost one prompt one try, not every prompt.
 func TestHelperThatDeclinesIsPaused(t *testing.T) {
-	b := newBench(t, 20)
+	b := newTestPool(t, 20)
 	helps := func(at clock.Milli, id decide.UpstreamID) bool {
 		a := b.longAsk(at, 300_000)
 		g := b.mustGrant(at, a)
--- a/lib/decide/span/span.go
+++ b/lib/decide/span/span.go
@@ -36,7 +36,7 @@
 	// answer. Both are zero for a plain service.
 	Prompt, Output decide.Tokens
 	// Aim is the instant by which the first byte should arrive. Patience is the instant at which
-	// the caller disconnects if no byte has arrived; zero means the Deadline. Deadline is the
+	// the client disconnects if no byte has arrived; zero means the Deadline. Deadline is the
 	// instant by which the whole answer must have arrived. All are times of the pool's clock.
 	Aim, Patience, Deadline clock.Milli
 	// Likely is the expected length of the answer in tokens; zero if unknown.
@@ -104,7 +104,7 @@
 	Request decide.RequestID
 	Gate    decide.GateID
 	Grant   Grant
-	// Fault and Retry are set for a refusal. Retry is the time after which the caller should try
+	// Fault and Retry are set for a refusal. Retry is the time after which the client should try
 	// again.
 	Fault fault.Kind
 	Retry clock.Milli
@@ -114,7 +114,7 @@
 	Limit *statement.Message
 }
 
-// Outcome is the way a send ended, as far as it bears on the health of the upstream.
+// Outcome is the way a send ended, as far as the outcome affects the health of the upstream.
 type Outcome uint8
 
 // The outcomes of a send.
@@ -123,7 +123,8 @@
 	Done Outcome = iota
 	// Failed is an answer of the upstream that reports its own failure.
 	Failed
-	// Full is an upstream's answer that it had no room and ran nothing.
+	// Full is an answer with which the upstream rejects the request for lack of room, without
+	// running it.
 	Full
 	// Broken is an answer that was cut off, garbled or from another server.
 	Broken
@@ -131,7 +132,7 @@
 	Silent
 	// Unreachable is a refused connection, or an address at which another server answers.
 	Unreachable
-	// Left carries no information on the upstream: the caller disconnected or the send never
+	// Left carries no information on the upstream: the client disconnected or the send never
 	// happened.
 	Left
 )
@@ -157,9 +158,9 @@
 
 // Rules are the limits by which a Pool places requests.
 type Rules struct {
-	// MaxShortRead is the longest prefill in milliseconds that is placed beside short streams. It
-	// fits into the pass of an engine whose streams tolerate pauses of 200 ms: the decoding in that
-	// pass takes 55 ms.
+	// MaxShortRead is the longest prefill in milliseconds that is placed beside short streams. Such
+	// a prefill fits into the pass of an engine whose streams tolerate pauses of 200 ms: the
+	// decoding in that pass takes 55 ms.
 	MaxShortRead float64
 	// PackedStreams is how many short streams an engine receives while other engines have room.
 	PackedStreams int
--- a/lib/decide/statement/message.go
+++ b/lib/decide/statement/message.go
@@ -21,27 +21,27 @@
 
 // Message returns the message form of a statement.
 func (s Statement) Message(now clock.Milli, u decide.UpstreamID) Message {
-	a := Message{Upstream: u, Kind: s.Kind, Named: s.Named, Rate: s.Rate, Gate: s.Gate, Born: s.Born, Age: now - s.At}
+	m := Message{Upstream: u, Kind: s.Kind, Named: s.Named, Rate: s.Rate, Gate: s.Gate, Born: s.Born, Age: now - s.At}
 	if s.Kind == BackOff {
-		a.Left = s.Until - now
+		m.Left = s.Until - now
 	}
-	return a
+	return m
 }
 
 // Statement returns the statement in terms of the receiver's clock.
-func (a Message) Statement(now clock.Milli) Statement {
-	s := Statement{Kind: a.Kind, Named: a.Named, Rate: a.Rate, Gate: a.Gate, Born: a.Born, At: now - a.Age}
-	if a.Kind == BackOff {
-		s.Until = now + a.Left
+func (m Message) Statement(now clock.Milli) Statement {
+	s := Statement{Kind: m.Kind, Named: m.Named, Rate: m.Rate, Gate: m.Gate, Born: m.Born, At: now - m.Age}
+	if m.Kind == BackOff {
+		s.Until = now + m.Left
 	}
 	return s
 }
 
 // Older returns the message as forwarded after a delay.
-func (a Message) Older(by clock.Milli) Message {
-	a.Age += by
-	if a.Kind == BackOff {
-		a.Left -= by
+func (m Message) Older(by clock.Milli) Message {
+	m.Age += by
+	if m.Kind == BackOff {
+		m.Left -= by
 	}
-	return a
+	return m
 }
--- a/lib/decide/statement/statement.go
+++ b/lib/decide/statement/statement.go
@@ -69,20 +69,20 @@
 // of a later incarnation always does. Within one incarnation the newest limit counts, and at the
 // same time a declared limit rather than none. The back-off that ends last counts, since each
 // response has to be honored by itself. The first drain notice counts, since nothing revokes it.
-func (s Statement) Supersedes(before Statement) bool {
-	if s.Born > 0 && before.Born > 0 && s.Born != before.Born {
-		return s.Born > before.Born
+func (s Statement) Supersedes(previous Statement) bool {
+	if s.Born > 0 && previous.Born > 0 && s.Born != previous.Born {
+		return s.Born > previous.Born
 	}
 	switch s.Kind {
 	case BackOff:
-		return s.Until > before.Until
+		return s.Until > previous.Until
 	case Leaving:
 		return false
 	default:
-		if s.At != before.At {
-			return s.At > before.At
+		if s.At != previous.At {
+			return s.At > previous.At
 		}
-		return s.Named && !before.Named
+		return s.Named && !previous.Named
 	}
 }
 
@@ -126,19 +126,19 @@
 // Learn processes a statement and reports whether it changes the effect of the stored one.
 func (t *Table) Learn(u decide.UpstreamID, s Statement) bool {
 	key := subject{u, s.Kind}
-	before, known := t.rows[key]
+	previous, known := t.rows[key]
 	switch {
 	case !known && !s.Named:
 		return false
-	case known && !s.Supersedes(before.Statement):
+	case known && !s.Supersedes(previous.Statement):
 		return false
 	}
-	changed := !known || !s.Equivalent(before.Statement)
+	changed := !known || !s.Equivalent(previous.Statement)
 	if changed {
 		t.version++
-		before.version = t.version
+		previous.version = t.version
 	}
-	t.rows[key] = entry{s, before.version}
+	t.rows[key] = entry{s, previous.version}
 	return changed
 }
 
--- a/lib/decide/table.go
+++ b/lib/decide/table.go
@@ -35,9 +35,9 @@
 	// pendingTokens, pendingShort and pendingUrgent are the corresponding totals of whole prompts:
 	// a prompt counts in full until its first token.
 	pendingTokens, pendingShort, pendingUrgent Tokens
-	// nextPass is the time from which the next short prompt may pass a long one that is prefilled
-	// here.
-	nextPass float64
+	// nextOvertake is the time from which the next short prompt may overtake a long one that is
+	// prefilled here.
+	nextOvertake float64
 	// slowdown is the factor by which it prefills slower than rated, as observed from its grants.
 	slowdown float64
 	// removed is set once the upstream was removed; the row stays while grants refer to it.
@@ -164,7 +164,7 @@
 	n.urgentReady = float64(u.drainedAt) + u.urgentBacklog/n.rate
 	n.shortReady = float64(u.drainedAt) + u.shortBacklog/n.rate
 	if u.longPrefilling > 0 {
-		n.shortReady = max(n.shortReady, u.nextPass)
+		n.shortReady = max(n.shortReady, u.nextOvertake)
 	}
 	n.ready = max(float64(u.drainedAt)+u.backlog/n.rate, n.shortReady)
 	n.running = int32(u.running)
