--- a/bench/decide_test.go
+++ b/bench/decide_test.go
@@ -64,8 +64,8 @@
 			require.Less(t, r.Missed*1000, r.Requests)
 			require.GreaterOrEqual(t, r.InTime*100, r.Requests*97)
 			require.LessOrEqual(t, r.Slowdown.P99, 1.5)
-			for _, kept := range r.ServedFractions {
-				require.GreaterOrEqual(t, kept, 0.8, "at least 80% of each workspace's offered tokens are served in time")
+			for _, fraction := range r.ServedFractions {
+				require.GreaterOrEqual(t, fraction, 0.8, "at least 80% of each workspace's offered tokens are served in time")
 			}
 		})
 	}
--- a/bench/engine/engine.go
+++ b/bench/engine/engine.go
@@ -124,7 +124,7 @@
 
 // TimesOnIdle returns the time to first token and the total time of a job on an idle engine whose
 // prefix cache holds the given number of tokens of its prompt.
-func TimesOnIdle(s Spec, prompt, cached, output int64) (first, whole float64) {
+func TimesOnIdle(s Spec, prompt, cached, output int64) (first, total float64) {
 	first = float64(prompt-cached) / s.PrefillRate
 	return first, first + float64(output)/s.DecodeRate
 }
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -135,7 +135,7 @@
 // thirds cannot share an engine.
 const packingEfficiency = 0.8
 
-// Rate returns the arrivals per millisecond at a load of one: the rate at which the engines either
+// Rate returns the arrivals per millisecond at a load factor of 1: the rate at which the engines either
 // prefill all the time or have no memory left, whichever is reached first.
 func (d *Deployment) Rate() float64 {
 	n := float64(d.Engines)
@@ -155,15 +155,16 @@
 	return mean
 }
 
-// Generate returns the requests of one run in which requests arrive for duration milliseconds.
-func (d *Deployment) Generate(seed uint64, s Scenario, load, duration float64) []*Request {
+// Generate returns the requests of one run in which requests arrive for duration milliseconds, at
+// loadFactor times Rate.
+func (d *Deployment) Generate(seed uint64, s Scenario, loadFactor, duration float64) []*Request {
 	g := &generator{d: d, s: s, r: rand.New(rand.NewPCG(seed, 1)), recent: map[int][]*Request{}}
 	if s.StartsFull {
 		for range 2 * d.Engines {
 			g.add(0, &d.Kinds[len(d.Kinds)-1])
 		}
 	}
-	rate := d.Rate() * load
+	rate := d.Rate() * loadFactor
 	for at := 0.0; at < duration; {
 		at += g.r.ExpFloat64() / (rate * g.rateFactor(at))
 		g.add(at, g.kind())
@@ -227,27 +228,27 @@
 // of its prompt. A request that repeats an earlier one also gets its prompt length.
 func (g *generator) prefixes(q *Request) {
 	long := q.Kind.MaxPrompt > LongPrompt
-	key, common := uint64(q.ID)+1<<40, int64(0)
+	key, sharedTokens := uint64(q.ID)+1<<40, int64(0)
 	if !long && g.r.Float64() < sharedPrefixChance {
-		common = 1024 << (q.ID % 2)
+		sharedTokens = 1024 << (q.ID % 2)
 	}
-	old := g.recent[q.Workspace]
-	if long && len(old) > 0 && g.r.Float64() < repeatChance {
-		o := old[g.r.IntN(len(old))]
+	recent := g.recent[q.Workspace]
+	if long && len(recent) > 0 && g.r.Float64() < repeatChance {
+		o := recent[g.r.IntN(len(recent))]
 		q.Prompt = o.Prompt
 		q.Prefixes = o.Prefixes
 		return
 	}
 	for n := int64(1024); n <= q.Prompt; n *= 2 {
 		h := key*1_000_003 + uint64(n)
-		if n <= common {
+		if n <= sharedTokens {
 			h = (uint64(q.Workspace)*64+uint64(q.Kind.MinPrompt))*7919 + uint64(n)
 		}
 		q.Prefixes = append(q.Prefixes, engine.Prefix{Hash: h, Tokens: n})
 	}
 	if long {
-		g.recent[q.Workspace] = append(old, q)
-		if len(old) > 3 {
+		g.recent[q.Workspace] = append(recent, q)
+		if len(recent) > 3 {
 			g.recent[q.Workspace] = g.recent[q.Workspace][1:]
 		}
 	}
--- a/bench/measure/measure.go
+++ b/bench/measure/measure.go
@@ -40,7 +40,7 @@
 	// those not refused.
 	Long, LongInTime, LongAdmitted int
 	// Goodput is the tokens of requests that ended by their deadline within the measured window,
-	// divided by the tokens that a load of one offers in it.
+	// divided by the tokens that a load factor of 1 offers in the window.
 	Goodput float64
 	// WastedPrefill is the fraction of all prefilled tokens that belongs to requests which did not
 	// end in time.
@@ -124,10 +124,10 @@
 		return
 	}
 	c.urgentFirstTimes = append(c.urgentFirstTimes, first-q.Arrived)
-	aloneFirst, alone := engine.TimesOnIdle(c.d.Engine, q.Prompt, q.Cached, q.Output)
-	aloneFirst, alone = aloneFirst+policy.RoundTrip, alone+policy.RoundTrip
-	c.slowdowns = append(c.slowdowns, (done-q.Arrived)/alone)
-	c.firstSlowdowns = append(c.firstSlowdowns, (first-q.Arrived)/aloneFirst)
+	idleFirst, idleTotal := engine.TimesOnIdle(c.d.Engine, q.Prompt, q.Cached, q.Output)
+	idleFirst, idleTotal = idleFirst+policy.RoundTrip, idleTotal+policy.RoundTrip
+	c.slowdowns = append(c.slowdowns, (done-q.Arrived)/idleTotal)
+	c.firstSlowdowns = append(c.firstSlowdowns, (first-q.Arrived)/idleFirst)
 }
 
 // band returns the index of the band of a prompt length.
--- a/bench/passes.go
+++ b/bench/passes.go
@@ -44,14 +44,14 @@
 		if only != "" && only != n {
 			continue
 		}
-		var worth, net, busy, read float64
+		var worth, net, busy, prefill float64
 		kinds := map[string]*passes.KindResult{}
 		for s := range seeds {
 			r := passes.Simulate(loads[n], rules, uint64(s+1))
 			worth += r.Worth
 			net += r.Net
 			busy += r.BusyFraction
-			read += r.PrefillFraction
+			prefill += r.PrefillFraction
 			for k, v := range r.Kinds {
 				if kinds[k] == nil {
 					kinds[k] = &passes.KindResult{}
@@ -61,7 +61,7 @@
 		}
 		m := float64(seeds)
 		mean := worth / m
-		fmt.Printf("%-10s %6.3f %6.3f %5.2f %5.2f ", n, mean, net/m, busy/m, read/m)
+		fmt.Printf("%-10s %6.3f %6.3f %5.2f %5.2f ", n, mean, net/m, busy/m, prefill/m)
 		for _, k := range []string{"note", "file", "history"} {
 			v := kinds[k]
 			all := max(float64(v.Requests), 1)
--- a/bench/passes/account.go
+++ b/bench/passes/account.go
@@ -23,34 +23,34 @@
 const tickPeriod = 10
 
 // note adds the time that one request took.
-func (a *EngineTime) note(j *job, e Outcome) {
-	switch e {
+func (t *EngineTime) note(j *job, o Outcome) {
+	switch o {
 	case InTime:
-		a.PrefillInTime += j.prefillTime
+		t.PrefillInTime += j.prefillTime
 	case Late:
-		a.PrefillLate += j.prefillTime
+		t.PrefillLate += j.prefillTime
 	default:
-		a.PrefillLost += j.prefillTime
+		t.PrefillLost += j.prefillTime
 	}
 	if j.kind.Gap > 0 && j.kind.Gap <= maxShortGap {
-		a.DecodeShortGap += j.decodeTime
+		t.DecodeShortGap += j.decodeTime
 	} else {
-		a.DecodeOther += j.decodeTime
+		t.DecodeOther += j.decodeTime
 	}
 }
 
 // Total returns the total time.
-func (a *EngineTime) Total() float64 {
-	return a.PrefillInTime + a.PrefillLate + a.PrefillLost + a.DecodeShortGap + a.DecodeOther + a.IdleQueued + a.Idle
+func (t *EngineTime) Total() float64 {
+	return t.PrefillInTime + t.PrefillLate + t.PrefillLost + t.DecodeShortGap + t.DecodeOther + t.IdleQueued + t.Idle
 }
 
 // countIdle adds one tick to the idle time of each engine without work, as long as requests arrive.
-func (p *simulation) countIdle() {
-	if p.now > clockOffset+p.load.Length {
+func (s *simulation) countIdle() {
+	if s.now > clockOffset+s.load.Length {
 		return
 	}
-	waits := p.pool.Counts().Queued > 0
-	for _, e := range p.engineList {
+	waits := s.pool.Counts().Queued > 0
+	for _, e := range s.engineList {
 		switch {
 		case e.busy:
 		case waits:
--- a/bench/passes/engine.go
+++ b/bench/passes/engine.go
@@ -56,11 +56,11 @@
 	for _, w := range e.streams {
 		w.decodeTime += length / float64(len(e.streams))
 	}
-	room := float64(steps * maxStepTokens)
+	budget := float64(steps * maxStepTokens)
 	var left []*part
 	for _, p := range e.parts {
-		n := min(p.tokensLeft, room)
-		room -= n
+		n := min(p.tokensLeft, budget)
+		budget -= n
 		p.tokensLeft -= n
 		length += n * p.costPerToken
 		p.job.prefillTime += n * p.costPerToken
--- a/bench/passes/simulation.go
+++ b/bench/passes/simulation.go
@@ -116,7 +116,7 @@
 type Outcome uint8
 
 // All values of Outcome: a response that met its targets, one that missed its aim or a pause limit,
-// and none that is of use.
+// and no response of use to the client.
 const (
 	InTime Outcome = iota
 	Late
@@ -200,7 +200,7 @@
 
 // SimulateArrivals runs the given arrivals on the engines of a load.
 func SimulateArrivals(l *Load, r span.Rules, as []Arrival) Result {
-	p := &simulation{
+	s := &simulation{
 		load: l, now: clockOffset,
 		pool:    span.New(r, gate.NewBudget(0.2, 100, 10*clock.Second)),
 		engines: map[decide.UpstreamID]*engine{}, jobs: map[decide.RequestID]*job{}, waiting: map[decide.RequestID]*job{},
@@ -211,52 +211,52 @@
 	for i := range l.Engines {
 		id := decide.UpstreamID("e" + strconv.Itoa(10_000+i))
 		us = append(us, route.Upstream{ID: id, Service: "s", Address: string(id), Slots: spec.Slots})
-		p.engines[id] = &engine{spec: &spec}
-		p.engineList = append(p.engineList, p.engines[id])
+		s.engines[id] = &engine{spec: &spec}
+		s.engineList = append(s.engineList, s.engines[id])
 	}
-	p.pool.SetUpstreams(&route.Service{ID: "s", Engine: &spec}, us)
+	s.pool.SetUpstreams(&route.Service{ID: "s", Engine: &spec}, us)
 	for i := range l.Kinds {
-		p.results[l.Kinds[i].Name] = &KindResult{}
+		s.results[l.Kinds[i].Name] = &KindResult{}
 	}
 	for i := range as {
-		p.scheduleArrival(&as[i])
+		s.scheduleArrival(&as[i])
 	}
-	p.scheduleEvery(tickPeriod, func() {
-		p.tick()
-		p.countIdle()
+	s.scheduleEvery(tickPeriod, func() {
+		s.tick()
+		s.countIdle()
 	})
-	p.scheduleEvery(500, func() { p.renewQueued() })
-	for len(p.queue) > 0 && p.now < clockOffset+l.Length+20_000 {
-		e := heap.Pop(&p.queue).(event)
-		p.now = e.at
+	s.scheduleEvery(500, func() { s.renewQueued() })
+	for len(s.queue) > 0 && s.now < clockOffset+l.Length+20_000 {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
-	return p.result()
+	return s.result()
 }
 
 // schedule runs do at the given instant.
-func (p *simulation) schedule(at float64, do func()) {
-	p.seq++
-	heap.Push(&p.queue, event{at, p.seq, do})
+func (s *simulation) schedule(at float64, do func()) {
+	s.seq++
+	heap.Push(&s.queue, event{at, s.seq, do})
 }
 
 // scheduleEvery runs do once every period, until at most one other event is scheduled.
-func (p *simulation) scheduleEvery(period float64, do func()) {
-	p.schedule(p.now+period, func() {
+func (s *simulation) scheduleEvery(period float64, do func()) {
+	s.schedule(s.now+period, func() {
 		do()
-		if len(p.queue) > 1 {
-			p.scheduleEvery(period, do)
+		if len(s.queue) > 1 {
+			s.scheduleEvery(period, do)
 		}
 	})
 }
 
 // Draw draws the arrivals of a load. The same seed gives the same arrivals.
 func Draw(l *Load, seed uint64) []Arrival {
-	d := generator{load: l, rng: rand.New(rand.NewPCG(seed, 1))}
+	g := generator{load: l, rng: rand.New(rand.NewPCG(seed, 1))}
 	for i := range l.Kinds {
-		d.arrivals(&l.Kinds[i], i)
+		g.arrivals(&l.Kinds[i], i)
 	}
-	return d.out
+	return g.out
 }
 
 // generator draws arrivals.
@@ -267,145 +267,145 @@
 }
 
 // arrivals draws the requests of one kind.
-func (d *generator) arrivals(k *Kind, index int) {
+func (g *generator) arrivals(k *Kind, index int) {
 	phase := func(t float64) float64 {
-		if len(d.load.Phases) == 0 {
+		if len(g.load.Phases) == 0 {
 			return 1
 		}
-		return d.load.Phases[int(t/d.load.PhaseTime)%len(d.load.Phases)][index]
+		return g.load.Phases[int(t/g.load.PhaseTime)%len(g.load.Phases)][index]
 	}
-	for t := 0.0; t < d.load.Length; {
-		rate := k.Rate * d.load.Scale * phase(t) / 1000
-		t += d.rng.ExpFloat64() / max(rate, 1e-9)
-		if t >= d.load.Length {
+	for t := 0.0; t < g.load.Length; {
+		rate := k.Rate * g.load.Scale * phase(t) / 1000
+		t += g.rng.ExpFloat64() / max(rate, 1e-9)
+		if t >= g.load.Length {
 			return
 		}
-		d.out = append(d.out, Arrival{
-			Kind: k, At: t, Prompt: decide.Tokens(min(d.lognormal(k.MeanPrompt, k.PromptSpread), k.MaxPrompt)) + 40,
-			Events: max(1, int(min(d.lognormal(k.MeanEvents, k.EventSpread), 2.5*k.MeanEvents))),
+		g.out = append(g.out, Arrival{
+			Kind: k, At: t, Prompt: decide.Tokens(min(g.lognormal(k.MeanPrompt, k.PromptSpread), k.MaxPrompt)) + 40,
+			Events: max(1, int(min(g.lognormal(k.MeanEvents, k.EventSpread), 2.5*k.MeanEvents))),
 		})
 	}
 }
 
 // lognormal draws a number from the log-normal distribution with that mean; spread is the standard
 // deviation of its logarithm.
-func (d *generator) lognormal(mean, spread float64) float64 {
-	return math.Exp(math.Log(mean) - spread*spread/2 + spread*d.rng.NormFloat64())
+func (g *generator) lognormal(mean, spread float64) float64 {
+	return math.Exp(math.Log(mean) - spread*spread/2 + spread*g.rng.NormFloat64())
 }
 
 // scheduleArrival creates the job of an arrival and schedules it.
-func (p *simulation) scheduleArrival(a *Arrival) {
+func (s *simulation) scheduleArrival(a *Arrival) {
 	j := &job{kind: a.Kind, arrived: clockOffset + a.At, prompt: a.Prompt, eventsLeft: a.Events, output: a.Output, timeLimit: a.TimeLimit, urgency: a.Urgency}
 	if j.output == 0 {
-		j.output = decide.Tokens(a.Events * p.load.Engine.Stride)
+		j.output = decide.Tokens(a.Events * s.load.Engine.Stride)
 	}
 	if j.timeLimit == 0 {
 		j.timeLimit = a.Kind.patience()
 	}
-	j.id = decide.RequestID(a.Kind.Name + strconv.FormatInt(int64(len(p.jobList)), 10))
-	p.jobs[j.id] = j
-	p.jobList = append(p.jobList, j)
-	p.schedule(j.arrived, func() { p.arrive(j) })
+	j.id = decide.RequestID(a.Kind.Name + strconv.FormatInt(int64(len(s.jobList)), 10))
+	s.jobs[j.id] = j
+	s.jobList = append(s.jobList, j)
+	s.schedule(j.arrived, func() { s.arrive(j) })
 }
 
 // arrive asks the pool for a placement.
-func (p *simulation) arrive(j *job) {
+func (s *simulation) arrive(j *job) {
 	now := clock.Milli(j.arrived)
-	p.waiting[j.id] = j
-	p.pool.Ask(now, span.Ask{
+	s.waiting[j.id] = j
+	s.pool.Ask(now, span.Ask{
 		ID: j.id, Gate: "g", Prompt: j.prompt, Output: j.output, Urgency: j.urgency,
 		Aim: now + j.kind.Aim, Patience: now + j.kind.patience(), Deadline: now + j.timeLimit, Gap: j.kind.Gap, Stream: true,
 	})
-	p.tick()
+	s.tick()
 }
 
 // renewQueued presents all waiting requests to the pool again, as gates do.
-func (p *simulation) renewQueued() {
-	now := clock.Milli(p.now)
-	for id, j := range p.waiting {
-		p.pool.Ask(now, span.Ask{ID: id, Gate: "g", Deadline: now - 1, Prompt: j.prompt})
+func (s *simulation) renewQueued() {
+	now := clock.Milli(s.now)
+	for id, j := range s.waiting {
+		s.pool.Ask(now, span.Ask{ID: id, Gate: "g", Deadline: now - 1, Prompt: j.prompt})
 	}
 }
 
 // tick carries out the pool's pending decisions.
-func (p *simulation) tick() {
-	for _, d := range p.pool.Tick(clock.Milli(p.now)) {
-		j := p.jobs[d.Request]
+func (s *simulation) tick() {
+	for _, d := range s.pool.Tick(clock.Milli(s.now)) {
+		j := s.jobs[d.Request]
 		if d.Action == span.Refused {
-			j.last, j.refused = p.now, d.Reason
-			delete(p.waiting, j.id)
-			k := p.results[j.kind.Name]
+			j.last, j.refused = s.now, d.Reason
+			delete(s.waiting, j.id)
+			k := s.results[j.kind.Name]
 			k.Lost++
-			if held := p.now - j.arrived; held > float64(j.kind.Aim)/8 {
-				k.QueueingLoss += j.worth() * min(1, held/(0.75*float64(j.kind.patience())))
+			if waited := s.now - j.arrived; waited > float64(j.kind.Aim)/8 {
+				k.QueueingLoss += j.worth() * min(1, waited/(0.75*float64(j.kind.patience())))
 			}
 			continue
 		}
-		p.schedule(p.now+hopDelay, func() { p.startPrefill(j, d.Grant) })
+		s.schedule(s.now+hopDelay, func() { s.startPrefill(j, d.Grant) })
 	}
 }
 
 // startPrefill distributes the parts of a prompt over the granted engines. On a helper engine the
 // part goes ahead of the engine's own prompts, on the leader behind them.
-func (p *simulation) startPrefill(j *job, g span.Grant) {
+func (s *simulation) startPrefill(j *job, g span.Grant) {
 	places := append([]span.Placement{g.Leader}, g.Helpers...)
 	j.members, j.partsLeft = len(places), len(places)
-	j.leader = p.engines[g.Leader.Upstream]
+	j.leader = s.engines[g.Leader.Upstream]
 	tokens := float64(j.prompt) / float64(len(places))
-	cost := p.load.Engine.PrefillTime(j.prompt) / float64(j.prompt)
+	cost := s.load.Engine.PrefillTime(j.prompt) / float64(j.prompt)
 	for _, pl := range places {
-		e := p.engines[pl.Upstream]
+		e := s.engines[pl.Upstream]
 		pt := &part{job: j, tokensLeft: tokens, costPerToken: cost}
 		if pl.Upstream == g.Leader.Upstream {
 			e.parts = append(e.parts, pt)
 		} else {
 			e.parts = append([]*part{pt}, e.parts...)
 		}
-		p.startPass(e)
+		s.startPass(e)
 	}
 }
 
 // startPass starts a pass on an engine that is idle and has work.
-func (p *simulation) startPass(e *engine) {
+func (s *simulation) startPass(e *engine) {
 	if e.busy || len(e.parts)+len(e.streams) == 0 {
 		return
 	}
 	e.busy = true
-	writers := append([]*job(nil), e.streams...)
+	streams := append([]*job(nil), e.streams...)
 	length, finished := e.runPass()
-	p.schedule(p.now+length, func() {
+	s.schedule(s.now+length, func() {
 		e.busy = false
-		for _, j := range writers {
-			p.writeEvent(j)
+		for _, j := range streams {
+			s.writeEvent(j)
 		}
 		for _, j := range finished {
-			p.firstEvent(j)
+			s.firstEvent(j)
 		}
-		p.startPass(e)
+		s.startPass(e)
 	})
 }
 
 // firstEvent starts the decoding of a job at the end of the pass that completed its prefill, and
 // produces its first event.
-func (p *simulation) firstEvent(j *job) {
+func (s *simulation) firstEvent(j *job) {
 	j.leader.streams = append(j.leader.streams, j)
-	p.writeEvent(j)
-	p.schedule(p.now+hopDelay, func() {
-		p.pool.First(clock.Milli(p.now), j.id)
-		p.tick()
+	s.writeEvent(j)
+	s.schedule(s.now+hopDelay, func() {
+		s.pool.First(clock.Milli(s.now), j.id)
+		s.tick()
 	})
-	p.startPass(j.leader)
+	s.startPass(j.leader)
 }
 
 // writeEvent produces one event of a response; the last one ends the stream.
-func (p *simulation) writeEvent(j *job) {
+func (s *simulation) writeEvent(j *job) {
 	if j.first == 0 {
-		j.first = p.now + hopDelay
-		delete(p.waiting, j.id)
+		j.first = s.now + hopDelay
+		delete(s.waiting, j.id)
 	} else {
-		j.longestPause = max(j.longestPause, p.now+hopDelay-j.last)
+		j.longestPause = max(j.longestPause, s.now+hopDelay-j.last)
 	}
-	j.last = p.now + hopDelay
+	j.last = s.now + hopDelay
 	if j.eventsLeft--; j.eventsLeft > 0 {
 		return
 	}
@@ -416,18 +416,18 @@
 			break
 		}
 	}
-	p.schedule(p.now+hopDelay, func() {
-		p.pool.End(clock.Milli(p.now), j.id, span.Done, "")
-		p.tick()
+	s.schedule(s.now+hopDelay, func() {
+		s.pool.End(clock.Milli(s.now), j.id, span.Done, "")
+		s.tick()
 	})
 }
 
 // result summarizes the simulation.
-func (p *simulation) result() Result {
-	r := Result{Kinds: p.results}
+func (s *simulation) result() Result {
+	r := Result{Kinds: s.results}
 	var earned, maxWorth float64
-	for _, j := range p.jobList {
-		k := p.results[j.kind.Name]
+	for _, j := range s.jobList {
+		k := s.results[j.kind.Name]
 		k.Requests++
 		worth := j.worth()
 		k.MaxWorth += worth
@@ -439,7 +439,7 @@
 		if outcome == Lost {
 			continue
 		}
-		p.firstTimes[j.kind.Name] = append(p.firstTimes[j.kind.Name], response.First)
+		s.firstTimes[j.kind.Name] = append(s.firstTimes[j.kind.Name], response.First)
 		if j.longestPause > float64(j.kind.Gap) {
 			k.PausedTooLong++
 		}
@@ -452,21 +452,21 @@
 		k.Worth += worth
 		earned += worth
 	}
-	for n, fs := range p.firstTimes {
+	for n, fs := range s.firstTimes {
 		sort.Float64s(fs)
-		p.results[n].FirstP50 = fs[len(fs)/2]
-		p.results[n].FirstP99 = fs[len(fs)*99/100]
+		s.results[n].FirstP50 = fs[len(fs)/2]
+		s.results[n].FirstP99 = fs[len(fs)*99/100]
 	}
 	r.Worth = earned / max(maxWorth, 1e-9)
-	for _, k := range p.results {
+	for _, k := range s.results {
 		r.Net += k.QueueingLoss
 	}
 	r.Net = (earned - r.Net) / max(maxWorth, 1e-9)
-	for _, e := range p.engineList {
+	for _, e := range s.engineList {
 		r.EngineTime.Idle += e.idleTime
 		r.EngineTime.IdleQueued += e.idleQueuedTime
-		r.BusyFraction += e.passTime / (p.load.Length * float64(p.load.Engines))
-		r.PrefillFraction += e.prefillTime / (p.load.Length * float64(p.load.Engines))
+		r.BusyFraction += e.passTime / (s.load.Length * float64(s.load.Engines))
+		r.PrefillFraction += e.prefillTime / (s.load.Length * float64(s.load.Engines))
 	}
 	return r
 }
--- a/bench/policy/run.go
+++ b/bench/policy/run.go
@@ -73,6 +73,8 @@
 
 type eventKind uint8
 
+// The kinds of events. At an event whose name ends in Seen, the policy receives a notification, a
+// report or a cache event.
 const (
 	arrival eventKind = iota
 	dispatched
--- a/bench/targets.go
+++ b/bench/targets.go
@@ -50,8 +50,8 @@
 	mix := c.scenario.Name == "mix"
 	if mix && c.loadFactor == 0.8 {
 		c.printTarget(w, "urgent p99 slowdown <= 1.2", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= maxSlowdownAt80Percent)
-		part := float64(r.LongInTime) / float64(max(r.LongAdmitted, 1))
-		c.printTarget(w, "admitted long in time >= 99%", fmt.Sprintf("%.1f%%", 100*part), part >= minLongInTime)
+		fraction := float64(r.LongInTime) / float64(max(r.LongAdmitted, 1))
+		c.printTarget(w, "admitted long in time >= 99%", fmt.Sprintf("%.1f%%", 100*fraction), fraction >= minLongInTime)
 	}
 	if mix && c.loadFactor == 1.5 {
 		c.printTarget(w, "urgent p99 slowdown <= 1.5", fmt.Sprintf("%.2f", r.Slowdown.P99), r.Slowdown.P99 <= maxSlowdownAtOverload)
@@ -98,8 +98,8 @@
 			best = o
 		}
 	}
-	part := c.result.Goodput / best.result.Goodput
-	c.printTarget(w, "goodput >= 95% of the best", fmt.Sprintf("%.1f%% of %s", 100*part, best.candidate.name), part >= minGoodputRatio)
+	ratio := c.result.Goodput / best.result.Goodput
+	c.printTarget(w, "goodput >= 95% of the best", fmt.Sprintf("%.1f%% of %s", 100*ratio, best.candidate.name), ratio >= minGoodputRatio)
 }
 
 func (c *cell) printTarget(w *bytes.Buffer, name, measured string, reached bool) {
--- a/bench/whatif/bound.go
+++ b/bench/whatif/bound.go
@@ -31,12 +31,12 @@
 // a part of its value for the prefill done by its aim, and the rest for the decoding done by the
 // end of the longest pauses that it tolerates, each in proportion to the work done. All other value
 // counts as that of late responses.
-func (d *Trace) UpperBound() float64 {
+func (t *Trace) UpperBound() float64 {
 	all := 0.0
-	for i := range d.Arrivals {
-		all += d.Arrivals[i].Kind.WorthOf(d.Arrivals[i].Prompt)
+	for i := range t.Arrivals {
+		all += t.Arrivals[i].Kind.WorthOf(t.Arrivals[i].Prompt)
 	}
-	inTime := min(d.relaxedBound(false), d.relaxedBound(true))
+	inTime := min(t.relaxedBound(false), t.relaxedBound(true))
 	return (inTime + passes.LateFraction*(all-inTime)) / max(all, 1e-9)
 }
 
@@ -47,12 +47,12 @@
 // demands returns the engine time that a request takes: its prefill and, if withDecode is set, its
 // decoding, each with its part of the value. It returns none if the prefill can't be complete by
 // the aim.
-func (d *Trace) demands(a *passes.Arrival, withDecode bool) []demand {
-	e := &d.Load.Engine
+func (t *Trace) demands(a *passes.Arrival, withDecode bool) []demand {
+	e := &t.Load.Engine
 	aim := float64(a.Kind.Aim)
 	prefill := demand{first: int(a.At / timeStep), last: int((a.At + aim) / timeStep), cost: e.PrefillTime(a.Prompt), worth: a.Kind.WorthOf(a.Prompt)}
 	switch n := float64(a.Events - 1); {
-	case prefill.cost > aim*float64(min(maxPrefillEngines, d.Load.Engines)):
+	case prefill.cost > aim*float64(min(maxPrefillEngines, t.Load.Engines)):
 		return nil
 	case !withDecode || n <= 0:
 		return []demand{prefill}
@@ -69,53 +69,53 @@
 // relaxedBound returns the value that is earned in time in one of the two relaxations. The amounts
 // of each demand that can be served within their windows form a polymatroid, on which the greedy
 // choice by value per cost is optimal.
-func (d *Trace) relaxedBound(withDecode bool) float64 {
+func (t *Trace) relaxedBound(withDecode bool) float64 {
 	var demands []demand
 	steps := 0
-	for i := range d.Arrivals {
-		for _, w := range d.demands(&d.Arrivals[i], withDecode) {
-			demands = append(demands, w)
-			steps = max(steps, w.last+1)
+	for i := range t.Arrivals {
+		for _, d := range t.demands(&t.Arrivals[i], withDecode) {
+			demands = append(demands, d)
+			steps = max(steps, d.last+1)
 		}
 	}
 	slices.SortStableFunc(demands, func(x, y demand) int { return cmp.Compare(y.worth*x.cost, x.worth*y.cost) })
-	f := newWindowCapacity(steps, float64(d.Load.Engines)*timeStep)
+	capacity := newWindowCapacity(steps, float64(t.Load.Engines)*timeStep)
 	sum := 0.0
-	for _, w := range demands {
-		sum += w.worth * f.add(w) / max(w.cost, 1e-9)
+	for _, d := range demands {
+		sum += d.worth * capacity.add(d) / max(d.cost, 1e-9)
 	}
 	return sum
 }
 
 // windowCapacity is the engine time that is left for demands, by window. For the steps a to b,
-// left[a*steps+b] is what remains for demands whose windows lie within them.
+// left[a*steps+b] is what remains for demands whose windows lie within these steps.
 type windowCapacity struct {
 	steps int
 	left  []float64
 }
 
 func newWindowCapacity(steps int, capacity float64) *windowCapacity {
-	f := &windowCapacity{steps: steps, left: make([]float64, steps*steps)}
+	c := &windowCapacity{steps: steps, left: make([]float64, steps*steps)}
 	for a := range steps {
 		for b := a; b < steps; b++ {
-			f.left[a*steps+b] = capacity * float64(b-a+1)
+			c.left[a*steps+b] = capacity * float64(b-a+1)
 		}
 	}
-	return f
+	return c
 }
 
 // add serves as much of a demand as the remaining capacity allows and returns that amount.
-func (f *windowCapacity) add(w demand) float64 {
-	done := w.cost
-	for a := range w.first + 1 {
-		done = min(done, slices.Min(f.left[a*f.steps+w.last:(a+1)*f.steps]))
+func (c *windowCapacity) add(d demand) float64 {
+	done := d.cost
+	for a := range d.first + 1 {
+		done = min(done, slices.Min(c.left[a*c.steps+d.last:(a+1)*c.steps]))
 	}
 	done = max(done, 0)
 	if done == 0 {
 		return 0
 	}
-	for a := range w.first + 1 {
-		row := f.left[a*f.steps+w.last : (a+1)*f.steps]
+	for a := range d.first + 1 {
+		row := c.left[a*c.steps+d.last : (a+1)*c.steps]
 		for i := range row {
 			row[i] -= done
 		}
@@ -125,23 +125,23 @@
 
 // Search looks for the best schedule on the same engines and returns its fraction of the value and
 // the outcome of each request in it. Each try is a simulation in which one of the rules is changed,
-// or some requests are refused at once, given how they ended in the best simulation so far. As each
-// result comes from a simulation, it can be reached.
-func (d *Trace) Search(tries int, seed uint64) (float64, []passes.Outcome) {
+// or some requests are refused at once, given how they ended in the best simulation so far. Each
+// result comes from a simulation, so unlike the upper bound it can be reached.
+func (t *Trace) Search(tries int, seed uint64) (float64, []passes.Outcome) {
 	rules := span.DefaultRules
-	best, outcomes := d.simulateSubset(rules, nil)
+	best, outcomes := t.simulateSubset(rules, nil)
 	rng := rand.New(rand.NewPCG(seed, 6))
-	dropped := make([]bool, len(d.Arrivals))
+	dropped := make([]bool, len(t.Arrivals))
 	for try := range tries {
 		if try%4 == 3 {
 			r := varyRule(rules, rng)
-			if share, triedOutcomes := d.simulateSubset(r, dropped); share > best {
+			if share, triedOutcomes := t.simulateSubset(r, dropped); share > best {
 				best, outcomes, rules = share, triedOutcomes, r
 			}
 			continue
 		}
-		next := d.toggleDropped(dropped, outcomes, rng)
-		if share, triedOutcomes := d.simulateSubset(rules, next); share > best {
+		next := t.toggleDropped(dropped, outcomes, rng)
+		if share, triedOutcomes := t.simulateSubset(rules, next); share > best {
 			best, outcomes, dropped = share, triedOutcomes, next
 		}
 	}
@@ -150,25 +150,25 @@
 
 // simulateSubset simulates the requests that are not dropped and returns the fraction of the value
 // of all requests, and how each of them ended.
-func (d *Trace) simulateSubset(rules span.Rules, dropped []bool) (float64, []passes.Outcome) {
-	var kept []passes.Arrival
+func (t *Trace) simulateSubset(rules span.Rules, dropped []bool) (float64, []passes.Outcome) {
+	var simulated []passes.Arrival
 	var index []int
-	for i := range d.Arrivals {
+	for i := range t.Arrivals {
 		if dropped == nil || !dropped[i] {
-			kept, index = append(kept, d.Arrivals[i]), append(index, i)
+			simulated, index = append(simulated, t.Arrivals[i]), append(index, i)
 		}
 	}
-	outcomes := make([]passes.Outcome, len(d.Arrivals))
+	outcomes := make([]passes.Outcome, len(t.Arrivals))
 	for i := range outcomes {
 		outcomes[i] = passes.Lost
 	}
 	sum, all := 0.0, 0.0
-	for i := range d.Arrivals {
-		all += d.Arrivals[i].Kind.WorthOf(d.Arrivals[i].Prompt)
+	for i := range t.Arrivals {
+		all += t.Arrivals[i].Kind.WorthOf(t.Arrivals[i].Prompt)
 	}
-	for n, e := range passes.SimulateArrivals(&d.Load, rules, kept).Responses {
-		a := &kept[n]
-		outcomes[index[n]] = e.Outcome(a.Kind)
+	for n, resp := range passes.SimulateArrivals(&t.Load, rules, simulated).Responses {
+		a := &simulated[n]
+		outcomes[index[n]] = resp.Outcome(a.Kind)
 		sum += worthOf(a.Kind, a.Prompt, outcomes[index[n]])
 	}
 	return sum / max(all, 1e-9), outcomes
@@ -180,7 +180,7 @@
 
 // toggleDropped drops some of the requests that were not in time, and restores some of the dropped
 // ones.
-func (d *Trace) toggleDropped(dropped []bool, outcomes []passes.Outcome, rng *rand.Rand) []bool {
+func (t *Trace) toggleDropped(dropped []bool, outcomes []passes.Outcome, rng *rand.Rand) []bool {
 	next := slices.Clone(dropped)
 	for i := range next {
 		if outcomes[i] != passes.InTime && rng.Float64() < toggleChance {
--- a/bench/whatif/phases.go
+++ b/bench/whatif/phases.go
@@ -27,29 +27,29 @@
 // Phases divides the arrivals, of which there must be at least one, into intervals of the given
 // length. r is the result of a simulation, found the outcomes in the best simulation of a search;
 // nil for no search.
-func (d *Trace) Phases(r *passes.Result, found []passes.Outcome, length clock.Milli) []Phase {
-	last := d.Logged[len(d.Logged)-1].Arrived.Sub(d.Logged[0].Arrived).Milliseconds()
-	if n := len(d.Arrivals); n > 0 {
-		last = max(last, int64(d.Arrivals[n-1].At))
+func (t *Trace) Phases(r *passes.Result, found []passes.Outcome, length clock.Milli) []Phase {
+	last := t.Logged[len(t.Logged)-1].Arrived.Sub(t.Logged[0].Arrived).Milliseconds()
+	if n := len(t.Arrivals); n > 0 {
+		last = max(last, int64(t.Arrivals[n-1].At))
 	}
 	phases := make([]Phase, last/int64(length)+1)
 	for i := range phases {
 		phases[i].From = clock.Milli(i) * length
 	}
 	kinds := map[clock.Milli]*passes.Kind{}
-	for i := range d.Load.Kinds {
-		kinds[d.Load.Kinds[i].Aim] = &d.Load.Kinds[i]
+	for i := range t.Load.Kinds {
+		kinds[t.Load.Kinds[i].Aim] = &t.Load.Kinds[i]
 	}
-	for i := range d.Logged {
-		q := &d.Logged[i]
-		at := clock.Of(q.Arrived.Sub(d.Logged[0].Arrived))
+	for i := range t.Logged {
+		q := &t.Logged[i]
+		at := clock.Of(q.Arrived.Sub(t.Logged[0].Arrived))
 		p := &phases[at/length]
-		k, e := kinds[*q.Aim], q.response()
+		k, resp := kinds[*q.Aim], q.response()
 		p.maxLoggedWorth += k.WorthOf(tokenCount(q.Prompt))
-		p.Logged += worthOf(k, tokenCount(q.Prompt), e.Outcome(k))
+		p.Logged += worthOf(k, tokenCount(q.Prompt), resp.Outcome(k))
 	}
-	for i := range d.Arrivals {
-		a := &d.Arrivals[i]
+	for i := range t.Arrivals {
+		a := &t.Arrivals[i]
 		p := &phases[clock.Milli(a.At)/length]
 		p.Requests++
 		p.maxWorth += a.Kind.WorthOf(a.Prompt)
@@ -68,8 +68,8 @@
 }
 
 // worthOf returns the value of a response with the given outcome.
-func worthOf(k *passes.Kind, prompt decide.Tokens, e passes.Outcome) float64 {
-	switch e {
+func worthOf(k *passes.Kind, prompt decide.Tokens, o passes.Outcome) float64 {
+	switch o {
 	case passes.InTime:
 		return k.WorthOf(prompt)
 	case passes.Late:
--- a/bench/whatif/read.go
+++ b/bench/whatif/read.go
@@ -249,9 +249,9 @@
 // String describes the gaps, one line each; it is empty if there are none.
 func (g *Gaps) String() string {
 	text := ""
-	add := func(n int, what string) {
+	add := func(n int, description string) {
 		if n > 0 {
-			text += fmt.Sprintf("gap: %d %s\n", n, what)
+			text += fmt.Sprintf("gap: %d %s\n", n, description)
 		}
 	}
 	add(g.Skipped, "lines skipped: truncated or not written by a daemon")
--- a/bench/whatif/table.go
+++ b/bench/whatif/table.go
@@ -30,10 +30,10 @@
 }
 
 // add counts one request.
-func (t *Tally) add(k *passes.Kind, worth float64, e passes.Response) {
+func (t *Tally) add(k *passes.Kind, worth float64, r passes.Response) {
 	t.Requests++
 	t.MaxWorth += worth
-	switch e.Outcome(k) {
+	switch r.Outcome(k) {
 	case passes.InTime:
 		t.InTime++
 		t.Worth += worth
@@ -43,49 +43,49 @@
 	default:
 		t.Lost++
 	}
-	if e.First > 0 {
-		t.firsts = append(t.firsts, e.First)
+	if r.First > 0 {
+		t.firsts = append(t.firsts, r.First)
 	}
 }
 
 // Tallies are the tallies of all kinds by name.
 type Tallies map[string]*Tally
 
-func (ts Tallies) add(k *passes.Kind, a *passes.Arrival, e passes.Response) {
+func (ts Tallies) add(k *passes.Kind, a *passes.Arrival, r passes.Response) {
 	if ts[k.Name] == nil {
 		ts[k.Name] = &Tally{}
 	}
-	ts[k.Name].add(k, k.WorthOf(a.Prompt), e)
+	ts[k.Name].add(k, k.WorthOf(a.Prompt), r)
 }
 
 // WorthFraction returns the value of all responses divided by the value if all had been in time.
 func (ts Tallies) WorthFraction() float64 {
-	got, most := 0.0, 0.0
+	worth, maxWorth := 0.0, 0.0
 	for _, t := range ts {
-		got += t.Worth
-		most += t.MaxWorth
+		worth += t.Worth
+		maxWorth += t.MaxWorth
 	}
-	return got / max(most, 1e-9)
+	return worth / max(maxWorth, 1e-9)
 }
 
 // SimulatedTallies returns the tallies of a simulation.
-func (d *Trace) SimulatedTallies(r *passes.Result) Tallies {
+func (t *Trace) SimulatedTallies(r *passes.Result) Tallies {
 	ts := Tallies{}
-	for i := range d.Arrivals {
-		ts.add(d.Arrivals[i].Kind, &d.Arrivals[i], r.Responses[i])
+	for i := range t.Arrivals {
+		ts.add(t.Arrivals[i].Kind, &t.Arrivals[i], r.Responses[i])
 	}
 	return ts
 }
 
 // LoggedTallies returns the tallies of the requests as logged.
-func (d *Trace) LoggedTallies() Tallies {
+func (t *Trace) LoggedTallies() Tallies {
 	ts := Tallies{}
 	kinds := map[string]*passes.Kind{}
-	for i := range d.Load.Kinds {
-		kinds[d.Load.Kinds[i].Name] = &d.Load.Kinds[i]
+	for i := range t.Load.Kinds {
+		kinds[t.Load.Kinds[i].Name] = &t.Load.Kinds[i]
 	}
-	for i := range d.Logged {
-		r := &d.Logged[i]
+	for i := range t.Logged {
+		r := &t.Logged[i]
 		k := kinds[fmt.Sprintf("aim%d", *r.Aim)]
 		ts.add(k, &passes.Arrival{Prompt: tokenCount(r.Prompt)}, r.response())
 	}
@@ -108,9 +108,9 @@
 
 // reason returns why a logged request was not in time; it is empty for one that was.
 func (r *Request) reason(k *passes.Kind) Reason {
-	e := r.response()
+	resp := r.response()
 	switch {
-	case e.Outcome(k) == passes.InTime:
+	case resp.Outcome(k) == passes.InTime:
 		return ""
 	case r.Outcome == "canceled":
 		return Canceled
@@ -118,7 +118,7 @@
 		return Refused
 	case strings.Contains(r.Sends, ";"):
 		return Retried
-	case !e.Complete:
+	case !resp.Complete:
 		return Interrupted
 	case r.Queued > k.Aim/2:
 		return QueuedTooLong
@@ -130,13 +130,13 @@
 }
 
 // Reasons counts the reasons why logged requests were not in time, by kind.
-func (d *Trace) Reasons() map[string]map[Reason]int {
+func (t *Trace) Reasons() map[string]map[Reason]int {
 	out := map[string]map[Reason]int{}
-	for i := range d.Load.Kinds {
-		k := &d.Load.Kinds[i]
+	for i := range t.Load.Kinds {
+		k := &t.Load.Kinds[i]
 		out[k.Name] = map[Reason]int{}
-		for j := range d.Logged {
-			if r := &d.Logged[j]; *r.Aim == k.Aim {
+		for j := range t.Logged {
+			if r := &t.Logged[j]; *r.Aim == k.Aim {
 				if why := r.reason(k); why != "" {
 					out[k.Name][why]++
 				}
@@ -150,10 +150,10 @@
 func percent(part, all int) float64 { return 100 * float64(part) / float64(max(all, 1)) }
 
 // Print writes a table that compares the logged requests with a simulation.
-func (d *Trace) Print(out io.Writer, r *passes.Result) {
-	logged, simulated := d.LoggedTallies(), d.SimulatedTallies(r)
+func (t *Trace) Print(out io.Writer, r *passes.Result) {
+	logged, simulated := t.LoggedTallies(), t.SimulatedTallies(r)
 	fmt.Fprintf(out, "service %s: %d engines, %d requests in %.1f s; %d more answered before placement\n",
-		d.Service, d.Load.Engines, len(d.Logged), d.Load.Length/1000, d.EndedBeforePlacement)
+		t.Service, t.Load.Engines, len(t.Logged), t.Load.Length/1000, t.EndedBeforePlacement)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "kind\t\trequests\tin time %\tlate %\tlost %\tfirst event p50 ms\tworth")
 	for _, n := range slices.Sorted(maps.Keys(simulated)) {
@@ -163,20 +163,20 @@
 	fmt.Fprintf(w, "all\tlogged\t\t\t\t\t\t%.3f\n", logged.WorthFraction())
 	fmt.Fprintf(w, "all\tsimulated\t\t\t\t\t\t%.3f\n", simulated.WorthFraction())
 	_ = w.Flush() // an error of the terminal can't be reported anywhere else
-	d.printReasons(out)
+	t.printReasons(out)
 	printTime(out, &r.EngineTime)
 }
 
-func printTally(w io.Writer, kind, of string, t *Tally) {
+func printTally(w io.Writer, kind, source string, t *Tally) {
 	if t == nil {
 		return
 	}
-	fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.0f\t%.3f\n", kind, of, t.Requests,
+	fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.0f\t%.3f\n", kind, source, t.Requests,
 		percent(t.InTime, t.Requests), percent(t.Late, t.Requests), percent(t.Lost, t.Requests), t.MedianFirst(), t.Worth/max(t.MaxWorth, 1e-9))
 }
 
-func (d *Trace) printReasons(out io.Writer) {
-	reasons := d.Reasons()
+func (t *Trace) printReasons(out io.Writer) {
+	reasons := t.Reasons()
 	for _, n := range slices.Sorted(maps.Keys(reasons)) {
 		for _, why := range slices.Sorted(maps.Keys(reasons[n])) {
 			fmt.Fprintf(out, "%s not in time, %s: %d\n", n, why, reasons[n][why])
--- a/bench/whatif/trace.go
+++ b/bench/whatif/trace.go
@@ -62,40 +62,40 @@
 }
 
 func newTrace(l *Log, s route.ServiceID, c Change) (Trace, error) {
-	d := Trace{Service: s, Load: passes.Load{Engines: cmp.Or(c.Engines, l.Upstreams[s]), Engine: l.Engines[s]}}
-	if d.Load.Engines == 0 {
-		return d, Class.New("the logs do not show how many engines service %s has: set --engines", s)
+	t := Trace{Service: s, Load: passes.Load{Engines: cmp.Or(c.Engines, l.Upstreams[s]), Engine: l.Engines[s]}}
+	if t.Load.Engines == 0 {
+		return t, Class.New("the logs do not show how many engines service %s has: set --engines", s)
 	}
 	for _, r := range l.Requests {
 		switch {
 		case r.Service != s || r.Prompt == 0:
 		case r.Placed == 0 && r.Reason == "" && r.Sends == "":
-			d.EndedBeforePlacement++
+			t.EndedBeforePlacement++
 		default:
-			d.Logged = append(d.Logged, r)
+			t.Logged = append(t.Logged, r)
 		}
 	}
-	if len(d.Logged) == 0 {
-		return d, nil
+	if len(t.Logged) == 0 {
+		return t, nil
 	}
-	kinds := kindsOf(d.Logged, c.Worth)
+	kinds := kindsOf(t.Logged, c.Worth)
 	rng := rand.New(rand.NewPCG(c.Seed, 5))
-	from := d.Logged[0].Arrived
-	for i := range d.Logged {
-		r := &d.Logged[i]
+	from := t.Logged[0].Arrived
+	for i := range t.Logged {
+		r := &t.Logged[i]
 		a := arrival(r, kinds[*r.Aim], l.Engines[s].Stride)
 		a.At = float64(clock.Of(r.Arrived.Sub(from)))
 		for range copies(c.Mix, *r.Aim, rng) {
-			d.Arrivals = append(d.Arrivals, a)
+			t.Arrivals = append(t.Arrivals, a)
 			a.At += maxCopyGap * rng.Float64()
 		}
-		d.Load.Length = max(d.Load.Length, a.At)
+		t.Load.Length = max(t.Load.Length, a.At)
 	}
-	slices.SortStableFunc(d.Arrivals, func(x, y passes.Arrival) int { return cmp.Compare(x.At, y.At) })
+	slices.SortStableFunc(t.Arrivals, func(x, y passes.Arrival) int { return cmp.Compare(x.At, y.At) })
 	for _, aim := range slices.Sorted(maps.Keys(kinds)) {
-		d.Load.Kinds = append(d.Load.Kinds, *kinds[aim])
+		t.Load.Kinds = append(t.Load.Kinds, *kinds[aim])
 	}
-	return d, nil
+	return t, nil
 }
 
 // maxCopyGap is the longest time in milliseconds between two successive copies of a request in a
@@ -119,7 +119,7 @@
 // routes.
 func kindsOf(rs []Request, worth map[clock.Milli]float64) map[clock.Milli]*passes.Kind {
 	kinds := map[clock.Milli]*passes.Kind{}
-	counts, whole := map[clock.Milli]float64{}, map[clock.Milli]float64{}
+	counts, completeCounts := map[clock.Milli]float64{}, map[clock.Milli]float64{}
 	for i := range rs {
 		r := &rs[i]
 		k := kinds[*r.Aim]
@@ -133,14 +133,14 @@
 		counts[*r.Aim]++
 		k.MeanPrompt += float64(r.Prompt)
 		if r.complete() {
-			whole[*r.Aim]++
+			completeCounts[*r.Aim]++
 			k.MeanEvents += float64(r.Events)
 		}
 	}
 	for aim, k := range kinds {
 		k.MeanPrompt /= counts[aim]
-		if whole[aim] > 0 {
-			k.MeanEvents /= whole[aim]
+		if completeCounts[aim] > 0 {
+			k.MeanEvents /= completeCounts[aim]
 		}
 	}
 	return kinds
@@ -165,14 +165,14 @@
 
 // response returns the outcome of a logged request in the form of the simulation.
 func (r *Request) response() passes.Response {
-	e := passes.Response{First: float64(r.First), Pause: float64(r.Pause), Complete: r.complete()}
-	if !e.Complete && r.Sends == "" {
-		e.RefusalReason = r.Reason
+	resp := passes.Response{First: float64(r.First), Pause: float64(r.Pause), Complete: r.complete()}
+	if !resp.Complete && r.Sends == "" {
+		resp.RefusalReason = r.Reason
 	}
-	return e
+	return resp
 }
 
 // Simulate runs the arrivals under the scheduling decisions with the given rules.
-func (d *Trace) Simulate(rules span.Rules) passes.Result {
-	return passes.SimulateArrivals(&d.Load, rules, d.Arrivals)
+func (t *Trace) Simulate(rules span.Rules) passes.Result {
+	return passes.SimulateArrivals(&t.Load, rules, t.Arrivals)
 }
--- a/bench/whatif/whatif_test.go
+++ b/bench/whatif/whatif_test.go
@@ -86,16 +86,16 @@
 // A log is truncated in the middle of its last line, or lacks its first lines. If that were not
 // reported, the results would be taken for those of the complete log.
 func TestTruncatedLogIsReported(t *testing.T) {
-	whole := shortRequestLog("a", 4, 50)
-	l, err := Read(logs(whole[:len(whole)-40])...)
+	complete := shortRequestLog("a", 4, 50)
+	l, err := Read(logs(complete[:len(complete)-40])...)
 	require.NoError(t, err)
 	require.Equal(t, 1, l.Skipped)
 	require.Contains(t, l.Gaps.String(), "1 lines")
-	_, headless, _ := strings.Cut(whole, "\n")
-	l, err = Read(logs(headless)...)
+	_, withoutFirstLine, _ := strings.Cut(complete, "\n")
+	l, err = Read(logs(withoutFirstLine)...)
 	require.NoError(t, err)
 	require.Equal(t, []string{"a"}, l.WithoutStart)
-	_, requests, _ := strings.Cut(whole, `"service":"m","new":true}`)
+	_, requests, _ := strings.Cut(complete, `"service":"m","new":true}`)
 	_, requests, _ = strings.Cut(requests, "e3")
 	_, err = Read(logs(requests)...)
 	require.ErrorContains(t, err, "describes engines")
