--- a/emulator/batch/request.go
+++ b/emulator/batch/request.go
@@ -28,7 +28,7 @@
 	Group    string `json:"group"`
 	Priority int    `json:"priority"`
 	// Arrived, Started, First and Finished are times in milliseconds, zero if not reached. Started
-	// is when the request received its slot and memory, First when its first token was produced.
+	// is when the request received its slot and memory, FirstToken when its first token was produced.
 	Arrived    clock.Milli `json:"arrived"`
 	Started    clock.Milli `json:"started"`
 	FirstToken clock.Milli `json:"first"`
@@ -61,7 +61,7 @@
 	Events []clock.Milli
 	// Ended is set when no further event will be produced.
 	Ended bool
-	// Readers is the number of open streams. Left is when the most recent stream was closed.
+	// Readers is the number of open streams. LastClosed is when a stream was last closed.
 	Readers    int
 	LastClosed clock.Milli
 	// Delivered is set when a reader has received the end mark, or the request was canceled and no
--- a/emulator/caller/call_test.go
+++ b/emulator/caller/call_test.go
@@ -30,11 +30,11 @@
 }
 
 func TestCompletionsAreChecked(t *testing.T) {
-	own := expect.SeedOf("p").Answer(2)
+	expected := expect.SeedOf("p").Answer(2)
 	answer := `{"id":"x","choices":[{"message":{"content":%q}}],"usage":{"completion_tokens":%d}}`
-	require.Equal(t, Finished, send(t, Request{}, fmt.Sprintf(answer, own, 2)).Outcome)
-	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, own, 3)).Outcome)
-	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, own[:4], 2)).Outcome)
+	require.Equal(t, Finished, send(t, Request{}, fmt.Sprintf(answer, expected, 2)).Outcome)
+	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, expected, 3)).Outcome)
+	require.Equal(t, Wrong, send(t, Request{}, fmt.Sprintf(answer, expected[:4], 2)).Outcome)
 	require.Equal(t, Wrong, send(t, Request{}, `{"id":"x"}`).Outcome)
 }
 
--- a/emulator/caller/request.go
+++ b/emulator/caller/request.go
@@ -17,7 +17,8 @@
 	// Address is host:port of the server.
 	Address string
 	// Path is the URL path at a daemon or, if Direct is set, at the engine or service.
-	Path      string
+	Path string
+	// Workspace is the workspace that sends the request, Key its API key, Kind the request kind.
 	Workspace string
 	Key       string
 	Kind      string
--- a/emulator/completion/chunk.go
+++ b/emulator/completion/chunk.go
@@ -10,7 +10,7 @@
 )
 
 // Source is the request whose ID and answer a chunk contains. It is normally the request of the
-// stream; while the engine is told to cross streams, it is a different one.
+// stream, and a different one while the engine's fault Control.Cross is set.
 type Source struct {
 	ID   decide.RequestID
 	Seed expect.Seed
--- a/emulator/engine/stream.go
+++ b/emulator/engine/stream.go
@@ -196,12 +196,12 @@
 // waitUntil flushes the events written so far and waits until a time. It returns false if the reader
 // disconnects or the engine is closed.
 func (s *streamWriter) waitUntil(at clock.Milli) bool {
-	span := at - s.engine.clock.Now()
-	if span <= 0 {
+	remaining := at - s.engine.clock.Now()
+	if remaining <= 0 {
 		return true
 	}
 	_ = s.flush()
-	t := time.NewTimer(span.Duration())
+	t := time.NewTimer(remaining.Duration())
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/emulator/experiment/path.go
+++ b/emulator/experiment/path.go
@@ -121,8 +121,8 @@
 	b.WriteString("| target | way | finished | first p50 ms | p99 | total p50 | p99 |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, p := range ps {
 		c := p.Compared
-		writeSideRow(&b, p.Target, "direct", c.Direct)
-		writeSideRow(&b, p.Target, "through", c.Through)
+		writePathRow(&b, p.Target, "direct", c.Direct)
+		writePathRow(&b, p.Target, "through", c.Through)
 		fmt.Fprintf(&b, "| %s | added | | %.2f | %.2f | %.2f | %.2f |\n", p.Target, c.Median, c.P99, c.TotalMedian, c.TotalP99)
 	}
 	b.WriteString("\n| target | allocations a request | KB allocated | ms of processor | bytes between daemons |\n| --- | --- | --- | --- | --- |\n")
@@ -135,7 +135,7 @@
 
 const kilobyte = 1 << 10
 
-func writeSideRow(b *strings.Builder, target, way string, s load.PathResult) {
+func writePathRow(b *strings.Builder, target, path string, s load.PathResult) {
 	fmt.Fprintf(b, "| %s | %s | %d of %d | %.2f | %.2f | %.2f | %.2f |\n",
-		target, way, s.Outcomes["finished"], s.Sent, s.First.P50, s.First.P99, s.Total.P50, s.Total.P99)
+		target, path, s.Outcomes["finished"], s.Sent, s.First.P50, s.First.P99, s.Total.P50, s.Total.P99)
 }
--- a/emulator/idle.go
+++ b/emulator/idle.go
@@ -20,15 +20,15 @@
 			&cli.StringFlag{Name: "deployment", Value: string(local.Directorate), Usage: "directorate or indus"},
 			&cli.StringSliceFlag{Name: "size", Value: []string{"12x3", "60x3", "240x3", "12x9"}, Usage: "deployment to measure, `ENGINESxDAEMONS`; may be repeated"},
 			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "wait between readiness and the measurement"},
-			&cli.DurationFlag{Name: "span", Value: defaultIdleSpan, Usage: "length of the measurement"},
+			&cli.DurationFlag{Name: "span", Value: defaultIdleDuration, Usage: "length of the measurement"},
 			&cli.StringSliceFlag{Name: "set", Usage: "one setting for every engine, `FIELD=VALUE`; may be repeated"},
 		),
 		Action: runIdle,
 	})
 }
 
-// defaultIdleSpan is long compared to the longest period of a daemon's background work.
-const defaultIdleSpan = 20 * time.Second
+// defaultIdleDuration is long compared to the longest period of a daemon's background work.
+const defaultIdleDuration = 20 * time.Second
 
 func runIdle(ctx context.Context, c *cli.Command) error {
 	o, err := localOptions(c)
--- a/emulator/load/load_test.go
+++ b/emulator/load/load_test.go
@@ -170,7 +170,7 @@
 		Key: "k", Model: "m", Kind: "ward-notice", Tokens: 20, Output: 2,
 	})
 	require.NoError(t, err)
-	require.Equal(t, r.Direct.Sent, r.Through.Sent, "both sides send the same requests")
+	require.Equal(t, r.Direct.Sent, r.Through.Sent, "both paths receive the same requests")
 	require.Equal(t, r.Direct.Sent, r.Direct.Outcomes[caller.Finished])
 	require.Equal(t, r.Through.Sent, r.Through.Outcomes[caller.Finished])
 	require.Greater(t, r.Through.First.P50, 20.0)
--- a/emulator/load/plan.go
+++ b/emulator/load/plan.go
@@ -83,7 +83,8 @@
 	return r
 }
 
-// maxChoice is far above the number of daemons, so that choice modulo this number is nearly uniform.
+// maxChoice is far above the number of daemons, so that a random number below maxChoice, taken modulo
+// the number of daemons, is nearly uniform.
 const maxChoice = 1 << 20
 
 // burstDivisor divides a period into parts. The burst lasts for the first part.
--- a/emulator/load/run.go
+++ b/emulator/load/run.go
@@ -47,8 +47,8 @@
 	return t.finish(elapsed), err
 }
 
-// planContext returns the context of the generation of requests. In a closed loop with a span, it ends
-// when the span has passed. In an open loop, the planner itself ends the plan by the scheduled times.
+// planContext returns the context of the generation of requests. In a closed loop with a RunTime, it
+// ends after that time. In an open loop, the planner itself ends the plan by the scheduled send times.
 func planContext(ctx context.Context, s Settings, start time.Time) (context.Context, context.CancelFunc) {
 	if s.Rate > 0 || s.RunTime == 0 {
 		return context.WithCancel(ctx)
--- a/emulator/main_test.go
+++ b/emulator/main_test.go
@@ -209,10 +209,10 @@
 	require.Equal(t, caller.Finished, one.Outcome)
 	output(t, &one, emulator, "call", "--address", r.Address, "--service", "alert-desk", "--once", "k")
 	require.Equal(t, caller.Finished, one.Outcome)
-	var held load.StreamMemory
-	output(t, &held, emulator, "streams", "--address", r.Address, "--pid", fmt.Sprint(r.Pids["vm-1"]), "--count", "10", "--settle", "1ms")
-	require.Equal(t, 10, held.Open)
-	require.Positive(t, held.During)
+	var streams load.StreamMemory
+	output(t, &streams, emulator, "streams", "--address", r.Address, "--pid", fmt.Sprint(r.Pids["vm-1"]), "--count", "10", "--settle", "1ms")
+	require.Equal(t, 10, streams.Open)
+	require.Positive(t, streams.During)
 	var c load.ComparisonResult
 	output(t, &c, emulator, "compare", "--direct", r.Upstreams["notice-1"], "--through", r.Address, "--rounds", "1", "--slice", "200ms", "--rate", "50")
 	require.Equal(t, c.Through.Sent, c.Through.Outcomes[caller.Finished])
--- a/emulator/settings/settings.go
+++ b/emulator/settings/settings.go
@@ -13,7 +13,7 @@
 )
 
 // Load decodes the file, unless its path is empty, and then sets, each "field=value", into the struct
-// to which into points. A value that is not valid JSON is used as a string. Unknown fields are errors.
+// that into points to. A value that is not valid JSON is used as a string. Unknown fields are errors.
 // Fields that are not set keep their value.
 func Load(file string, sets []string, into any) error {
 	if file != "" {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// Parse decodes JSON with comments into the struct to which into points. Unknown fields are errors.
+// Parse decodes JSON with comments into the struct that into points to. Unknown fields are errors.
 func Parse(text []byte, into any) error {
 	plain, err := hujson.Standardize(text)
 	if err != nil {
