--- a/scenarios/chaos/schedule.go
+++ b/scenarios/chaos/schedule.go
@@ -66,7 +66,7 @@
 	maxDuration = 7 * time.Second
 	minPause    = 200 * time.Millisecond
 	maxPause    = 2500 * time.Millisecond
-	// pairOdds is n if one in n times two faults start together.
+	// pairOdds is the inverse of the probability that two faults start together.
 	pairOdds = 3
 )
 
--- a/scenarios/fleet/fleet.go
+++ b/scenarios/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs entry VMs, each as a separate process, against an emulated platform inside
-// the test process. Their connections to the store, to each other and to upstreams pass through
-// relays, so that a test can cut, silence or delay any link.
+// Package fleet runs entry VMs (VMs that accept client requests), each as a separate process, against
+// an emulated platform inside the test process. Their connections to the store, to each other and to
+// upstreams pass through relays, so that a test can cut, silence or delay any link.
 package fleet
 
 import (
@@ -95,7 +95,7 @@
 	identifyTimeout = 50 * time.Millisecond
 )
 
-// Client is the name under which relays see connections of the test process itself, the client.
+// Client is the name of the test process, which acts as the client, as a source of connections at relays.
 const Client = "caller"
 
 // newRelay returns a new relay that forwards connections to an address.
--- a/scenarios/platform_era_test.go
+++ b/scenarios/platform_era_test.go
@@ -26,8 +26,8 @@
 	leavingTime = 2 * time.Second
 )
 
-// requireServed polls a new route on a VM and requires that it is served before the time until, and that the VM
-// responds with 404 before that.
+// requireServed sends requests on a new route to a VM until one is served. It requires that this happens before the time
+// until, and that the VM responds with 404 to all earlier requests.
 func requireServed(t *testing.T, v *fleet.VM, route string, until time.Time) {
 	t.Helper()
 	c := standin.NewClient("ward")
--- a/scenarios/platform_limit_test.go
+++ b/scenarios/platform_limit_test.go
@@ -31,7 +31,7 @@
 }
 
 // An upstream declares how many requests per second it accepts. All VMs together must not send more; the failure is that
-// each VM sends that many.
+// each VM by itself sends that many.
 func TestPlatformDeclaredLimitHoldsAcrossAllVMs(t *testing.T) {
 	f := newFleet(t, 3)
 	l := newLoad(f)
--- a/scenarios/platform_test.go
+++ b/scenarios/platform_test.go
@@ -79,7 +79,7 @@
 // enoughResponses is a number of responses that includes several of each route from each VM.
 const enoughResponses = 30
 
-// awaitResponses waits for enough further responses.
+// awaitResponses waits until enoughResponses further responses have arrived.
 func (l *load) awaitResponses(t *testing.T) {
 	t.Helper()
 	goal := l.count() + enoughResponses
--- a/scenarios/process/process.go
+++ b/scenarios/process/process.go
@@ -113,7 +113,7 @@
 // Succeeded reports whether the program has exited with status 0.
 func (p *Process) Succeeded() bool { return !p.Running() && p.cmd.ProcessState.Success() }
 
-// Address waits up to limit for the ready line of an emulator and returns the address in it.
+// Address waits up to timeout for the ready line of an emulator and returns the address in it.
 func (p *Process) Address(timeout time.Duration) (string, error) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
@@ -137,7 +137,7 @@
 	<-p.done
 }
 
-// Close stops the program with SIGTERM, also when it is frozen, and kills it after stopTimeout.
+// Close stops the program with SIGTERM, even if the program is frozen, and kills it after stopTimeout.
 func (p *Process) Close() {
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.Signal(syscall.SIGTERM)
--- a/scenarios/relay/relay.go
+++ b/scenarios/relay/relay.go
@@ -68,8 +68,8 @@
 	lowBits  = 8
 	highBits = 16
 	lowMask  = 0xff
-	// highest avoids 127.255.255.255, the broadcast address.
-	highest = 250
+	// maxHighByte avoids 127.255.255.255, the broadcast address.
+	maxHighByte = 250
 )
 
 // host is a loopback address that only this test process uses. Otherwise two test processes on one
@@ -78,7 +78,7 @@
 
 // loopbackHost derives a loopback address from a process id.
 func loopbackHost(pid int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>highBits%highest, pid>>lowBits&lowMask, pid&lowMask)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>highBits%maxHighByte, pid>>lowBits&lowMask, pid&lowMask)
 }
 
 // allocated holds the addresses that FreeAddress returned in this process, in use or not.
@@ -192,12 +192,12 @@
 }
 
 // Silence drops all data in the directions dirs of the open connections of a source. Heal does not
-// undo this. With fresh set, connections opened until Heal are silent too, also for good.
-func (r *Relay) Silence(source string, dirs Directions, fresh bool) {
+// undo this. With newConnsToo set, connections opened until Heal are silent too, also for good.
+func (r *Relay) Silence(source string, dirs Directions, newConnsToo bool) {
 	r.awaitSources()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if fresh {
+	if newConnsToo {
 		r.rules[source] = rule{silent: dirs}
 	}
 	for c := range r.conns {
@@ -317,9 +317,10 @@
 	}
 }
 
-// Source returns a function that returns the name of the process whose connection the target sees
-// come from address, empty if there is no such connection or its process is not known. Source must
-// be called while the connection is open; the returned function waits until the lookup is done.
+// Source returns a function that returns the name of the process that dialed a connection, empty if
+// there is no such connection or its process is not known. address is the remote address of the
+// connection as the target sees it. Source must be called while the connection is open; the returned
+// function waits until the lookup is done.
 func (r *Relay) Source(address string) func() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/scenarios/relay/relay_test.go
+++ b/scenarios/relay/relay_test.go
@@ -103,9 +103,9 @@
 	r, err := New(NewFinder())
 	require.NoError(t, err)
 	t.Cleanup(r.Close)
-	held, err := net.Listen("tcp", r.Address())
+	listener, err := net.Listen("tcp", r.Address())
 	require.NoError(t, err)
-	time.AfterFunc(150*time.Millisecond, func() { held.Close() })
+	time.AfterFunc(150*time.Millisecond, func() { listener.Close() })
 	require.NoError(t, r.Up("127.0.0.1:1"))
 }
 
--- a/scenarios/script/await.go
+++ b/scenarios/script/await.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// result returns the result of a call, or nil if the call belongs to a load that is still sending and has sent none yet.
+// result returns the result of a call, or nil if the call belongs to a load that has not sent it yet.
 func (s *session) result(name string) (*world.Result, error) {
 	load, _, _ := strings.Cut(name, ".")
 	sent, ok := s.loads[load]
--- a/scenarios/script/call.go
+++ b/scenarios/script/call.go
@@ -100,8 +100,9 @@
 
 // batch sends the calls of a load.
 type batch struct {
-	name   string
-	call   world.Call
+	name string
+	call world.Call
+	// gates holds the names of the daemons to which calls are sent in turn.
 	gates  []string
 	mixed  bool
 	random *rand.Rand
--- a/scenarios/script/link.go
+++ b/scenarios/script/link.go
@@ -13,11 +13,11 @@
 	register("silence", silence)
 }
 
-// onLink applies f to the link between the two processes in args, the dialling one first. Two daemons dial each other, so
+// onLink applies f to the link between the two processes in args, the dialing one first. Two daemons dial each other, so
 // between them it applies f to the links of both directions, unless single is set.
 func (s *session) onLink(args []string, single bool, f func(from, to string) error) error {
 	if len(args) != 2 {
-		return usageError("needs the names of two processes, the dialling one first")
+		return usageError("needs the names of two processes, the dialing one first")
 	}
 	if err := f(args[0], args[1]); err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return s.onLink(args, false, s.world.Heal)
 }
 
-// silence keeps the connections of a link open but discards what is sent over them, with -there only what the dialling
+// silence keeps the connections of a link open but discards what is sent over them, with -there only what the dialing
 // process sends, with -back only what it would receive, with -new also over connections opened until heal:
 // silence [-one] [-new] [-there|-back] FROM TO
 func silence(s *session, args []string) error {
--- a/scenarios/seeds_test.go
+++ b/scenarios/seeds_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seeds returns the seeds to run, with the time for which each injects faults. The environment variable named seed sets a
-// single seed in place of the fixed ones, to run for the time given. The variable named length overrides the time of all.
+// seeds returns the seeds to run, with the time for which each injects faults. The environment variable seedVar sets a
+// single seed in place of the fixed ones, to run for defaultLength. The variable lengthVar overrides the time of all.
 func seeds(t *testing.T, fixedSeeds map[uint64]time.Duration, seedVar, lengthVar string, defaultLength time.Duration) map[uint64]time.Duration {
 	t.Helper()
 	out := maps.Clone(fixedSeeds)
--- a/scenarios/soak/check.go
+++ b/scenarios/soak/check.go
@@ -134,7 +134,7 @@
 	errLate         = errors.New("response long after the route's timeout")
 	errRevokedKey   = errors.New("request ran with a revoked key")
 	errDisconnected = errors.New("connection lost without a fault of its VM")
-	errNotServed    = errors.New("not served although no fault was near")
+	errNotServed    = errors.New("request not served although no fault lasted during the call or ended shortly before it")
 )
 
 // checkCall returns the guarantee that a call violated, or nil.
--- a/scenarios/soak/plan.go
+++ b/scenarios/soak/plan.go
@@ -122,8 +122,9 @@
 	minPause    = 100 * time.Millisecond
 	maxPause    = 2500 * time.Millisecond
 	maxDelay    = 400 * time.Millisecond
-	// burstOdds is n if one in n faults starts a burst: the fault is repeated, at the same or the next
-	// VM and after less than maxBurstGap each time, until it has been injected 2 to maxBurst times.
+	// burstOdds is the inverse of the probability that a fault starts a burst: the fault is repeated,
+	// at the same or the next VM and after less than maxBurstGap each time, until it has been injected
+	// 2 to maxBurst times.
 	burstOdds   = 4
 	maxBurst    = 4
 	maxBurstGap = 800 * time.Millisecond
--- a/scenarios/soak_test.go
+++ b/scenarios/soak_test.go
@@ -34,8 +34,8 @@
 //   - 10: long prompts were refused with reason "pressure" on an idle fleet.
 //   - 23: half of a stream was ended as if it were complete.
 //   - 124, 136, 148: clients were told that a request had not run although its first attempt had.
-//   - 6001, 6113: false alarms of the checks, over back-offs asked of VMs whose names are not known, and over an API key
-//     that a restored older copy of the store contained.
+//   - 6001, 6113: false alarms of the checks, about back-offs that upstreams requested from VMs which the relays could not
+//     identify, and about a revoked API key that a restored older copy of the store contained.
 //   - 6127: no VM used two of the four engines any more.
 var soakSeeds = map[uint64]time.Duration{
 	1: soakLength, 2: soakLength, 10: longSoakLength, 23: longSoakLength, 124: longSoakLength, 136: longSoakLength, 148: longSoakLength,
--- a/scenarios/world/call.go
+++ b/scenarios/world/call.go
@@ -91,7 +91,7 @@
 }
 
 // lateTimeout is how long a client waits beyond the time limit of a call. A response
-// in this time is seen to be late, instead of being cut off at the limit.
+// that arrives in this time is recorded as late instead of being cut off at the limit.
 const lateTimeout = 4 * time.Second
 
 // StartCall sends a call and returns without waiting for the response. A name used before is an error.
@@ -115,7 +115,8 @@
 	return r, nil
 }
 
-// setDefaults fills in the defaults of a call, and what its kind in the document determines.
+// setDefaults sets unset fields of a call to their defaults, and sets the fields that the call's kind in
+// the document determines.
 func (w *World) setDefaults(c *Call) error {
 	if c.PromptStart == "" {
 		c.PromptStart = c.Name
@@ -270,7 +271,7 @@
 	r.setOutcome(Disconnected, err.Error())
 }
 
-func (r *Result) setOutcome(e Outcome, problem string) { r.Outcome, r.Problem = e, problem }
+func (r *Result) setOutcome(o Outcome, problem string) { r.Outcome, r.Problem = o, problem }
 
 // prompt returns the complete prompt: PromptStart and a colon, padded to the length in tokens.
 func (c *Call) prompt() string {
--- a/scenarios/world/control.go
+++ b/scenarios/world/control.go
@@ -77,9 +77,9 @@
 }
 
 // Silence drops all data that the present connections from one process to another carry in the given
-// directions, for good. With fresh set, this also applies to connections opened until Heal.
-func (w *World) Silence(from, to string, ways relay.Directions, fresh bool) error {
-	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Silence(source, ways, fresh) })
+// directions, for good. With newConnsToo set, this also applies to connections opened until Heal.
+func (w *World) Silence(from, to string, directions relay.Directions, newConnsToo bool) error {
+	return w.withLink(from, to, func(r *relay.Relay, source string) { r.Silence(source, directions, newConnsToo) })
 }
 
 // Heal makes new connections from one process to another work again.
@@ -130,7 +130,7 @@
 	return w.revision
 }
 
-// Apply applies a document with "snipeshift apply". Base is the revision that the
+// Apply applies a document with "snipeshift apply". base is the revision that the
 // document was edited from; the command fails if the store holds another one.
 func (w *World) Apply(ctx context.Context, text []byte, base uint64) error {
 	w.applying.Store(true)
@@ -207,7 +207,7 @@
 	return Await(ctx, readyTimeout, "response of the store", func() (bool, error) {
 		r, stored, err := w.StoredDocument(ctx)
 		if err != nil || !bytes.Equal(stored, text) {
-			return err == nil, nil //nolint:nilerr // asked again
+			return err == nil, nil //nolint:nilerr // polled again
 		}
 		return true, w.recordAccepted(text, r)
 	})
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// putDocument writes the document to the store, provided that the stored revision is at. Zero means
-// that there must be no document yet. It returns the new revision.
+// putDocument writes the document to the store, provided that the stored revision is base. A base of
+// zero requires that there is no document yet. putDocument returns the new revision.
 func (w *World) putDocument(ctx context.Context, text []byte, base uint64) (uint64, error) {
 	h := http.Header{}
 	if base == 0 {
@@ -301,7 +301,7 @@
 const awaitInterval = 20 * time.Millisecond
 
 // Await evaluates a condition until it is true, at least once. It returns the condition's error, or an
-// error that starts with the description what if the condition is still false after the time limit.
+// error that starts with description if the condition is still false after the timeout.
 func Await(ctx context.Context, timeout time.Duration, description string, condition func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/scenarios/world/deploy.go
+++ b/scenarios/world/deploy.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// addNode registers a node, with a relay for each of the given addresses.
+// addNode registers a node, with a relay for each of the given endpoints.
 func (w *World) addNode(n *node, endpoints ...endpoint) error {
 	n.relays = map[endpoint]*relay.Relay{}
 	for _, d := range endpoints {
--- a/scenarios/world/secure.go
+++ b/scenarios/world/secure.go
@@ -131,7 +131,8 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// answersOperator reports whether a call to an operator address over the dialled connection succeeds.
+// answersOperator reports whether a call to an operator address succeeds over a connection
+// opened by dial.
 func answersOperator(ctx context.Context, dial peer.Dial, address string) bool {
 	c := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -143,7 +144,8 @@
 	return err == nil
 }
 
-// answersPeer reports whether a probe of an address for peers over the dialled connection succeeds.
+// answersPeer reports whether a probe of an address for peers succeeds over a connection opened by
+// dial.
 func answersPeer(ctx context.Context, dial peer.Dial, address string) bool {
 	d := peer.NewDialer(dial)
 	defer d.Close()
--- a/scenarios/world/usage.go
+++ b/scenarios/world/usage.go
@@ -19,7 +19,7 @@
 	u.output += o.output
 }
 
-// within reports whether every count of t lies between the bounds, inclusive.
+// within reports whether every count of u lies between the bounds, inclusive.
 func (u usage) within(least, most usage) bool {
 	return u.requests >= least.requests && u.requests <= most.requests &&
 		u.prompt >= least.prompt && u.prompt <= most.prompt &&
@@ -65,8 +65,8 @@
 	return out, nil
 }
 
-// executedUsage sums the ledgers by workspace. Least counts the requests with a complete
-// response to the client. Most counts all requests that upstreams received, each
+// executedUsage sums the ledgers by workspace. least counts the requests with a complete
+// response to the client. most counts all requests that upstreams received, each
 // with the largest output that it can have generated.
 func (w *World) executedUsage() (least, most map[string]usage, err error) {
 	l, err := w.Ledger()
@@ -140,8 +140,9 @@
 	return nil
 }
 
-// compare compares the usage got with its bounds. Short describes usage below least,
-// which daemons may still report; over describes usage above most, which is final.
+// compare compares the usage got with its bounds. short is an error for usage below least, which may
+// still rise when daemons report more. over is an error for usage above most, which no later report
+// can correct.
 func compare(got, least, most map[string]usage, missing int64) (short, over error) {
 	for name, lo := range least {
 		g, hi := got[name], most[name]
--- a/scenarios/world/world.go
+++ b/scenarios/world/world.go
@@ -17,7 +17,7 @@
 	"snipeshift.example/scenarios/relay"
 )
 
-// Store is the process name of the emulated platform. Caller names the client as one end of a link.
+// Store is the process name of the emulated platform. Client names the client as one end of a link.
 const (
 	Store  = "store"
 	Client = "caller"
