--- a/lib/clock/clock.go
+++ b/lib/clock/clock.go
@@ -42,7 +42,7 @@
 }
 
 // Boot is CLOCK_BOOTTIME, which advances while the VM is suspended. It is for durations that go on
-// outside a suspended VM: the age of a list, the time since an API key was revoked, a client's timeout.
+// outside a suspended VM: the age of a cached list, the time since an API key was revoked, a client's timeout.
 type Boot struct{}
 
 // Now returns the time since boot. It never decreases.
--- a/lib/dial/dial.go
+++ b/lib/dial/dial.go
@@ -11,7 +11,7 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // HedgeDelay is the time that an attempt gets before a parallel one is started. A connect between VMs
-// and upstreams of a region takes a few milliseconds, a small part of it.
+// and upstreams of a region takes a few milliseconds, far less than this delay.
 const HedgeDelay = 60 * time.Millisecond
 
 // Hedged returns a Dial that starts a further attempt by d, in parallel with the earlier ones, after each delay
--- a/lib/document/check.go
+++ b/lib/document/check.go
@@ -166,7 +166,7 @@
 	}
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-		c.source.AddProblem(path, `must be an IP number and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
+		c.source.AddProblem(path, `must be an IP address and a port, such as "10.0.0.7:8000" or "[fd00::7]:8000"`)
 		return
 	}
 	c.checkUnique(seen, a.String(), path, "is the address of an earlier upstream")
--- a/lib/document/edit.go
+++ b/lib/document/edit.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	steps, err := json.Marshal([]patchOperation{{Op: "add", Path: object + "/" + field, Value: value}})
+	patch, err := json.Marshal([]patchOperation{{Op: "add", Path: object + "/" + field, Value: value}})
 	if err != nil {
 		return nil, Class.Wrap(err)
 	}
-	if err := tree.Patch(steps); err != nil {
+	if err := tree.Patch(patch); err != nil {
 		return nil, Class.Wrap(err)
 	}
 	if o, ok := tree.Find(object).Value.(*hujson.Object); ok {
--- a/lib/document/key.go
+++ b/lib/document/key.go
@@ -18,13 +18,13 @@
 	return keyHashPrefix + hex.EncodeToString(d[:])
 }
 
-// isKeyHash reports whether text is a hash in the format of Hash.
+// isKeyHash reports whether text is a hash in the format of HashKey.
 func isKeyHash(text string) bool {
 	_, ok := parseKeyHash(text)
 	return ok
 }
 
-// parseKeyHash decodes a hash in the format of Hash.
+// parseKeyHash decodes a hash in the format of HashKey.
 func parseKeyHash(text string) (keyDigest, bool) {
 	var d keyDigest
 	digits, ok := strings.CutPrefix(text, keyHashPrefix)
--- a/lib/door/door.go
+++ b/lib/door/door.go
@@ -106,7 +106,7 @@
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return d.Dial(ctx, address)
 		},
-		// Each request opens a connection: a pooled one may be dead without having been closed.
+		// Each request opens a connection: a pooled one may be broken without having been closed.
 		DisableKeepAlives: true,
 	}
 }
--- a/lib/door/files.go
+++ b/lib/door/files.go
@@ -66,14 +66,14 @@
 	return l, nil
 }
 
-func (f *certificates) stat() (marks [3]fileVersion) {
+func (f *certificates) stat() (versions [3]fileVersion) {
 	for i, name := range []string{f.paths.Authority, f.paths.Certificate, f.paths.Key} {
 		s, err := os.Stat(name)
 		if err == nil {
-			marks[i] = fileVersion{s.Size(), s.ModTime()}
+			versions[i] = fileVersion{s.Size(), s.ModTime()}
 		}
 	}
-	return marks
+	return versions
 }
 
 // current returns the newest usable contents of the files. While certificate and key are being
@@ -86,11 +86,11 @@
 		return f.loaded
 	}
 	f.checked = time.Now()
-	marks := f.stat()
-	if marks == f.versions {
+	versions := f.stat()
+	if versions == f.versions {
 		return f.loaded
 	}
-	f.versions = marks
+	f.versions = versions
 	l, err := load(f.paths)
 	if err != nil {
 		f.report(err)
--- a/lib/engine/client.go
+++ b/lib/engine/client.go
@@ -41,8 +41,8 @@
 	HeaderGroup    = "X-Group"
 )
 
-// maxAnswerBytes bounds how much is read of responses that are not streams, in bytes.
-const maxAnswerBytes = 8 << 20
+// maxResponseBytes bounds how much is read of responses that are not streams, in bytes.
+const maxResponseBytes = 8 << 20
 
 // Client calls engines and plain services by address. It is safe for concurrent use.
 type Client struct {
@@ -109,8 +109,9 @@
 	Request decide.RequestID
 	// Priority is the priority of the grant; 0 is served first.
 	Priority uint8
-	Reserve  decide.Tokens
-	Grant    decide.GrantID
+	// Reserve is the KV memory that the engine reserves for the request.
+	Reserve decide.Tokens
+	Grant   decide.GrantID
 	// Group lists the engines if the prompt spans several, the leader first.
 	Group []decide.UpstreamID
 	// IdempotencyKey is the client's idempotency key, if any.
@@ -118,7 +119,7 @@
 }
 
 // Start sends a generation request and returns its stream. The first event must arrive within first
-// of the call, each further one within idle of the event before.
+// after the call, each further one within idle after the event before it.
 func (c *Client) Start(ctx context.Context, call Call, first, idle time.Duration) (*Stream, error) {
 	sctx, cancel := context.WithCancelCause(ctx)
 	req, err := http.NewRequestWithContext(sctx, http.MethodPost, "http://"+call.Address+call.Path, bytes.NewReader(call.Body))
@@ -308,8 +309,8 @@
 		return statusError(resp)
 	}
 	if out == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes))
+		_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 		return err
 	}
-	return ErrBroken.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out))
+	return ErrBroken.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out))
 }
--- a/lib/engine/fuzz_test.go
+++ b/lib/engine/fuzz_test.go
@@ -13,8 +13,8 @@
 	"snipeshift.example/lib/decide"
 )
 
-// FuzzStream looks for responses of an engine of which a chunk of another request is passed on, or that
-// are accepted as complete although the end is missing.
+// FuzzStream searches for engine responses from which Each passes on a chunk of another request, or which
+// it accepts as complete although the end is missing.
 func FuzzStream(f *testing.F) {
 	const id = "r"
 	event := func(n, data string) string { return "id: " + n + "\ndata: " + data + "\n\n" }
--- a/lib/exchange/declared.go
+++ b/lib/exchange/declared.go
@@ -36,16 +36,16 @@
 // the VM that received it, and born the upstream's incarnation that sent it (zero if unknown). The
 // end of a rate limit is never among the statements: a response without a limit may have been
 // overtaken by a later one that declares it.
-func (s *Declared) Statements(now clock.Milli, gate decide.GateID, born decide.Incarnation) []statement.Statement {
+func (s *Declared) Statements(now clock.Milli, gate decide.GateID, incarnation decide.Incarnation) []statement.Statement {
 	var out []statement.Statement
 	if s.Limit.Named {
-		out = append(out, statement.Statement{Kind: statement.Limit, Named: true, Rate: s.Limit.Rate, Born: born, At: now})
+		out = append(out, statement.Statement{Kind: statement.Limit, Named: true, Rate: s.Limit.Rate, Born: incarnation, At: now})
 	}
 	if s.BackOff > 0 {
-		out = append(out, statement.Statement{Kind: statement.BackOff, Named: true, Gate: gate, Born: born, At: now, Until: now + s.BackOff})
+		out = append(out, statement.Statement{Kind: statement.BackOff, Named: true, Gate: gate, Born: incarnation, At: now, Until: now + s.BackOff})
 	}
 	if s.Leaving {
-		out = append(out, statement.Statement{Kind: statement.Leaving, Named: true, Gate: gate, Born: born, At: now})
+		out = append(out, statement.Statement{Kind: statement.Leaving, Named: true, Gate: gate, Born: incarnation, At: now})
 	}
 	return out
 }
--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline defines the events in the log of a relaying daemon. Each line on standard output
+// Package logline defines the events in the log of a daemon in relay mode. Each line on standard output
 // is a JSON object with the event under Key, the VM, the decision or observation, its inputs and
 // their age. Ages and durations are in milliseconds.
 package logline
@@ -10,7 +10,7 @@
 const (
 	// Request summarizes a request when it ends.
 	Request = "request"
-	// Started, Stopping and Stopped are the start and the planned stop of a process; Failed is the
+	// Started, Stopping and Stopped are the start and the graceful stop of a process; Failed is the
 	// failure of one of its components.
 	Started  = "started"
 	Stopping = "stopping"
--- a/lib/operator/relay.go
+++ b/lib/operator/relay.go
@@ -11,8 +11,8 @@
 // address.
 const PathServices = "/services"
 
-// RelayStatus is the response of the services page: the services and statements that one VM in relay mode
-// knows.
+// RelayStatus is the response of the services page: the services and statements that one VM in relay
+// mode has recorded.
 type RelayStatus struct {
 	VM peer.VM `json:"vm"`
 	// Era is the era of the platform's store: it rises each time the store restarts from an older
@@ -33,12 +33,12 @@
 	Since clock.Milli `json:"since"`
 	// Successor is the VM that takes over if the holder fails; empty if there is no other VM.
 	Successor peer.VM `json:"successor"`
-	// Upstreams is the number of upstreams of the service that the responding VM knows.
+	// Upstreams is the number of upstreams of the service in the responding VM's registry.
 	Upstreams int `json:"upstreams"`
 }
 
-// Statement is what an upstream has declared about itself in a response, as far as the responding VM
-// knows.
+// Statement is what an upstream has declared about itself in a response, as recorded by the responding
+// VM.
 type Statement struct {
 	Service  route.ServiceID   `json:"service"`
 	Upstream decide.UpstreamID `json:"upstream"`
--- a/lib/peer/messages.go
+++ b/lib/peer/messages.go
@@ -126,7 +126,7 @@
 	Domain      Domain
 	// Address is the host:port for peers, Operator that for operators.
 	Address, Operator string
-	// Stopping is set when the member accepts no new duties.
+	// Stopping is set once a graceful stop has begun: the member takes no new role, such as owner of a pool.
 	Stopping bool
 	// Seq orders the descriptions of one incarnation. Only the member itself increases it:
 	// when its state changes, and when it learns that others suspect it to have failed.
@@ -207,8 +207,8 @@
 }
 
 // Position returns the era and revision of the store at which the set of upstreams was current.
-func (w *RegistrySummary) Position() route.Position {
-	return route.Position{Era: w.MarkEra, Mark: w.Mark}
+func (s *RegistrySummary) Position() route.Position {
+	return route.Position{Era: s.MarkEra, Mark: s.Mark}
 }
 
 // RegistryReply transfers a daemon's copy of the store to the requester, without the parts that it already has.
--- a/lib/peer/request.go
+++ b/lib/peer/request.go
@@ -43,17 +43,17 @@
 
 // ParseRequest parses a request id; ok is false if id was not made by Origin.ID.
 func ParseRequest(id decide.RequestID) (o Origin, ok bool) {
-	ps := strings.Split(string(id), ".")
-	if len(ps) != requestIDParts {
+	parts := strings.Split(string(id), ".")
+	if len(parts) != requestIDParts {
 		return o, false
 	}
-	i, err1 := strconv.ParseUint(ps[1], 36, 64)
-	d, err2 := strconv.ParseInt(ps[2], 36, 64)
-	n, err3 := strconv.ParseUint(ps[3], 36, 64)
-	if err1 != nil || err2 != nil || err3 != nil || ps[0] == "" {
+	i, err1 := strconv.ParseUint(parts[1], 36, 64)
+	d, err2 := strconv.ParseInt(parts[2], 36, 64)
+	n, err3 := strconv.ParseUint(parts[3], 36, 64)
+	if err1 != nil || err2 != nil || err3 != nil || parts[0] == "" {
 		return o, false
 	}
-	return Origin{VM: VM(ps[0]), Incarnation: Incarnation(i), Deadline: clock.Milli(d) * clock.Second, Count: n}, true
+	return Origin{VM: VM(parts[0]), Incarnation: Incarnation(i), Deadline: clock.Milli(d) * clock.Second, Count: n}, true
 }
 
 // NewFault converts an error for transfer in a message; nil stays nil.
--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -57,11 +57,11 @@
 // Get reads an object. The result may be older than the last write.
 func (c *Client) Get(ctx context.Context, k Kind, n Name) (Object, error) {
 	c.readCalls.Add(1)
-	a, err := c.read(ctx, c.objectURL(k, n), c.timeouts.Read)
+	resp, err := c.read(ctx, c.objectURL(k, n), c.timeouts.Read)
 	if err != nil {
 		return Object{}, err
 	}
-	return a.object(n)
+	return resp.object(n)
 }
 
 // Watch waits until the version of an object is above after, for at most wait. It returns false if
@@ -69,37 +69,37 @@
 func (c *Client) Watch(ctx context.Context, k Kind, n Name, after Version, wait clock.Milli) (Object, bool, error) {
 	c.watchCalls.Add(1)
 	u := fmt.Sprintf("%s?after=%d&wait=%d", c.objectURL(k, n), after, wait)
-	a, err := c.read(ctx, u, wait+c.timeouts.Read)
+	resp, err := c.read(ctx, u, wait+c.timeouts.Read)
 	if err != nil {
 		return Object{}, false, err
 	}
-	if a.status == http.StatusNotModified {
+	if resp.status == http.StatusNotModified {
 		return Object{}, false, nil
 	}
-	o, err := a.object(n)
+	o, err := resp.object(n)
 	return o, err == nil && o.Version > after, err
 }
 
 // List reads all objects of a kind whose names start with prefix.
 func (c *Client) List(ctx context.Context, k Kind, prefix string) ([]Object, error) {
 	c.readCalls.Add(1)
-	a, err := c.read(ctx, c.baseURL+"/objects/"+url.PathEscape(string(k))+"?prefix="+url.QueryEscape(prefix), c.timeouts.Read)
+	resp, err := c.read(ctx, c.baseURL+"/objects/"+url.PathEscape(string(k))+"?prefix="+url.QueryEscape(prefix), c.timeouts.Read)
 	if err != nil {
 		return nil, err
 	}
 	var os []Object
-	return os, c.decode(a, &os)
+	return os, c.decode(resp, &os)
 }
 
 // VMs reads the platform's list of VMs, which may be outdated.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	c.readCalls.Add(1)
-	a, err := c.read(ctx, c.baseURL+"/vms", c.timeouts.Read)
+	resp, err := c.read(ctx, c.baseURL+"/vms", c.timeouts.Read)
 	if err != nil {
 		return nil, err
 	}
 	var vs []VM
-	return vs, c.decode(a, &vs)
+	return vs, c.decode(resp, &vs)
 }
 
 // Put writes an object if the condition holds, and returns its new version.
@@ -107,11 +107,11 @@
 	if len(value) > MaxValueSize {
 		return 0, Class.Wrap(fmt.Errorf("%w: %s/%s has %d bytes", ErrRefused, k, n, len(value)))
 	}
-	a, err := c.write(ctx, http.MethodPut, c.objectURL(k, n), value, cond)
+	resp, err := c.write(ctx, http.MethodPut, c.objectURL(k, n), value, cond)
 	if err != nil {
 		return 0, err
 	}
-	v, err := parseVersion(a.etag)
+	v, err := parseVersion(resp.etag)
 	if err != nil {
 		// The write took effect, but its version is unknown.
 		c.unknownOutcomes.Add(1)
@@ -139,16 +139,16 @@
 }
 
 // object returns the object that a response contains.
-func (a response) object(n Name) (Object, error) {
-	v, err := parseVersion(a.etag)
+func (r response) object(n Name) (Object, error) {
+	v, err := parseVersion(r.etag)
 	if err != nil {
 		return Object{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
-	return Object{Name: n, Version: v, Value: a.body}, nil
+	return Object{Name: n, Version: v, Value: r.body}, nil
 }
 
-func (c *Client) decode(a response, into any) error {
-	if err := json.Unmarshal(a.body, into); err != nil {
+func (c *Client) decode(resp response, into any) error {
+	if err := json.Unmarshal(resp.body, into); err != nil {
 		c.unavailableCalls.Add(1)
 		return Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
@@ -162,7 +162,7 @@
 	if err != nil {
 		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrRefused, err))
 	}
-	a, err := roundTrip(c.reads, req)
+	resp, err := roundTrip(c.reads, req)
 	if err != nil {
 		// A reused connection can stop responding for good while new ones work. Which of the idle
 		// connections are affected is unknown, so all are closed and the next call opens a new one.
@@ -171,15 +171,15 @@
 		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	switch {
-	case a.status == http.StatusOK, a.status == http.StatusNotModified:
-		return a, nil
-	case a.status == http.StatusNotFound:
+	case resp.status == http.StatusOK, resp.status == http.StatusNotModified:
+		return resp, nil
+	case resp.status == http.StatusNotFound:
 		return response{}, ErrNotFound
-	case a.status >= 500, a.status == http.StatusTooManyRequests:
+	case resp.status >= 500, resp.status == http.StatusTooManyRequests:
 		c.unavailableCalls.Add(1)
-		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, resp.status))
 	default:
-		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, resp.status))
 	}
 }
 
@@ -204,7 +204,7 @@
 	case cond.Version != 0:
 		req.Header.Set("If-Match", quote(cond.Version))
 	}
-	a, err := roundTrip(c.writes, req)
+	resp, err := roundTrip(c.writes, req)
 	if err != nil && !sent.Load() {
 		c.unavailableCalls.Add(1)
 		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
@@ -213,29 +213,29 @@
 		c.unknownOutcomes.Add(1)
 		return response{}, Class.Wrap(fmt.Errorf("%w: %w", ErrUnknown, err))
 	}
-	return c.checkWriteStatus(a, cond)
+	return c.checkWriteStatus(resp, cond)
 }
 
 // checkWriteStatus maps the status of a write to an error.
-func (c *Client) checkWriteStatus(a response, cond Condition) (response, error) {
+func (c *Client) checkWriteStatus(resp response, cond Condition) (response, error) {
 	switch {
-	case a.status >= 200 && a.status < 300:
-		return a, nil
-	case a.status == http.StatusPreconditionFailed:
+	case resp.status >= 200 && resp.status < 300:
+		return resp, nil
+	case resp.status == http.StatusPreconditionFailed:
 		return response{}, ErrConflict
-	case a.status == http.StatusNotFound && cond.Version != 0:
+	case resp.status == http.StatusNotFound && cond.Version != 0:
 		return response{}, ErrConflict
-	case a.status == http.StatusNotFound:
+	case resp.status == http.StatusNotFound:
 		return response{}, ErrNotFound
-	case a.status == http.StatusTooManyRequests:
+	case resp.status == http.StatusTooManyRequests:
 		c.unavailableCalls.Add(1)
-		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, a.status))
-	case a.status >= 500:
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnavailable, resp.status))
+	case resp.status >= 500:
 		// A proxy in front of the store may also respond so after it has forwarded the write.
 		c.unknownOutcomes.Add(1)
-		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnknown, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrUnknown, resp.status))
 	default:
-		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, a.status))
+		return response{}, Class.Wrap(fmt.Errorf("%w: status %d", ErrRefused, resp.status))
 	}
 }
 
--- a/lib/platform/platformtest/store.go
+++ b/lib/platform/platformtest/store.go
@@ -156,8 +156,8 @@
 	defer s.mu.Unlock()
 	s.counts.Reads++
 	var os []platform.Object
-	for at, o := range s.readView() {
-		if at.kind == k && strings.HasPrefix(string(at.name), prefix) {
+	for key, o := range s.readView() {
+		if key.kind == k && strings.HasPrefix(string(key.name), prefix) {
 			os = append(os, o)
 		}
 	}
@@ -206,12 +206,12 @@
 	if len(value) > platform.MaxValueSize {
 		return 0, platform.ErrRefused
 	}
-	at := objectKey{k, n}
+	key := objectKey{k, n}
 	var v platform.Version
-	err := s.write(ctx, at, cond, func() {
+	err := s.write(ctx, key, cond, func() {
 		s.version++
 		v = s.version
-		s.objects[at] = platform.Object{Name: n, Version: v, Value: append([]byte(nil), value...)}
+		s.objects[key] = platform.Object{Name: n, Version: v, Value: append([]byte(nil), value...)}
 	})
 	if err != nil {
 		return 0, err
@@ -221,11 +221,11 @@
 
 // Delete deletes an object if the condition holds.
 func (s *Store) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
-	at := objectKey{k, n}
+	key := objectKey{k, n}
 	found := true
-	err := s.write(ctx, at, cond, func() {
-		_, found = s.objects[at]
-		delete(s.objects, at)
+	err := s.write(ctx, key, cond, func() {
+		_, found = s.objects[key]
+		delete(s.objects, key)
 	})
 	if err == nil && !found {
 		return platform.ErrNotFound
@@ -234,14 +234,14 @@
 }
 
 // write applies a change if its condition holds, subject to the faults that are set.
-func (s *Store) write(ctx context.Context, at objectKey, cond platform.Condition, change func()) error {
+func (s *Store) write(ctx context.Context, key objectKey, cond platform.Condition, change func()) error {
 	if err := s.lockForCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
 	s.counts.Writes++
 	apply := func() bool {
-		if !cond.Holds(s.objects[at].Version) {
+		if !cond.Holds(s.objects[key].Version) {
 			return false
 		}
 		change()
--- a/lib/retryafter/retryafter.go
+++ b/lib/retryafter/retryafter.go
@@ -14,22 +14,22 @@
 // Header is the name of the header field.
 const Header = "Retry-After"
 
-// MaxSpan is the longest span that is accepted. Longer values are assumed to be mistakes and are
-// cut to it.
+// MaxSpan is the longest duration that Parse returns. Longer values are assumed to be mistakes and are
+// shortened to it.
 const MaxSpan = 24 * 60 * clock.Minute
 
-// Parse returns the longest span in the Retry-After fields of a response, and the values that
+// Parse returns the longest duration in the Retry-After fields of a response, and the values that
 // cannot be parsed. A value is a number of seconds, which may have a fraction, or an HTTP date,
 // which is taken relative to the Date field of the response.
-func Parse(h http.Header) (span clock.Milli, unreadable []string) {
+func Parse(h http.Header) (longest clock.Milli, unreadable []string) {
 	for _, v := range h[Header] {
 		s, ok := parse(textproto.TrimString(v), h.Get("Date"))
 		if !ok {
 			unreadable = append(unreadable, v)
 		}
-		span = max(span, s)
+		longest = max(longest, s)
 	}
-	return span, unreadable
+	return longest, unreadable
 }
 
 // IsRejection reports whether a status means that the server did not accept the request, so that
--- a/lib/strict/read.go
+++ b/lib/strict/read.go
@@ -16,7 +16,7 @@
 const MaxDepth = 64
 
 // Source maps the paths of a decoded file to lines and collects its problems. Checks of the decoded
-// values report theirs with Add.
+// values report their problems with AddProblem.
 type Source struct {
 	name  string
 	table Table
--- a/lib/strict/schema.go
+++ b/lib/strict/schema.go
@@ -87,7 +87,7 @@
 	case s.Type == "integer" || s.Type == "number":
 		s.Minimum, s.Maximum = &f.Min, &f.Max
 	case s.Type == "string":
-		least, most := int(f.Min), int(f.Max)
-		s.MinLength, s.MaxLength = &least, &most
+		minLen, maxLen := int(f.Min), int(f.Max)
+		s.MinLength, s.MaxLength = &minLen, &maxLen
 	}
 }
