--- a/operator/commands/apply.go
+++ b/operator/commands/apply.go
@@ -24,8 +24,8 @@
 		Name:      "apply",
 		Usage:     "check a configuration document and put it in force",
 		ArgsUsage: "FILE",
-		Description: "The document replaces the revision that FILE names in its first line, as show prints it, " +
-			"or --revision, or the newest one. If another operator was first, it is refused whole.",
+		Description: "The document replaces the revision that --revision names, or else FILE in its first line, as printed by show, " +
+			"or else the newest one. If that revision is no longer the newest, nothing is changed.",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: flagRevision, Usage: "`REVISION` that the file was made from, 0 for none"},
 			&cli.DurationFlag{Name: flagWait, Usage: "wait until it is in force on all daemons, at most this long"},
@@ -69,16 +69,16 @@
 }
 
 // writeError returns the error message for a failed write, with advice for each cause.
-func writeError(err error, what string, base peer.Revision) error {
+func writeError(err error, change string, base peer.Revision) error {
 	switch {
 	case errors.Is(err, errUsage):
 		return err
 	case errors.Is(err, store.ErrSuperseded):
-		return withAdvice(err, "revision %d is no longer the newest, another change came first and %s is not in force: run snipeshift diff, take the change over and apply again", base, what)
+		return withAdvice(err, "revision %d is no longer the newest, another change came first and %s is not in force: run snipeshift diff, take the change over and apply again", base, change)
 	case errors.Is(err, store.ErrUnknown):
-		return withAdvice(err, "it is not known whether %s took effect or still will: run snipeshift show until the store answers, and compare before applying again", what)
+		return withAdvice(err, "it is not known whether %s took effect or still will: run snipeshift show until the store answers, and compare before applying again", change)
 	default:
-		return withAdvice(err, "the store accepted no change, %s is not in force: try again when the store responds (%v)", what, err)
+		return withAdvice(err, "the store accepted no change, %s is not in force: try again when the store responds (%v)", change, err)
 	}
 }
 
@@ -89,12 +89,12 @@
 
 // reportApplied prints that revision r is in the store and, with --wait, waits until it is in force
 // on all daemons.
-func reportApplied(ctx context.Context, c *cli.Command, r peer.Revision, how string) error {
+func reportApplied(ctx context.Context, c *cli.Command, r peer.Revision, outcome string) error {
 	var err error
 	if asJSON(c) {
 		err = showJSON(c, changeOutput{r})
 	} else {
-		err = printLine(c, "the document %s revision %d", how, r)
+		err = printLine(c, "the document %s revision %d", outcome, r)
 	}
 	if err != nil || c.Duration(flagWait) <= 0 {
 		return err
--- a/operator/commands/diff.go
+++ b/operator/commands/diff.go
@@ -17,7 +17,7 @@
 		Usage:     "list what a file would change, or what differs between two files",
 		ArgsUsage: "FILE [FILE]",
 		Description: "Each line is a field with its names: + is added, - removed, ~ changed. Comments, layout and the " +
-			"order of entries do not count, but for the first kind.",
+			"order of entries are ignored, except that the first kind is the default.",
 		Action: runDiff,
 	}
 }
--- a/operator/commands/drain.go
+++ b/operator/commands/drain.go
@@ -32,7 +32,7 @@
 			{
 				Name: "upstream", Usage: "set drain of an upstream in the document, keeping its comments", ArgsUsage: "NAME",
 				Flags: []cli.Flag{
-					&cli.BoolFlag{Name: flagUndo, Usage: "give it new work again"},
+					&cli.BoolFlag{Name: flagUndo, Usage: "clear drain, so that the upstream receives requests again"},
 					&cli.DurationFlag{Name: flagWait, Usage: "wait until it is in force on all daemons, at most this long"},
 				},
 				Action: runDrainUpstream,
--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -27,11 +27,11 @@
 		Name:      "explain",
 		Usage:     "find the cause of a failed or late request in the logs of all VMs",
 		ArgsUsage: "[ID] FILE...",
-		Description: "With --since or --until it sums up a span of time in place of one request. With --stages it shows how long " +
+		Description: "With --since or --until it summarizes a period instead of one request. With --stages it shows how long " +
 			"requests take in each stage, by kind and by how many arrived in the same second. A FILE of - is the standard input.",
 		Flags: []cli.Flag{
-			&cli.TimestampFlag{Name: flagSince, Usage: "sum up from this `TIME` on, such as 2006-01-02T15:04:05Z", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
-			&cli.TimestampFlag{Name: flagUntil, Usage: "sum up to this `TIME`", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
+			&cli.TimestampFlag{Name: flagSince, Usage: "summarize from this `TIME` on, such as 2006-01-02T15:04:05Z", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
+			&cli.TimestampFlag{Name: flagUntil, Usage: "summarize up to this `TIME`", Config: cli.TimestampConfig{Layouts: []string{time.RFC3339}}},
 			&cli.BoolFlag{Name: flagStages, Usage: "show the time that requests spend in each stage"},
 			&cli.StringFlag{Name: flagPlot, Usage: "with --stages, draw it to `FILE` (.svg, .png or .pdf)"},
 		},
@@ -40,10 +40,10 @@
 }
 
 func runExplain(_ context.Context, c *cli.Command) error {
-	span := c.IsSet(flagSince) || c.IsSet(flagUntil)
+	hasPeriod := c.IsSet(flagSince) || c.IsSet(flagUntil)
 	args := c.Args().Slice()
 	minArgs := 2
-	if span || c.Bool(flagStages) {
+	if hasPeriod || c.Bool(flagStages) {
 		minArgs = 1
 	}
 	if c.IsSet(flagPlot) && !c.Bool(flagStages) {
@@ -61,7 +61,7 @@
 	if c.Bool(flagStages) {
 		return runStages(c, explain.LinesBetween(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 	}
-	if span {
+	if hasPeriod {
 		printSummary(out, explain.Summarize(lines, c.Timestamp(flagSince), c.Timestamp(flagUntil)))
 		return nil
 	}
--- a/operator/commands/flags.go
+++ b/operator/commands/flags.go
@@ -38,7 +38,7 @@
 		&cli.StringSliceFlag{Name: flagDaemon, Usage: "operator `ADDRESS` of any daemon, more than one to try one after the other", Sources: cli.EnvVars("SNIPESHIFT_DAEMON")},
 		&cli.StringFlag{Name: flagOutput, Usage: "`FORMAT` of what is shown: text or json", Value: outputText},
 		&cli.DurationFlag{Name: flagTimeout, Usage: "longest wait for one answer", Value: defaultTimeout},
-		&cli.StringFlag{Name: flagAuthority, Usage: "`FILE` with the certificates that sign daemons", Sources: cli.EnvVars("SNIPESHIFT_AUTHORITY")},
+		&cli.StringFlag{Name: flagAuthority, Usage: "`FILE` with the certificates of the authority that signs those of daemons", Sources: cli.EnvVars("SNIPESHIFT_AUTHORITY")},
 		&cli.StringFlag{Name: flagCertificate, Usage: "`FILE` with the operator's certificate", Sources: cli.EnvVars("SNIPESHIFT_CERTIFICATE")},
 		&cli.StringFlag{Name: flagKey, Usage: "`FILE` with the key of the certificate", Sources: cli.EnvVars("SNIPESHIFT_KEY")},
 	}
--- a/operator/commands/root.go
+++ b/operator/commands/root.go
@@ -52,8 +52,8 @@
 		Before:         checkOutput,
 		Action:         runWithoutCommand,
 	}
-	for _, m := range constructors {
-		root.Commands = append(root.Commands, m())
+	for _, construct := range constructors {
+		root.Commands = append(root.Commands, construct())
 	}
 	slices.SortFunc(root.Commands, func(a, b *cli.Command) int { return strings.Compare(a.Name, b.Name) })
 	eachCommand(root, func(c *cli.Command) { c.OnUsageError = onUsageError })
--- a/operator/commands/services.go
+++ b/operator/commands/services.go
@@ -15,8 +15,8 @@
 func services() *cli.Command {
 	return &cli.Command{
 		Name:  "services",
-		Usage: "list the holder of each service and the statements of upstreams, as reported by relaying VMs",
-		Description: "Queries the metrics address of each relaying VM that --daemon names. Where the rows of VMs differ, the one with\n" +
+		Usage: "list the holder of each service and the statements of upstreams, as reported by VMs in relay mode",
+		Description: "Queries the metrics address of each VM in relay mode that --daemon names. Where the rows of VMs differ, the one with\n" +
 			"the later epoch is valid.",
 		Action: runServices,
 	}
@@ -25,7 +25,7 @@
 func runServices(ctx context.Context, c *cli.Command) error {
 	addresses := c.StringSlice(flagDaemon)
 	if len(addresses) == 0 {
-		return usageError("name the metrics addresses of relaying VMs by --daemon or SNIPESHIFT_DAEMON, such as 10.0.0.7:9102")
+		return usageError("name the metrics addresses of VMs in relay mode by --daemon or SNIPESHIFT_DAEMON, such as 10.0.0.7:9102")
 	}
 	k, err := newClient(c)
 	if err != nil {
--- a/operator/commands/show.go
+++ b/operator/commands/show.go
@@ -18,8 +18,8 @@
 	return &cli.Command{
 		Name:  "show",
 		Usage: "print the newest configuration document, its revision in the first line",
-		Description: "Edit what it prints and give it to apply: from the first line apply knows which " +
-			"revision the edit began with, and refuses it if another operator changed the document meanwhile.",
+		Description: "Edit the output and pass it to apply. Its first line names the revision that was edited, so that apply " +
+			"refuses the edit if another operator has changed the document in the meantime.",
 		Action: runShow,
 	}
 }
--- a/operator/daemon/client.go
+++ b/operator/daemon/client.go
@@ -54,9 +54,9 @@
 }
 
 // Put sends order to a daemon and returns the response, which has the same type.
-func Put[A any](ctx context.Context, c *Client, address, path string, order A) (A, error) {
+func Put[A any](ctx context.Context, c *Client, address, path string, value A) (A, error) {
 	var a A
-	body, err := json.Marshal(order)
+	body, err := json.Marshal(value)
 	if err != nil {
 		return a, Class.Wrap(err)
 	}
--- a/operator/daemon/fleet.go
+++ b/operator/daemon/fleet.go
@@ -96,7 +96,7 @@
 }
 
 // queryAll calls ask for all members concurrently and returns the results in the order of Members.
-func queryAll[A any](f *Fleet, ask func(answers.Member) (A, error)) ([]A, []MemberError) {
+func queryAll[A any](f *Fleet, query func(answers.Member) (A, error)) ([]A, []MemberError) {
 	results := make([]A, len(f.Members))
 	var mu sync.Mutex
 	var failures []MemberError
@@ -104,7 +104,7 @@
 	g.SetLimit(maxConcurrent)
 	for i, m := range f.Members {
 		g.Go(func() error {
-			a, err := ask(m)
+			a, err := query(m)
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
--- a/operator/explain/explain.go
+++ b/operator/explain/explain.go
@@ -52,8 +52,8 @@
 	Outcome   string `json:"outcome"`
 	Error     string `json:"error"`
 
-	// Fields of lines that report a change in the state that a process has of its dependencies, of
-	// upstreams and of service ownership.
+	// Fields of lines that report a state change: a dependency was lost or recovered, an upstream changed,
+	// or another VM became the owner of a service.
 	Upstream   string `json:"upstream"`
 	Address    string `json:"address"`
 	Owner      string `json:"owner"`
@@ -120,9 +120,9 @@
 		if l.Event == logline.Request || l.Time.Before(from) || l.Time.After(r.Time) {
 			continue
 		}
-		own := l.VM == r.VM && (l.Upstream == "" || l.ID == r.ID)
-		sent := l.Upstream != "" && strings.Contains(r.Sends, l.Upstream)
-		if own || sent {
+		sameVM := l.VM == r.VM && (l.Upstream == "" || l.ID == r.ID)
+		sentTo := l.Upstream != "" && strings.Contains(r.Sends, l.Upstream)
+		if sameVM || sentTo {
 			out = append(out, l)
 		}
 	}
@@ -215,16 +215,16 @@
 
 // Summarize counts the events from since to until; a zero time is no bound.
 func Summarize(lines []Line, since, until time.Time) Summary {
-	w := Summary{Outcomes: map[string]int{}, StateChanges: map[string]int{}}
+	s := Summary{Outcomes: map[string]int{}, StateChanges: map[string]int{}}
 	for _, l := range LinesBetween(lines, since, until) {
 		if l.Event == logline.Request {
-			w.Requests++
-			w.Outcomes[outcome(l)]++
+			s.Requests++
+			s.Outcomes[outcome(l)]++
 			continue
 		}
-		w.StateChanges[strings.TrimSpace(l.Event+" "+subject(l))]++
+		s.StateChanges[strings.TrimSpace(l.Event+" "+subject(l))]++
 	}
-	return w
+	return s
 }
 
 // outcome returns the outcome of a request, for refusals with the reason.
--- a/operator/explain/stages.go
+++ b/operator/explain/stages.go
@@ -49,9 +49,9 @@
 	return out
 }
 
-// spans returns the duration of each stage of a request in milliseconds. A request that was refused has
+// stageDurations returns the duration of each stage of a request in milliseconds. A request that was refused has
 // no stages after the queue.
-func spans(l Line) map[Stage]int64 {
+func stageDurations(l Line) map[Stage]int64 {
 	out := map[Stage]int64{StageRead: l.Read, StageQueue: l.Queued, StageTotal: l.Total}
 	if l.Placed == 0 && l.Connected == 0 {
 		return out
@@ -88,7 +88,7 @@
 var loadClassNames = [loadClasses]string{Calm: "calm", Mixed: "mixed", Flooded: "flooded"}
 
 // String returns the name of the class in the output.
-func (p LoadClass) String() string { return loadClassNames[p] }
+func (c LoadClass) String() string { return loadClassNames[c] }
 
 // Limits of the classes, as multiples of the requests of the median second.
 const (
@@ -104,30 +104,30 @@
 }
 
 func newLoadClassifier(lines []Line) *loadClassifier {
-	p := &loadClassifier{counts: map[int64]int{}}
+	c := &loadClassifier{counts: map[int64]int{}}
 	for _, l := range lines {
 		if l.Event == logline.Request {
-			p.counts[arrival(l).Unix()]++
+			c.counts[arrival(l).Unix()]++
 		}
 	}
-	all := make([]int, 0, len(p.counts))
-	for _, n := range p.counts {
+	all := make([]int, 0, len(c.counts))
+	for _, n := range c.counts {
 		all = append(all, n)
 	}
 	slices.Sort(all)
 	if len(all) > 0 {
-		p.median = float64(all[len(all)/2])
+		c.median = float64(all[len(all)/2])
 	}
-	return p
+	return c
 }
 
 // classify returns the class of the second in which a request arrived.
-func (p *loadClassifier) classify(l Line) LoadClass {
-	n := float64(p.counts[arrival(l).Unix()])
+func (c *loadClassifier) classify(l Line) LoadClass {
+	n := float64(c.counts[arrival(l).Unix()])
 	switch {
-	case n < calmBelow*p.median:
+	case n < calmBelow*c.median:
 		return Calm
-	case n > floodedAbove*p.median:
+	case n > floodedAbove*c.median:
 		return Flooded
 	default:
 		return Mixed
@@ -179,22 +179,22 @@
 // ProfileStages returns the times of all stages, by kind of request and class of second. It leaves out
 // requests that were refused because of an unknown route or an invalid key.
 func ProfileStages(lines []Line) []Profile {
-	p := newLoadClassifier(lines)
+	classifier := newLoadClassifier(lines)
 	groups := map[group][]int64{}
 	for _, l := range lines {
 		if l.Event != logline.Request || l.Outcome == "unknown" || l.Outcome == "unauthorized" {
 			continue
 		}
-		for s, took := range spans(l) {
-			g := group{kind(l), p.classify(l), s}
+		for s, took := range stageDurations(l) {
+			g := group{kind(l), classifier.classify(l), s}
 			groups[g] = append(groups[g], took)
 		}
 	}
 	out := make([]Profile, 0, len(groups))
 	for g, all := range groups {
 		slices.Sort(all)
-		at := func(part int) int64 { return all[(len(all)-1)*part/100] }
-		out = append(out, Profile{Kind: g.kind, Load: g.class, Stage: g.stage, Requests: len(all), P50: at(50), P90: at(90), P99: at(99)})
+		percentile := func(part int) int64 { return all[(len(all)-1)*part/100] }
+		out = append(out, Profile{Kind: g.kind, Load: g.class, Stage: g.stage, Requests: len(all), P50: percentile(50), P90: percentile(90), P99: percentile(99)})
 	}
 	sort.Slice(out, func(i, j int) bool { return less(out[i], out[j]) })
 	return out
--- a/operator/explain/stages_test.go
+++ b/operator/explain/stages_test.go
@@ -13,9 +13,9 @@
 	l := Line{Total: 1000, Read: 5, Queued: 20, Placed: 325, Connected: 330, Sent: 331, First: 431, Status: 200}
 	require.Equal(t, map[Stage]int64{
 		StageRead: 5, StageQueue: 20, StageEarlier: 300, StageConnect: 5, StageSend: 1, StageUpstream: 100, StageWrite: 569, StageTotal: 1000,
-	}, spans(l))
-	require.Equal(t, map[Stage]int64{StageRead: 0, StageQueue: 40, StageTotal: 40}, spans(Line{Total: 40, Queued: 40}), "refused request")
-	require.Equal(t, map[Stage]int64{StageRead: 1, StageQueue: 2, StageEarlier: 0, StageTotal: 90}, spans(Line{Total: 90, Read: 1, Queued: 2, Placed: 3}), "connecting failed")
+	}, stageDurations(l))
+	require.Equal(t, map[Stage]int64{StageRead: 0, StageQueue: 40, StageTotal: 40}, stageDurations(Line{Total: 40, Queued: 40}), "refused request")
+	require.Equal(t, map[Stage]int64{StageRead: 1, StageQueue: 2, StageEarlier: 0, StageTotal: 90}, stageDurations(Line{Total: 90, Read: 1, Queued: 2, Placed: 3}), "connecting failed")
 }
 
 // The log has eight seconds with 100 requests each, one second with 20, and one with 300 requests, which
--- a/operator/fleet_test.go
+++ b/operator/fleet_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// fleet is a stand-in of three daemons: vm-1 and vm-2 respond, vm-3 does not.
+// fleet is a fake of three daemons: vm-1 and vm-2 respond, vm-3 does not.
 type fleet struct {
 	servers   []*httptest.Server
 	timelines []*timeline.Ring
--- a/operator/script_test.go
+++ b/operator/script_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// TestScripts runs the command as an operator does, against a stand-in of the platform's store and of
+// TestScripts runs the command as an operator does, against a fake of the platform's store and of
 // three daemons, and compares its output.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
@@ -45,7 +45,7 @@
 // storeKey is the key of the store in the values of a script.
 type storeKey struct{}
 
-// setUp starts the stand-ins of one script.
+// setUp starts the fake store and daemons of one script.
 func setUp(e *testscript.Env) error {
 	store := platformtest.New()
 	e.Values[storeKey{}] = store
--- a/operator/store/store.go
+++ b/operator/store/store.go
@@ -88,8 +88,8 @@
 			continue
 		}
 		// A response was lost, or the conflict may be with our own write whose response was lost.
-		if r, settled, lost := readBack(ctx, s, base, text); settled {
-			return r, lost
+		if r, settled, outcomeErr := readBack(ctx, s, base, text); settled {
+			return r, outcomeErr
 		}
 	}
 	if mayHaveApplied {
--- a/operator/table/events.go
+++ b/operator/table/events.go
@@ -63,10 +63,10 @@
 
 // detail formats the request, workspace, upstream, peer and text of an event.
 func detail(e timeline.Event) string {
-	var words []string
+	var parts []string
 	add := func(name, value string) {
 		if value != "" {
-			words = append(words, fmt.Sprintf("%s=%s", name, value))
+			parts = append(parts, fmt.Sprintf("%s=%s", name, value))
 		}
 	}
 	add("request", string(e.Request))
@@ -74,7 +74,7 @@
 	add("upstream", string(e.Upstream))
 	add("peer", e.Peer)
 	if e.Text != "" {
-		words = append(words, e.Text)
+		parts = append(parts, e.Text)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(parts, " ")
 }
--- a/operator/table/table.go
+++ b/operator/table/table.go
@@ -18,13 +18,13 @@
 func Write[R any](out io.Writer, rows []R, columns []Column[R]) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	cells := make([]string, len(columns))
-	for i, k := range columns {
-		cells[i] = k.Title
+	for i, c := range columns {
+		cells[i] = c.Title
 	}
 	line(w, cells)
 	for _, r := range rows {
-		for i, k := range columns {
-			cells[i] = k.Cell(r)
+		for i, c := range columns {
+			cells[i] = c.Cell(r)
 		}
 		line(w, cells)
 	}
