--- a/daemon/caller/backoff.go
+++ b/daemon/caller/backoff.go
@@ -49,7 +49,7 @@
 	return upstreams, until
 }
 
-// maxBackoffRetryAfter is the longest Retry-After that a caller gets for a back-off. The caller's
+// maxBackoffRetryAfter is the longest Retry-After that a client gets for a back-off. The client's
 // next attempt probably reaches another VM, which the upstream has not asked for a back-off or only
 // for a shorter one.
 const maxBackoffRetryAfter = 4 * clock.Second
--- a/daemon/caller/backoff_test.go
+++ b/daemon/caller/backoff_test.go
@@ -71,7 +71,7 @@
 }
 
 // The only engine asks for a back-off that outlasts the request's deadline. The request must be
-// refused at once, with a retry time that keeps the caller from retrying immediately.
+// refused at once, with a retry time that keeps the client from retrying immediately.
 func TestRequestIsRefusedAtOnceIfBackoffOutlastsDeadline(t *testing.T) {
 	e := &sheddingEngine{until: time.Now().Add(time.Minute), retryAfter: "60"}
 	b := newHarness(t, e.serve)
@@ -89,7 +89,7 @@
 	require.Len(t, e.requestTimes(), 1)
 }
 
-// A plain service asks this VM for a back-off in a response that is forwarded to its caller. It
+// A plain service asks this VM for a back-off in a response that is forwarded to its client. It
 // must get no further calls from this VM until the back-off ends.
 func TestPlainServiceAskingForBackoffGetsNoMoreCalls(t *testing.T) {
 	var calls atomic.Int64
@@ -106,8 +106,8 @@
 	require.EqualValues(t, 1, calls.Load())
 }
 
-// A plain service limits the rate of one caller with a 429. If that counted as a back-off for this
-// VM, all other callers would be refused too.
+// A plain service limits the rate of one client with a 429. If that counted as a back-off for this
+// VM, all other clients would be refused too.
 func TestPlainService429DoesNotBackOffOtherCallers(t *testing.T) {
 	var calls atomic.Int64
 	b := newHarness(t)
--- a/daemon/caller/body_test.go
+++ b/daemon/caller/body_test.go
@@ -13,7 +13,7 @@
 )
 
 // Fields that this program does not know, and strings that JSON can encode in several ways, must
-// reach the engine as the caller wrote them.
+// reach the engine as the client wrote them.
 func TestBodyValuesAreForwardedUnchanged(t *testing.T) {
 	x := smallIndex(t)
 	body := `{"model":"drafter", "seed": 1e3, "messages":[{"role":"system","content":"a < b\u00e9"},` +
--- a/daemon/caller/budget.go
+++ b/daemon/caller/budget.go
@@ -13,14 +13,14 @@
 	clock *clock.Clock
 
 	mu sync.Mutex
-	// pools holds a budget for each pool that was used. Budgets are never removed, since there are
-	// few pools.
-	pools map[peer.PoolID]*gate.Budget
+	// budgets holds the budget of each pool that has been used. Budgets are never removed, since
+	// there are few pools.
+	budgets map[peer.PoolID]*gate.Budget
 }
 
 // NewRetryBudgets returns budgets with the default parameters of package gate.
 func NewRetryBudgets(c *clock.Clock) *RetryBudgets {
-	return &RetryBudgets{clock: c, pools: map[peer.PoolID]*gate.Budget{}}
+	return &RetryBudgets{clock: c, budgets: map[peer.PoolID]*gate.Budget{}}
 }
 
 // RecordSuccess implements Retries.
@@ -37,12 +37,12 @@
 	return b.budget(id).Retry(b.clock.Now())
 }
 
-// budget returns the budget of a pool. The caller holds mu.
+// budget returns the budget of a pool. b.mu must be held.
 func (b *RetryBudgets) budget(id peer.PoolID) *gate.Budget {
-	x, ok := b.pools[id]
+	x, ok := b.budgets[id]
 	if !ok {
 		x = gate.NewBudget(0, 0, 0)
-		b.pools[id] = x
+		b.budgets[id] = x
 	}
 	return x
 }
--- a/daemon/caller/buffered.go
+++ b/daemon/caller/buffered.go
@@ -9,7 +9,7 @@
 	"snipeshift.example/lib/fault"
 )
 
-// bufferedSink collects a stream into one response for a caller that did not ask for a stream.
+// bufferedSink collects a stream into one response for a client that did not ask for a stream.
 type bufferedSink struct {
 	gate *Gate
 	w    http.ResponseWriter
@@ -21,7 +21,7 @@
 }
 
 // reset discards the partial response of a failed upstream. The next upstream starts again at the
-// first token, and the caller would otherwise get the beginning twice in a response that appears
+// first token, and the client would otherwise get the beginning twice in a response that appears
 // complete.
 func (s *bufferedSink) reset() { s.received = openai.Collector{} }
 
@@ -46,7 +46,7 @@
 	s.w.WriteHeader(http.StatusOK)
 	s.headersSent = true
 	if _, err := s.w.Write(out); err != nil {
-		return errors.Join(errCallerWrite, err)
+		return errors.Join(errClientWrite, err)
 	}
 	return nil
 }
--- a/daemon/caller/buffered_test.go
+++ b/daemon/caller/buffered_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A caller asks for a non-streaming response with log probabilities or tools. The collected
+// A client asks for a non-streaming response with log probabilities or tools. The collected
 // response must have every field of the stream: without its refusal, for example, a response would
 // look empty.
 func TestNonStreamingResponseKeepsEveryField(t *testing.T) {
@@ -66,13 +66,14 @@
 	return got
 }
 
-// brokenWriter is a response writer whose caller has disconnected.
+// brokenWriter is a response writer whose client has disconnected.
 type brokenWriter struct{ *httptest.ResponseRecorder }
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// The connection of a caller breaks just when its response is complete, and the caller repeats the
-// key. It must get the response, not a day of refusals because the key is in use.
+// The connection of a client breaks just when its response is complete, and the client repeats the
+// key. The client must get the response. Otherwise its repeats would be refused for a day because
+// the key is in use.
 func TestResponseIsStoredAfterCallerDisconnects(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(strings.Replace(chatBody, `"stream":true`, `"stream":false`, 1)))
--- a/daemon/caller/claim.go
+++ b/daemon/caller/claim.go
@@ -15,11 +15,11 @@
 // Time limits of claims.
 const (
 	// claimTimeout bounds the wait for a claim. A healthy store answers within milliseconds, and
-	// during an outage the caller gets its refusal soon.
+	// during an outage the client gets its refusal soon.
 	claimTimeout = 1500 * time.Millisecond
-	// settleTimeout bounds recording how a claimed request ended.
+	// settleTimeout bounds the write that records how a claimed request ended.
 	settleTimeout = 5 * time.Second
-	// storeRetryAfterMillis is the retry time in milliseconds that a caller gets if the store did
+	// storeRetryAfterMillis is the retry time in milliseconds that a client gets if the store did
 	// not answer.
 	storeRetryAfterMillis = 5000
 )
@@ -27,8 +27,8 @@
 // claim obtains the right to send a non-repeatable request. It returns the reason if the claim was
 // not won.
 //
-// Without a claim the same notice could be sent twice, when its key reaches two VMs, or when a VM
-// crashes and the caller retries. The claim is written to the store before the first byte goes to
+// Without a claim the same text message could be sent twice, when the key of its request reaches
+// two VMs, or when a VM crashes and the client retries. The claim is written to the store before the first byte goes to
 // an upstream, and only a confirmed write permits sending. A claim never passes to another request,
 // so the winner remains the only one that may send, even if its process was paused for an hour.
 func (g *Gate) claim(ctx context.Context, q *request) *fault.Error {
@@ -53,7 +53,7 @@
 	return fault.New(fault.Unavailable, "the key could not be claimed, so this request was not sent; an earlier one with the same key may have run: repeat it under the same key").WithRan(fault.RanNo).WithKey(fault.KeyUnknown).WithRetry(storeRetryAfterMillis)
 }
 
-// releaseClaim frees the key of a claimed request that was certainly not sent, so that the caller
+// releaseClaim frees the key of a claimed request that was certainly not sent, so that the client
 // may send the request again.
 func (g *Gate) releaseClaim(q *request, claimed bool) {
 	if !claimed {
@@ -68,7 +68,7 @@
 //
 // The body of a stream is nil, since streams are not stored, and is recorded with status zero. A
 // repeat of the key is then refused with the information that the request ran. Status 200 would
-// make the repeat succeed with an empty body, which reads like a notice without text.
+// make the repeat succeed with an empty body, which the client would take for an empty text.
 func (g *Gate) settleClaim(q *request, status int, body []byte) {
 	if q.ticket == nil {
 		return
@@ -82,7 +82,7 @@
 }
 
 // recordClaimEnd records the end of a claim in the background, while the response goes to the
-// caller.
+// client.
 func (g *Gate) recordClaimEnd(f func(ctx context.Context) error) {
 	g.background("claim", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
--- a/daemon/caller/crash_test.go
+++ b/daemon/caller/crash_test.go
@@ -31,7 +31,7 @@
 }
 
 // A plain service breaks a connection but keeps running. If the check sent a request, the service
-// would run it, and a service that counts or sends messages would do so once more than its callers
+// would run it, and a service that counts or sends messages would do so once more than its clients
 // asked.
 func TestCrashCheckSendsNoRequest(t *testing.T) {
 	var calls atomic.Int32
--- a/daemon/caller/error.go
+++ b/daemon/caller/error.go
@@ -71,7 +71,7 @@
 	g.metrics.countError(e.Kind, e.Ran)
 }
 
-// retryAfterSeconds rounds up to whole seconds, at least one, so that the caller does not retry
+// retryAfterSeconds rounds up to whole seconds, at least one, so that the client does not retry
 // before the condition ends.
 func retryAfterSeconds(m clock.Milli) int64 {
 	return max(1, int64((m+clock.Second-1)/clock.Second))
--- a/daemon/caller/fuzz_test.go
+++ b/daemon/caller/fuzz_test.go
@@ -103,7 +103,7 @@
 		require.EqualValues(t, q.output, maxTokensOf(t, q.body))
 		reparsed := *template
 		reparsed.chat = chat
-		require.Nil(t, reparsed.parse(q.body, index), "parsing the body for the engine gives the same values as parsing the caller's")
+		require.Nil(t, reparsed.parse(q.body, index), "parsing the body for the engine gives the same values as parsing the client's")
 		require.Equal(t, q.prompt, reparsed.prompt)
 		require.Equal(t, q.output, reparsed.output)
 		require.True(t, reparsed.stream && reparsed.includeUsage)
--- a/daemon/caller/gate.go
+++ b/daemon/caller/gate.go
@@ -1,6 +1,6 @@
 // Package caller serves clients: the OpenAI-compatible HTTP API and the plain services behind it.
 // The VM that receives a request is the request's gate: it acquires a grant from the owner of a
-// pool, forwards data between the caller and the upstream, and reports the outcome.
+// pool, forwards data between the client and the upstream, and reports the outcome.
 package caller
 
 import (
@@ -68,7 +68,8 @@
 	Allow(id peer.PoolID) bool
 }
 
-// Suspects tracks the fingerprints of requests that were running on an upstream when it crashed.
+// Suspects tracks the fingerprints (hashes) of requests that were running on an upstream when it
+// crashed.
 type Suspects interface {
 	// Check returns whether a request is unsuspected, suspected or quarantined.
 	Check(fingerprint uint64) gate.Verdict
@@ -78,7 +79,7 @@
 	End(fingerprint uint64, completed bool)
 	// RecordCrash records that an upstream crashed, and returns after the other VMs had time to
 	// learn of it.
-	RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation)
+	RecordCrash(fingerprint uint64, u decide.UpstreamID, incarnation decide.Incarnation)
 }
 
 // Limits enforces the token rates of workspaces.
@@ -108,7 +109,7 @@
 	Limits   Limits
 }
 
-// Gate serves the requests of callers on one VM.
+// Gate serves the requests of clients on one VM.
 type Gate struct {
 	Dependencies
 	vm            peer.VM
@@ -118,7 +119,7 @@
 	// acquireSerial numbers the acquire messages, so that a withdrawal names the one it cancels.
 	acquireSerial atomic.Uint64
 	metrics       *metrics
-	// statements holds the back-offs that upstreams asked of this VM.
+	// statements holds the back-offs that upstreams have asked this VM for.
 	statements *statements.Cache
 
 	mu sync.Mutex
@@ -148,7 +149,8 @@
 	grant   decide.Grant
 	// grantedAt is the time at which the grant was received.
 	grantedAt clock.Milli
-	// knownBy is the address of the owner that knows the grant, empty if none does.
+	// knownBy is the address of the owner that issued the grant or acknowledged it in a renewal.
+	// It is empty if that owner has reported the grant as unknown since.
 	knownBy string
 }
 
@@ -163,7 +165,7 @@
 // ID returns the ID that names this gate in grants.
 func (g *Gate) ID() decide.GateID { return peer.Gate(g.vm, g.incarnation) }
 
-// Stop makes every further response close its connection, so that callers reconnect to other VMs.
+// Stop makes every further response close its connection, so that clients reconnect to other VMs.
 func (g *Gate) Stop() { g.stopping.Store(true) }
 
 // InFlight returns the number of requests in progress.
@@ -173,7 +175,7 @@
 	return len(g.active)
 }
 
-// Handler returns the HTTP handler for requests of callers.
+// Handler returns the HTTP handler for requests of clients.
 func (g *Gate) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /v1/models", g.models)
--- a/daemon/caller/gate_test.go
+++ b/daemon/caller/gate_test.go
@@ -43,7 +43,7 @@
 	b.awaitIdle()
 }
 
-// A caller sends a request that cannot be served. The response is a 4xx that names the error kind,
+// A client sends a request that cannot be served. The response is a 4xx that names the error kind,
 // no grant is acquired, and no state is left behind.
 func TestInvalidRequestIsNotDispatched(t *testing.T) {
 	b := newHarness(t, completeResponse)
@@ -89,7 +89,7 @@
 	b.awaitIdle()
 }
 
-// A desk's workspace may send only a kind that is not the first of the configuration. Its client
+// A workspace may send only a kind that is not the first of the configuration. Its client
 // library lists the models to check the API key. If the list were refused, the library would report
 // a valid key as invalid.
 func TestModelsAreListedForEveryWorkspace(t *testing.T) {
@@ -106,8 +106,8 @@
 	require.Contains(t, string(text), `"id":"drafter"`)
 }
 
-// The connection to an engine is cut in the middle of a response. The caller must not take the
-// partial response for a complete one: no end mark follows, and an error is sent.
+// The connection to an engine is cut in the middle of a response. The client must not take the
+// partial response for a complete one: no [DONE] event follows, and an error is sent.
 func TestTruncatedStreamIsReportedIncomplete(t *testing.T) {
 	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -126,7 +126,7 @@
 	b.awaitIdle()
 }
 
-// An engine mixes up two connections, loses an event, or sends one twice. The caller must not get
+// An engine mixes up two connections, loses an event, or sends one twice. The client must not get
 // chunks of another response, and must get each of its own chunks once.
 func TestMisroutedDuplicatedAndMissingChunks(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
@@ -164,7 +164,7 @@
 }
 
 // An engine closes the connection before the first token. A repeatable request is sent to another
-// engine, and the caller gets a complete response.
+// engine, and the client gets a complete response.
 func TestRetryOnOtherEngineBeforeFirstToken(t *testing.T) {
 	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) { cutConnection(w) }, completeResponse)
 	a := b.post("/v1/chat/completions", chatBody)
@@ -173,7 +173,7 @@
 }
 
 // An engine closes the connection in the middle of a non-streaming response, and another engine
-// returns a complete one. The part from the first engine must be discarded, or the caller would
+// returns a complete one. The part from the first engine must be discarded, or the client would
 // read the beginning twice.
 func TestRetryDiscardsPartialResponse(t *testing.T) {
 	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
@@ -189,7 +189,7 @@
 }
 
 // The connection breaks after a non-repeatable request was sent, so it is unknown whether the
-// request ran. It must not be sent again, and the caller must not be told that it did not run.
+// request ran. It must not be sent again, and the client must not be told that it did not run.
 func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	var runs atomic.Int32
 	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
@@ -225,10 +225,10 @@
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-// The VMs are partitioned, and copies of one notice reach both sides. One side runs the notice; on
-// the other no owner responds, so the key cannot be looked up. If the refusal only reported that
-// the request did not run, its caller would send the notice under a new key, and residents would
-// get it twice.
+// A network partition separates the VMs, and copies of one non-repeatable request, which sends a text
+// message, reach both sides. One side runs the request; on the other no owner responds, so the key
+// cannot be looked up. If the refusal only reported that the request did not run, the client would
+// send it under a new key, and the recipients would get the message twice.
 func TestRefusalWithoutOwnerReportsKeyUnknown(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	b.fakes.ownersUnreachable = true
@@ -250,8 +250,8 @@
 	require.Equal(t, "maybe", a.ran())
 }
 
-// A notice was answered as a stream, which is not stored, and its caller repeats the key. A success
-// with an empty body would read like a notice without text.
+// A non-repeatable request was answered as a stream, which is not stored, and its client repeats the
+// key. The client would take a success with an empty body for an empty text.
 func TestRepeatedKeyOfStreamIsNotEmptySuccess(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	a := b.post("/v1/chat/completions", chatBody, headerKind, "send", headerIdempotencyKey, "k1")
--- a/daemon/caller/generate.go
+++ b/daemon/caller/generate.go
@@ -145,8 +145,8 @@
 	err = s.Each(func(c engine.Chunk) error { return x.forwardChunk(c, &usage) })
 	if err == nil {
 		err = x.sink.finish()
-		if err == nil || errors.Is(err, errCallerWrite) {
-			// The response is complete, even if the caller has disconnected. The caller will retry
+		if err == nil || errors.Is(err, errClientWrite) {
+			// The response is complete, even if the client has disconnected. The client will retry
 			// with the same key and must then get this response, not a refusal because the key is
 			// in use.
 			x.gate.settleClaim(x.q, http.StatusOK, x.sink.responseBody())
@@ -182,7 +182,7 @@
 // permitted time.
 const shortPromptTokens = 16 << 10
 
-// forwardChunk counts the tokens of a chunk and forwards the chunk to the caller.
+// forwardChunk counts the tokens of a chunk and forwards the chunk to the client.
 func (x *generation) forwardChunk(c engine.Chunk, usage *peer.Usage) error {
 	if c.Tokens > 0 {
 		usage.Output += c.Tokens
@@ -263,7 +263,7 @@
 	case ctx.Err() != nil:
 		r.outcome = decide.Canceled
 		r.fault = contextFault(ctx)
-	case errors.Is(err, errCallerWrite):
+	case errors.Is(err, errClientWrite):
 		r.outcome = decide.Canceled
 		r.fault = fault.New(fault.Canceled, "the caller went away")
 	case x.gate.crashed(u.Address):
@@ -286,7 +286,7 @@
 	return r
 }
 
-// interruptionText describes to the caller why a stream stopped, without naming the upstream's
+// interruptionText describes to the client why a stream stopped, without naming the upstream's
 // address.
 func interruptionText(err error) string {
 	switch {
--- a/daemon/caller/harness_test.go
+++ b/daemon/caller/harness_test.go
@@ -217,17 +217,17 @@
 	return b
 }
 
-// callerResponse is a response as the caller received it.
-type callerResponse struct {
+// clientResponse is a response as the client received it.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (a callerResponse) kind() string { return a.header.Get(headerError) }
-func (a callerResponse) ran() string  { return a.header.Get(headerRan) }
+func (a clientResponse) kind() string { return a.header.Get(headerError) }
+func (a clientResponse) ran() string  { return a.header.Get(headerRan) }
 
-func (b *harness) post(path, body string, headers ...string) callerResponse {
+func (b *harness) post(path, body string, headers ...string) clientResponse {
 	b.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.server.URL+path, strings.NewReader(body))
 	require.NoError(b.t, err)
@@ -240,7 +240,7 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(b.t, err)
-	return callerResponse{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	return clientResponse{status: resp.StatusCode, header: resp.Header, body: string(text)}
 }
 
 // awaitIdle waits until no request is in progress at the gate.
@@ -269,7 +269,7 @@
 	w.(http.Flusher).Flush()
 }
 
-// completeResponse responds with three chunks and an end mark.
+// completeResponse responds with three chunks and the [DONE] event.
 func completeResponse(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		return
--- a/daemon/caller/request.go
+++ b/daemon/caller/request.go
@@ -24,7 +24,7 @@
 // Limits of requests, where the configuration document sets none.
 const (
 	defaultMaxBody = 8 << 20
-	// bodyTimeout bounds the time to read a body. Otherwise a caller that sends its body slowly
+	// bodyTimeout bounds the time to read a body. Otherwise a client that sends its body slowly
 	// would hold memory and a connection indefinitely.
 	bodyTimeout       = 20 * time.Second
 	maxIdempotencyKey = 256
@@ -119,7 +119,7 @@
 	return o.ID()
 }
 
-// allowedTime returns the time limit of the kind, or a shorter one if the caller sent it.
+// allowedTime returns the time limit of the kind, or a shorter one if the client sent it.
 func allowedTime(r *http.Request, k document.Kind) (clock.Milli, *fault.Error) {
 	s := r.Header.Get(headerDeadline)
 	if s == "" {
@@ -159,7 +159,7 @@
 }
 
 // bodyBufferSize returns the initial size of a body's buffer. Content-Length is not trusted for
-// large sizes: many callers that announce megabytes and send nothing would use up the memory that
+// large sizes: many clients that announce megabytes and send nothing would use up the memory that
 // other requests need.
 func bodyBufferSize(length, limit int64) int64 {
 	return min(max(length, 0), limit, maxInitialBodyBuffer) + bytes.MinRead
--- a/daemon/caller/request_test.go
+++ b/daemon/caller/request_test.go
@@ -9,7 +9,7 @@
 )
 
 // A client library sends null for a limit that its user did not set. The engine would otherwise
-// generate beyond the reserved memory, and the responses of other callers would stall.
+// generate beyond the reserved memory, and the responses of other clients would stall.
 func TestNullTokenLimitUsesDefaultOfKind(t *testing.T) {
 	got := make(chan string, 1)
 	b := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
--- a/daemon/caller/serve.go
+++ b/daemon/caller/serve.go
@@ -21,8 +21,8 @@
 // Limits of attempts.
 const (
 	// maxSends is how many times a request may be sent to an upstream: once, and one more time to
-	// another upstream. A request that fails twice usually fails for a reason of its own, and
-	// further attempts would spread the damage.
+	// another upstream. The cause of two failures is usually in the request itself, and
+	// further attempts would harm more upstreams.
 	maxSends = 2
 	// maxUnsent is how many upstreams may prove unreachable before the request is refused.
 	maxUnsent = 4
@@ -41,7 +41,7 @@
 // dispatcher sends a granted request to its upstream and forwards the response.
 type dispatcher interface {
 	dispatch(ctx context.Context, pg poolGrant, u document.Upstream) result
-	// started reports whether any byte of the response was sent to the caller.
+	// started reports whether any byte of the response was sent to the client.
 	started() bool
 }
 
@@ -95,7 +95,7 @@
 		if e != nil {
 			g.releaseClaim(q, claimed && sends == 0)
 			if last != nil && ctx.Err() == nil {
-				e = last // more useful to the caller than the failure to find another upstream
+				e = last // more useful to the client than the failure to find another upstream
 			}
 			return correctRan(e, sends)
 		}
@@ -136,7 +136,7 @@
 //
 // A request that certainly did not run may always go to another upstream. A request that may have
 // run is sent once more, and only if its kind is repeatable, no byte of the response has reached
-// the caller, and the pool's retry budget allows the attempt, so that failures do not double the
+// the client, and the pool's retry budget allows the attempt, so that failures do not double the
 // load of an overloaded pool.
 func (g *Gate) mayRetry(ctx context.Context, q *request, d dispatcher, pool peer.PoolID, r result, sends, unsent int) bool {
 	if ctx.Err() != nil || d.started() {
@@ -279,10 +279,10 @@
 	}
 }
 
-// preferRefusal reports whether a refusal is more useful to the caller than another one. A refusal
+// preferRefusal reports whether a refusal is more useful to the client than another one. A refusal
 // that permits a retry is preferred, then the one with the earlier retry time. For example, a
 // prompt may be too long for the engines of one pool and fit the busy engines of another: the
-// caller should get the refusal of the busy pool.
+// client should get the refusal of the busy pool.
 func preferRefusal(e, other *fault.Error) bool {
 	retryable, otherRetryable := fault.Lookup(e.Kind).Retryable, fault.Lookup(other.Kind).Retryable
 	if retryable != otherRetryable {
@@ -388,7 +388,7 @@
 	return waits[min(int(q.kind.Urgency), len(waits)-1)]
 }
 
-// returnGrant returns a grant in the background, so that the response to the caller is not delayed.
+// returnGrant returns a grant in the background, so that the response to the client is not delayed.
 func (g *Gate) returnGrant(pg poolGrant, q *request, r result) {
 	args := peer.ReturnArgs{Stamp: g.Events.SendStamp(), Pool: pg.pool, Gate: g.ID(), Grant: pg.grant.ID, Request: q.id, Outcome: r.outcome, Usage: r.usage, First: r.firstToken}
 	g.notify(pg.owner, "Pool.Return", args)
--- a/daemon/caller/serve_test.go
+++ b/daemon/caller/serve_test.go
@@ -58,7 +58,7 @@
 }
 
 // A long prompt fits the engines of one failure domain, which are busy, but not the smaller engines
-// of another. If the caller got the refusal "too long", it would never retry.
+// of another. If the client got the refusal "too long", it would never retry.
 func TestRetryableRefusalIsPreferred(t *testing.T) {
 	b := newHarness(t, completeResponse)
 	d := *b.index.Document()
--- a/daemon/caller/service.go
+++ b/daemon/caller/service.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if x.headersSent {
-		// The header was sent already. Closing the connection is the only way to show the caller
+		// The header was sent already. Closing the connection is the only way to show the client
 		// that the response is incomplete.
 		g.metrics.countError(e.Kind, e.Ran)
 		panic(http.ErrAbortHandler)
@@ -110,15 +110,15 @@
 		return x.failure(ctx, u, err)
 	}
 	defer resp.Body.Close()
-	// A 429 status of a service goes to the caller only, who may have a rate limit of its own
-	// there.
+	// A 429 status is forwarded and not recorded as a back-off: it may result from a rate limit
+	// that the service applies to this client alone.
 	if backoff, _ := retryafter.Parse(resp.Header); resp.StatusCode == http.StatusServiceUnavailable && backoff > 0 {
 		x.gate.recordBackoff(x.q.target, pg.grant.Upstreams[0], backoff)
 	}
 	return x.forwardResponse(ctx, u, resp)
 }
 
-// upstreamURI returns the path and query that go to the service, still escaped as the caller sent
+// upstreamURI returns the path and query that go to the service, still escaped as the client sent
 // them. Decoding them would turn an escaped question mark or percent sign in a name into a
 // different path.
 func upstreamURI(r *http.Request) string {
@@ -159,7 +159,7 @@
 	req.Header.Set(engine.HeaderRequest, string(x.q.id))
 }
 
-// forwardResponse copies the response to the caller, and keeps the beginning to store it for
+// forwardResponse copies the response to the client, and keeps the beginning to store it for
 // repeats of the key.
 func (x *serviceCall) forwardResponse(ctx context.Context, u document.Upstream, resp *http.Response) result {
 	usage := usageOf(resp.StatusCode)
@@ -177,13 +177,13 @@
 	x.w.WriteHeader(resp.StatusCode)
 	x.headersSent = true
 	var stored responseCopy
-	_, err := io.Copy(&callerWriter{call: x, rc: rc, stored: &stored}, resp.Body)
+	_, err := io.Copy(&clientWriter{call: x, rc: rc, stored: &stored}, resp.Body)
 	if err == nil {
 		x.gate.settleClaim(x.q, resp.StatusCode, stored.bytes())
 		return result{outcome: decide.Done, usage: usage}
 	}
 	r := result{outcome: decide.Failed, usage: usage, fault: fault.New(fault.Incomplete, "the answer of upstream %s stopped", u.Name)}
-	if ctx.Err() != nil || errors.Is(err, errCallerWrite) {
+	if ctx.Err() != nil || errors.Is(err, errClientWrite) {
 		r.outcome = decide.Canceled
 	}
 	return r
@@ -238,21 +238,21 @@
 // bytes never returns nil, since nil stands for a response that is not stored, unlike an empty one.
 func (k *responseCopy) bytes() []byte { return append([]byte{}, k.b...) }
 
-// callerWriter writes a response to the caller. Its errors include errCallerWrite, which tells them
+// clientWriter writes a response to the client. Its errors include errClientWrite, which tells them
 // apart from errors of reading from the upstream.
-type callerWriter struct {
+type clientWriter struct {
 	call   *serviceCall
 	rc     *http.ResponseController
 	stored *responseCopy
 }
 
 // Write implements io.Writer.
-func (p *callerWriter) Write(b []byte) (int, error) {
+func (p *clientWriter) Write(b []byte) (int, error) {
 	p.stored.add(b)
 	p.call.gate.setWriteDeadline(p.rc, p.call.q)
 	n, err := p.call.w.Write(b)
 	if err != nil {
-		return n, errors.Join(errCallerWrite, err)
+		return n, errors.Join(errClientWrite, err)
 	}
 	return n, p.rc.Flush()
 }
--- a/daemon/caller/service_test.go
+++ b/daemon/caller/service_test.go
@@ -25,7 +25,7 @@
 	b.fakes.upstreams = []string{u.Name}
 }
 
-// A certificate number contains a slash or a percent sign, which the caller escapes. If the gate
+// A certificate number contains a slash or a percent sign, which the client escapes. If the gate
 // decoded the path, the service would check a different certificate or none.
 func TestServicePathIsForwardedUndecoded(t *testing.T) {
 	b := newHarness(t)
@@ -54,7 +54,7 @@
 	require.Equal(t, "20", a.header.Get(headerRetryAfter))
 }
 
-// A plain service is full and rejects calls with a 503, or limits a caller's rate with a 429. The
+// A plain service is full and rejects calls with a 503, or limits a client's rate with a 429. The
 // workspace retries repeatedly. If each attempt were charged, its bill would list more calls than
 // the service ran.
 func TestCallRejectedByServiceIsNotCharged(t *testing.T) {
--- a/daemon/caller/sink.go
+++ b/daemon/caller/sink.go
@@ -9,17 +9,17 @@
 	"snipeshift.example/lib/fault"
 )
 
-// errCallerWrite marks a failed write to the caller, who disconnected or stopped reading.
-var errCallerWrite = errors.New("write to caller failed")
+// errClientWrite marks a failed write to the client, which disconnected or stopped reading.
+var errClientWrite = errors.New("write to client failed")
 
-// writeTimeout bounds each write to a caller. A caller that stopped reading would otherwise occupy
+// writeTimeout bounds each write to a client. A client that stopped reading would otherwise occupy
 // a slot and memory of an engine.
 const writeTimeout = 15 * time.Second
 
 // finalWriteTimeout is the time for writing the remaining response after the request's deadline.
 const finalWriteTimeout = 2 * time.Second
 
-// setWriteDeadline bounds the next write to a caller. Without it, a caller that requests a large
+// setWriteDeadline bounds the next write to a client. Without it, a client that requests a large
 // response and does not read it would hold its grant past the deadline, and a graceful shutdown
 // would wait for it forever.
 func (g *Gate) setWriteDeadline(rc *http.ResponseController, q *request) {
@@ -27,14 +27,14 @@
 	_ = rc.SetWriteDeadline(time.Now().Add(min(writeTimeout, left)))
 }
 
-// sink forwards the chunks of a response to the caller.
+// sink forwards the chunks of a response to the client.
 type sink interface {
 	// reset discards what an earlier attempt left, before the chunks of the next attempt.
 	reset()
 	writeChunk(c engine.Chunk) error
 	// finish ends a complete response.
 	finish() error
-	// fail ends a response that had started with an error.
+	// fail ends a response that has already started, by sending the error.
 	fail(e *fault.Error)
 	started() bool
 	// responseBody returns the body to store for repeats of the key, nil for streams.
@@ -68,7 +68,7 @@
 func (s *streamSink) finish() error { return s.writeEvent("[DONE]") }
 
 func (s *streamSink) fail(e *fault.Error) {
-	// No end mark follows, so a caller that waits for it sees that the response is incomplete.
+	// No [DONE] event follows, so a client that waits for it sees that the response is incomplete.
 	_ = s.writeEvent(string(errorJSON(e, s.q.id)))
 }
 
@@ -87,10 +87,10 @@
 	s.buf = append(s.buf, data...)
 	s.buf = append(s.buf, "\n\n"...)
 	if _, err := s.w.Write(s.buf); err != nil {
-		return errors.Join(errCallerWrite, err)
+		return errors.Join(errClientWrite, err)
 	}
 	if err := s.rc.Flush(); err != nil {
-		return errors.Join(errCallerWrite, err)
+		return errors.Join(errClientWrite, err)
 	}
 	return nil
 }
--- a/daemon/caller/slow_test.go
+++ b/daemon/caller/slow_test.go
@@ -17,7 +17,7 @@
 	"snipeshift.example/lib/document"
 )
 
-// A caller asks for a large non-streaming response and then reads nothing. Its request must end
+// A client asks for a large non-streaming response and then reads nothing. Its request must end
 // soon after the deadline. Otherwise engine memory stays reserved, and a graceful shutdown never
 // completes.
 func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
--- a/daemon/claim/breaker.go
+++ b/daemon/claim/breaker.go
@@ -9,7 +9,7 @@
 // breaker is a circuit breaker that shortens the timeout of claims while the store does
 // not respond, so that claims fail in a fraction of their full timeout. Periodically one
 // claim may use its full timeout as a probe; otherwise a store that is merely slow would
-// be considered unavailable for ever.
+// be considered unavailable forever.
 type breaker struct {
 	mu sync.Mutex
 	// open is set while the store is considered unavailable.
--- a/daemon/claim/claim.go
+++ b/daemon/claim/claim.go
@@ -10,8 +10,8 @@
 // its decisions are based.
 //
 // A gate must send the request only after ClaimWon and after no other reply. It must
-// also check the time between that reply and the first byte: a gate that was frozen in
-// between may have passed the deadline of the request. It then calls Release and
+// also check the time between that reply and the first byte: a gate that was paused in
+// between may have passed the deadline of the request. In that case the gate calls Release and
 // answers the client that the request did not run.
 package claim
 
@@ -61,8 +61,8 @@
 	CommitTimeout clock.Milli
 	// MaxAttempts is the largest number of conditional writes tried for one batch.
 	MaxAttempts int
-	// MaxBatch is the largest number of operations in one write. Queue is the number of
-	// queued operations of a shard from which on withdrawals are discarded.
+	// MaxBatch is the largest number of operations in one write. MaxQueue is the
+	// number of queued operations of a shard from which on withdrawals are discarded.
 	MaxBatch, MaxQueue int
 	// MaxPageSize is the size in bytes above which the records of a page are moved to an
 	// archive. A page of this size and a full batch together fit the store's limit.
@@ -73,7 +73,7 @@
 	MaxArchiveSize int
 	// Retention is the minimum time for which a key is remembered.
 	Retention clock.Milli
-	// RetryInterval is the interval between attempts to record a settlement, and the delay
+	// RetryInterval is the interval between attempts to record the end of a claim, and the delay
 	// before a claim that may have been written is withdrawn.
 	RetryInterval clock.Milli
 	// ProbeInterval is the interval at which one claim may use its full timeout while the
--- a/daemon/claim/claim_test.go
+++ b/daemon/claim/claim_test.go
@@ -173,7 +173,7 @@
 
 // During a network partition two VMs both consider themselves the home of a shard, and a
 // client sends the same request through both at once. If both claims were won, the
-// notice would be sent twice.
+// request would run twice.
 func TestTwoHomesClaimSameKeyConcurrently(t *testing.T) {
 	x := newFixture()
 	homes := []*Claims{x.start("a"), x.start("b")}
@@ -353,7 +353,7 @@
 	}
 }
 
-// The home is frozen before it writes a claim, and the gate claims the key itself and
+// The home is paused before it writes a claim, and the gate claims the key itself and
 // releases it. When the home resumes, its write must be rejected.
 func TestVoidClaimOfThawedHomeIsRejected(t *testing.T) {
 	x := newFixture()
--- a/daemon/claim/shard.go
+++ b/daemon/claim/shard.go
@@ -204,8 +204,8 @@
 	shard    *shard
 	ops      []*op
 	verdicts []verdict
-	// confirmed is set once the journal was read for this batch.
-	confirmed bool
+	// journalRead is set once the journal was read for this batch.
+	journalRead bool
 	// ambiguous is set when a write of this batch may have taken effect.
 	ambiguous bool
 	// giveUp is set when another attempt can't succeed.
@@ -225,10 +225,10 @@
 			c.giveUp = c.noResponse && !c.ambiguous
 			return false
 		}
-		c.confirmed = true
+		c.journalRead = true
 	}
 	records, final := c.evaluate()
-	if len(records) == 0 && !final && !c.confirmed {
+	if len(records) == 0 && !final && !c.journalRead {
 		// Another VM may have released a key since this VM last read the journal.
 		s.loaded = false
 		return false
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -17,13 +17,13 @@
 	leaving map[decide.UpstreamID]bool
 }
 
-// Index implements caller.Book and pool.Book.
+// Index implements caller.Registry, pool.Registry and orders.Registry.
 func (c *config) Index() (*document.Index, bool) {
 	x := c.index.Load()
 	return x, x != nil
 }
 
-// Leaving implements pool.Book.
+// Leaving implements pool.Registry.
 func (c *config) Leaving(id decide.UpstreamID) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -35,7 +35,8 @@
 
 // Times of the daemon.
 const (
-	// dialTimeout bounds a connect to an upstream; the farthest is milliseconds away.
+	// dialTimeout bounds a connect to an upstream. The network delay to the farthest upstream is
+	// only milliseconds.
 	dialTimeout = 2 * time.Second
 	// headerTimeout bounds the reading of a request's header: a client that sends its header
 	// byte by byte would otherwise occupy a connection indefinitely.
@@ -73,7 +74,7 @@
 	peers      *peer.Server
 	quarantine *quarantine.Quarantine
 	limits     *limit.Limits
-	door       *door.Endpoint
+	endpoint   *door.Endpoint
 	engines    *engine.Client
 	leases     *lease.Leases
 	orders     *orders.Sender
@@ -95,7 +96,7 @@
 func newDaemon(s *settings.Settings) (*daemon, error) {
 	k := clock.New()
 	l := newLogger(s)
-	dr, err := door.New(door.Files{Authority: s.TLS.CA, Certificate: s.TLS.Cert, Key: s.TLS.Key}, func(err error) {
+	endpoint, err := door.New(door.Files{Authority: s.TLS.CA, Certificate: s.TLS.Cert, Key: s.TLS.Key}, func(err error) {
 		l.Error().Err(err).Msg("cannot load the changed certificates; the earlier ones stay in use")
 	})
 	if err != nil {
@@ -104,11 +105,11 @@
 	d := &daemon{
 		settings: s, clock: k, incarnation: peer.Incarnation(k.Now()),
 		log:            l,
-		door:           dr,
+		endpoint:       endpoint,
 		drain:          make(chan struct{}),
 		heartbeatsDone: make(chan struct{}),
 		config:         &config{},
-		dialer:         peer.NewDialer(dr.Dial),
+		dialer:         peer.NewDialer(endpoint.Dial),
 		peers:          peer.NewServer(),
 	}
 	d.work, d.endWork = context.WithCancel(context.Background())
@@ -179,7 +180,7 @@
 	operators := d.server(d.operatorHandler())
 	var g errgroup.Group
 	d.spawn(&g, "peer door", func() error { return d.peers.Serve(ls.peer) })
-	d.spawn(&g, "caller door", func() error { return ignoreServerClosed(clients.Serve(ls.caller)) })
+	d.spawn(&g, "caller door", func() error { return ignoreServerClosed(clients.Serve(ls.client)) })
 	d.spawn(&g, "operator door", func() error { return ignoreServerClosed(operators.Serve(ls.operator)) })
 	d.spawn(&g, "heartbeats", func() error { return d.heartbeats() })
 	d.spawn(&g, "pause", func() error { return d.pause.Run(d.work) })
@@ -189,7 +190,7 @@
 	d.spawn(&g, "limits", func() error { d.limits.Run(d.work); return nil })
 	d.spawn(&g, "renewals", func() error { d.gate.Renew(d.work); return nil })
 	d.state.run(d, &g)
-	d.log.Info().Str("caller", ls.caller.Addr().String()).
+	d.log.Info().Str("caller", ls.client.Addr().String()).
 		Str("operator", ls.operator.Addr().String()).Str("peer", ls.peer.Addr().String()).Msg("started")
 	d.ring.Add(timeline.Event{Kind: timeline.Started})
 	select {
@@ -297,24 +298,24 @@
 }
 
 // listeners are the listeners for clients, operators and peers.
-type listeners struct{ caller, operator, peer net.Listener }
+type listeners struct{ client, operator, peer net.Listener }
 
 // listen opens the listeners. Without certificates the listeners for peers and operators bind to
 // loopback only: whoever can connect to them can drain VMs and read which workspace sends which
 // requests.
 func (d *daemon) listen() (ls listeners, err error) {
 	ctx := context.Background()
-	if !d.door.Secure() {
+	if !d.endpoint.Secure() {
 		d.log.Warn().Msg("no certificates in the settings: the listeners for peers and operators bind to loopback only")
 	}
-	if ls.operator, err = d.door.Listen(ctx, d.settings.Operator); err != nil {
+	if ls.operator, err = d.endpoint.Listen(ctx, d.settings.Operator); err != nil {
 		return ls, err
 	}
-	if ls.peer, err = d.door.Listen(ctx, d.settings.Peer); err != nil {
+	if ls.peer, err = d.endpoint.Listen(ctx, d.settings.Peer); err != nil {
 		return ls, err
 	}
 	var c net.ListenConfig
-	if ls.caller, err = c.Listen(ctx, "tcp", d.settings.Caller); err != nil {
+	if ls.client, err = c.Listen(ctx, "tcp", d.settings.Caller); err != nil {
 		return ls, err
 	}
 	t := d.settings.TLS
@@ -327,7 +328,7 @@
 	if err != nil {
 		return ls, err
 	}
-	ls.caller = tls.NewListener(ls.caller, conf)
+	ls.client = tls.NewListener(ls.client, conf)
 	return ls, nil
 }
 
--- a/daemon/directory.go
+++ b/daemon/directory.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// lastBeat returns the document revision and the arrival time of the last heartbeat from a VM.
-func (d *directory) lastBeat(v peer.VM) (revision peer.Revision, at clock.Milli) {
+// lastHeartbeat returns the document revision and the arrival time of the last heartbeat from a VM.
+func (d *directory) lastHeartbeat(v peer.VM) (revision peer.Revision, at clock.Milli) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	x := d.known[v]
--- a/daemon/leaving.go
+++ b/daemon/leaving.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if d.config.setLeaving(leaving) {
-		d.log.Info().Int("leaving", len(leaving)).Msg("upstreams are leaving")
+		d.log.Info().Int("leaving", len(leaving)).Msg("the set of upstreams that the platform lists as leaving has changed")
 		d.owner.Reconfigure()
 	}
 }
--- a/daemon/member/members.go
+++ b/daemon/member/members.go
@@ -79,8 +79,8 @@
 	views map[peer.VM]uint64
 	// lastContact is the time of the last message from any other member.
 	lastContact clock.Milli
-	// beats waits for the goroutines that send heartbeats.
-	beats sync.WaitGroup
+	// heartbeats waits for the goroutines that send heartbeats.
+	heartbeats sync.WaitGroup
 }
 
 // New returns Members for the daemon self. Heartbeats are sent by Run.
@@ -135,7 +135,7 @@
 	}
 }
 
-// Stop announces to all members that this one accepts no new duties.
+// Stop announces to all members that this one is stopping, so that Rank no longer lists it.
 func (m *Members) Stop() {
 	m.mu.Lock()
 	m.table.Stop()
@@ -150,7 +150,7 @@
 	m.table.Leave()
 	m.mu.Unlock()
 	m.round(ctx)
-	m.beats.Wait()
+	m.heartbeats.Wait()
 }
 
 // Resume must be called after a pause of this process (see Table.Resume).
@@ -163,13 +163,13 @@
 
 // Run sends heartbeats until ctx ends. It returns ErrSuperseded if a later incarnation of this VM is running.
 func (m *Members) Run(ctx context.Context) error {
-	defer m.beats.Wait()
+	defer m.heartbeats.Wait()
 	last := -m.rules.SparseSeedPeriod
 	for ctx.Err() == nil {
 		now := m.clock.Now()
 		if now-last >= m.seedPeriod() {
 			last = now
-			m.beats.Go(func() { m.contactSeeds(ctx) })
+			m.heartbeats.Go(func() { m.contactSeeds(ctx) })
 		}
 		m.round(ctx)
 		if m.Superseded() {
@@ -195,7 +195,7 @@
 	return m.table.Superseded()
 }
 
-// wait returns after a period, or earlier after BeatNow, but not before gap.
+// wait returns after a period, or earlier after BeatNow, but not before minRoundGap.
 func (m *Members) wait(ctx context.Context) {
 	if !sleep(ctx, minRoundGap) {
 		return
@@ -240,7 +240,7 @@
 	}
 	for _, a := range m.seeds.Seeds(ctx) {
 		if !known[a] {
-			m.start(ctx, peer.Member{Address: a})
+			m.startHeartbeat(ctx, peer.Member{Address: a})
 		}
 	}
 }
@@ -253,31 +253,32 @@
 	targets := m.table.Targets(now)
 	m.mu.Unlock()
 	for _, t := range targets {
-		m.start(ctx, t)
+		m.startHeartbeat(ctx, t)
 	}
 	if changed {
 		m.BeatNow()
 	}
 }
 
-// start sends a heartbeat to the address of a member, unless one is unanswered.
-func (m *Members) start(ctx context.Context, to peer.Member) {
+// startHeartbeat sends a heartbeat to the address of a member, unless one is unanswered.
+func (m *Members) startHeartbeat(ctx context.Context, to peer.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inFlight[to.Address] {
 		return
 	}
 	m.inFlight[to.Address] = true
-	m.beats.Go(func() {
-		m.beat(ctx, to)
+	m.heartbeats.Go(func() {
+		m.sendHeartbeat(ctx, to)
 		m.mu.Lock()
 		delete(m.inFlight, to.Address)
 		m.mu.Unlock()
 	})
 }
 
-// beat sends a heartbeat and processes the reply. For a seed to contains only the address.
-func (m *Members) beat(ctx context.Context, to peer.Member) {
+// sendHeartbeat sends a heartbeat and processes the reply. If the receiver is a seed, the argument
+// to contains only the address.
+func (m *Members) sendHeartbeat(ctx context.Context, to peer.Member) {
 	limited, cancel := context.WithTimeout(ctx, m.period().Duration())
 	defer cancel()
 	args := m.message(to.VM)
--- a/daemon/member/members_test.go
+++ b/daemon/member/members_test.go
@@ -23,8 +23,8 @@
 
 	mu      sync.Mutex
 	clients map[string]*rpc.Client
-	// cut, while set, makes every call fail.
-	cut atomic.Bool
+	// failing, while set, makes every call fail.
+	failing atomic.Bool
 }
 
 type counted struct {
@@ -58,7 +58,7 @@
 }
 
 func (d *dialer) Call(ctx context.Context, address, method string, args, reply any) error {
-	if d.cut.Load() {
+	if d.failing.Load() {
 		return net.ErrClosed
 	}
 	c, err := d.client(ctx, address)
@@ -101,7 +101,7 @@
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	d := &dialer{sent: &atomic.Int64{}, received: &atomic.Int64{}, clients: map[string]*rpc.Client{}}
-	m := self(i)
+	m := testMember(i)
 	m.Address = l.Addr().String()
 	n := &node{Members: New(m, DefaultRules, d, fixedSeeds(seeds), clock.New()), dialer: d}
 	server := rpc.NewServer()
@@ -166,11 +166,11 @@
 
 	// All connections fail at once, without an announced stop. The seeds reconnect the members.
 	for _, n := range rest {
-		n.dialer.cut.Store(true)
+		n.dialer.failing.Store(true)
 	}
 	allSee(t, rest, 1)
 	for _, n := range rest {
-		n.dialer.cut.Store(false)
+		n.dialer.failing.Store(false)
 	}
 	allSee(t, rest, 3)
 }
--- a/daemon/member/pause.go
+++ b/daemon/member/pause.go
@@ -10,8 +10,8 @@
 )
 
 // PauseDetector detects that this process was paused: it was stopped by a signal, or its VM was
-// suspended. Its leases, grants and ownership of pools may have expired and passed to other VMs
-// in the meantime, which its own state doesn't show.
+// suspended. Its duties (leases, grants and the ownership of pools) may have expired and passed to
+// other VMs in the meantime, which its own state doesn't show.
 //
 // Check runs the callback before it returns, and code that acts on a duty calls Check first.
 // So after a pause the duties are given up before any of them is acted on, whichever goroutine
@@ -30,7 +30,7 @@
 	count          int
 }
 
-// NewPauseDetector returns a detector that calls lost after a gap longer than lease.
+// NewPauseDetector returns a detector that calls onPause after a gap longer than lease.
 // While a VM is suspended one of the two clocks may stop and the other advance, so the larger
 // gap counts. A step of the wall clock can therefore give up duties needlessly, which costs
 // only the rebuilding of their state.
@@ -50,13 +50,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, wall := p.clock.Now(), p.wall.Now()
-	stretch := Gap(p.last, now, p.lastWall, wall)
+	gap := Gap(p.last, now, p.lastWall, wall)
 	p.last, p.lastWall = now, wall
-	if stretch <= p.lease {
+	if gap <= p.lease {
 		return false
 	}
 	p.count++
-	p.onPause(stretch)
+	p.onPause(gap)
 	return true
 }
 
--- a/daemon/member/table.go
+++ b/daemon/member/table.go
@@ -14,8 +14,8 @@
 	self  peer.Member
 	// entries holds all members but self.
 	entries map[peer.VM]*entry
-	// selfSends is the number of heartbeats that still have to be sent with the last change of self.
-	selfSends int
+	// selfSendsLeft is the number of heartbeats that still have to be sent with the last change of self.
+	selfSendsLeft int
 	// cursor is the name up to which the last heartbeat listed live members: see nextLive.
 	cursor peer.VM
 	// superseded is set when a later incarnation of this VM was reported.
@@ -46,17 +46,17 @@
 	member peer.Member
 	// missed counts consecutive heartbeats to the member that were not answered.
 	missed int
-	// heard is the time of the last message received from the member itself.
-	heard clock.Milli
-	// since is the time of the last change of health.
-	since clock.Milli
-	// sends is the number of heartbeats that still have to report the last change.
-	sends int
+	// lastHeard is the time of the last message received from the member itself.
+	lastHeard clock.Milli
+	// healthSince is the time of the last change of health.
+	healthSince clock.Milli
+	// sendsLeft is the number of heartbeats that still have to report the last change.
+	sendsLeft int
 }
 
 // NewTable returns a table that contains only self.
 func NewTable(self peer.Member, r Rules) *Table {
-	return &Table{rules: r, self: self, entries: map[peer.VM]*entry{}, selfSends: r.UpdateSends}
+	return &Table{rules: r, self: self, entries: map[peer.VM]*entry{}, selfSendsLeft: r.UpdateSends}
 }
 
 // Self returns the description of this member.
@@ -66,7 +66,7 @@
 // stop sending heartbeats.
 func (t *Table) Superseded() bool { return t.superseded }
 
-// Stop marks this member as stopping: it accepts no new duties.
+// Stop marks this member as stopping, so that Rank no longer lists it.
 func (t *Table) Stop() {
 	t.self.Stopping = true
 	t.raiseSeq(t.self.Seq)
@@ -84,7 +84,7 @@
 func (t *Table) raiseSeq(above uint64) {
 	t.cache = nil
 	t.self.Seq = above + 1
-	t.selfSends = t.rules.UpdateSends
+	t.selfSendsLeft = t.rules.UpdateSends
 }
 
 // newer reports whether description a of a VM replaces description b.
@@ -113,7 +113,7 @@
 			return false
 		}
 		t.cache = nil
-		t.entries[m.VM] = &entry{member: m, heard: now, since: now, sends: t.rules.UpdateSends}
+		t.entries[m.VM] = &entry{member: m, lastHeard: now, healthSince: now, sendsLeft: t.rules.UpdateSends}
 		return true
 	}
 	if m.Health == peer.Gone && e.member.Health != peer.Gone {
@@ -126,15 +126,15 @@
 		// member itself can refute the suspicion, by a larger Seq. So the suspicion is sent
 		// until the member receives it. Otherwise the two sides of a partition that has
 		// healed would disagree permanently.
-		e.sends = t.rules.UpdateSends
+		e.sendsLeft = t.rules.UpdateSends
 	}
 	if !newer(m, e.member) {
 		return false
 	}
 	if m.Health != e.member.Health || m.Incarnation != e.member.Incarnation {
-		e.since = now
+		e.healthSince = now
 	}
-	e.member, e.missed, e.sends = m, 0, t.rules.UpdateSends
+	e.member, e.missed, e.sendsLeft = m, 0, t.rules.UpdateSends
 	t.cache = nil
 	return true
 }
@@ -162,9 +162,9 @@
 	if e == nil || e.member.Incarnation != m.Incarnation {
 		return changed
 	}
-	e.heard, e.missed = now, 0
+	e.lastHeard, e.missed = now, 0
 	if m.Health == peer.Gone && e.member.Health != peer.Gone {
-		// The member itself reports the end of a planned stop: no time to refute is needed.
+		// The member itself reports the end of a graceful stop: no time to refute is needed.
 		t.setHealth(e, peer.Gone, now)
 		return true
 	}
@@ -192,10 +192,10 @@
 	limit := t.rules.RefutePeriods * t.rules.Period(t.size())
 	for v, e := range t.entries {
 		switch {
-		case e.member.Health == peer.Suspected && now-e.since >= limit && now-e.heard >= limit:
+		case e.member.Health == peer.Suspected && now-e.healthSince >= limit && now-e.lastHeard >= limit:
 			t.setHealth(e, peer.Gone, now)
 			changed = true
-		case e.member.Health == peer.Gone && now-e.since >= t.rules.ForgetAfter:
+		case e.member.Health == peer.Gone && now-e.healthSince >= t.rules.ForgetAfter:
 			delete(t.entries, v)
 			t.cache = nil
 		}
@@ -205,7 +205,7 @@
 
 // setHealth sets the health of a member and schedules the change to be sent.
 func (t *Table) setHealth(e *entry, h peer.Health, now clock.Milli) {
-	e.member.Health, e.since, e.sends = h, now, t.rules.UpdateSends
+	e.member.Health, e.healthSince, e.sendsLeft = h, now, t.rules.UpdateSends
 	t.cache = nil
 }
 
@@ -213,7 +213,7 @@
 // whatever the state of the other members, so the time limits of suspicions start anew.
 func (t *Table) Resume(now clock.Milli) {
 	for _, e := range t.entries {
-		e.since, e.heard, e.missed = now, now, 0
+		e.healthSince, e.lastHeard, e.missed = now, now, 0
 	}
 }
 
@@ -312,7 +312,7 @@
 	}
 }
 
-// sortBy sorts members by number, called once for each.
+// sortBy sorts members by the result of number, which is called once per member.
 func sortBy(ms []peer.Member, number func(peer.Member) uint64) {
 	numbers := make(map[peer.VM]uint64, len(ms))
 	for _, m := range ms {
@@ -328,8 +328,8 @@
 	if e := t.entries[to]; e != nil && e.member.Health != peer.Live {
 		ms = append(ms, e.member)
 	}
-	if t.selfSends > 0 {
-		t.selfSends--
+	if t.selfSendsLeft > 0 {
+		t.selfSendsLeft--
 	}
 	ms = t.appendChanges(ms, to, true)
 	ms = t.appendChanges(ms, to, false)
@@ -346,10 +346,10 @@
 func (t *Table) appendChanges(ms []peer.Member, to peer.VM, highCapacity bool) []peer.Member {
 	maxCores := t.derive().maxCores
 	for v, e := range t.entries {
-		if e.sends == 0 || v == to || len(ms) >= t.rules.MaxUpdates || highCapacity != (e.member.Cores*capacityDivisor >= maxCores) {
+		if e.sendsLeft == 0 || v == to || len(ms) >= t.rules.MaxUpdates || highCapacity != (e.member.Cores*capacityDivisor >= maxCores) {
 			continue
 		}
-		e.sends--
+		e.sendsLeft--
 		ms = append(ms, e.member)
 	}
 	return ms
@@ -357,23 +357,23 @@
 
 // HasUpdates reports whether there are changes to send.
 func (t *Table) HasUpdates() bool {
-	if t.selfSends > 0 {
+	if t.selfSendsLeft > 0 {
 		return true
 	}
 	for _, e := range t.entries {
-		if e.sends > 0 {
+		if e.sendsLeft > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// nextLive returns up to most live members, following those of the previous call.
-func (t *Table) nextLive(most int) []peer.Member {
+// nextLive returns up to limit live members, following those of the previous call.
+func (t *Table) nextLive(limit int) []peer.Member {
 	live := t.Live()
 	from := sort.Search(len(live), func(i int) bool { return live[i].VM > t.cursor })
 	var ms []peer.Member
-	for i := 0; i < len(live) && len(ms) < most; i++ {
+	for i := 0; i < len(live) && len(ms) < limit; i++ {
 		m := live[(from+i)%len(live)]
 		t.cursor = m.VM
 		ms = append(ms, m)
--- a/daemon/member/table_bench_test.go
+++ b/daemon/member/table_bench_test.go
@@ -38,7 +38,8 @@
 
 // BenchmarkSimulatedHeartbeats simulates the heartbeats of a large fleet in one goroutine. It reports the
 // bytes per second that a node sends, including gob and net/rpc headers, and the processor time per node.
-// The variant "replaced" replaces one member every ten seconds, many times as often as the planned 372 a day.
+// The variant "replaced" replaces one member every ten seconds, many times as often as the
+// planned 372 replacements a day.
 func BenchmarkSimulatedHeartbeats(b *testing.B) {
 	for _, size := range []int{81, 450} {
 		for _, churn := range []bool{false, true} {
@@ -50,14 +51,14 @@
 
 func simulate(b *testing.B, size int, churn bool) {
 	g := &group{now: 1000, tables: map[peer.VM]*Table{}, views: map[[2]peer.VM]uint64{}}
-	g.cut = func(_, _ peer.VM) bool { return false }
+	g.lost = func(_, _ peer.VM) bool { return false }
 	for i := range size {
-		table := NewTable(self(i), DefaultRules)
+		table := NewTable(testMember(i), DefaultRules)
 		for j := range size {
-			table.Heard(g.now, self(j))
+			table.Heard(g.now, testMember(j))
 		}
-		g.tables[name(i)] = table
-		g.order = append(g.order, name(i))
+		g.tables[vmName(i)] = table
+		g.order = append(g.order, vmName(i))
 	}
 	const settle, rounds = 20, 60
 	for range settle {
@@ -95,8 +96,8 @@
 // replace starts a new incarnation of one member, whose table contains only one other member.
 func (g *group) replace(r int) {
 	i := (7*r + 13) % len(g.order)
-	m := self(i)
-	m.Incarnation = g.tables[name(i)].Self().Incarnation + 1
-	g.tables[name(i)] = NewTable(m, DefaultRules)
-	g.tables[name(i)].Heard(g.now, self((i+1)%len(g.order)))
+	m := testMember(i)
+	m.Incarnation = g.tables[vmName(i)].Self().Incarnation + 1
+	g.tables[vmName(i)] = NewTable(m, DefaultRules)
+	g.tables[vmName(i)].Heard(g.now, testMember((i+1)%len(g.order)))
 }
--- a/daemon/member/table_test.go
+++ b/daemon/member/table_test.go
@@ -18,17 +18,17 @@
 	tables map[peer.VM]*Table
 	order  []peer.VM
 	views  map[[2]peer.VM]uint64
-	// cut reports whether messages from a to b are lost.
-	cut func(a, b peer.VM) bool
+	// lost reports whether messages from a to b are lost.
+	lost func(a, b peer.VM) bool
 	// sent, if not nil, is called with each message.
 	sent func(from *Table, to peer.VM, known []peer.Member, reply bool)
 }
 
-func name(i int) peer.VM { return peer.VM(fmt.Sprintf("vm-%03d", i)) }
+func vmName(i int) peer.VM { return peer.VM(fmt.Sprintf("vm-%03d", i)) }
 
-func self(i int) peer.Member {
+func testMember(i int) peer.Member {
 	return peer.Member{
-		VM: name(i), Incarnation: 1, Domain: peer.Domain(fmt.Sprintf("d%d", i%3)),
+		VM: vmName(i), Incarnation: 1, Domain: peer.Domain(fmt.Sprintf("d%d", i%3)),
 		Address: fmt.Sprintf("127.0.0.1:%d", 7000+i),
 	}
 }
@@ -37,13 +37,13 @@
 func newGroup(t *testing.T, n int) *group {
 	g := &group{
 		t: t, now: 1000, tables: map[peer.VM]*Table{}, views: map[[2]peer.VM]uint64{},
-		cut: func(_, _ peer.VM) bool { return false },
+		lost: func(_, _ peer.VM) bool { return false },
 	}
 	for i := range n {
-		table := NewTable(self(i), DefaultRules)
-		table.Heard(g.now, self(0))
-		g.tables[name(i)] = table
-		g.order = append(g.order, name(i))
+		table := NewTable(testMember(i), DefaultRules)
+		table.Heard(g.now, testMember(0))
+		g.tables[vmName(i)] = table
+		g.order = append(g.order, vmName(i))
 	}
 	return g
 }
@@ -66,7 +66,7 @@
 func (g *group) exchange(from *Table, to peer.VM) {
 	v := from.Self().VM
 	other := g.tables[to]
-	if other == nil || g.cut(v, to) || g.cut(to, v) {
+	if other == nil || g.lost(v, to) || g.lost(to, v) {
 		from.Missed(g.now, to)
 		return
 	}
@@ -130,7 +130,7 @@
 	for _, n := range sizes() {
 		g := newGroup(t, n)
 		g.runUntil(60, n)
-		delete(g.tables, name(n/2))
+		delete(g.tables, vmName(n/2))
 		before := g.now
 		g.runUntil(20, n-1)
 		t.Logf("%d members: removed from all tables after %d ms", n, g.now-before)
@@ -144,8 +144,8 @@
 	for _, n := range []int{3, 9, 81} {
 		g := newGroup(t, n)
 		g.runUntil(60, n)
-		a := g.tables[name(0)].Targets(g.now)[0].VM
-		g.cut = func(x, y peer.VM) bool { return x == name(0) && y == a || x == a && y == name(0) }
+		a := g.tables[vmName(0)].Targets(g.now)[0].VM
+		g.lost = func(x, y peer.VM) bool { return x == vmName(0) && y == a || x == a && y == vmName(0) }
 		for range 60 {
 			g.round()
 			require.True(t, g.agree(n), "%d members", n)
@@ -159,18 +159,18 @@
 	for _, n := range []int{9, 81} {
 		g := newGroup(t, n)
 		g.runUntil(60, n)
-		side := func(v peer.VM) bool { return v < name(n/3) }
-		g.cut = func(a, b peer.VM) bool { return side(a) != side(b) }
+		side := func(v peer.VM) bool { return v < vmName(n/3) }
+		g.lost = func(a, b peer.VM) bool { return side(a) != side(b) }
 		for range 60 {
 			g.round()
 		}
-		require.Len(t, g.tables[name(0)].Live(), n/3)
-		require.Len(t, g.tables[name(n-1)].Live(), n-n/3)
-		require.Equal(t, n-n/3, g.tables[name(0)].Lost(), "they may still run on the other side of the partition")
-		require.Equal(t, n/3, g.tables[name(n-1)].Lost())
-		g.cut = func(_, _ peer.VM) bool { return false }
+		require.Len(t, g.tables[vmName(0)].Live(), n/3)
+		require.Len(t, g.tables[vmName(n-1)].Live(), n-n/3)
+		require.Equal(t, n-n/3, g.tables[vmName(0)].Lost(), "they may still run on the other side of the partition")
+		require.Equal(t, n/3, g.tables[vmName(n-1)].Lost())
+		g.lost = func(_, _ peer.VM) bool { return false }
 		// Seeds connect the sides: one heartbeat between them is enough.
-		g.exchange(g.tables[name(0)], name(n-1))
+		g.exchange(g.tables[vmName(0)], vmName(n-1))
 		rounds := g.runUntil(60, n)
 		t.Logf("%d members: sides rejoined after %d rounds", n, rounds)
 		for _, v := range g.order {
@@ -182,25 +182,25 @@
 func TestPlannedLeaveTakesEffectAtOnce(t *testing.T) {
 	g := newGroup(t, 3)
 	g.runUntil(60, 3)
-	leaving := g.tables[name(2)]
+	leaving := g.tables[vmName(2)]
 	leaving.Leave()
-	g.exchange(leaving, name(0))
-	g.exchange(leaving, name(1))
-	delete(g.tables, name(2))
+	g.exchange(leaving, vmName(0))
+	g.exchange(leaving, vmName(1))
+	delete(g.tables, vmName(2))
 	require.True(t, g.agree(2))
-	require.Zero(t, g.tables[name(0)].Lost(), "the member announced its stop")
+	require.Zero(t, g.tables[vmName(0)].Lost(), "the member announced its stop")
 }
 
 // A VM that never comes back must not be counted as lost by the others forever.
 func TestLostMemberIsForgotten(t *testing.T) {
 	g := newGroup(t, 3)
 	g.runUntil(60, 3)
-	delete(g.tables, name(2))
+	delete(g.tables, vmName(2))
 	g.runUntil(60, 2)
-	require.Equal(t, 1, g.tables[name(0)].Lost())
+	require.Equal(t, 1, g.tables[vmName(0)].Lost())
 	g.now += DefaultRules.ForgetAfter
 	g.round()
-	require.Zero(t, g.tables[name(0)].Lost())
+	require.Zero(t, g.tables[vmName(0)].Lost())
 }
 
 // A VM that is suspended is replaced by a new one of the same name. When the old one resumes, it must
@@ -208,15 +208,15 @@
 func TestOlderIncarnationLearnsThatItIsSuperseded(t *testing.T) {
 	g := newGroup(t, 3)
 	g.runUntil(60, 3)
-	old := g.tables[name(2)]
-	later := self(2)
+	old := g.tables[vmName(2)]
+	later := testMember(2)
 	later.Incarnation = 2
-	g.tables[name(2)] = NewTable(later, DefaultRules)
-	g.tables[name(2)].Heard(g.now, self(0))
+	g.tables[vmName(2)] = NewTable(later, DefaultRules)
+	g.tables[vmName(2)].Heard(g.now, testMember(0))
 	g.round()
-	g.exchange(old, name(0))
+	g.exchange(old, vmName(0))
 	require.True(t, old.Superseded())
-	require.False(t, g.tables[name(2)].Superseded())
+	require.False(t, g.tables[vmName(2)].Superseded())
 }
 
 // A VM is suspended for a minute and received no heartbeats during that time. When it resumes, it must
@@ -224,9 +224,9 @@
 func TestPausedMemberRemovesNoOther(t *testing.T) {
 	g := newGroup(t, 9)
 	g.runUntil(60, 9)
-	table := g.tables[name(1)]
-	table.Missed(g.now, name(2))
-	table.Learn(g.now, peer.Member{VM: name(2), Incarnation: 1, Health: peer.Suspected, Address: "x"})
+	table := g.tables[vmName(1)]
+	table.Missed(g.now, vmName(2))
+	table.Learn(g.now, peer.Member{VM: vmName(2), Incarnation: 1, Health: peer.Suspected, Address: "x"})
 	g.now += clock.Minute
 	table.Resume(g.now)
 	require.False(t, table.Tick(g.now))
@@ -251,7 +251,7 @@
 func TestOwnerIsInDomainOfPool(t *testing.T) {
 	var ms []peer.Member
 	for i := range 9 {
-		ms = append(ms, self(i))
+		ms = append(ms, testMember(i))
 	}
 	for i := range 50 {
 		pool := peer.PoolID(fmt.Sprintf("model-%d@d1", i))
@@ -267,7 +267,7 @@
 func TestOnlyKeysOfStoppingMemberMove(t *testing.T) {
 	var ms []peer.Member
 	for i := range 9 {
-		ms = append(ms, self(i))
+		ms = append(ms, testMember(i))
 	}
 	stopping := append([]peer.Member(nil), ms...)
 	stopping[4].Stopping = true
@@ -278,7 +278,7 @@
 		after, _ := First(key, stopping)
 		require.Equal(t, before, Rank(key, ms)[0])
 		held[before.VM]++
-		if before.VM != name(4) {
+		if before.VM != vmName(4) {
 			require.Equal(t, before, after)
 		} else {
 			require.NotEqual(t, before, after)
@@ -297,7 +297,7 @@
 	for _, n := range sizes() {
 		g := newGroup(t, n)
 		g.runUntil(60, n)
-		informed := map[peer.VM]bool{name(0): true}
+		informed := map[peer.VM]bool{vmName(0): true}
 		hops := 0
 		for ; len(informed) < n; hops++ {
 			require.Less(t, hops, 20)
@@ -321,7 +321,7 @@
 func TestHighCapacityMembersRankFirst(t *testing.T) {
 	var ms []peer.Member
 	for i := range 300 {
-		m := self(i)
+		m := testMember(i)
 		m.Cores, m.Link = 192, 20
 		if i%20 == 0 {
 			m.Cores, m.Link = 800, 200
@@ -337,7 +337,7 @@
 		ms[i].Stopping = ms[i].Cores == 800
 	}
 	require.Len(t, RankByCapacity("service", ms), 285, "if all high-capacity members are stopping, the others remain")
-	require.Len(t, HighCapacity([]peer.Member{self(1), self(2)}), 2, "no member declares its capacity")
+	require.Len(t, HighCapacity([]peer.Member{testMember(1), testMember(2)}), 2, "no member declares its capacity")
 	require.Equal(t, []peer.Member{{VM: "a", Cores: 4, Link: 1}},
 		HighCapacity([]peer.Member{{VM: "a", Cores: 4, Link: 1}, {VM: "b", Cores: 1, Link: 9}}), "if no member has both, the processor counts")
 }
@@ -345,9 +345,9 @@
 // Three hundred VMs start together and learn from a seed only as many members as one heartbeat carries. If the
 // high-capacity ones are not among them, the VMs choose different owners.
 func TestUpdatesListHighCapacityMembersFirst(t *testing.T) {
-	table := NewTable(self(0), DefaultRules)
+	table := NewTable(testMember(0), DefaultRules)
 	for i := 1; i < 200; i++ {
-		m := self(i)
+		m := testMember(i)
 		m.Cores = 192
 		if i%20 == 0 {
 			m.Cores = 800
@@ -355,7 +355,7 @@
 		table.Learn(1, m)
 	}
 	highCapacity := 0
-	for _, m := range table.Updates(name(7), false) {
+	for _, m := range table.Updates(vmName(7), false) {
 		if m.Cores == 800 {
 			highCapacity++
 		}
--- a/daemon/openai/body.go
+++ b/daemon/openai/body.go
@@ -16,7 +16,7 @@
 	"snipeshift.example/lib/fault"
 )
 
-// maxOutputTokens bounds the token limit that a caller may set. Much larger limits would overflow
+// maxOutputTokens bounds the token limit that a client may set. Much larger limits would overflow
 // sums, and no engine has the memory for them.
 const maxOutputTokens decide.Tokens = 1 << 30
 
@@ -24,9 +24,9 @@
 type Request struct {
 	Model  string
 	Stream bool
-	// IncludeUsage reports whether the caller asked for the chunk with the token usage.
+	// IncludeUsage reports whether the client asked for the chunk with the token usage.
 	IncludeUsage bool
-	// MaxTokens is the caller's limit of output tokens, zero for none.
+	// MaxTokens is the client's limit of output tokens, zero for none.
 	MaxTokens decide.Tokens
 	// Prompt is the prompt, its parts in the order in which an engine reads them.
 	Prompt []byte
@@ -66,7 +66,7 @@
 	return &Request{Model: x.Model, Stream: x.Stream, IncludeUsage: x.IncludeUsage, MaxTokens: limit, Prompt: text, fields: f, size: len(b)}, nil
 }
 
-// outputLimit returns the caller's limit of output tokens, zero for none.
+// outputLimit returns the client's limit of output tokens, zero for none.
 func (x *parameters) outputLimit() (decide.Tokens, *fault.Error) {
 	var limit decide.Tokens
 	for _, n := range []*decide.Tokens{x.MaxTokens, x.MaxCompletionTokens} {
@@ -104,7 +104,7 @@
 }
 
 // decode decodes the member with the given name. If there is none, into remains unchanged. The
-// error tells the caller the expected type, given by wanted.
+// error tells the client the expected type, given by wanted.
 func (f fields) decode(name, wanted string, into any) error {
 	raw, ok := f[name]
 	if !ok {
@@ -145,7 +145,7 @@
 	Prompt   json.RawMessage
 	Messages []fields
 	Options  fields
-	// IncludeUsage reports whether the caller asked for the chunk with the token usage.
+	// IncludeUsage reports whether the client asked for the chunk with the token usage.
 	IncludeUsage                   bool
 	MaxTokens, MaxCompletionTokens *decide.Tokens
 	Choices                        *int
@@ -198,8 +198,8 @@
 }
 
 // EngineBody returns the body to send to the engine. It always asks for a stream with usage,
-// whatever the caller asked for, since only a stream shows that an engine stopped responding. If
-// the caller set no limit of output tokens, limit is set, for which memory is reserved. This also
+// whatever the client asked for, since only a stream shows that an engine stopped responding. If
+// the client set no limit of output tokens, limit is set, for which memory is reserved. This also
 // replaces a null, which some client libraries send for an unset limit: with it the engine would
 // generate without a limit in memory reserved for less.
 func (b *Request) EngineBody(limit decide.Tokens) []byte {
@@ -231,5 +231,5 @@
 	return append(out, '}')
 }
 
-// addedFieldsSize is extra capacity for the members that are added to a caller's body.
+// addedFieldsSize is extra capacity for the members that are added to a client's body.
 const addedFieldsSize = 128
--- a/daemon/operator/server_test.go
+++ b/daemon/operator/server_test.go
@@ -54,11 +54,11 @@
 func (fixedClock) Now() clock.Milli { return 1000 }
 
 type fixture struct {
-	t      *testing.T
-	daemon *fakeDaemon
-	ring   *timeline.Ring
-	log    *log.Logger
-	door   http.Handler
+	t       *testing.T
+	daemon  *fakeDaemon
+	ring    *timeline.Ring
+	log     *log.Logger
+	handler http.Handler
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -68,7 +68,7 @@
 	}
 	set := metrics.NewSet()
 	set.NewCounter("snipeshift_test_total").Inc()
-	f.door = New(Sources{
+	f.handler = New(Sources{
 		Health: f.daemon, Members: f.daemon, Pools: f.daemon, Usage: f.daemon, Documents: f.daemon,
 		Timeline: f.ring, Stopper: f.daemon, Store: f.daemon, Metrics: []Metrics{set},
 	}, f.log).Handler()
@@ -77,7 +77,7 @@
 
 func (f *fixture) request(method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	f.door.ServeHTTP(w, httptest.NewRequestWithContext(f.t.Context(), method, path, strings.NewReader(body)))
+	f.handler.ServeHTTP(w, httptest.NewRequestWithContext(f.t.Context(), method, path, strings.NewReader(body)))
 	return w
 }
 
@@ -183,7 +183,7 @@
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/timeline", http.NoBody)
 		r.URL.RawQuery = query
 		w := httptest.NewRecorder()
-		x.door.ServeHTTP(w, r)
+		x.handler.ServeHTTP(w, r)
 		require.Contains(t, []int{http.StatusOK, http.StatusBadRequest}, w.Code)
 	})
 }
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -22,7 +22,7 @@
 
 // firstPeerWait is how long a starting daemon waits for the first heartbeat of a peer before it
 // reports that it is ready. The time suffices for several attempts over new connections. The wait is
-// bounded because a VM may be the only one, or all its peers may be unreachable.
+// bounded because the VM may have no peers, or all its peers may be unreachable.
 const firstPeerWait = 5 * clock.Second
 
 // awaitingFirstPeer reports whether this daemon has just started and has not received the state
@@ -30,7 +30,8 @@
 //
 // The store returns the document to a new VM within milliseconds, before the first heartbeat brings
 // the fingerprints of requests that crash upstreams. A client that repeats such a request through
-// the new VM in between would crash a third engine.
+// the new VM in between would crash a third engine, although a request is quarantined after two
+// crashes.
 func (d *daemon) awaitingFirstPeer() bool {
 	return d.members.LastContact() == 0 && d.clock.Now()-clock.Milli(d.incarnation) < firstPeerWait
 }
@@ -67,7 +68,7 @@
 	now := d.clock.Now()
 	var out []answers.Member
 	for _, m := range d.members.Live() {
-		revision, at := d.directory.lastBeat(m.VM)
+		revision, at := d.directory.lastHeartbeat(m.VM)
 		a := answers.Member{VM: m.VM, Incarnation: m.Incarnation, Domain: m.Domain, Peer: m.Address, Operator: m.Operator, State: memberState(m), Revision: revision, Age: now - at}
 		if m.VM == d.settings.Name {
 			a.Revision, _ = d.state.Newest()
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -48,8 +48,8 @@
 }
 
 // New returns a Sender without leases. Call RequestLeases to request them.
-func New(ctx context.Context, l *log.Logger, r *timeline.Ring, b Registry, e Engines, ls *lease.Leases) *Sender {
-	return &Sender{ctx: ctx, log: l, ring: r, registry: b, engines: e, leases: ls}
+func New(ctx context.Context, l *log.Logger, r *timeline.Ring, registry Registry, e Engines, ls *lease.Leases) *Sender {
+	return &Sender{ctx: ctx, log: l, ring: r, registry: registry, engines: e, leases: ls}
 }
 
 // leaseName returns the name of the lease under which orders are sent to the engines of
@@ -57,7 +57,7 @@
 func leaseName(id peer.PoolID) platform.Name { return platform.Name("orders-" + string(id)) }
 
 // RequestLeases requests the leases of those pools owned by this VM that have an engine
-// which checks fencing numbers. Other engines are never sent orders: if this VM were frozen
+// which checks fencing numbers. Other engines are never sent orders: if this VM were paused
 // while it sends one and resumed later, the order would override those of its successor,
 // and the engine could not detect that.
 func (h *Sender) RequestLeases(owned []peer.PoolID) {
--- a/daemon/pool/lifecycle_test.go
+++ b/daemon/pool/lifecycle_test.go
@@ -111,14 +111,15 @@
 	require.Equal(t, fault.Draining, reply.Fault.Kind)
 }
 
-// partlySilentEngines implements Engines; the engines at the addresses in silent do not answer.
-type partlySilentEngines struct {
+// partlyUnresponsiveEngines implements Engines; the engines at the addresses in
+// unresponsive do not answer.
+type partlyUnresponsiveEngines struct {
 	unreachableEngines
-	silent map[string]bool
+	unresponsive map[string]bool
 }
 
-func (m partlySilentEngines) Load(_ context.Context, address string) (engine.Load, error) {
-	if m.silent[address] {
+func (m partlyUnresponsiveEngines) Load(_ context.Context, address string) (engine.Load, error) {
+	if m.unresponsive[address] {
 		return engine.Load{}, errNoAnswer
 	}
 	return engine.Load{}, nil
@@ -128,7 +129,7 @@
 // would be placed there first and wait for a connection attempt to time out.
 func TestEngineThatDoesNotAnswerGetsNoWork(t *testing.T) {
 	o := newTestOwner(t, 2)
-	m := partlySilentEngines{silent: map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true}}
+	m := partlyUnresponsiveEngines{unresponsive: map[string]bool{"127.0.0.1:1": true, "127.0.0.1:2": true}}
 	o.engines = m
 	p := newPool(o, testPool, 1)
 	o.pools[testPool] = p
@@ -145,13 +146,13 @@
 		p.pollOnce(after)
 	}
 	require.Zero(t, leaving(), "no engine answers, so the owner itself may be cut off")
-	delete(m.silent, "127.0.0.1:2")
+	delete(m.unresponsive, "127.0.0.1:2")
 	for range missedPollLimit {
 		p.pollOnce(after)
 	}
 	require.Equal(t, 1, leaving())
 	require.True(t, p.Status().Upstreams[0].Leaving)
-	delete(m.silent, "127.0.0.1:1")
+	delete(m.unresponsive, "127.0.0.1:1")
 	p.pollOnce(after)
 	require.Zero(t, leaving(), "an engine that answers again gets work at once")
 }
--- a/daemon/pool/owner.go
+++ b/daemon/pool/owner.go
@@ -40,7 +40,7 @@
 	firstTokenDelay = 1300 * clock.Milli(1)
 	// pollInterval is the interval at which the load report of each engine is fetched.
 	pollInterval = 500 * time.Millisecond
-	// pollTimeout bounds each round of calls to an engine, so that a frozen engine
+	// pollTimeout bounds each round of calls to an engine, so that a paused engine
 	// does not delay the next poll.
 	pollTimeout = time.Second
 	// maxTickInterval is the longest wait between two ticks of the scheduler.
@@ -62,7 +62,7 @@
 	Leaving(id decide.UpstreamID) bool
 }
 
-// Evidence states whether the gate of a request still holds the request.
+// Evidence reports whether the gate of a request still holds the request.
 type Evidence uint8
 
 // All values of Evidence.
--- a/daemon/pool/poll.go
+++ b/daemon/pool/poll.go
@@ -184,8 +184,8 @@
 		return
 	}
 	ids := make([]decide.RequestID, len(due))
-	for i, s := range due {
-		ids[i] = s.request
+	for i, o := range due {
+		ids[i] = o.request
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
@@ -196,9 +196,9 @@
 	// meanwhile. A crashed gate can leave many requests on such an engine.
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentCalls)
-	for _, s := range due {
-		if evidence[s.request] == NotHeld || deadlinePassed(s.request, now) {
-			g.Go(func() error { p.freeOrphan(s); return nil })
+	for _, o := range due {
+		if evidence[o.request] == NotHeld || deadlinePassed(o.request, now) {
+			g.Go(func() error { p.freeOrphan(o); return nil })
 		}
 	}
 	_ = g.Wait()
@@ -213,14 +213,14 @@
 	old := p.orphanSince
 	p.orphanSince = make(map[decide.RequestID]clock.Milli, len(orphans))
 	var out []orphan
-	for _, s := range orphans {
-		first, ok := old[s.request]
+	for _, o := range orphans {
+		first, ok := old[o.request]
 		if !ok {
 			first = now
 		}
-		p.orphanSince[s.request] = first
+		p.orphanSince[o.request] = first
 		if now-first >= orphanGrace {
-			out = append(out, s)
+			out = append(out, o)
 		}
 	}
 	return out
@@ -231,15 +231,15 @@
 	return ok && now > o.Deadline+maxClockSkew
 }
 
-func (p *Pool) freeOrphan(s orphan) {
+func (p *Pool) freeOrphan(o orphan) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
 	var err error
-	if s.handle != "" {
-		err = p.owner.engines.DeleteExport(ctx, s.upstream.Address, s.handle)
+	if o.handle != "" {
+		err = p.owner.engines.DeleteExport(ctx, o.upstream.Address, o.handle)
 	} else {
-		err = p.owner.engines.Cancel(ctx, s.upstream.Address, s.request)
+		err = p.owner.engines.Cancel(ctx, o.upstream.Address, o.request)
 	}
-	p.owner.log.Info().Str("upstream", s.upstream.Name).Str("request", string(s.request)).
-		Str("handle", s.handle).Err(err).Msg("tried to free engine memory of a request that its gate no longer holds")
+	p.owner.log.Info().Str("upstream", o.upstream.Name).Str("request", string(o.request)).
+		Str("handle", o.handle).Err(err).Msg("tried to free engine memory of a request that its gate no longer holds")
 }
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -233,9 +233,9 @@
 
 // recordProgress passes the progress of a request, as its gate observed it, to the
 // scheduler. A renewal arrives up to a second after the first token, and a short
-// answer ends before any renewal. If the time of the message counted as the time of
-// the first token, every engine would look many times slower than it is and get no
-// work. So the message contains the time of the token since the grant, first, and the
+// response ends before any renewal. If the time of the message counted as the time of
+// the first token, every engine would seem many times slower than it is and get no
+// work. So the message contains the time from the grant to the first token, and the
 // scheduler gets the time that follows from it. The caller holds mu.
 func (p *Pool) recordProgress(now clock.Milli, id decide.RequestID, g decide.GrantID, first clock.Milli, output decide.Tokens) {
 	at := now
@@ -414,7 +414,7 @@
 	// Reported the time at which that report was received.
 	Used     map[decide.UpstreamID]decide.Tokens
 	Reported map[decide.UpstreamID]clock.Milli
-	// Fenced tells which upstreams check fencing numbers.
+	// Fenced reports which upstreams check the fencing numbers of orders.
 	Fenced map[decide.UpstreamID]bool
 }
 
@@ -430,16 +430,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.owner.clock.Now()
-	l := Status{
+	status := Status{
 		Summary: p.scheduler.Summary(now), Upstreams: p.scheduler.Upstreams(now), Grants: p.scheduler.Grants(),
 		Addresses: map[decide.UpstreamID]string{}, Used: map[decide.UpstreamID]decide.Tokens{},
 		Reported: map[decide.UpstreamID]clock.Milli{}, Fenced: map[decide.UpstreamID]bool{},
 	}
 	for id, u := range p.upstreams {
-		l.Addresses[id], l.Fenced[id] = u.Address, u.Fenced
+		status.Addresses[id], status.Fenced[id] = u.Address, u.Fenced
 	}
 	for id, r := range p.reports {
-		l.Used[id], l.Reported[id] = r.Used, r.At
+		status.Used[id], status.Reported[id] = r.Used, r.At
 	}
-	return l
+	return status
 }
--- a/daemon/pool/pool_test.go
+++ b/daemon/pool/pool_test.go
@@ -40,9 +40,9 @@
 func (b fixedRegistry) Index() (*document.Index, bool) { return b.index, true }
 func (fixedRegistry) Leaving(decide.UpstreamID) bool   { return false }
 
-type silentGates struct{}
+type unresponsiveGates struct{}
 
-func (silentGates) Evidence(context.Context, []decide.RequestID) map[decide.RequestID]Evidence {
+func (unresponsiveGates) Evidence(context.Context, []decide.RequestID) map[decide.RequestID]Evidence {
 	return nil
 }
 
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	return New(ctx, clock.New(), l, nil, unreachableEngines{}, fixedRegistry{document.NewIndex(d)}, silentGates{}, noOrders{}, 1)
+	return New(ctx, clock.New(), l, nil, unreachableEngines{}, fixedRegistry{document.NewIndex(d)}, unresponsiveGates{}, noOrders{}, 1)
 }
 
 func acquire(t *testing.T, o *Owner, avoid ...decide.UpstreamID) decide.Grant {
--- a/daemon/quarantine/quarantine.go
+++ b/daemon/quarantine/quarantine.go
@@ -87,10 +87,10 @@
 // RecordCrash records that an upstream crashed while it ran a request, and notifies all live
 // peers before it returns. The next heartbeat would be too late: the client retries at
 // once, and the load balancer may send the retry to another VM.
-func (q *Quarantine) RecordCrash(fingerprint uint64, u decide.UpstreamID, born decide.Incarnation) {
+func (q *Quarantine) RecordCrash(fingerprint uint64, u decide.UpstreamID, incarnation decide.Incarnation) {
 	q.mu.Lock()
 	now := q.clock.Now()
-	q.table.RecordCrash(now, fingerprint, u, born)
+	q.table.RecordCrash(now, fingerprint, u, incarnation)
 	var entries []peer.Suspect
 	for _, s := range q.table.Digest(now, wholeTable) {
 		if s.Fingerprint == fingerprint {
--- a/daemon/relay.go
+++ b/daemon/relay.go
@@ -36,7 +36,7 @@
 	// bodyMemoryShare is the part of the VM's memory that request bodies may occupy. Each body is
 	// kept until its response has ended, and a second copy exists while it is sent.
 	bodyMemoryShare = 0.25
-	// upstreamDialTimeout bounds a connect to an upstream, which is 3 ms away. TCP retransmits a lost
+	// upstreamDialTimeout bounds a connect to an upstream. The network delay is 3 ms. TCP retransmits a lost
 	// SYN only after a second; by then the request is sent to another upstream.
 	upstreamDialTimeout = 300 * time.Millisecond
 	// peerDialTimeout bounds a connect to a peer for the same reason.
@@ -54,7 +54,7 @@
 	// balancerDelay is how long the balancer may still send new requests to a VM that is no longer
 	// ready: it checks readiness every second and acts on the second failed check in a row.
 	balancerDelay = 2500 * clock.Milli(1)
-	// milliCoresPerCore converts cores to the unit of peer.Member.Cores.
+	// milliCoresPerCore converts cores to thousandths of a core, the unit of peer.Member.Cores.
 	milliCoresPerCore = 1000
 	// logQueueLines bounds the log lines that are queued for writing; further ones are dropped.
 	logQueueLines = 4096
@@ -151,7 +151,7 @@
 }
 
 // hedgedDial opens connections to peers. It starts a second attempt in parallel if the first one
-// has not succeeded after dial.Again.
+// has not succeeded after dial.HedgeDelay.
 var hedgedDial = dial.Hedged((&net.Dialer{}).DialContext, dial.HedgeDelay)
 
 // dialPeer implements peer.Dial.
--- a/daemon/store.go
+++ b/daemon/store.go
@@ -17,14 +17,14 @@
 	ring *timeline.Ring
 }
 
-// Get implements the stores of the daemon's parts.
+// Get implements the Store interfaces of the daemon's components.
 func (s *recordedStore) Get(ctx context.Context, k platform.Kind, n platform.Name) (platform.Object, error) {
 	o, err := s.Client.Get(ctx, k, n)
 	s.record(timeline.Read, k, n, err)
 	return o, err
 }
 
-// Watch implements the stores of the daemon's parts.
+// Watch implements the Store interfaces of the daemon's components.
 func (s *recordedStore) Watch(ctx context.Context, k platform.Kind, n platform.Name, after platform.Version, wait clock.Milli) (platform.Object, bool, error) {
 	o, changed, err := s.Client.Watch(ctx, k, n, after, wait)
 	if changed || err != nil {
@@ -33,7 +33,7 @@
 	return o, changed, err
 }
 
-// List implements the stores of the daemon's parts.
+// List implements the Store interfaces of the daemon's components.
 func (s *recordedStore) List(ctx context.Context, k platform.Kind, prefix string) ([]platform.Object, error) {
 	os, err := s.Client.List(ctx, k, prefix)
 	s.record(timeline.Read, k, platform.Name(prefix), err)
@@ -49,14 +49,14 @@
 	return vms, err
 }
 
-// Put implements the stores of the daemon's parts.
+// Put implements the Store interfaces of the daemon's components.
 func (s *recordedStore) Put(ctx context.Context, k platform.Kind, n platform.Name, value []byte, cond platform.Condition) (platform.Version, error) {
 	v, err := s.Client.Put(ctx, k, n, value, cond)
 	s.record(timeline.Wrote, k, n, err)
 	return v, err
 }
 
-// Delete implements the stores of the daemon's parts.
+// Delete implements the Store interfaces of the daemon's components.
 func (s *recordedStore) Delete(ctx context.Context, k platform.Kind, n platform.Name, cond platform.Condition) error {
 	err := s.Client.Delete(ctx, k, n, cond)
 	s.record(timeline.Wrote, k, n, err)
--- a/daemon/usage/usage.go
+++ b/daemon/usage/usage.go
@@ -5,13 +5,13 @@
 // Each incarnation of a VM has one counter per workspace, with absolute numbers that only
 // grow. So the merge of two copies is the larger value of each field, and writing or
 // merging a copy twice changes nothing. With each heartbeat a VM sends the counters that
-// changed to two other members, its neighbours, and every few seconds it writes all its
+// changed to two other members, its ring successors, and every few seconds it writes all its
 // counters to the store. When a VM is gone, the VMs that have a copy of its counters
 // write to the store what is missing there.
 //
 // A VM that crashes loses what it counted after its last acknowledged heartbeat: at most
 // the usage of one heartbeat interval (0.5 s with up to 12 members, 1 s with more) and one
-// round trip. Only if both neighbours crash together with it, up to one interval between
+// round trip. Only if both ring successors crash together with it, up to one interval between
 // writes to the store is lost.
 package usage
 
@@ -115,8 +115,8 @@
 	// change is the number of changes made to own. It identifies the changes that a
 	// peer has acknowledged.
 	change uint64
-	// sent has the number of the last change sent to each neighbour, and acked that of the
-	// last change which the neighbour acknowledged.
+	// sent has the number of the last change sent to each ring successor, and acked that of
+	// the last change that the ring successor acknowledged.
 	sent, acked map[incarnation]uint64
 	// replicas has the counters received from other VMs.
 	replicas map[incarnation]*replica
@@ -190,9 +190,9 @@
 }
 
 // Load implements member.AckedPart. It adds the counters that changed since the last
-// heartbeat that the neighbour acknowledged.
+// heartbeat that the ring successor acknowledged.
 func (b *Meter) Load(to peer.Member, m *peer.BeatArgs) {
-	if !b.isNeighbour(to) {
+	if !b.isRingSuccessor(to) {
 		return
 	}
 	inc := incarnation{to.VM, to.Incarnation}
@@ -210,8 +210,8 @@
 	}
 }
 
-// isNeighbour reports whether a member is to store a copy of this VM's counters.
-func (b *Meter) isNeighbour(m peer.Member) bool {
+// isRingSuccessor reports whether a member is to store a copy of this VM's counters.
+func (b *Meter) isRingSuccessor(m peer.Member) bool {
 	for _, n := range b.peers.RingSuccessors() {
 		if n.VM == m.VM && n.Incarnation == m.Incarnation {
 			return true
--- a/daemon/usage/usage_test.go
+++ b/daemon/usage/usage_test.go
@@ -20,7 +20,7 @@
 
 func (h *manualClock) Now() clock.Milli { return clock.Milli(h.now.Load()) }
 
-// peers is the membership as one VM sees it. All other VMs are its neighbours.
+// peers is the membership as one VM sees it. All other VMs are its ring successors.
 type peers struct {
 	mu   sync.Mutex
 	self peer.Member
@@ -129,7 +129,7 @@
 }
 
 // A VM crashes between two writes to the store. What it counted since the last write must
-// be written from the copies of its neighbours, and count only once although both write.
+// be written from the copies of its ring successors, and count only once although both write.
 func TestUsageOfCrashedVMCountsOnce(t *testing.T) {
 	x := newFixture("a", "b", "c")
 	x.meters["a"].Add("w", usageOf(1))
@@ -191,9 +191,9 @@
 	a.Arrived(to)
 	require.Equal(t, 1, fill(), "w1 changed after the acknowledged heartbeat was sent")
 	to.Incarnation = 2
-	require.Zero(t, fill(), "this incarnation is not a neighbour")
+	require.Zero(t, fill(), "this incarnation is not a ring successor")
 	x.start("b")
-	require.Equal(t, 2, fill(), "a new incarnation of the neighbour has no copies")
+	require.Equal(t, 2, fill(), "a new incarnation of the ring successor has no copies")
 }
 
 func TestLargeCountersAreWrittenLessOften(t *testing.T) {
@@ -213,7 +213,7 @@
 }
 
 // VMs crash and restart, acknowledgments of heartbeats and responses to writes are lost,
-// writes arrive late, and neighbours write counters of VMs that are still running. In the
+// writes arrive late, and ring successors write counters of VMs that are still running. In the
 // end the store must have exactly the usage that was counted.
 func TestUsageIsExactInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/daemon/usage/write.go
+++ b/daemon/usage/write.go
@@ -124,7 +124,7 @@
 	b.writeReplicas(ctx)
 }
 
-// Flush writes everything that the store lacks. It is called at the end of a planned
+// Flush writes everything that the store lacks. It is called at the end of a graceful
 // stop.
 func (b *Meter) Flush(ctx context.Context) error {
 	b.writeMu.Lock()
