--- a/daemon/changes/changes.go
+++ b/daemon/changes/changes.go
@@ -26,11 +26,11 @@
 
 // HashOf returns the hash of a list.
 func HashOf(us []route.Upstream) Hash {
-	c := emptyHash
+	h := emptyHash
 	for i := range us {
-		c += hashUpstream(&us[i])
+		h += hashUpstream(&us[i])
 	}
-	return c
+	return h
 }
 
 // hashUpstream returns the hash of one upstream with all its fields.
@@ -99,7 +99,7 @@
 		return
 	}
 	l.changing = false
-	l.order = append(slices.DeleteFunc(l.order, func(c Hash) bool { return c == l.hash }), l.hash)
+	l.order = append(slices.DeleteFunc(l.order, func(h Hash) bool { return h == l.hash }), l.hash)
 	l.versions[l.hash] = l.version
 	if len(l.order) > maxHashes {
 		delete(l.versions, l.order[0])
@@ -119,8 +119,8 @@
 
 // Since returns the upstreams that changed or were removed since the list had a hash; false if that
 // is not known.
-func (l *Log) Since(c Hash) ([]decide.UpstreamID, bool) {
-	version, ok := l.versions[c]
+func (l *Log) Since(h Hash) ([]decide.UpstreamID, bool) {
+	version, ok := l.versions[h]
 	if !ok || l.changing {
 		return nil, false
 	}
--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -53,10 +53,10 @@
 type Rules struct {
 	// Watchers is the number of members in each failure domain that watch and poll the store.
 	Watchers int
-	// WatchWait is the maximum duration of one watch. The second interval is the time between two
-	// polls of a watcher. The third one is the same for all other members of a fleet of fullFleet
-	// members; in a smaller fleet they poll more often, so that all of them together make the same
-	// number of polls.
+	// WatchWait is the maximum duration of one watch. WatcherPoll is the time between two polls of a
+	// watcher, MemberPoll the time between two polls of any other member in a fleet of fullFleet
+	// members. In a smaller fleet the other members poll more often, so that all of them together
+	// make the same number of polls.
 	WatchWait, WatcherPoll, MemberPoll clock.Milli
 	// MaxContactAge is the maximum time since the last contact with the store or a peer for this VM
 	// to be ready.
@@ -76,7 +76,7 @@
 	MaxContactAge: 5 * clock.Second, FetchTimeout: clock.Second,
 }
 
-// fullFleet is the number of members for which the poll interval of non-watchers is specified.
+// fullFleet is the number of members for which Rules.MemberPoll is specified.
 const fullFleet = 450
 
 // Follower keeps the newest document. It is safe for concurrent use.
@@ -96,7 +96,7 @@
 	// rejected is the highest revision that apply refused, so that it is neither parsed nor fetched
 	// again.
 	rejected peer.Revision
-	// rejectError is the error that apply returned for it.
+	// rejectError is the error that apply returned for the rejected revision.
 	rejectError error
 	// storeContact is when the store last answered.
 	storeContact clock.Milli
--- a/daemon/follow/run.go
+++ b/daemon/follow/run.go
@@ -101,8 +101,8 @@
 //
 // If the watchers cannot reach the store but other members can, only these polls find a change. All
 // members together make the same few reads a second at any fleet size. So in a small fleet each
-// member polls as often as a watcher, and a change comes into force within its bound even without
-// the watchers.
+// member polls as often as a watcher, and a change comes into force within the 8 s of DefaultRules
+// even if the watchers cannot reach the store.
 func (f *Follower) pollInterval() clock.Milli {
 	return max(f.rules.WatcherPoll, f.rules.MemberPoll*clock.Milli(len(f.peers.Live()))/fullFleet)
 }
--- a/daemon/hedge/hedge.go
+++ b/daemon/hedge/hedge.go
@@ -38,33 +38,33 @@
 	hedged uint64
 }
 
-// ObserveRoundTrip records the round trip of one answered call, without the time that the call waited for a
-// decision.
-func (q *Policy) ObserveRoundTrip(d clock.Milli) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	q.longestRTT = max(float64(d), rttDecay*q.longestRTT)
-	q.used = max(0, q.used-hedgeShare)
+// ObserveRoundTrip records the round trip of one answered call, without the time that the call
+// waited for a decision.
+func (p *Policy) ObserveRoundTrip(d clock.Milli) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.longestRTT = max(float64(d), rttDecay*p.longestRTT)
+	p.used = max(0, p.used-hedgeShare)
 }
 
 // Delay returns how overdue an answer may be before another VM is queried in parallel.
-func (q *Policy) Delay() clock.Milli {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	return min(max(clock.Milli(2*q.longestRTT), minDelay), maxDelay)
+func (p *Policy) Delay() clock.Milli {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return min(max(clock.Milli(2*p.longestRTT), minDelay), maxDelay)
 }
 
 // Allow reports whether one more query may be hedged, and counts it if so.
-func (q *Policy) Allow() bool {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if q.used+1 > burst {
+func (p *Policy) Allow() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.used+1 > burst {
 		return false
 	}
-	q.used++
-	q.hedged++
+	p.used++
+	p.hedged++
 	return true
 }
 
 // Hedged returns the number of hedged queries.
-func (q *Policy) Hedged() uint64 { q.mu.Lock(); defer q.mu.Unlock(); return q.hedged }
+func (p *Policy) Hedged() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.hedged }
--- a/daemon/hedge/hedge_test.go
+++ b/daemon/hedge/hedge_test.go
@@ -10,30 +10,30 @@
 
 // A busy owner answers all queries late. Hedging each of them would double its load.
 func TestHedgingIsBounded(t *testing.T) {
-	var q Policy
+	var p Policy
 	allowed := 0
 	for range 1000 {
-		if q.Allow() {
+		if p.Allow() {
 			allowed++
 		}
-		q.ObserveRoundTrip(500)
+		p.ObserveRoundTrip(500)
 	}
 	require.LessOrEqual(t, allowed, int(1000*hedgeShare)+burst)
 	require.GreaterOrEqual(t, allowed, int(1000*hedgeShare))
-	require.EqualValues(t, allowed, q.Hedged())
+	require.EqualValues(t, allowed, p.Hedged())
 }
 
 // Processors of the fleet are throttled, and round trips take longer. The hedging delay must adapt
 // to that, so that usual round trips do not count as late.
 func TestDelayFollowsRoundTrips(t *testing.T) {
-	var q Policy
-	require.Equal(t, minDelay, q.Delay())
-	q.ObserveRoundTrip(30)
-	require.Equal(t, 60*clock.Milli(1), q.Delay())
-	q.ObserveRoundTrip(1000)
-	require.Equal(t, maxDelay, q.Delay())
+	var p Policy
+	require.Equal(t, minDelay, p.Delay())
+	p.ObserveRoundTrip(30)
+	require.Equal(t, 60*clock.Milli(1), p.Delay())
+	p.ObserveRoundTrip(1000)
+	require.Equal(t, maxDelay, p.Delay())
 	for range 400 {
-		q.ObserveRoundTrip(1)
+		p.ObserveRoundTrip(1)
 	}
-	require.Equal(t, minDelay, q.Delay())
+	require.Equal(t, minDelay, p.Delay())
 }
--- a/daemon/holder/schedule_test.go
+++ b/daemon/holder/schedule_test.go
@@ -23,9 +23,9 @@
 	inFlight []announcement
 	// loss is the fraction of messages and calls that are lost.
 	loss float64
-	// claims has the VM, incarnation and epoch of each change of holder, to check that no VM takes
+	// changes has the VM, incarnation and epoch of each change of holder, to check that no VM takes
 	// an epoch twice.
-	claims map[string]bool
+	changes map[string]bool
 }
 
 // simulated is one VM.
@@ -54,7 +54,7 @@
 )
 
 func newSchedule(t *testing.T, n int, seed uint64) *schedule {
-	s := &schedule{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(n))), loss: lossShare, claims: map[string]bool{}}
+	s := &schedule{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(n))), loss: lossShare, changes: map[string]bool{}}
 	for i := range n {
 		m := peer.Member{VM: peer.VM(strconv.Itoa(i)), Incarnation: 1, Cores: 192}
 		if i%12 == 0 {
@@ -106,7 +106,7 @@
 
 // ask simulates a gate's query.
 func (s *schedule) ask(gate *simulated) {
-	for _, m := range gate.table.Candidates(service, s.live(), s.ranked(), noneSilent)[:min(maxQueried, len(s.live()))] {
+	for _, m := range gate.table.Candidates(service, s.live(), s.ranked(), allResponsive)[:min(maxQueried, len(s.live()))] {
 		v := s.find(m.VM)
 		if !s.reaches(gate, v) {
 			continue
@@ -143,14 +143,14 @@
 }
 
 // take makes a VM the holder, which announces the change.
-func (s *schedule) take(v *simulated, before uint64) {
-	h, ok := v.table.Take(service, before)
+func (s *schedule) take(v *simulated, prevEpoch uint64) {
+	h, ok := v.table.Take(service, prevEpoch)
 	if !ok {
 		return
 	}
-	claim := fmt.Sprint(h.VM, "/", h.Incarnation, "/", h.Epoch)
-	require.False(s.t, s.claims[claim], "seed %d: %s claimed twice", s.seed, claim)
-	s.claims[claim] = true
+	change := fmt.Sprint(h.VM, "/", h.Incarnation, "/", h.Epoch)
+	require.False(s.t, s.changes[change], "seed %d: %s taken twice", s.seed, change)
+	s.changes[change] = true
 	v.highest = h.Epoch
 	for i, o := range s.vms {
 		if o != v && !v.cut {
@@ -241,8 +241,8 @@
 		s.wake(v)
 		v.cut = false
 	}
-	const most = 40
-	for round := range most {
+	const maxRounds = 40
+	for round := range maxRounds {
 		for _, v := range s.vms {
 			s.heartbeat(v)
 			s.ask(v)
@@ -252,7 +252,7 @@
 			return round
 		}
 	}
-	return most
+	return maxRounds
 }
 
 // agreed reports whether all VMs follow the same holder and exactly one VM considers itself the
--- a/daemon/holder/table.go
+++ b/daemon/holder/table.go
@@ -23,25 +23,25 @@
 
 // Table is one VM's view of which VM holds each service.
 type Table struct {
-	self peer.Member
-	rows map[route.ServiceID]peer.Holder
+	self    peer.Member
+	holders map[route.ServiceID]peer.Holder
 }
 
 // New returns the table of a VM without any known holder.
 func New(self peer.Member) *Table {
-	return &Table{self: self, rows: map[route.ServiceID]peer.Holder{}}
+	return &Table{self: self, holders: map[route.ServiceID]peer.Holder{}}
 }
 
 // Of returns the holder of a service, if one is known.
-func (t *Table) Of(s route.ServiceID) (peer.Holder, bool) { h, ok := t.rows[s]; return h, ok }
+func (t *Table) Of(s route.ServiceID) (peer.Holder, bool) { h, ok := t.holders[s]; return h, ok }
 
 // Epoch returns the epoch of the known holder; zero if none is known.
-func (t *Table) Epoch(s route.ServiceID) uint64 { return t.rows[s].Epoch }
+func (t *Table) Epoch(s route.ServiceID) uint64 { return t.holders[s].Epoch }
 
 // All returns the known holders of all services, in no particular order.
 func (t *Table) All() []peer.Holder {
-	hs := make([]peer.Holder, 0, len(t.rows))
-	for _, h := range t.rows {
+	hs := make([]peer.Holder, 0, len(t.holders))
+	for _, h := range t.holders {
 		hs = append(hs, h)
 	}
 	return hs
@@ -49,11 +49,11 @@
 
 // Learn records a holder and reports whether the record replaced the known one.
 func (t *Table) Learn(h peer.Holder) bool {
-	known, ok := t.rows[h.Service]
+	known, ok := t.holders[h.Service]
 	if ok && !newer(h, known) {
 		return false
 	}
-	t.rows[h.Service] = h
+	t.holders[h.Service] = h
 	return true
 }
 
@@ -75,22 +75,24 @@
 
 // Holds reports whether this VM holds a service.
 func (t *Table) Holds(s route.ServiceID) bool {
-	h, ok := t.rows[s]
+	h, ok := t.holders[s]
 	return ok && sameIncarnation(h, t.self)
 }
 
-// Take makes this VM the holder at the next epoch, if the current epoch is still before.
-func (t *Table) Take(s route.ServiceID, before uint64) (peer.Holder, bool) {
-	return t.Assign(s, before, t.self)
+// Take makes this VM the holder at the epoch after prevEpoch, if the current epoch is still
+// prevEpoch.
+func (t *Table) Take(s route.ServiceID, prevEpoch uint64) (peer.Holder, bool) {
+	return t.Assign(s, prevEpoch, t.self)
 }
 
-// Assign makes a member the holder at the next epoch, if the current epoch is still before.
-func (t *Table) Assign(s route.ServiceID, before uint64, m peer.Member) (peer.Holder, bool) {
-	if t.rows[s].Epoch != before {
-		return t.rows[s], false
+// Assign makes a member the holder at the epoch after prevEpoch, if the current epoch is still
+// prevEpoch.
+func (t *Table) Assign(s route.ServiceID, prevEpoch uint64, m peer.Member) (peer.Holder, bool) {
+	if t.holders[s].Epoch != prevEpoch {
+		return t.holders[s], false
 	}
-	h := NewHolder(s, m, before+1)
-	t.rows[s] = h
+	h := NewHolder(s, m, prevEpoch+1)
+	t.holders[s] = h
 	return h, true
 }
 
@@ -108,7 +110,7 @@
 // the live list has another incarnation of the holder's VM. A holder that is not in the live list
 // counts, because VMs that start together learn of the holder long before they list it.
 func (t *Table) Member(s route.ServiceID, live []peer.Member) (peer.Member, bool) {
-	h, ok := t.rows[s]
+	h, ok := t.holders[s]
 	if !ok {
 		return peer.Member{}, false
 	}
--- a/daemon/holder/table_test.go
+++ b/daemon/holder/table_test.go
@@ -16,7 +16,7 @@
 
 var a, b, c = vm("a", 800), vm("b", 800), vm("c", 192)
 
-func noneSilent(peer.Member) bool { return false }
+func allResponsive(peer.Member) bool { return false }
 
 func TestFirstByRankTakesServiceWithoutHolder(t *testing.T) {
 	all := []peer.Member{a, b, c}
@@ -41,7 +41,7 @@
 	step, to := returned.Route(service, false, all, all)
 	require.Equal(t, Forward, step)
 	require.Equal(t, b.VM, to.VM)
-	require.Equal(t, []peer.Member{b, a, c}, returned.Candidates(service, all, all, noneSilent))
+	require.Equal(t, []peer.Member{b, a, c}, returned.Candidates(service, all, all, allResponsive))
 }
 
 // The holder's VM restarts. Records known to others refer to its earlier incarnation, whose pool is
@@ -72,7 +72,7 @@
 	step, to := x.Route(service, false, few, few)
 	require.Equal(t, Forward, step)
 	require.Equal(t, a.Address, to.Address)
-	require.Equal(t, a.VM, x.Candidates(service, few, few, noneSilent)[0].VM)
+	require.Equal(t, a.VM, x.Candidates(service, few, few, allResponsive)[0].VM)
 }
 
 // Two concurrent queries find that the holder does not respond. Only one of them may make this VM
--- a/daemon/lease/lease.go
+++ b/daemon/lease/lease.go
@@ -41,8 +41,8 @@
 	Now() clock.Milli
 }
 
-// PauseDetector detects pauses of this process. Check reports whether the process was paused since the last
-// check and, if so, runs the callback that calls Drop.
+// PauseDetector detects pauses of this process. Check reports whether the process was paused since
+// the last check and, if so, runs the callback that calls Drop.
 type PauseDetector interface {
 	Check() bool
 }
@@ -116,11 +116,11 @@
 
 // Leases acquires and renews the leases of one VM.
 type Leases struct {
-	store Store
-	clock Clock
-	rules Rules
-	guard PauseDetector
-	self  holderID
+	store         Store
+	clock         Clock
+	rules         Rules
+	pauseDetector PauseDetector
+	self          holderID
 
 	mu     sync.Mutex
 	states map[platform.Name]*leaseState
@@ -131,7 +131,7 @@
 // New returns the leases of one incarnation of a VM.
 func New(s Store, k Clock, r Rules, g PauseDetector, self peer.Member) *Leases {
 	return &Leases{
-		store: s, clock: k, rules: r, guard: g, self: holderID{self.VM, self.Incarnation},
+		store: s, clock: k, rules: r, pauseDetector: g, self: holderID{self.VM, self.Incarnation},
 		states: map[platform.Name]*leaseState{}, wanted: map[platform.Name]bool{},
 	}
 }
@@ -164,7 +164,7 @@
 // Fence returns the fencing number for an order and the time left to send it. ok is false if this
 // VM may send no order. An order must end, or be abandoned, within that time.
 func (l *Leases) Fence(n platform.Name) (f Fence, left clock.Milli, ok bool) {
-	l.guard.Check()
+	l.pauseDetector.Check()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
--- a/daemon/lease/lease_test.go
+++ b/daemon/lease/lease_test.go
@@ -97,7 +97,7 @@
 }
 
 // The holder's VM is suspended, and its clock stops with it: by that clock the lease is still
-// valid. The guard detects the pause by another clock.
+// valid. The pause detector notices the pause by another clock.
 func TestSuspendedHolderDropsItsLeases(t *testing.T) {
 	w := newWorld()
 	a, b := w.start("a", 0), w.start("b", 0)
@@ -153,8 +153,8 @@
 }
 
 // VMs freeze, their clocks differ, and the store loses answers, delays writes, returns stale states
-// and becomes unavailable. No order of these events may let two VMs believe at the same instant
-// that they hold the lease, or give a later holder a lower number.
+// and becomes unavailable. No order of these events may let two VMs consider themselves holder at
+// the same instant, or give a later holder a lower number.
 func TestOneHolderInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld()
--- a/daemon/placer/client.go
+++ b/daemon/placer/client.go
@@ -34,7 +34,7 @@
 	Probe(ctx context.Context, address string) error
 }
 
-// Timeouts and intervals of the gate's side.
+// Timeouts and intervals of the gate's side of the protocol.
 const (
 	// firstWait is how long the owner may hold the first query for a request before it has to
 	// answer, decided or not. No answer soon after this time means that the owner does not respond,
@@ -122,8 +122,8 @@
 	for s := range c.queried {
 		out[s] = nil
 	}
-	for _, u := range c.live {
-		out[u.service] = append(out[u.service], u.LiveGrant)
+	for _, g := range c.live {
+		out[g.service] = append(out[g.service], g.LiveGrant)
 	}
 	return out
 }
@@ -236,13 +236,13 @@
 // FirstByte reports to the owner that the first byte of a response has arrived.
 func (c *Client) FirstByte(id decide.RequestID) {
 	c.mu.Lock()
-	u := c.live[id]
-	if u != nil {
-		u.Writing = true
+	g := c.live[id]
+	if g != nil {
+		g.Writing = true
 	}
 	c.mu.Unlock()
-	if u != nil {
-		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: FirstByte, Statements: c.grantStatements(u)})
+	if g != nil {
+		c.sendNote(NoteArgs{Service: g.service, Request: id, Event: FirstByte, Statements: c.grantStatements(g)})
 	}
 }
 
@@ -250,11 +250,11 @@
 // leader.
 func (c *Client) End(id decide.RequestID, o span.Outcome, culprit decide.UpstreamID) {
 	c.mu.Lock()
-	u := c.live[id]
+	g := c.live[id]
 	delete(c.live, id)
 	c.mu.Unlock()
-	if u != nil {
-		c.sendNote(NoteArgs{Service: u.service, Request: id, Event: Ended, Outcome: o, Culprit: culprit, Statements: c.grantStatements(u)})
+	if g != nil {
+		c.sendNote(NoteArgs{Service: g.service, Request: id, Event: Ended, Outcome: o, Culprit: culprit, Statements: c.grantStatements(g)})
 	}
 }
 
--- a/daemon/placer/hold.go
+++ b/daemon/placer/hold.go
@@ -184,30 +184,30 @@
 	return AskReply{}, err
 }
 
-// becomeHolder makes this VM the holder of a service if the current epoch is still before. If the
+// becomeHolder makes this VM the holder of a service if the current epoch is still prevEpoch. If the
 // service had a holder, gates are informed at once, and nothing is decided until they have
 // presented their live grants or gatherWait has passed.
-func (o *Owner) becomeHolder(s route.ServiceID, before uint64, cause string) {
+func (o *Owner) becomeHolder(s route.ServiceID, prevEpoch uint64, cause string) {
 	o.holderMu.Lock()
 	defer o.holderMu.Unlock()
-	if x, _ := o.Holders.Of(s); x.Epoch != before {
+	if x, _ := o.Holders.Of(s); x.Epoch != prevEpoch {
 		return
 	}
-	if before == 0 {
-		o.Holders.take(s, before, cause)
+	if prevEpoch == 0 {
+		o.Holders.take(s, prevEpoch, cause)
 		return
 	}
-	h := o.lockedPool(s)
-	h.gathering = true
-	h.pool.RequestReports()
-	h.mu.Unlock()
-	x, ok := o.Holders.take(s, before, cause)
+	p := o.lockedPool(s)
+	p.gathering = true
+	p.pool.RequestReports()
+	p.mu.Unlock()
+	x, ok := o.Holders.take(s, prevEpoch, cause)
 	if !ok {
-		o.endGathering(s, h)
+		o.endGathering(s, p)
 		return
 	}
 	go func() {
-		defer o.endGathering(s, h)
+		defer o.endGathering(s, p)
 		select {
 		case <-o.announce(x):
 		case <-time.After(gatherWait.Duration()):
@@ -216,13 +216,13 @@
 }
 
 // endGathering lets the pool decide again after gates have presented their live grants.
-func (o *Owner) endGathering(s route.ServiceID, h *ownedPool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.gathering = false
-	o.tick(h, o.Clock.Now())
-	o.keepTicking(h)
-	o.pollReports(s, h)
+func (o *Owner) endGathering(s route.ServiceID, p *ownedPool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.gathering = false
+	o.tick(p, o.Clock.Now())
+	o.keepTicking(p)
+	o.pollReports(s, p)
 }
 
 // announce informs all members of a service's holder. The returned channel is closed once all calls
@@ -301,9 +301,9 @@
 	if !ok {
 		return
 	}
-	h := o.lockedPool(s)
-	snapshot := h.pool.Snapshot(o.Clock.Now())
-	h.mu.Unlock()
+	p := o.lockedPool(s)
+	snapshot := p.pool.Snapshot(o.Clock.Now())
+	p.mu.Unlock()
 	args := &TakeArgs{Holder: holder.NewHolder(s, to, epoch+1), Books: snapshot}
 	ctx, cancel := context.WithTimeout(ctx, handOverWait.Duration())
 	defer cancel()
@@ -320,9 +320,9 @@
 	if x, ok := o.Holders.Of(args.Holder.Service); ok && x.Epoch >= args.Holder.Epoch {
 		return errSuperseded
 	}
-	h := o.lockedPool(args.Holder.Service)
-	h.pool.Restore(o.Clock.Now(), args.Books)
-	h.mu.Unlock()
+	p := o.lockedPool(args.Holder.Service)
+	p.pool.Restore(o.Clock.Now(), args.Books)
+	p.mu.Unlock()
 	o.Holders.Update(args.Holder, "handed over")
 	o.announce(args.Holder)
 	return nil
--- a/daemon/placer/holders.go
+++ b/daemon/placer/holders.go
@@ -168,10 +168,10 @@
 	return m, h.table.Epoch(s), ok
 }
 
-// take makes this VM the holder if the current epoch is still before.
-func (h *Holders) take(s route.ServiceID, before uint64, cause string) (peer.Holder, bool) {
+// take makes this VM the holder if the current epoch is still prevEpoch.
+func (h *Holders) take(s route.ServiceID, prevEpoch uint64, cause string) (peer.Holder, bool) {
 	h.mu.Lock()
-	x, ok := h.table.Take(s, before)
+	x, ok := h.table.Take(s, prevEpoch)
 	h.mu.Unlock()
 	if ok {
 		h.notifyChange(x, cause)
--- a/daemon/placer/loss_test.go
+++ b/daemon/placer/loss_test.go
@@ -57,8 +57,8 @@
 	// live is the member list of every VM.
 	live    []peer.Member
 	results []result
-	// vainQueries has the instants at which a VM without power was queried.
-	vainQueries []time.Duration
+	// unansweredQueries has the instants at which a VM without power was queried.
+	unansweredQueries []time.Duration
 	// cuts maps a VM to another VM that it cannot reach.
 	cuts map[peer.VM]peer.VM
 	// sideB is true for the VMs on one of the two sides of a partition; sides has the member list
@@ -145,7 +145,7 @@
 
 // split partitions the fleet into two sides for a time. Heartbeats detect the partition after
 // detectionTime, and its end at once.
-func (f *lossFleet) split(span time.Duration) {
+func (f *lossFleet) split(duration time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sideB = map[peer.VM]bool{}
@@ -153,7 +153,7 @@
 		f.sideB[m.VM] = i%3 == 0
 	}
 	time.AfterFunc(detectionTime, f.detectSplit)
-	time.AfterFunc(span, func() { f.mu.Lock(); defer f.mu.Unlock(); f.sideB, f.sides = nil, nil })
+	time.AfterFunc(duration, func() { f.mu.Lock(); defer f.mu.Unlock(); f.sideB, f.sides = nil, nil })
 }
 
 // detectSplit sets the member list of each side to its own VMs. The lists are computed once and
@@ -177,7 +177,7 @@
 	v := s.fleet.vms[peer.VM(address)]
 	off := !s.fleet.reaches(s.self.VM, peer.VM(address))
 	if off && method == Name+".Ask" {
-		s.fleet.vainQueries = append(s.fleet.vainQueries, time.Since(s.fleet.began))
+		s.fleet.unansweredQueries = append(s.fleet.unansweredQueries, time.Since(s.fleet.began))
 	}
 	s.fleet.mu.Unlock()
 	if off {
@@ -383,7 +383,7 @@
 		back: func() { f.restart(owner) },
 	})
 	f.check(end, loss)
-	for _, at := range f.vainQueries {
+	for _, at := range f.unansweredQueries {
 		require.Less(t, at, loss+recoveryTime, "a VM without power was queried again")
 	}
 	require.LessOrEqual(t, f.overlap(loss+recoveryTime), maxOverlap)
@@ -474,12 +474,12 @@
 
 // freeze pauses a VM, which keeps its state, or resumes it; a resumed VM receives a heartbeat
 // first.
-func (f *lossFleet) freeze(vm peer.VM, still bool) {
+func (f *lossFleet) freeze(vm peer.VM, paused bool) {
 	f.mu.Lock()
 	v := f.vms[vm]
-	v.off = still
+	v.off = paused
 	f.mu.Unlock()
-	if !still {
+	if !paused {
 		f.heartbeat(v)
 	}
 }
@@ -516,9 +516,9 @@
 	f.mu.Lock()
 	v := f.vms[vm]
 	f.mu.Unlock()
-	h := v.owner.lockedPool("s")
-	defer h.mu.Unlock()
-	return h.pool.Counts().Granted
+	p := v.owner.lockedPool("s")
+	defer p.mu.Unlock()
+	return p.pool.Counts().Granted
 }
 
 // recordHandOver records what a successor knows directly after the hand-over, before gates have
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -3,11 +3,11 @@
 // holds the client's connection of a request.
 //
 // The owner of a service is the VM that holds it (package holder), under an epoch. Ownership is not
-// exclusive: two sides of a partition may each have an owner, and an engine that both allocate
-// queues the excess requests. Guarantees that must hold are enforced by the gate of the request. A
-// gate that waits too long for an answer also queries the next member by rank; that member forwards
-// the query to the owner, and becomes the owner if the owner does not respond. A gate that reaches
-// no other VM decides placements by itself.
+// exclusive: two sides of a partition may each have an owner. If both place requests on the same
+// engine, that engine queues the excess requests. Guarantees that must hold are enforced by the gate
+// of the request. A gate that waits too long for an answer also queries the next member by rank;
+// that member forwards the query to the owner, and becomes the owner if the owner does not respond.
+// A gate that reaches no other VM decides placements by itself.
 package placer
 
 import (
--- a/daemon/placer/owner.go
+++ b/daemon/placer/owner.go
@@ -51,8 +51,8 @@
 
 // Budget bounds the retries: the sends beyond the first of each request.
 type Budget struct {
-	// Share is the fraction of the requests that may be sent again, and Floor the number of further
-	// retries, within Window.
+	// The number of retries allowed within Window is Floor plus the fraction Share of the number of
+	// requests.
 	Share, Floor float64
 	Window       clock.Milli
 }
@@ -128,32 +128,32 @@
 // creates the pool if there is none.
 func (o *Owner) lockedPool(s route.ServiceID) *ownedPool {
 	o.mu.Lock()
-	h := o.pools[s]
-	if h == nil {
+	p := o.pools[s]
+	if p == nil {
 		budget := gate.NewBudget(o.budget.Share, o.budget.Floor, o.budget.Window)
 		since := o.Clock.Now() - o.budget.Window/startDivisor
 		if o.Alone() {
 			since = o.Clock.Now() + settleTime
 		}
 		budget.GrowFrom(since)
-		h = &ownedPool{
+		p = &ownedPool{
 			createdAt: o.Clock.Now(), pool: span.New(span.DefaultRules, budget),
 			waiters: map[decide.RequestID][]chan span.Decision{}, undelivered: map[decide.RequestID]span.Decision{},
 		}
-		o.pools[s] = h
+		o.pools[s] = p
 	}
 	o.mu.Unlock()
-	h.mu.Lock()
-	h.pool.SetIsolated(o.Alone() && o.Clock.Now()-h.createdAt < AloneWait, o.Name)
-	if v := o.Knowledge.View(); v.Generation != h.generation && v.Table != nil {
-		first := h.generation == 0
-		h.generation = v.Generation
-		h.pool.SetUpstreams(v.Table.Service(s), v.Upstreams[s])
+	p.mu.Lock()
+	p.pool.SetIsolated(o.Alone() && o.Clock.Now()-p.createdAt < AloneWait, o.Name)
+	if v := o.Knowledge.View(); v.Generation != p.generation && v.Table != nil {
+		first := p.generation == 0
+		p.generation = v.Generation
+		p.pool.SetUpstreams(v.Table.Service(s), v.Upstreams[s])
 		if first {
-			h.pool.MarkUnverified()
+			p.pool.MarkUnverified()
 		}
 	}
-	return h
+	return p
 }
 
 // decide queues a request and waits for its decision. A receive from moved ends the wait; a nil
@@ -166,40 +166,40 @@
 	if a.Patience != 0 { // gates of an earlier version do not send Patience
 		a.Patience += now
 	}
-	h := o.lockedPool(args.Service)
-	h.pool.SetLimitShare(now, o.limitShare(args))
-	o.learnStatements(args.Service, h, now, args.Statements)
-	h.lastAsk = now
-	o.pollReports(args.Service, h)
-	if d, ok := h.undelivered[a.ID]; ok {
-		delete(h.undelivered, a.ID)
-		h.mu.Unlock()
+	p := o.lockedPool(args.Service)
+	p.pool.SetLimitShare(now, o.limitShare(args))
+	o.learnStatements(args.Service, p, now, args.Statements)
+	p.lastAsk = now
+	o.pollReports(args.Service, p)
+	if d, ok := p.undelivered[a.ID]; ok {
+		delete(p.undelivered, a.ID)
+		p.mu.Unlock()
 		reply.decided(d)
 		return
 	}
-	known := h.pool.Queued(a.ID)
-	g, granted := h.pool.Ask(now, a)
+	queued := p.pool.Queued(a.ID)
+	g, granted := p.pool.Ask(now, a)
 	if granted {
-		h.mu.Unlock()
+		p.mu.Unlock()
 		reply.decided(span.Decision{Action: span.Granted, Request: a.ID, Grant: g, Reason: "again"})
 		return
 	}
 	c := make(chan span.Decision, 1)
-	h.waiters[a.ID] = append(h.waiters[a.ID], c)
-	counts := h.pool.Counts()
-	if !known && counts.Queued < longQueue {
-		o.tick(h, now)
-		counts = h.pool.Counts()
+	p.waiters[a.ID] = append(p.waiters[a.ID], c)
+	counts := p.pool.Counts()
+	if !queued && counts.Queued < longQueue {
+		o.tick(p, now)
+		counts = p.pool.Counts()
 	}
-	o.keepTicking(h)
-	h.mu.Unlock()
+	o.keepTicking(p)
+	p.mu.Unlock()
 	reply.Queued, reply.Granted = counts.Queued, counts.Granted
-	o.await(h, a.ID, c, min(args.Wait, maxWait), moved, reply)
+	o.await(p, a.ID, c, min(args.Wait, maxWait), moved, reply)
 	reply.Waited = o.Clock.Now() - now
 }
 
 // await waits for the decision on a queued request and fills the reply.
-func (o *Owner) await(h *ownedPool, id decide.RequestID, c chan span.Decision, wait clock.Milli, moved <-chan struct{}, reply *AskReply) {
+func (o *Owner) await(p *ownedPool, id decide.RequestID, c chan span.Decision, wait clock.Milli, moved <-chan struct{}, reply *AskReply) {
 	t := time.NewTimer(wait.Duration())
 	defer t.Stop()
 	select {
@@ -210,9 +210,9 @@
 		reply.Moved = true
 	case <-t.C:
 	}
-	h.mu.Lock()
-	h.removeWaiter(id, c)
-	h.mu.Unlock()
+	p.mu.Lock()
+	p.removeWaiter(id, c)
+	p.mu.Unlock()
 	select {
 	case d := <-c:
 		reply.Moved = false
@@ -222,13 +222,13 @@
 }
 
 // removeWaiter removes one waiting channel of a request. The pool's lock is held.
-func (h *ownedPool) removeWaiter(id decide.RequestID, c chan span.Decision) {
-	remaining := slices.DeleteFunc(h.waiters[id], func(x chan span.Decision) bool { return x == c })
+func (p *ownedPool) removeWaiter(id decide.RequestID, c chan span.Decision) {
+	remaining := slices.DeleteFunc(p.waiters[id], func(x chan span.Decision) bool { return x == c })
 	if len(remaining) == 0 {
-		delete(h.waiters, id)
+		delete(p.waiters, id)
 		return
 	}
-	h.waiters[id] = remaining
+	p.waiters[id] = remaining
 }
 
 func (r *AskReply) decided(d span.Decision) {
@@ -237,13 +237,13 @@
 }
 
 // tick makes the decisions that are possible now and delivers them. The pool's lock is held.
-func (o *Owner) tick(h *ownedPool, now clock.Milli) {
-	if h.gathering {
+func (o *Owner) tick(p *ownedPool, now clock.Milli) {
+	if p.gathering {
 		return
 	}
-	for _, d := range h.pool.Tick(now) {
-		if cs := h.waiters[d.Request]; len(cs) > 0 {
-			delete(h.waiters, d.Request)
+	for _, d := range p.pool.Tick(now) {
+		if cs := p.waiters[d.Request]; len(cs) > 0 {
+			delete(p.waiters, d.Request)
 			for _, c := range cs {
 				c <- d
 			}
@@ -251,27 +251,27 @@
 		}
 		// A grant without a waiter stays in the pool and is delivered when its gate queries again.
 		if d.Action == span.Refused {
-			if len(h.undelivered) >= maxUndelivered {
-				clear(h.undelivered)
+			if len(p.undelivered) >= maxUndelivered {
+				clear(p.undelivered)
 			}
-			h.undelivered[d.Request] = d
+			p.undelivered[d.Request] = d
 		}
 	}
 }
 
 // keepTicking schedules scans of the queue every tickEvery until it is empty. The pool's lock is
 // held.
-func (o *Owner) keepTicking(h *ownedPool) {
-	if h.ticking || h.pool.Counts().Queued == 0 {
+func (o *Owner) keepTicking(p *ownedPool) {
+	if p.ticking || p.pool.Counts().Queued == 0 {
 		return
 	}
-	h.ticking = true
+	p.ticking = true
 	time.AfterFunc(tickEvery, func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.ticking = false
-		o.tick(h, o.Clock.Now())
-		o.keepTicking(h)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.ticking = false
+		o.tick(p, o.Clock.Now())
+		o.keepTicking(p)
 	})
 }
 
@@ -282,20 +282,20 @@
 		return nil
 	}
 	now := o.Clock.Now()
-	h := o.lockedPool(args.Service)
-	defer h.mu.Unlock()
-	defer o.pollReports(args.Service, h)
-	o.learnStatements(args.Service, h, now, args.Statements)
+	p := o.lockedPool(args.Service)
+	defer p.mu.Unlock()
+	defer o.pollReports(args.Service, p)
+	o.learnStatements(args.Service, p, now, args.Statements)
 	switch args.Event {
 	case FirstByte:
-		h.pool.First(now, args.Request)
+		p.pool.First(now, args.Request)
 	case Ended:
-		h.pool.End(now, args.Request, args.Outcome, args.Culprit)
+		p.pool.End(now, args.Request, args.Outcome, args.Culprit)
 	case Withdraw:
-		h.pool.Withdraw(now, args.Request)
+		p.pool.Withdraw(now, args.Request)
 	}
-	if h.pool.Counts().Queued < longQueue {
-		o.tick(h, now)
+	if p.pool.Counts().Queued < longQueue {
+		o.tick(p, now)
 	}
 	return nil
 }
@@ -308,10 +308,10 @@
 		return nil
 	}
 	now := o.Clock.Now()
-	h := o.lockedPool(args.Service)
-	defer h.mu.Unlock()
-	o.learnStatements(args.Service, h, now, args.Statements)
-	h.pool.Present(now, args.Gate, args.Live)
-	o.tick(h, now)
+	p := o.lockedPool(args.Service)
+	defer p.mu.Unlock()
+	o.learnStatements(args.Service, p, now, args.Statements)
+	p.pool.Present(now, args.Gate, args.Live)
+	o.tick(p, now)
 	return nil
 }
--- a/daemon/placer/poll.go
+++ b/daemon/placer/poll.go
@@ -52,15 +52,15 @@
 	defer t.Stop()
 	for pending > 0 {
 		select {
-		case e := <-results:
+		case r := <-results:
 			pending--
-			if e.err == nil {
-				return c.applyHolder(e), nil
+			if r.err == nil {
+				return c.applyHolder(r), nil
 			}
 			if ctx.Err() != nil {
 				return AskReply{}, ctx.Err()
 			}
-			c.silent.MarkUnresponsive(e.from, e.err)
+			c.silent.MarkUnresponsive(r.from, r.err)
 			queryNext()
 		case <-t.C:
 			if len(results) == 0 && c.hedging.Allow() {
@@ -75,11 +75,11 @@
 }
 
 // applyHolder records the holder that an answer names and returns the reply.
-func (c *Client) applyHolder(e queryResult) AskReply {
-	if e.reply.Holder != nil {
-		go c.holders.Update(*e.reply.Holder, "answer")
+func (c *Client) applyHolder(r queryResult) AskReply {
+	if r.reply.Holder != nil {
+		go c.holders.Update(*r.reply.Holder, "answer")
 	}
-	return e.reply
+	return r.reply
 }
 
 // query sends the query to one VM.
--- a/daemon/placer/reports.go
+++ b/daemon/placer/reports.go
@@ -42,74 +42,74 @@
 
 // pollReports polls unverified upstreams for their load in rounds, until none is left. The pool's
 // lock is held.
-func (o *Owner) pollReports(s route.ServiceID, h *ownedPool) {
+func (o *Owner) pollReports(s route.ServiceID, p *ownedPool) {
 	v := o.Knowledge.View()
-	if h.polling || h.gathering || v.Table == nil || v.Table.Service(s) == nil || v.Table.Service(s).Engine == nil {
+	if p.polling || p.gathering || v.Table == nil || v.Table.Service(s) == nil || v.Table.Service(s).Engine == nil {
 		return
 	}
 	began := o.Clock.Now()
-	if began-h.lastAsk > pollWindow {
+	if began-p.lastAsk > pollWindow {
 		return
 	}
-	ids := h.pool.TakeDuePolls(began, o.Gate, maxPollsPerRound)
+	ids := p.pool.TakeDuePolls(began, o.Gate, maxPollsPerRound)
 	if len(ids) == 0 {
 		return
 	}
-	h.polling = true
+	p.polling = true
 	go func() {
 		var g errgroup.Group
 		g.SetLimit(maxConcurrentPolls)
 		for _, id := range ids {
 			u := v.Upstream(s, func(u *route.Upstream) bool { return u.ID == id })
-			g.Go(func() error { o.pollUpstream(s, h, id, u); return nil })
+			g.Go(func() error { o.pollUpstream(s, p, id, u); return nil })
 		}
 		_ = g.Wait() // the functions return no errors
-		time.Sleep(o.pollPause(h, began))
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.polling = false
-		o.tick(h, o.Clock.Now())
-		o.pollReports(s, h)
+		time.Sleep(o.pollPause(p, began))
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.polling = false
+		o.tick(p, o.Clock.Now())
+		o.pollReports(s, p)
 	}()
 }
 
 // pollPause returns the time until the next round of polls. While engines receive no requests
 // before they have been polled, the pause equals the duration of the last round, so that polling
 // thousands of upstreams takes at most half of the processor.
-func (o *Owner) pollPause(h *ownedPool, began clock.Milli) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (o *Owner) pollPause(p *ownedPool, began clock.Milli) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := o.Clock.Now()
-	if !h.pool.UrgentPollsDue(now) {
+	if !p.pool.UrgentPollsDue(now) {
 		return pollInterval
 	}
 	return min(max((now-began).Duration(), minPollInterval), pollInterval)
 }
 
 // pollUpstream polls one upstream and updates the pool with its report.
-func (o *Owner) pollUpstream(s route.ServiceID, h *ownedPool, id decide.UpstreamID, u *route.Upstream) {
+func (o *Owner) pollUpstream(s route.ServiceID, p *ownedPool, id decide.UpstreamID, u *route.Upstream) {
 	if u == nil {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.pool.AssumeVerified(id)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.pool.AssumeVerified(id)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	load, err := o.Reports.Report(ctx, u.Address)
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := o.Clock.Now()
 	for _, st := range load.Declared.Statements(now, o.Gate, max(load.Born, u.Born)) {
 		o.statements.Learn(s, id, st, statements.FromResponse)
-		o.learnStatements(s, h, now, []statement.Message{st.Message(now, id)})
+		o.learnStatements(s, p, now, []statement.Message{st.Message(now, id)})
 	}
 	if err != nil {
 		o.Log.Warn().Str(logline.Key, logline.Report).Str("upstream", string(id)).Err(err).Msg("unverified upstream did not report its load")
-		h.pool.AssumeVerified(id)
+		p.pool.AssumeVerified(id)
 		return
 	}
-	h.pool.Report(now, id, load)
+	p.pool.Report(now, id, load)
 	if load.Requests == 0 && load.Pace <= 1 {
 		return
 	}
--- a/daemon/placer/statements.go
+++ b/daemon/placer/statements.go
@@ -36,12 +36,12 @@
 }
 
 // grantStatements returns the statements of the upstreams of a grant.
-func (c *Client) grantStatements(u *activeGrant) []statement.Message {
-	us := []decide.UpstreamID{u.Grant.Leader.Upstream}
-	for _, p := range u.Grant.Helpers {
+func (c *Client) grantStatements(g *activeGrant) []statement.Message {
+	us := []decide.UpstreamID{g.Grant.Leader.Upstream}
+	for _, p := range g.Grant.Helpers {
 		us = append(us, p.Upstream)
 	}
-	return c.statements.OfUpstreams(u.service, us...)
+	return c.statements.OfUpstreams(g.service, us...)
 }
 
 // Binding returns a statement that forbids this VM to send to an upstream now, if there is one.
@@ -64,10 +64,10 @@
 }
 
 // learnStatements applies statements received from gates to the pool. The pool's lock is held.
-func (o *Owner) learnStatements(s route.ServiceID, h *ownedPool, now clock.Milli, received []statement.Message) {
+func (o *Owner) learnStatements(s route.ServiceID, p *ownedPool, now clock.Milli, received []statement.Message) {
 	for _, a := range received {
 		st := a.Statement(now)
-		if h.pool.Learn(now, a.Upstream, st) {
+		if p.pool.Learn(now, a.Upstream, st) {
 			statements.LogChange(o.Log, now, s, a.Upstream, st, statements.FromGate)
 		}
 	}
--- a/daemon/placer/statements_test.go
+++ b/daemon/placer/statements_test.go
@@ -89,18 +89,18 @@
 // Each next owner must enforce it from its first decision on, or the engine receives a burst with
 // each change of owner.
 func TestRateLimitSurvivesChangesOfOwner(t *testing.T) {
-	const named, settled, end = 500 * time.Millisecond, time.Second, 5 * time.Second
+	const declared, settled, end = 500 * time.Millisecond, time.Second, 5 * time.Second
 	const rate = 5.0
 	for name, newFaults := range ownerChanges {
 		t.Run(name, func(t *testing.T) {
 			f := newLossFleet(t)
 			faults := newFaults(f)
-			faults[named] = func() { f.setLimit(firstEngine, rate) }
+			faults[declared] = func() { f.setLimit(firstEngine, rate) }
 			f.run(end, faults)
-			require.Greater(t, f.received(0, named), int(2*rate*named.Seconds()), "before the engine declared a limit")
-			span := (end - settled).Seconds()
-			require.LessOrEqual(t, f.received(settled, end), int(rate*span)+5)
-			require.GreaterOrEqual(t, f.received(settled, end), int(rate*span/2))
+			require.Greater(t, f.received(0, declared), int(2*rate*declared.Seconds()), "before the engine declared a limit")
+			seconds := (end - settled).Seconds()
+			require.LessOrEqual(t, f.received(settled, end), int(rate*seconds)+5)
+			require.GreaterOrEqual(t, f.received(settled, end), int(rate*seconds/2))
 		})
 	}
 }
@@ -108,17 +108,17 @@
 // A partition leaves an owner on each side, and both know the limit. If each granted the whole
 // limit, the engine would receive twice its rate.
 func TestTwoOwnersOfAPartitionShareOneLimit(t *testing.T) {
-	const named, cut, end = 500 * time.Millisecond, 1500 * time.Millisecond, 9 * time.Second
+	const declared, cut, end = 500 * time.Millisecond, 1500 * time.Millisecond, 9 * time.Second
 	const settled = cut + detectionTime + 500*time.Millisecond
 	const rate = 10.0
 	f := newLossFleet(t)
 	f.run(end, map[time.Duration]func(){
-		named: func() { f.setLimit(firstEngine, rate) },
-		cut:   func() { f.split(end) },
+		declared: func() { f.setLimit(firstEngine, rate) },
+		cut:      func() { f.split(end) },
 	})
-	span := (end - settled).Seconds()
-	require.LessOrEqual(t, f.received(settled, end), int(rate*span)+5)
-	require.GreaterOrEqual(t, f.received(settled, end), int(rate*span/2))
+	seconds := (end - settled).Seconds()
+	require.LessOrEqual(t, f.received(settled, end), int(rate*seconds)+5)
+	require.GreaterOrEqual(t, f.received(settled, end), int(rate*seconds/2))
 }
 
 // An engine declares to one VM that it is draining, and the VMs that know of it are lost, paused,
--- a/daemon/readers/fleet_test.go
+++ b/daemon/readers/fleet_test.go
@@ -28,7 +28,7 @@
 	allInformed  = 2500 * time.Millisecond
 )
 
-// testFleet is a fleet of registries on a stand-in for the platform.
+// testFleet is a fleet of registries on an emulated platform.
 type testFleet struct {
 	members    []peer.Member
 	registries map[string]*registry.Registry
--- a/daemon/readers/readers.go
+++ b/daemon/readers/readers.go
@@ -26,7 +26,7 @@
 	// then read the store depending on the age of their copy.
 	standIns = 6
 	// relayers is the number of VMs that ask the watchers. All other VMs ask two of the relayers.
-	// In a fleet of 450 VMs each relayer answers thirteen requests at a time, two or three times a
+	// In a fleet of 450 VMs each relayer answers thirteen VMs, each of them two or three times a
 	// second. With one reader for each 32 VMs instead, the readers' watches would make up most of
 	// the store's calls in a large fleet.
 	relayers = 32
@@ -99,7 +99,7 @@
 // sources returns the members that the VM of a rank asks: the watchers and their stand-ins or, for
 // most VMs of a large fleet, some of the relayers, which ask these.
 func sources(ranked []peer.Member, rank int, large bool) []peer.Member {
-	const first = watchers + standIns
+	const watchersAndStandIns = watchers + standIns
 	if large && rank >= watchers+relayers {
 		layer := ranked[watchers : watchers+relayers] // includes the stand-ins
 		var ms []peer.Member
@@ -109,7 +109,7 @@
 		return ms
 	}
 	var ms []peer.Member
-	for i, m := range ranked[:min(first, len(ranked))] {
+	for i, m := range ranked[:min(watchersAndStandIns, len(ranked))] {
 		if i != rank {
 			ms = append(ms, m)
 		}
--- a/daemon/registry/calls.go
+++ b/daemon/registry/calls.go
@@ -16,7 +16,8 @@
 	// Watcher is a VM of a small fleet that watches the store, with long waits while a prover
 	// verifies its copy.
 	Watcher Role = "watcher"
-	// StandIn is a VM that watches because too few of the VMs of lower rank can reach the store.
+	// StandIn is a VM that watches because too few of the VMs that rank before it can reach the
+	// store.
 	StandIn Role = "standin"
 	// Starter is a VM that has just started and knows no document yet.
 	Starter Role = "starter"
@@ -71,15 +72,15 @@
 
 // noteRole logs a change of this VM's role in reading the store, and returns its current role.
 func (r *Registry) noteRole(rs Roster, before Role) Role {
-	now := r.role()
+	current := r.role()
 	if r.delegates(r.documentFeed()) {
-		now = Follower
+		current = Follower
 	}
-	if now != before {
-		r.log.Info().Str(logline.Key, logline.Reader).Str("role", string(now)).Str("before", string(before)).Int("rank", rs.Rank).
+	if current != before {
+		r.log.Info().Str(logline.Key, logline.Reader).Str("role", string(current)).Str("before", string(before)).Int("rank", rs.Rank).
 			Int("open", r.connectedAhead(rs)).Int64("age", int64(r.documentAge())).Msg("role of this VM in reading the store changed")
 	}
-	return now
+	return current
 }
 
 // role returns the role in which this VM would call the store now.
@@ -95,7 +96,7 @@
 		return Starter
 	case !rs.LargeFleet:
 		return Watcher
-	case r.stepsIn(rs):
+	case r.standsIn(rs):
 		return StandIn
 	default:
 		return Alone
--- a/daemon/registry/era.go
+++ b/daemon/registry/era.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// startEra sets the era and cancels all watches, so that both feeds list again. On a registry without
-// any state it only sets the era. The lock must be held.
+// startEra sets the era and cancels all watches, so that both feeds list again. On a registry
+// without any state it only sets the era. The lock must be held.
 func (r *Registry) startEra(era route.Era, cause string) {
 	before := r.era
 	r.era = era
@@ -105,8 +105,9 @@
 
 // withoutUnverified returns a list of the store without the entries that contradict the state known
 // before the store was restored, and records these as unverified. For an upstream that is known to
-// be leaving and listed as ready, it returns the known entry. An upstream that lists of this era have
-// lacked is no such contradiction: its writer has written it again since. The lock must be held.
+// be leaving and listed as ready, it returns the known entry. A listed upstream counts as having left
+// or as missing only if it had left or was missing when the era began: if only a list of this era
+// lacked it, its writer has written the entry again since. The lock must be held.
 func (r *Registry) withoutUnverified(us []route.Upstream) []route.Upstream {
 	if !r.inVerification() {
 		return us
@@ -134,8 +135,8 @@
 	return verified
 }
 
-// inVerification reports whether the store was restored less than unverifiedTime ago, so that writers
-// may still have to write their entries again. The lock must be held.
+// inVerification reports whether the store was restored less than unverifiedTime ago, so that
+// writers may still have to write their entries again. The lock must be held.
 func (r *Registry) inVerification() bool {
 	return r.eraStart > 0 && r.clock.Now()-r.eraStart < unverifiedTime
 }
--- a/daemon/registry/era_test.go
+++ b/daemon/registry/era_test.go
@@ -49,7 +49,8 @@
 	require.EqualValues(t, 1, b.EraChanges(), "both feeds count one change")
 }
 
-// An answer is in transit when the store is restored. Its contents belong to the history before.
+// An answer is in transit when the store is restored. Its contents belong to the history before the
+// restore.
 func TestAnswerOfEarlierEraIsRejected(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a", "b"))
@@ -65,8 +66,8 @@
 	require.EqualValues(t, 1, b.View().Table.Revision())
 }
 
-// Both feeds read at once: one learns of the next era while the other one applies an answer of the
-// earlier era.
+// Both feeds read concurrently: one learns of the next era while the other one applies an answer of
+// the earlier era.
 func TestChangesOfEarlierEraAreIgnored(t *testing.T) {
 	b := newHarness(t)
 	b.restoreStore(document(1), upstreams("a", "b"))
@@ -162,10 +163,10 @@
 	started.Registry.clock = b.clock
 	started.restoreStore(document(1), upstreams("a"))
 	started.list()
-	b.clock.advance(outageHold) // the hold of young has ended
+	b.clock.advance(outageHold) // the hold on upstream b has ended at started
 	started.commit(route.Position{}, 0)
 	b.peers = localPeer{started.Registry}
-	require.True(t, b.fetch(b.ctx, peer.Member{VM: "young"}))
+	require.True(t, b.fetch(b.ctx, peer.Member{VM: "started"}))
 	require.Equal(t, 2, b.upstreamCount())
 	b.clock.advance(outageHold)
 	b.commit(route.Position{}, 0)
@@ -220,7 +221,7 @@
 		wait := aloneWait
 		if answered {
 			wait = documentPeerWait
-			alone.Learn(&peer.BeatArgs{From: peer.Member{VM: "young"}}, true)
+			alone.Learn(&peer.BeatArgs{From: peer.Member{VM: "started"}}, true)
 		}
 		began := time.Now()
 		_, err := alone.listDocument(b.ctx)
@@ -260,26 +261,27 @@
 }
 
 // One VM had seen the removal of an upstream's entry before the restore and treats the restored
-// entry as unverified. Other VMs had not seen it. If they took that VM's list as complete, they
-// would remove the upstream until its entry changes again.
+// entry as unverified. Another VM (b) had not seen the removal. If it took the first VM's list as
+// complete, it would remove the upstream until its entry changes again. A VM that had seen the
+// removal too must accept the entry later.
 func TestUnverifiedEntriesOfPeerRemoveNothing(t *testing.T) {
-	b, verifying, uninformed := newHarness(t), newHarness(t), newHarness(t)
-	verifying.Registry.clock, uninformed.Registry.clock = b.clock, b.clock
+	b, verifying, removedToo := newHarness(t), newHarness(t), newHarness(t)
+	verifying.Registry.clock, removedToo.Registry.clock = b.clock, b.clock
 	gone := route.UpstreamUpdate{Removed: []decide.UpstreamID{"b"}}
 	verifying.changeUpstreams(gone, mark(10), b.clock.Now())
-	uninformed.changeUpstreams(gone, mark(10), b.clock.Now())
+	removedToo.changeUpstreams(gone, mark(10), b.clock.Now())
 	verifying.restoreStore(document(1), upstreams("a", "b"))
 	verifying.list()
 	require.Equal(t, 1, verifying.upstreamCount())
-	b.peers, uninformed.peers = localPeer{verifying.Registry}, localPeer{verifying.Registry}
+	b.peers, removedToo.peers = localPeer{verifying.Registry}, localPeer{verifying.Registry}
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "verifying"}))
-	require.True(t, uninformed.fetch(uninformed.ctx, peer.Member{VM: "verifying"}))
+	require.True(t, removedToo.fetch(removedToo.ctx, peer.Member{VM: "verifying"}))
 	b.clock.advance(outageHold)
 	b.commit(route.Position{}, 0)
 	require.Equal(t, 2, b.upstreamCount(), "an entry that is unverified at a peer is not removed")
-	require.Equal(t, 1, uninformed.upstreamCount())
+	require.Equal(t, 1, removedToo.upstreamCount())
 	b.clock.advance(unverifiedTime)
-	uninformed.acceptUnverified()
-	uninformed.commit(route.Position{}, 0)
-	require.Equal(t, 2, uninformed.upstreamCount(), "otherwise its entry would have expired")
+	removedToo.acceptUnverified()
+	removedToo.commit(route.Position{}, 0)
+	require.Equal(t, 2, removedToo.upstreamCount(), "otherwise its entry would have expired")
 }
--- a/daemon/registry/follow.go
+++ b/daemon/registry/follow.go
@@ -140,8 +140,9 @@
 }
 
 // watchOnce makes one watch from a position. It returns the position for the next watch, zero if a
-// list is needed, and whether the watch ended with an update soon. busy is that result of the
-// previous watch.
+// list is needed, and whether the watch ended before the minimum interval between watches, which
+// happens while updates are frequent. busy is that result of the previous watch and selects the
+// longer interval.
 func (r *Registry) watchOnce(ctx context.Context, f feed, at route.Position, busy bool) (route.Position, bool, error) {
 	began := r.clock.Now()
 	wait := r.watchWaitOf(f)
@@ -232,7 +233,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.storeBehind {
-		r.confirmDocument(r.provenUntil(sent, wait))
+		r.confirmDocument(r.verifiedUntil(sent, wait))
 	}
 	return at, nil
 }
@@ -269,33 +270,33 @@
 	if at.Era != after.Era {
 		return route.Position{}, r.checkEra(at.Era)
 	}
-	proven := sent
+	verified := sent
 	if len(update.Upstreams) == 0 && len(update.Removed) == 0 && len(update.Unusable) == 0 {
-		proven = r.provenUntil(sent, wait)
+		verified = r.verifiedUntil(sent, wait)
 	}
-	r.changeUpstreams(update, at, proven)
+	r.changeUpstreams(update, at, verified)
 	return at, nil
 }
 
-// provenUntil returns the instant up to which a watch that ended without a change proves that
+// verifiedUntil returns the instant up to which a watch that ended without a change verifies that
 // nothing changed. The store waited from the arrival of the request, which was after it was sent.
 // The answer itself may have been delayed by any time.
-func (r *Registry) provenUntil(sent, wait clock.Milli) clock.Milli {
+func (r *Registry) verifiedUntil(sent, wait clock.Milli) clock.Milli {
 	return min(sent+wait, r.clock.Now())
 }
 
 // noteStore records whether the store answered a call.
-func (r *Registry) noteStore(what string, err error) {
+func (r *Registry) noteStore(feedName string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case err != nil && !r.storeDown:
 		r.storeDown = true
-		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", what).Err(err).Msg("call of the store failed")
+		r.log.Warn().Str(logline.Key, logline.Unreachable).Str("dependency", "store").Str("call", feedName).Err(err).Msg("call of the store failed")
 	case err == nil && r.storeDown:
 		r.storeDown = false
 		r.storeBack = r.clock.Now()
-		r.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "store").Str("call", what).Msg("the store answers again")
+		r.log.Info().Str(logline.Key, logline.Reached).Str("dependency", "store").Str("call", feedName).Msg("the store answers again")
 	}
 }
 
--- a/daemon/registry/peers.go
+++ b/daemon/registry/peers.go
@@ -29,9 +29,10 @@
 	checkPeriod = 200 * time.Millisecond
 	// pollInterval is the time between two polls of a VM that has no watch of its own, and
 	// pollExpiry how long that VM relies on the last answer. Members are asked in turn, so if one
-	// of them does not respond or is cut off from the store, an update passes one layer after at
-	// most 0.8 s, and two layers within the two seconds within which a leaving upstream and a new
-	// document must take effect.
+	// of them does not respond or is cut off from the store, an update takes at most 0.8 s from one
+	// layer of members to the next (watchers, relayers, all others; see package readers). It passes
+	// both layers of polls within the two seconds in which a leaving upstream and a new document
+	// must take effect.
 	pollInterval = 300 * clock.Milli(1)
 	pollExpiry   = 1200 * clock.Milli(1)
 	// readerMaxAge is the maximum age of the copy of a reader that can reach the store: one watch,
@@ -45,9 +46,9 @@
 	// that is unreachable. The first VM that gets through is asked by all others, since it ranks
 	// before them.
 	rankDelay = 300 * clock.Milli(1)
-	// proofLimit is the age of the last verification at which a VM of a small fleet reads for
+	// verificationLimit is the age of the last verification at which a VM of a small fleet reads for
 	// itself.
-	proofLimit = readerMaxAge + 650
+	verificationLimit = readerMaxAge + 650
 )
 
 // Fill implements member.Part. It adds the version summary to a heartbeat.
@@ -58,18 +59,18 @@
 }
 
 // summary returns the versions and ages of this VM's state. A list with upstreams that are only
-// retained is omitted, since it proves nothing to others. The lock must be held.
+// retained is omitted, since it verifies nothing for others. The lock must be held.
 func (r *Registry) summary() peer.RegistrySummary {
-	w := peer.RegistrySummary{Shut: r.storeDown, Era: r.era}
+	s := peer.RegistrySummary{Shut: r.storeDown, Era: r.era}
 	now := r.clock.Now()
 	if r.table != nil {
-		w.Revision, w.RevisionAge = r.table.Revision(), now-r.tableVerified
+		s.Revision, s.RevisionAge = r.table.Revision(), now-r.tableVerified
 	}
 	if r.upstreamsVerified > 0 && len(r.expiring) == 0 {
-		w.Digest, w.DigestAge = r.digest, now-r.upstreamsVerified
-		w.MarkEra, w.Mark = r.position.Era, r.position.Mark
+		s.Digest, s.DigestAge = r.digest, now-r.upstreamsVerified
+		s.MarkEra, s.Mark = r.position.Era, r.position.Mark
 	}
-	return w
+	return s
 }
 
 // Learn implements member.Part. A peer with the same state and a later verification verifies the
@@ -83,32 +84,32 @@
 	}
 }
 
-// learnSummary applies a peer's version summary that was written at an instant, and reports whether
-// the peer has later state than this VM.
-func (r *Registry) learnSummary(w peer.RegistrySummary, now clock.Milli) bool {
+// learnSummary applies a peer's version summary and reports whether the peer has later state than
+// this VM. written is the earliest instant at which the peer can have written the summary.
+func (r *Registry) learnSummary(s peer.RegistrySummary, written clock.Milli) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ask := false
-	if w.Era > r.era {
-		r.startEra(w.Era, fromPeer)
+	if s.Era > r.era {
+		r.startEra(s.Era, fromPeer)
 	}
 	r.peerAnswered.Store(true)
-	if w.Revision > 0 {
-		r.peerRevision = max(r.peerRevision, w.Revision)
+	if s.Revision > 0 {
+		r.peerRevision = max(r.peerRevision, s.Revision)
 		r.peerDocumentOnce.Do(func() { close(r.peerDocument) })
 		switch {
-		case r.table == nil || w.Revision > r.table.Revision():
+		case r.table == nil || s.Revision > r.table.Revision():
 			ask = true
-		case w.Revision == r.table.Revision():
-			r.confirmDocument(now - w.RevisionAge)
+		case s.Revision == r.table.Revision():
+			r.confirmDocument(written - s.RevisionAge)
 		}
 	}
-	if w.Digest > 0 {
-		at := now - w.DigestAge
+	if s.Digest > 0 {
+		at := written - s.DigestAge
 		switch {
-		case w.Digest == r.digest && at > r.upstreamsVerified:
-			r.commit(w.Position(), at)
-		case w.Digest != r.digest && w.Position().After(r.position):
+		case s.Digest == r.digest && at > r.upstreamsVerified:
+			r.commit(s.Position(), at)
+		case s.Digest != r.digest && s.Position().After(r.position):
 			ask = true
 		}
 	}
@@ -127,8 +128,8 @@
 	}
 	args.Digest = r.digest
 	own := r.view.Load()
-	if c, ok := r.changes.Hash(); ok && !r.fetchWhole.Swap(false) {
-		args.Content = uint64(c)
+	if h, ok := r.changes.Hash(); ok && !r.fetchWhole.Swap(false) {
+		args.Content = uint64(h)
 	}
 	r.mu.Unlock()
 	sent := r.clock.Now()
@@ -239,8 +240,8 @@
 // earlier one that is known here and they are few, otherwise the whole list. The lock must be held.
 func (r *Registry) addUpstreams(args *peer.RegistrySummary, reply *peer.RegistryReply) {
 	if ids, ok := r.changes.Since(changes.Hash(args.Content)); ok && 2*len(ids) < len(r.upstreams) {
-		c, _ := r.changes.Hash()
-		reply.Base, reply.Content = args.Content, uint64(c)
+		h, _ := r.changes.Hash()
+		reply.Base, reply.Content = args.Content, uint64(h)
 		for _, id := range ids {
 			if u, present := r.upstreams[id]; present {
 				reply.Upstreams = append(reply.Upstreams, u)
--- a/daemon/registry/peers_test.go
+++ b/daemon/registry/peers_test.go
@@ -35,18 +35,18 @@
 }
 
 // newFollower returns a VM that has copied a list of many upstreams from a reader.
-func newFollower(t *testing.T, many int) (b, reader *harness, calls *recordingPeer) {
+func newFollower(t *testing.T, n int) (b, reader *harness, calls *recordingPeer) {
 	t.Helper()
 	b, reader = newHarness(t), newHarness(t)
 	reader.Registry.clock = b.clock
-	for i := range many {
+	for i := range n {
 		reader.store.upstreams = append(reader.store.upstreams, route.Upstream{ID: decide.UpstreamID(fmt.Sprint(i)), Service: "s"})
 	}
 	calls = &recordingPeer{to: reader.Registry}
 	b.peers = calls
 	reader.relist()
 	require.True(t, b.fetch(b.ctx, peer.Member{VM: "reader"}))
-	require.Equal(t, many+2, b.upstreamCount())
+	require.Equal(t, n+2, b.upstreamCount())
 	return b, reader, calls
 }
 
--- a/daemon/registry/readers.go
+++ b/daemon/registry/readers.go
@@ -33,10 +33,10 @@
 // even if one of them is cut off from the store and that is not known yet.
 const minWatchers = 2
 
-// stepsIn reports whether too few of the VMs that rank before this one can reach the store, so that
+// standsIn reports whether too few of the VMs that rank before this one can reach the store, so that
 // this VM must keep watches. VMs whose calls the store rejects still answer peers, and the growing
 // age of their copies would show the failure too late for an upstream that leaves.
-func (r *Registry) stepsIn(rs Roster) bool { return r.connectedAhead(rs) < minWatchers }
+func (r *Registry) standsIn(rs Roster) bool { return r.connectedAhead(rs) < minWatchers }
 
 // connectedAhead counts the VMs that rank before this one and have not reported that they cannot
 // reach the store. If this VM asks members other than these, all of them are counted.
@@ -47,22 +47,22 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	open := 0
+	n := 0
 	for _, m := range rs.Sources[:rs.Rank] {
 		if now >= r.cutOff[m.VM] {
-			open++
+			n++
 		}
 	}
-	return open
+	return n
 }
 
 // noteCutOff records for cutOffTTL that a member reported that it cannot reach the store, or did
 // not answer. Expired records are deleted, so that records of replaced VMs do not accumulate. The
 // lock must be held.
-func (r *Registry) noteCutOff(m peer.VM, shut bool) {
+func (r *Registry) noteCutOff(m peer.VM, cutOff bool) {
 	now := r.clock.Now()
 	maps.DeleteFunc(r.cutOff, func(_ peer.VM, until clock.Milli) bool { return now >= until })
-	if shut {
+	if cutOff {
 		r.cutOff[m] = now + cutOffTTL
 		return
 	}
@@ -75,26 +75,26 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var open []peer.Member
+	var out []peer.Member
 	for _, m := range ms {
-		if now >= r.cutOff[m.VM] && len(open) < maxAsked {
-			open = append(open, m)
+		if now >= r.cutOff[m.VM] && len(out) < maxAsked {
+			out = append(out, m)
 		}
 	}
-	if len(open) == 0 {
+	if len(out) == 0 {
 		return ms
 	}
-	return open
+	return out
 }
 
 // delegates reports whether this VM leaves a feed to others: the members it asks answer and their
-// copies are current, or VMs of lower rank are first to read the store in their place.
+// copies are current, or VMs that rank before this one are to read the store first in their place.
 func (r *Registry) delegates(f feed) bool {
 	if r.readers == nil {
 		return false
 	}
 	rs := r.readers()
-	if rs.Primary || !rs.LargeFleet || r.stepsIn(rs) {
+	if rs.Primary || !rs.LargeFleet || r.standsIn(rs) {
 		return false
 	}
 	r.mu.Lock()
@@ -113,7 +113,7 @@
 
 // watchWaitOf returns the wait of the next watch of a feed.
 func (r *Registry) watchWaitOf(f feed) clock.Milli {
-	if r.isProver() || r.documentAge() > proofLimit {
+	if r.isProver() || r.documentAge() > verificationLimit {
 		return f.wait
 	}
 	return longWatchWait
@@ -128,14 +128,14 @@
 
 // watchContext returns the context of one watch. It is canceled when the store's era changes and,
 // for a long watch, when the copy of this VM is no longer verified by others.
-func (r *Registry) watchContext(ctx context.Context, what string, wait clock.Milli) (context.Context, context.CancelFunc) {
+func (r *Registry) watchContext(ctx context.Context, feedName string, wait clock.Milli) (context.Context, context.CancelFunc) {
 	watching, cancel := context.WithCancel(ctx)
 	r.mu.Lock()
-	r.watches[what] = watch{cancel, wait >= longWatchWait}
+	r.watches[feedName] = watch{cancel, wait >= longWatchWait}
 	r.mu.Unlock()
 	return watching, func() {
 		r.mu.Lock()
-		delete(r.watches, what)
+		delete(r.watches, feedName)
 		r.mu.Unlock()
 		cancel()
 	}
@@ -158,7 +158,7 @@
 			continue
 		}
 		next = r.askReaders(ctx, rs.Sources, next)
-		if r.isProver() || r.documentAge() > proofLimit {
+		if r.isProver() || r.documentAge() > verificationLimit {
 			r.endLongWatches()
 		}
 	}
@@ -211,8 +211,8 @@
 //
 // If only one reader were asked and that one could not reach the store, this VM would learn of a
 // leaving upstream seconds late.
-func (r *Registry) askReaders(ctx context.Context, others []peer.Member, next int) int {
-	readers := r.connected(others)
+func (r *Registry) askReaders(ctx context.Context, sources []peer.Member, next int) int {
+	readers := r.connected(sources)
 	for range readers {
 		sent := r.clock.Now()
 		answered := r.fetch(ctx, readers[next%len(readers)])
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -60,8 +60,8 @@
 	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
 	cutOff.store.down = true
 	cutOff.watch()
-	b.peers = localPeers{"shut": cutOff.Registry, "open": connected.Registry, "next": connected.Registry}
-	others := []peer.Member{{VM: "shut", Address: "shut"}, {VM: "open", Address: "open"}, {VM: "next", Address: "next"}}
+	b.peers = localPeers{"cut-off": cutOff.Registry, "connected": connected.Registry, "next": connected.Registry}
+	others := []peer.Member{{VM: "cut-off", Address: "cut-off"}, {VM: "connected", Address: "connected"}, {VM: "next", Address: "next"}}
 	rank := 2
 	b.SetReaders(func() Roster { return Roster{Sources: others[:rank], Rank: rank, LargeFleet: true} })
 	nextReader := b.askReaders(b.ctx, others, 0)
--- a/daemon/registry/registry_test.go
+++ b/daemon/registry/registry_test.go
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	document  *route.Document
 	upstreams []route.Upstream
-	gone      []decide.UpstreamID
+	removed   []decide.UpstreamID
 	down      bool
 	// unreadable is set to answer that the document cannot be parsed.
 	unreadable bool
@@ -90,10 +90,10 @@
 	if f.down {
 		return route.UpstreamUpdate{}, route.Position{}, errDown
 	}
-	gone := f.gone
-	f.gone = nil
+	removed := f.removed
+	f.removed = nil
 	f.at.Mark++
-	return route.UpstreamUpdate{Removed: gone}, f.at, nil
+	return route.UpstreamUpdate{Removed: removed}, f.at, nil
 }
 
 // localPeer calls a receiver without a network.
@@ -201,15 +201,15 @@
 	b := newHarness(t)
 	sent := b.clock.Now()
 	b.clock.advance(4 * clock.Second)
-	require.Equal(t, sent+watchWait, b.provenUntil(sent, watchWait))
+	require.Equal(t, sent+watchWait, b.verifiedUntil(sent, watchWait))
 	b.clock.advance(-3500)
-	require.Equal(t, b.clock.Now(), b.provenUntil(sent, watchWait))
+	require.Equal(t, b.clock.Now(), b.verifiedUntil(sent, watchWait))
 }
 
 // An upstream's entry is removed while the store is reachable: the upstream has left.
 func TestRemovedUpstreamIsDroppedAtOnce(t *testing.T) {
 	b := newHarness(t)
-	b.store.gone = []decide.UpstreamID{"a"}
+	b.store.removed = []decide.UpstreamID{"a"}
 	b.watch()
 	require.Equal(t, 1, b.upstreamCount())
 }
@@ -254,7 +254,7 @@
 	connected.Registry.clock = cutOff.clock
 	cutOff.clock.advance(4 * clock.Second)
 	connected.list()
-	beat := &peer.BeatArgs{From: peer.Member{VM: "well"}}
+	beat := &peer.BeatArgs{From: peer.Member{VM: "connected"}}
 	connected.Fill("", beat)
 	cutOff.Learn(beat, false)
 	require.Equal(t, cutOff.clock.Now()-heartbeatTimeout, cutOff.View().TableVerified, "the same document, verified by the peer")
@@ -264,7 +264,7 @@
 	connected.store.at.Mark += 10
 	connected.store.document, connected.store.upstreams = document(2), upstreams("b", "c", "d")
 	connected.list()
-	beat = &peer.BeatArgs{From: peer.Member{VM: "well"}}
+	beat = &peer.BeatArgs{From: peer.Member{VM: "connected"}}
 	connected.Fill("", beat)
 	cutOff.Learn(beat, false)
 	require.Eventually(t, func() bool {
@@ -408,7 +408,7 @@
 	reconnected.clock, reconnected.Registry.clock = connected.clock, connected.clock
 	reconnected.store.down = true
 	reconnected.watch()
-	connected.store.gone = []decide.UpstreamID{"a"}
+	connected.store.removed = []decide.UpstreamID{"a"}
 	connected.watch()
 	require.Equal(t, 1, connected.upstreamCount())
 	connected.clock.advance(2400)
@@ -438,10 +438,10 @@
 }
 
 // readBy sets the readers: one other VM, or also this VM as the primary reader.
-func (b *harness) readBy(other *Registry, self bool) {
+func (b *harness) readBy(other *Registry, primary bool) {
 	b.peers = localPeer{other}
 	b.SetReaders(func() Roster {
-		if self {
+		if primary {
 			return Roster{Sources: []peer.Member{{VM: "reader"}}, Primary: true}
 		}
 		return Roster{Sources: []peer.Member{{VM: "reader"}}, Rank: 1}
@@ -458,7 +458,7 @@
 	b.readBy(reader.Registry, true)
 	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "the primary reader keeps short watches")
 	b.readBy(reader.Registry, false)
-	b.clock.advance(proofLimit + 1)
+	b.clock.advance(verificationLimit + 1)
 	require.Equal(t, watchWait, b.watchWaitOf(b.documentFeed()), "it reads for itself if its copy is not verified")
 	reader.list()
 	b.fetch(b.ctx, peer.Member{VM: "reader"})
@@ -476,7 +476,7 @@
 	ctx, cancel := context.WithCancel(b.ctx)
 	defer cancel()
 	go b.pollReaders(ctx)
-	b.clock.advance(proofLimit + 1)
+	b.clock.advance(verificationLimit + 1)
 	select {
 	case <-watching.Done():
 	case <-time.After(2 * time.Second):
@@ -562,9 +562,9 @@
 func TestSecondReaderIsAskedWhenFirstIsCutOff(t *testing.T) {
 	b, cutOff, connected := newHarness(t), newHarness(t), newHarness(t)
 	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
-	b.peers = localPeers{"shut": cutOff.Registry, "well": connected.Registry}
+	b.peers = localPeers{"cut-off": cutOff.Registry, "connected": connected.Registry}
 	b.SetReaders(func() Roster {
-		return Roster{Sources: []peer.Member{{VM: "shut", Address: "shut"}, {VM: "well", Address: "well"}}, Rank: 2, LargeFleet: true}
+		return Roster{Sources: []peer.Member{{VM: "cut-off", Address: "cut-off"}, {VM: "connected", Address: "connected"}}, Rank: 2, LargeFleet: true}
 	})
 	b.clock.advance(readerMaxAge + 1)
 	connected.store.upstreams, connected.store.at = upstreams("b"), mark(50)
--- a/daemon/relay/gate.go
+++ b/daemon/relay/gate.go
@@ -115,13 +115,14 @@
 	id     decide.GateID
 	// started is the time at which this process started.
 	started clock.Milli
-	serial  atomic.Uint64
+	// serial counts the placement queries; it makes their ids unique within this process.
+	serial atomic.Uint64
 	// bodies is the total size of the request bodies that are buffered, in bytes.
 	bodies atomic.Int64
 	// stopping makes each response close its connection, so that clients reconnect to another VM.
 	stopping atomic.Bool
-	// unknown are the names of response header fields that the codec does not recognize, unreadable are
-	// fields whose values cannot be parsed. Each is logged once.
+	// unknown are the names of response header fields that the codec does not recognize, unreadable
+	// are fields whose values cannot be parsed. Each is logged once.
 	unknown, unreadable nameSet
 	metrics             *metrics
 }
--- a/daemon/relay/harness_test.go
+++ b/daemon/relay/harness_test.go
@@ -84,17 +84,17 @@
 	// again and counted record the fields Again and Counted of each Ask.
 	again, counted []bool
 	statements     *statement.Table
-	// wait is how long each Ask takes; during is called before it.
-	wait   time.Duration
-	during func()
-	refuse fault.Kind
+	// wait is how long each Ask takes; beforeAsk is called at its start.
+	wait      time.Duration
+	beforeAsk func()
+	refuse    fault.Kind
 	// helpers are the helpers in each grant.
 	helpers []span.Placement
 }
 
 func (p *testPlacer) Ask(ctx context.Context, _ route.ServiceID, a span.Ask) (placer.AskReply, error) {
-	if p.during != nil {
-		p.during()
+	if p.beforeAsk != nil {
+		p.beforeAsk()
 	}
 	p.mu.Lock()
 	p.again = append(p.again, a.Again)
@@ -171,11 +171,11 @@
 
 // testSuspects gives the same verdict on every request, and records the argument whole of each End.
 type testSuspects struct {
-	check gate.Verdict
-	whole *[]bool
+	verdict gate.Verdict
+	whole   *[]bool
 }
 
-func (n testSuspects) Check(uint64) gate.Verdict { return n.check }
+func (n testSuspects) Check(uint64) gate.Verdict { return n.verdict }
 func (testSuspects) Begin(uint64) bool           { return true }
 func (n testSuspects) End(_ uint64, whole bool) {
 	if n.whole != nil {
@@ -194,7 +194,7 @@
 	// upstreams are the servers of the placer's upstreams.
 	upstreams []*httptest.Server
 	table     *route.Table
-	needs     Dependencies
+	deps      Dependencies
 }
 
 // routes returns one route of each kind, under a prefix equal to its name.
@@ -222,7 +222,7 @@
 	w.setDocument(2*clock.Second, "key")
 	transport := &http.Transport{DisableCompression: true, DialContext: DialPoolHost((&net.Dialer{}).DialContext)}
 	t.Cleanup(transport.CloseIdleConnections)
-	w.needs = Dependencies{
+	w.deps = Dependencies{
 		Clock: clock.Boot{}, Log: &log.Logger{Level: log.FatalLevel}, Codec: testCodec{}, Placer: w.placer, Registry: w.registry,
 		Suspects: testSuspects{}, Pooled: transport, Unpooled: &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 	}
@@ -231,7 +231,7 @@
 }
 
 func (w *fixture) start() {
-	w.gate = New(w.needs, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, BodyBytes: 1 << 16}, "vm.1")
+	w.gate = New(w.deps, Bounds{Revoke: 5 * clock.Second, Config: 2 * clock.Second, BodyBytes: 1 << 16}, "vm.1")
 	w.server = httptest.NewServer(w.gate)
 	w.t.Cleanup(w.server.Close)
 }
--- a/daemon/relay/incarnation.go
+++ b/daemon/relay/incarnation.go
@@ -25,8 +25,8 @@
 	return incarnationPrefix + strconv.FormatInt(int64(born), 36) + "." + address
 }
 
-// DialPoolHost wraps a dial function for plain addresses so that it also accepts hosts made by poolHost,
-// whose incarnation prefix is removed before dialing.
+// DialPoolHost wraps a dial function for plain addresses so that it also accepts hosts made by
+// poolHost, whose incarnation prefix is removed before dialing.
 func DialPoolHost(d dial.Dial) dial.Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		if rest, ok := strings.CutPrefix(address, incarnationPrefix); ok {
--- a/daemon/relay/record.go
+++ b/daemon/relay/record.go
@@ -28,34 +28,36 @@
 	reason string
 	// waiting and running are the numbers of queued and granted requests at the owner when it decided.
 	waiting, running int
-	first            clock.Milli
-	status           int
-	events           int
+	// first is the time from the request's arrival to the first byte of the response.
+	first  clock.Milli
+	status int
+	events int
+	// pause is the longest time between two events; lastEvent is when the last event was passed on.
 	pause, lastEvent clock.Milli
 	sends            []string
 }
 
 // beginSend records that a grant was received and the next send begins.
-func (s *record) beginSend(after clock.Milli) {
-	s.placed.Store(int64(after))
-	s.connected.Store(0)
-	s.sent.Store(0)
+func (r *record) beginSend(after clock.Milli) {
+	r.placed.Store(int64(after))
+	r.connected.Store(0)
+	r.sent.Store(0)
 }
 
 // beginResponse records the first byte of a response.
-func (s *record) beginResponse(after clock.Milli, status int) { s.first, s.status = after, status }
+func (r *record) beginResponse(after clock.Milli, status int) { r.first, r.status = after, status }
 
 // addEvent records one event of a stream.
-func (s *record) addEvent(now clock.Milli) {
-	s.events++
-	if s.lastEvent > 0 {
-		s.pause = max(s.pause, now-s.lastEvent)
+func (r *record) addEvent(now clock.Milli) {
+	r.events++
+	if r.lastEvent > 0 {
+		r.pause = max(r.pause, now-r.lastEvent)
 	}
-	s.lastEvent = now
+	r.lastEvent = now
 }
 
 // endSend records the end of one send.
-func (s *record) endSend(g span.Grant, res result) {
+func (r *record) endSend(g span.Grant, res result) {
 	text := string(g.Leader.Upstream) + "+" + strconv.Itoa(len(g.Helpers))
 	if res.err != nil {
 		text += " " + res.err.Error()
@@ -63,13 +65,13 @@
 	if res.culprit != "" {
 		text += " by " + string(res.culprit)
 	}
-	s.sends = append(s.sends, text)
+	r.sends = append(r.sends, text)
 }
 
 // logEnd writes the log line of the request.
 func (x *request) logEnd(err *fault.Error) {
 	g := x.gate
-	s := &x.record
+	r := &x.record
 	total := g.Clock.Now() - x.arrived
 	e := g.Log.Info()
 	name := "ok"
@@ -84,15 +86,15 @@
 		routeName, aim, gap, due = x.route.Name, x.route.Aim, x.route.Gap, x.deadline-x.arrived
 		urgency = route.Urgency(x.route, x.workspace)
 	}
-	g.metrics.countRequest(routeName, name, s.first, s.queued, total)
+	g.metrics.countRequest(routeName, name, r.first, r.queued, total)
 	e = e.Str(logline.Key, logline.Request).Str("id", x.head.ID).Str("route", routeName).Str("service", string(x.service)).
-		Str("workspace", string(x.workspaceID())).Uint64("revision", s.revision).Int64("age", int64(s.age)).
+		Str("workspace", string(x.workspaceID())).Uint64("revision", r.revision).Int64("age", int64(r.age)).
 		Int64("prompt", int64(x.head.Prompt)).Int64("output", int64(x.head.Output)).Int64("aim", int64(aim)).Int64("gap", int64(gap)).
-		Int64("due", int64(due)).Int("urgency", int(urgency)).Int64("left", int64(x.head.TimeLeft)).Str("last", x.head.LastEventID).Int64("queued", int64(s.queued)).Str("reason", s.reason).
-		Int64("read", int64(s.read)).Int64("placed", s.placed.Load()).Int64("connected", s.connected.Load()).Int64("sent", s.sent.Load()).
-		Int("waiting", s.waiting).Int("running", s.running).
-		Str("sends", strings.Join(s.sends, "; ")).Int64("first", int64(s.first)).Int64("pause", int64(s.pause)).
-		Int("events", s.events).Int64("total", int64(total)).Int("status", s.status).Str("outcome", name)
+		Int64("due", int64(due)).Int("urgency", int(urgency)).Int64("left", int64(x.head.TimeLeft)).Str("last", x.head.LastEventID).Int64("queued", int64(r.queued)).Str("reason", r.reason).
+		Int64("read", int64(r.read)).Int64("placed", r.placed.Load()).Int64("connected", r.connected.Load()).Int64("sent", r.sent.Load()).
+		Int("waiting", r.waiting).Int("running", r.running).
+		Str("sends", strings.Join(r.sends, "; ")).Int64("first", int64(r.first)).Int64("pause", int64(r.pause)).
+		Int("events", r.events).Int64("total", int64(total)).Int("status", r.status).Str("outcome", name)
 	if err != nil {
 		e = e.Str("error", err.Text).Int64("retry", int64(err.Retry))
 	}
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -297,7 +297,7 @@
 func TestKeyRevokedInQueueIsNotServed(t *testing.T) {
 	var runs atomic.Int64
 	w := newFixture(t, counting(&runs, respond("fine")))
-	w.placer.during = func() { w.setDocument(2*clock.Second, "other") }
+	w.placer.beforeAsk = func() { w.setDocument(2*clock.Second, "other") }
 	resp, _, err := w.call(http.MethodPost, "/once/x", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
@@ -310,7 +310,7 @@
 func TestRefusalAfterSendDoesNotClaimNotRun(t *testing.T) {
 	w := newFixture(t, respondRaw(t, true, func(*http.Request) string { return "HTTP/1.1 200 OK\r\nCont" }), respond("fine"))
 	asked := 0
-	w.placer.during = func() {
+	w.placer.beforeAsk = func() {
 		if asked++; asked == 2 {
 			v := *w.registry.View()
 			v.TableVerified -= 4500
@@ -326,7 +326,7 @@
 // A key is moved from one workspace to another while a request with it waits.
 func TestMovedKeyIsChargedToNewWorkspace(t *testing.T) {
 	w := newFixture(t, func(w http.ResponseWriter, r *http.Request) { respond(r.Header.Get("Workspace"))(w, r) })
-	w.placer.during = func() {
+	w.placer.beforeAsk = func() {
 		d := &route.Document{Revision: 2, Routes: routes(clock.Second), Workspaces: []route.Workspace{{ID: "desk", Keys: []route.Key{"key"}}}}
 		tb, err := route.Index(d)
 		require.NoError(t, err)
@@ -379,7 +379,7 @@
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	var runs atomic.Int64
 	w := newFixture(t, counting(&runs, respond("fine")))
-	w.needs.Suspects = testSuspects{check: gate.Quarantined}
+	w.deps.Suspects = testSuspects{verdict: gate.Quarantined}
 	w.start()
 	resp, _, err := w.call(http.MethodPost, "/stream/x", "")
 	require.NoError(t, err)
--- a/daemon/relay/reserve_test.go
+++ b/daemon/relay/reserve_test.go
@@ -54,7 +54,7 @@
 
 // addHelper makes every grant require memory on one helper.
 func (w *fixture) addHelper(m *testMemory) {
-	w.needs.Memory = m
+	w.deps.Memory = m
 	w.placer.helpers = []span.Placement{{Upstream: "h", Address: "127.0.0.1:1", Reserve: 60_000}}
 	w.start()
 }
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -73,8 +73,8 @@
 		return res
 	}
 	defer memory.free()
-	// Check again: while memory was reserved, the response to another request may have declared
-	// something.
+	// Check again: while memory was being reserved, the response to another request may have
+	// contained a statement that forbids this send.
 	if res, withheld = x.checkStatements(grant); withheld {
 		return res
 	}
@@ -132,11 +132,11 @@
 	if resp.StatusCode == http.StatusOK && x.route.Stream {
 		return x.passStream(ctx, resp, grant, w)
 	}
-	return x.passWhole(ctx, resp, grant, w)
+	return x.passBuffered(ctx, resp, grant, w)
 }
 
-// passWhole reads a response to its end, up to bufferLimit, before any of it is passed on.
-func (x *request) passWhole(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
+// passBuffered reads a response to its end, up to bufferLimit, before any of it is passed on.
+func (x *request) passBuffered(ctx context.Context, resp *http.Response, grant span.Grant, w *watchdog) result {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit+1))
 	if err != nil {
 		return x.classifyError(ctx, err, true)
--- a/daemon/relay/start_test.go
+++ b/daemon/relay/start_test.go
@@ -16,7 +16,7 @@
 	w := newFixture(t, respond("fine"))
 	known := w.registry
 	w.registry = emptyRegistry()
-	w.needs.Registry = w.registry
+	w.deps.Registry = w.registry
 	w.start()
 	learn := time.AfterFunc(100*time.Millisecond, func() { w.registry.set(known.View()) })
 	defer learn.Stop()
@@ -31,7 +31,7 @@
 func TestWaitForDocumentIsBounded(t *testing.T) {
 	w := newFixture(t, respond("fine"))
 	w.registry = emptyRegistry()
-	w.needs.Registry = w.registry
+	w.deps.Registry = w.registry
 	w.start()
 	began := time.Now()
 	resp, _, err := w.call(http.MethodPost, "/once/x", "body")
--- a/daemon/relay/statements_test.go
+++ b/daemon/relay/statements_test.go
@@ -63,7 +63,7 @@
 func TestWithheldSendIsNotCountedAsRetry(t *testing.T) {
 	w := newFixture(t, rejectWithBackOff, respond("answer"))
 	var ends []bool
-	w.needs.Suspects = testSuspects{whole: &ends}
+	w.deps.Suspects = testSuspects{whole: &ends}
 	w.start()
 	_, _, _ = w.call(http.MethodPost, "/once/", "")
 	w.placer.outcomes, w.placer.again, w.placer.counted, ends = nil, nil, nil, nil
@@ -124,7 +124,7 @@
 func TestUnrecognizedFieldIsLoggedOnce(t *testing.T) {
 	var lines strings.Builder
 	w := newFixture(t, respond("answer"))
-	w.needs.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
+	w.deps.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
 	w.start()
 	for i := range 3 * maxNames {
 		for range 3 {
@@ -140,7 +140,7 @@
 func TestUnparsableStatementIsLoggedOnce(t *testing.T) {
 	var lines strings.Builder
 	w := newFixture(t, respond("answer"))
-	w.needs.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
+	w.deps.Log = &log.Logger{Writer: &log.IOWriter{Writer: &lines}}
 	w.start()
 	long := strings.Repeat("9", 1<<16)
 	for i := range 3 * maxNames {
--- a/daemon/silent/silent.go
+++ b/daemon/silent/silent.go
@@ -40,7 +40,7 @@
 type VMs struct {
 	log     *log.Logger
 	members Members
-	prover  Prover
+	prober  Prover
 
 	mu           sync.Mutex
 	unresponsive map[peer.VM]peer.Incarnation
@@ -51,7 +51,7 @@
 
 // New returns an empty record: all VMs count as responsive.
 func New(l *log.Logger, m Members, p Prover) *VMs {
-	return &VMs{log: l, members: m, prover: p, unresponsive: map[peer.VM]peer.Incarnation{}}
+	return &VMs{log: l, members: m, prober: p, unresponsive: map[peer.VM]peer.Incarnation{}}
 }
 
 // IsUnresponsive reports whether the gate skips a VM as unresponsive.
@@ -88,9 +88,9 @@
 	}
 }
 
-// SelfCutOff reports whether several VMs are unresponsive and none has answered since the first of them
-// failed. This VM is then probably cut off itself, and querying further VMs would only delay
-// callers.
+// SelfCutOff reports whether several VMs are unresponsive and no VM has answered since the first of
+// them failed to. This VM is then probably cut off itself, and querying further VMs would only delay
+// requests.
 func (s *VMs) SelfCutOff() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +109,7 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		err := s.prover.Probe(ctx, m.Address)
+		err := s.prober.Probe(ctx, m.Address)
 		cancel()
 		if err == nil {
 			s.MarkResponsive(m)
--- a/daemon/silent/silent_test.go
+++ b/daemon/silent/silent_test.go
@@ -48,7 +48,7 @@
 		s.MarkUnresponsive(a, errDown)
 		time.Sleep(10 * time.Second)
 		require.True(t, s.IsUnresponsive(a))
-		require.LessOrEqual(t, f.probes.Load(), int64(8), "probes become rare")
+		require.LessOrEqual(t, f.probes.Load(), int64(8), "the interval between probes must grow")
 		f.up.Store(true)
 		time.Sleep(probeLongest)
 		require.False(t, s.IsUnresponsive(a))
@@ -71,8 +71,8 @@
 	})
 }
 
-// No VM that this VM queries answers: it is probably cut off itself, and querying further VMs would
-// only delay callers.
+// None of the VMs that this VM queries answers: this VM is probably cut off itself, and querying
+// further VMs would only delay requests.
 func TestSeveralUnresponsiveVMsMeanThisVMIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, s := newFleet()
--- a/daemon/statements/statements.go
+++ b/daemon/statements/statements.go
@@ -44,28 +44,28 @@
 	epoch, version uint64
 }
 
-// New returns an empty store.
+// New returns an empty cache.
 func New(k Clock, l *log.Logger) *Cache {
 	return &Cache{clock: k, log: l, services: map[route.ServiceID]*service{}}
 }
 
 // of returns the statements of a service's upstreams. The lock is held.
-func (h *Cache) of(s route.ServiceID) *service {
-	x := h.services[s]
+func (c *Cache) of(s route.ServiceID) *service {
+	x := c.services[s]
 	if x == nil {
 		x = &service{Table: statement.NewTable()}
-		h.services[s] = x
+		c.services[s] = x
 	}
 	return x
 }
 
 // Learn records a statement and logs it if it differs from the known one.
-func (h *Cache) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
-	h.mu.Lock()
-	changed := h.of(s).Learn(u, st)
-	h.mu.Unlock()
+func (c *Cache) Learn(s route.ServiceID, u decide.UpstreamID, st statement.Statement, cause string) {
+	c.mu.Lock()
+	changed := c.of(s).Learn(u, st)
+	c.mu.Unlock()
 	if changed {
-		LogChange(h.log, h.clock.Now(), s, u, st, cause)
+		LogChange(c.log, c.clock.Now(), s, u, st, cause)
 	}
 }
 
@@ -76,24 +76,24 @@
 }
 
 // Pending returns the statements that the owner of an epoch has not acknowledged.
-func (h *Cache) Pending(s route.ServiceID, epoch uint64) Pending {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	x := h.of(s)
+func (c *Cache) Pending(s route.ServiceID, epoch uint64) Pending {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	x := c.of(s)
 	after := x.version
 	if x.epoch != epoch {
 		after = 0
 	}
 	p := Pending{epoch: epoch}
-	p.Statements, p.version = x.Since(h.clock.Now(), after)
+	p.Statements, p.version = x.Since(c.clock.Now(), after)
 	return p
 }
 
 // Acknowledge records that the owner for which p was made has received its statements.
-func (h *Cache) Acknowledge(s route.ServiceID, p Pending) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	x := h.of(s)
+func (c *Cache) Acknowledge(s route.ServiceID, p Pending) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	x := c.of(s)
 	if x.epoch == p.epoch {
 		p.version = max(p.version, x.version)
 	}
@@ -101,31 +101,31 @@
 }
 
 // All returns all statements of a service's upstreams.
-func (h *Cache) All(s route.ServiceID) []statement.Message {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	all, _ := h.of(s).Since(h.clock.Now(), 0)
+func (c *Cache) All(s route.ServiceID) []statement.Message {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	all, _ := c.of(s).Since(c.clock.Now(), 0)
 	return all
 }
 
 // OfUpstreams returns the statements of the given upstreams.
-func (h *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Message {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *Cache) OfUpstreams(s route.ServiceID, us ...decide.UpstreamID) []statement.Message {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []statement.Message
 	for _, u := range us {
-		out = append(out, h.of(s).About(h.clock.Now(), u)...)
+		out = append(out, c.of(s).About(c.clock.Now(), u)...)
 	}
 	return out
 }
 
 // Forget discards expired statements and, after a retention time, those of upstreams for which
 // listed returns false.
-func (h *Cache) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for s, x := range h.services {
-		x.Forget(h.clock.Now(), func(u decide.UpstreamID) bool { return listed(s, u) })
+func (c *Cache) Forget(listed func(route.ServiceID, decide.UpstreamID) bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for s, x := range c.services {
+		x.Forget(c.clock.Now(), func(u decide.UpstreamID) bool { return listed(s, u) })
 	}
 }
 
@@ -134,18 +134,18 @@
 
 // Binding returns a statement that forbids this VM to send to an incarnation of an upstream now, if
 // there is one.
-func (h *Cache) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Incarnation) (statement.Statement, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.of(s).Blocking(h.clock.Now(), u, started)
+func (c *Cache) Binding(s route.ServiceID, u decide.UpstreamID, started decide.Incarnation) (statement.Statement, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.of(s).Blocking(c.clock.Now(), u, started)
 }
 
 // Each calls f for each statement in force.
-func (h *Cache) Each(fn func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for s, x := range h.services {
-		x.Each(h.clock.Now(), func(u decide.UpstreamID, st statement.Statement) { fn(s, u, st) })
+func (c *Cache) Each(fn func(route.ServiceID, decide.UpstreamID, statement.Statement)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for s, x := range c.services {
+		x.Each(c.clock.Now(), func(u decide.UpstreamID, st statement.Statement) { fn(s, u, st) })
 	}
 }
 
--- a/daemon/statements/statements_test.go
+++ b/daemon/statements/statements_test.go
@@ -73,8 +73,8 @@
 	require.False(t, bound)
 }
 
-// A draining upstream is missing from the list of upstreams for a moment, as when the store
-// restarts from an older copy. If its drain notice were discarded with it, it would receive
+// A draining upstream is missing from the list of upstreams for a moment, as when the store is
+// restored from an older copy. If its drain notice were discarded with it, it would receive
 // requests again.
 func TestDrainNoticeOutlivesUpstreamList(t *testing.T) {
 	h, k := newCache()
