--- a/daemon/follow/follow.go
+++ b/daemon/follow/follow.go
@@ -176,7 +176,7 @@
 
 // Ready reports whether a document is in force and the store or a peer was reached within the
 // contact limit of its rules. A VM that is cut off from both may apply a document that is no longer
-// in force anywhere else, so it must not serve callers.
+// in force anywhere else, so it must not serve clients.
 func (f *Follower) Ready() bool {
 	f.mu.Lock()
 	revision, contact, peers := f.revision, f.storeContact, f.peers
--- a/daemon/limit/limit.go
+++ b/daemon/limit/limit.go
@@ -1,5 +1,5 @@
 // Package limit enforces the rate limits of workspaces. Each workspace has a home VM that divides
-// its rate among the VMs that have callers of the workspace.
+// its rate among the VMs that have clients of the workspace.
 package limit
 
 import (
@@ -47,7 +47,7 @@
 // Clock reads the time of this process.
 type Clock interface{ Now() clock.Milli }
 
-// Limits enforces all limits on this VM: it has token buckets for the workspaces of its callers and
+// Limits enforces all limits on this VM: it has token buckets for the workspaces of its clients and
 // divides the rates of the workspaces whose home it is. It is safe for concurrent use.
 type Limits struct {
 	clock Clock
@@ -56,7 +56,7 @@
 	id    decide.GateID
 
 	mu sync.Mutex
-	// buckets has a token bucket for each workspace with a rate and recent callers.
+	// buckets has a token bucket for each workspace with a rate and recent clients.
 	buckets map[decide.WorkspaceID]*bucket
 	// dividers has a rate divider for each workspace for which this VM, as its home, received
 	// demands.
@@ -159,8 +159,8 @@
 			delete(l.buckets, w)
 			continue
 		}
-		// Workspaces without callers in the last second are left out. With 3,500 workspaces a VM
-		// has callers of some thirty per second; requesting shares for all workspaces seen within a
+		// Workspaces without clients in the last second are left out. With 3,500 workspaces a VM
+		// has clients of some thirty per second; requesting shares for all workspaces seen within a
 		// minute took 93 KB/s, of 7 KB/s allowed for control traffic.
 		rate := b.limit.Demand(now)
 		m, ok := l.homes.Home(w)
--- a/daemon/limit/limit_test.go
+++ b/daemon/limit/limit_test.go
@@ -66,8 +66,8 @@
 	return granted
 }
 
-// All callers of a workspace connect to one VM. That VM must get nearly the whole rate; when the
-// callers spread over all VMs, the sum must stay at the rate.
+// All clients of a workspace connect to one VM. That VM must get nearly the whole rate; when the
+// clients spread over all VMs, the sum must stay at the rate.
 func TestSharesFollowDemand(t *testing.T) {
 	f := newFleet(3000)
 	f.takeTokens("vm-2")
@@ -105,7 +105,7 @@
 }
 
 // Thousands of workspaces send a request now and then. Each second a VM may request shares only for
-// workspaces with callers in that second, or control traffic exceeds its limit.
+// workspaces with clients in that second, or control traffic exceeds its limit.
 func TestSharesAreRequestedOnlyForWorkspacesWithCallers(t *testing.T) {
 	f := newFleet(3000)
 	l := f.vms["vm-2"]
--- a/daemon/placer/hold_test.go
+++ b/daemon/placer/hold_test.go
@@ -25,7 +25,7 @@
 func (halfAnswered) Probe(context.Context, string) error { return nil }
 
 // A forwarded query times out while its late answer is still being decoded. If the partial reply
-// were used, the caller would receive a placement that the holder did not grant.
+// were used, the gate would receive a placement that the holder did not grant.
 func TestLateAnswerOfForwardedQueryIsIgnored(t *testing.T) {
 	self, far := peer.Member{VM: "self", Address: "self"}, peer.Member{VM: "far", Address: "far"}
 	o := ownerAt(t, viewOf{members{far, self}, self}, halfAnswered{}, "e0")
--- a/daemon/placer/large_owner_test.go
+++ b/daemon/placer/large_owner_test.go
@@ -39,7 +39,7 @@
 // A hundred short requests a second arrive for one service of a fleet with small VMs and a large
 // one, and rendezvous hashing ranks a small VM first. If that VM were the owner, it would receive
 // three messages per request, more than its processor handles: answers would be delayed more and
-// more, callers with a latency target of 300 ms would get theirs after a second, and gates would
+// more, clients with a latency target of 300 ms would get theirs after a second, and gates would
 // skip it for the next small VM.
 func TestLargeVMIsOwnerInFleetOfSmallVMs(t *testing.T) {
 	d := newDeployment(t)
--- a/daemon/placer/messages.go
+++ b/daemon/placer/messages.go
@@ -108,7 +108,7 @@
 
 // TakeArgs hands a service over to the called VM.
 type TakeArgs struct {
-	// Holder is the called VM as holder, at the epoch after the caller's.
+	// Holder is the called VM as holder, at the epoch after that of the VM that hands over.
 	Holder peer.Holder
 	Books  span.Snapshot
 }
--- a/daemon/placer/placer_test.go
+++ b/daemon/placer/placer_test.go
@@ -201,7 +201,7 @@
 	require.Less(t, time.Since(began), 100*time.Millisecond, "the next request must not query the lost VM again")
 }
 
-// This VM can reach callers and engines but no other VM.
+// This VM can reach clients and engines but no other VM.
 func TestGateDecidesByItselfWithoutReachableOwner(t *testing.T) {
 	d := newDeployment(t)
 	for _, m := range d.ranked {
@@ -227,8 +227,8 @@
 	require.Equal(t, 4, d.grants(d.ranked[1]))
 }
 
-// The caller disconnects while its request is queued.
-func TestQueryEndsWithItsCaller(t *testing.T) {
+// The client disconnects while its request is queued.
+func TestQueryEndsWithItsClient(t *testing.T) {
 	d := newDeployment(t)
 	for _, o := range d.owners {
 		o.Knowledge = newView(t)
@@ -275,7 +275,7 @@
 
 // All VMs start at once after a power failure, and each gate receives requests before it knows any
 // other VM, so that each is the owner of every service. If an owner waited for other members, its
-// callers would be late; if it polled all engines and packed its requests on the first of them, all
+// clients would be late; if it polled all engines and packed its requests on the first of them, all
 // eighty VMs would do the same. It must serve short requests at once from a few engines of its own,
 // and keep long requests queued until gates know the common owner.
 func TestOwnerWithoutKnownMembersUsesFewEngines(t *testing.T) {
@@ -376,7 +376,7 @@
 func (b *busyReports) most() int  { b.mu.Lock(); defer b.mu.Unlock(); return b.peak }
 
 // After the loss of all VMs, a VM becomes the owner of three thousand upstreams, each of which is
-// still generating for callers that are gone. If the owner polled all of them at once, its
+// still generating for clients that are gone. If the owner polled all of them at once, its
 // processor would be used up and gates would find it unresponsive; if it polled the first ones
 // again and again, the others would receive no requests for as long as these generate.
 func TestNewOwnerPollsThousandsOfBusyUpstreamsInAFewSeconds(t *testing.T) {
--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -179,7 +179,7 @@
 }
 
 // Three hundred VMs start for the first time and each lists both kinds of objects, although there
-// are no callers yet and the first few VMs could send their state to the others.
+// are no clients yet and the first few VMs could send their state to the others.
 func TestVMWaitsForPeersAtFirstStart(t *testing.T) {
 	b, informed := newHarness(t), newHarness(t)
 	started := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
--- a/daemon/registry/registry.go
+++ b/daemon/registry/registry.go
@@ -86,7 +86,7 @@
 	// 300 ms later, which a longer wait would make them miss.
 	defaultBootstrapWait = 30 * time.Millisecond
 	// FirstBootstrapWait is the bootstrap wait for the first start of all VMs of a deployment.
-	// There are no callers yet, and the wait suffices to discover the peers and to receive their
+	// There are no clients yet, and the wait suffices to discover the peers and to receive their
 	// state. Without it 295 VMs that each list both kinds of objects make 590 calls.
 	FirstBootstrapWait = clock.Second
 	// bootstrapGrace is how long after the bootstrap wait a VM without a document still leaves
@@ -315,7 +315,7 @@
 const fromStore = "store"
 
 // learnDocument applies a document that was current at an instant. A revision below the one in
-// force is never applied: the revision that callers observe must not decrease.
+// force is never applied: the revision that clients observe must not decrease.
 func (r *Registry) learnDocument(d *route.Document, at clock.Milli, from string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
