--- a/daemon/registry/readers_test.go
+++ b/daemon/registry/readers_test.go
@@ -60,8 +60,8 @@
 	cutOff.Registry.clock, connected.Registry.clock = b.clock, b.clock
 	cutOff.store.down = true
 	cutOff.watch()
-	b.peers = localPeers{"shut": cutOff.Registry, "open": connected.Registry, "next": connected.Registry}
-	others := []peer.Member{{VM: "shut", Address: "shut"}, {VM: "open", Address: "open"}, {VM: "next", Address: "next"}}
+	b.peers = localPeers{"cut-off": cutOff.Registry, "connected": connected.Registry, "next": connected.Registry}
+	others := []peer.Member{{VM: "cut-off", Address: "cut-off"}, {VM: "connected", Address: "connected"}, {VM: "next", Address: "next"}}
 	rank := 2
 	b.SetReaders(func() Roster { return Roster{Sources: others[:rank], Rank: rank, LargeFleet: true} })
 	nextReader := b.askReaders(b.ctx, others, 0)
@@ -179,7 +179,7 @@
 }
 
 // Three hundred VMs start for the first time and each lists both kinds of objects, although there
-// are no callers yet and the first few VMs could send their state to the others.
+// are no clients yet and the first few VMs could send their state to the others.
 func TestVMWaitsForPeersAtFirstStart(t *testing.T) {
 	b, informed := newHarness(t), newHarness(t)
 	started := New(b.store, localPeer{informed.Registry}, b.clock, b.log)
